--- /dev/null
+++ b/internal/counter/acquire.go
@@ -0,0 +1,111 @@
+package counter
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// acquireUpstream waits for a grant to send the request. If none is issued in time, it answers the
+// caller and returns false.
+func (t *transaction) acquireUpstream(ctx context.Context, w http.ResponseWriter) (grant, bool) {
+	now := t.counter.options.Now()
+	waitCtx, cancel := context.WithTimeout(ctx, t.arrived.Add(t.maxWait()).Sub(now))
+	defer cancel()
+	granted, err := t.acquireFromOwner(waitCtx)
+	if errors.Is(err, errDecideLocally) {
+		granted, err = t.acquireLocally(waitCtx)
+	}
+	var rejected *rejection
+	switch {
+	case err == nil:
+		t.prefillAhead = granted.prefillAhead
+		return granted, true
+	case errors.As(err, &rejected) && t.possibleRuns == 0:
+		t.counter.refuse(w, t.call, t.route, refusal{
+			status: http.StatusServiceUnavailable, text: rejected.Error(), retryAfter: rejected.retryAfter,
+			forecastWait: rejected.forecastWait, waited: t.counter.options.Now().Sub(t.arrived), survey: &rejected.survey,
+			owner: t.owner,
+		})
+	default:
+		t.refuseNoUpstream(w)
+	}
+	return grant{}, false
+}
+
+// acquireLocally waits for a grant of this instance.
+func (t *transaction) acquireLocally(ctx context.Context) (grant, error) {
+	c := t.counter
+	local := localRequest{grants: make(chan grant, 1)}
+	w := &waiter{requirements: t.requirements, requester: local}
+	if rejected := c.enqueueLocal(w, local); rejected != nil {
+		return grant{}, rejected
+	}
+	select {
+	case granted := <-local.grants:
+		return granted, nil
+	case <-ctx.Done():
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	select {
+	case granted := <-local.grants:
+		return granted, nil
+	default:
+	}
+	c.dequeue(w)
+	t.lastMissing = w.missing
+	return grant{}, ctx.Err()
+}
+
+// enqueueLocal adds a request of this instance to the queue. It returns the reason if the request
+// is rejected immediately.
+func (c *Counter) enqueueLocal(w *waiter, local localRequest) *rejection {
+	now := c.options.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w.placingInstances = c.placingInstances(now, &w.requirements)
+	c.enqueue(now, w)
+	if len(local.grants) > 0 {
+		return nil
+	}
+	return c.rejectOrWait(now, w)
+}
+
+// refuseNoUpstream answers a request for which no upstream was available in time.
+func (t *transaction) refuseNoUpstream(w http.ResponseWriter) {
+	c := t.counter
+	if t.possibleRuns > 0 {
+		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "no upstream is left to try"})
+		return
+	}
+	if t.request.Context().Err() != nil {
+		c.logOutcome(t, "caller disconnected", "the caller left while the request waited")
+		panic(http.ErrAbortHandler)
+	}
+	now := c.options.Now()
+	c.refuse(w, t.call, t.route, refusal{
+		status: http.StatusServiceUnavailable, text: "no upstream: " + t.lastMissing.String(), retryAfter: t.retryAfterNow(),
+		waited: now.Sub(t.arrived), survey: c.surveyUpstreams(now, t), owner: t.owner,
+	})
+}
+
+// surveyUpstreams counts the states of the upstreams that could have run the request.
+func (c *Counter) surveyUpstreams(now time.Time, t *transaction) *survey {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.pool.survey(now, t.query())
+	return &s
+}
+
+// retryAfterNow returns the Retry-After time of a request that is refused now.
+func (t *transaction) retryAfterNow() time.Duration {
+	c := t.counter
+	now := c.options.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	loadTime, loading := c.pool.loadTime(now, t.service, t.model)
+	return t.retryAfterLoad(now, loadTime, loading)
+}
--- a/internal/counter/attempt.go
+++ b/internal/counter/attempt.go
@@ -12,47 +12,46 @@
 	"github.com/lovagelift/lovagelift/internal/retry"
 )
 
-// attempt sends the request to where it was granted a place, and reports whether the
-// caller was answered.
-func (t *trip) attempt(ctx context.Context, w http.ResponseWriter, granted place) bool {
+// attempt sends the request to the granted upstream, and reports whether the caller was answered.
+func (t *transaction) attempt(ctx context.Context, w http.ResponseWriter, granted grant) bool {
 	c := t.counter
-	a := &sending{place: granted}
-	defer c.finish(t, a)
-	if c.coroner.Holds(t.digest) {
+	a := &upstreamAttempt{grant: granted}
+	defer c.finishAttempt(t, a)
+	if c.crashes.Holds(t.digest) {
 		t.refuseQuarantined(w)
 		return true
 	}
-	if wait, ok := c.allow(ctx, a.upstream); !ok {
-		return t.held(w, a, wait)
+	if wait, ok := c.allowByLimit(ctx, a.upstream); !ok {
+		return t.rateLimited(w, a, wait)
 	}
 	t.sends++
 	t.timing.sent = c.options.Now()
-	response, err := t.send(ctx, a)
+	response, err := t.roundTrip(ctx, a)
 	if err != nil {
-		return t.failed(ctx, w, a, err)
+		return t.handleFailure(ctx, w, a, err)
 	}
 	defer response.Body.Close()
-	judged := c.options.Dialect.Judge(response, t.call.ID)
-	if judged == Answered || judged == NotRun {
-		c.noteLimit(t, a, response.Header)
+	judgement := c.options.Dialect.Judge(response, t.call.ID)
+	if judgement == Answered || judgement == NotRun {
+		c.observeLimit(t, a, response.Header)
 	}
-	switch judged {
+	switch judgement {
 	case NotRun, Misdirected:
-		return t.refused(w, a, response, judged)
+		return t.handleNotRun(w, a, response, judgement)
 	case Mismatched:
-		t.runs++
-		return t.failed(ctx, w, a, errors.New("counter: the answer is another request's"))
+		t.possibleRuns++
+		return t.handleFailure(ctx, w, a, errors.New("counter: response belongs to another request"))
 	default:
-		return t.answer(ctx, w, a, response)
+		return t.relay(ctx, w, a, response)
 	}
 }
 
-// refused deals with an upstream that did not run the request.
-func (t *trip) refused(w http.ResponseWriter, a *sending, response *http.Response, judged Judgement) bool {
+// handleNotRun handles an upstream that did not run the request.
+func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, judgement Judgement) bool {
 	c := t.counter
 	now := c.options.Now()
 	a.outcome = permit.Full
-	if judged == Misdirected && t.model != "" {
+	if judgement == Misdirected && t.model != "" {
 		a.outcome = permit.Absent
 	}
 	c.mu.Lock()
@@ -61,35 +60,35 @@
 	})
 	c.mu.Unlock()
 	c.logAttempt(t, a, "refused", response.StatusCode, verdict.String())
-	if judged != Misdirected || t.call.Model == "" {
+	if judgement != Misdirected || t.call.Model == "" {
 		t.tried = append(t.tried, a.upstream.name)
 	}
 	if verdict == retry.Again {
 		return false
 	}
-	if t.runs > 0 {
-		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, why: "refused after an earlier attempt"})
+	if t.possibleRuns > 0 {
+		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "refused after an earlier attempt"})
 		return true
 	}
 	c.refuse(w, t.call, t.route, refusal{
-		status: http.StatusServiceUnavailable, why: "the upstream refused", comeBack: t.comeBackNow(),
+		status: http.StatusServiceUnavailable, text: "the upstream refused", retryAfter: t.retryAfterNow(),
 	})
 	return true
 }
 
-// failed deals with an attempt without a whole answer.
-func (t *trip) failed(ctx context.Context, w http.ResponseWriter, a *sending, cause error) bool {
+// handleFailure handles an attempt without a complete response.
+func (t *transaction) handleFailure(ctx context.Context, w http.ResponseWriter, a *upstreamAttempt, cause error) bool {
 	c := t.counter
 	now := c.options.Now()
 	if t.request.Context().Err() != nil {
-		t.noteLeft(a)
-		c.logAttempt(t, a, "left", 0, "the caller left")
+		t.reportCallerLeft(a)
+		c.logAttempt(t, a, "caller disconnected", 0, "the caller left")
 		panic(http.ErrAbortHandler)
 	}
 	run := outcome.NotRun
-	if a.reached.Load() {
+	if a.mayHaveSent.Load() {
 		run = outcome.Unknown
-		t.runs++
+		t.possibleRuns++
 	}
 	c.mu.Lock()
 	verdict := retry.TooLate
@@ -98,33 +97,33 @@
 		verdict = t.verdict(now, run)
 	}
 	c.mu.Unlock()
-	t.cause = cause
-	t.noteBroken(a, cause)
+	t.lastError = cause
+	t.reportBroken(a, cause)
 	c.logAttempt(t, a, "attempt failed", 0, verdict.String())
 	t.tried = append(t.tried, a.upstream.name)
 	if verdict == retry.Again {
 		return false
 	}
 	switch {
-	case t.runs == 0:
+	case t.possibleRuns == 0:
 		c.refuse(w, t.call, t.route, refusal{
-			status: http.StatusServiceUnavailable, why: "no upstream was reached", comeBack: t.comeBackNow(),
+			status: http.StatusServiceUnavailable, text: "no upstream was reached", retryAfter: t.retryAfterNow(),
 		})
 	case ctx.Err() != nil:
-		c.refuse(w, t.call, t.route, refusal{status: http.StatusGatewayTimeout, why: "no answer in time"})
+		c.refuse(w, t.call, t.route, refusal{status: http.StatusGatewayTimeout, text: "no answer in time"})
 	default:
-		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, why: "the upstream's answer was lost"})
+		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "the upstream's answer was lost"})
 	}
 	return true
 }
 
-// verdict decides whether the request is sent again. Connecting costs nothing of
-// the budget: the upstream that was not reached has no work of it.
-func (t *trip) verdict(now time.Time, run outcome.Outcome) retry.Verdict {
-	if run == outcome.NotRun && t.sends < maxAttempts {
+// verdict decides whether the request is retried. A failure to connect is not charged to the retry
+// budget, because the upstream has no work from it.
+func (t *transaction) verdict(now time.Time, run outcome.Outcome) retry.Verdict {
+	if run == outcome.NotRun && t.sends < maxSends {
 		return retry.Again
 	}
-	if t.runs >= t.route.Attempts {
+	if t.possibleRuns >= t.route.Attempts {
 		return retry.AttemptsSpent
 	}
 	return t.counter.budgets.Of(now, t.service).Decide(now, retry.Attempt{
--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -26,12 +26,12 @@
 	return held
 }
 
-func fleetOf(engines int) counter.Fleet {
-	fleet := counter.NewFleet("here", lease)
+func fleetOf(engines int) counter.UpstreamPool {
+	fleet := counter.NewUpstreamPool("here", lease)
 	for i := range engines {
 		smallEngine(fleet, fmt.Sprint("e", i))
 	}
-	fleet.Hold(start, holdingsOf(engines))
+	fleet.ApplyHoldings(start, holdingsOf(engines))
 	return fleet
 }
 
@@ -44,7 +44,7 @@
 			held := holdingsOf(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				fleet.Hold(start, held)
+				fleet.ApplyHoldings(start, held)
 			}
 		})
 	}
@@ -55,13 +55,13 @@
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			among := addresses(engines * 5 / 4)
-			own := counter.NewOwner(fleetOf(engines), among[0], among)
+			own := counter.NewInstance(fleetOf(engines), among[0], among)
 			id := permit.ID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				own.Hear(start, among[1], asking(id, "model-7"))
-				own.Hear(start, among[1], permit.Ended{ID: id, Outcome: permit.Worked})
+				own.Receive(start, among[1], asking(id, "model-7"))
+				own.Receive(start, among[1], permit.Ended{ID: id, Outcome: permit.Worked})
 			}
 		})
 	}
@@ -75,15 +75,15 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			fleet := fleetOf(engines)
 			for i := range engines {
-				fleet.HeardOpen(start, fmt.Sprint("e", i), 12, 1)
+				fleet.PeerActive(start, fmt.Sprint("e", i), 12, 1)
 			}
-			line := counter.NewLine(fleet, 1)
+			line := counter.NewQueue(fleet, 1)
 			for range waiting {
-				line.Join(start, "model-7", 800*time.Millisecond)
+				line.Enqueue(start, "model-7", 800*time.Millisecond)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				line.Look(start)
+				line.Dispatch(start)
 			}
 		})
 	}
@@ -96,13 +96,13 @@
 		b.Run(fmt.Sprint(limit), func(b *testing.B) {
 			among := addresses(330)
 			fleet := fleetOf(1)
-			own := counter.NewOwner(fleet, among[0], among[:1])
+			own := counter.NewInstance(fleet, among[0], among[:1])
 			if limit >= 0 {
-				fleet.Named(start, "e0", limit)
+				fleet.SetLimit(start, "e0", limit)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				own.Allow("e0")
+				own.AllowByLimit("e0")
 			}
 		})
 	}
--- a/internal/counter/aging_test.go
+++ b/internal/counter/boost_test.go
@@ -14,7 +14,7 @@
 // overload plays 12 s in which an engine has 20 places for 100 requests a second of a model,
 // each of which takes one for a second, and returns the longest time for which requests of
 // each of some adapters that are asked for now and then were not served.
-func overload(line counter.Line, fleet counter.Fleet, priority uint8, adapters ...string) map[string]time.Duration {
+func overload(line counter.Queue, fleet counter.UpstreamPool, priority uint8, adapters ...string) map[string]time.Duration {
 	const objective = 800 * time.Millisecond
 	type asked struct {
 		adapter string
@@ -26,23 +26,23 @@
 	var waiting []asked
 	var ends []time.Time
 	ask := func(now time.Time, adapter string, priority uint8) {
-		w := line.JoinAs(now, "m", adapter, priority, objective)
-		if line.Refuses(now, w) {
-			line.Leave(w)
+		w := line.EnqueueAs(now, "m", adapter, priority, objective)
+		if line.Rejects(now, w) {
+			line.Dequeue(w)
 			return
 		}
 		waiting = append(waiting, asked{
-			adapter, now.Add(3 * objective / 2), func() bool { return counter.Granted(w) }, func() { line.Leave(w) },
+			adapter, now.Add(3 * objective / 2), func() bool { return counter.Granted(w) }, func() { line.Dequeue(w) },
 		})
 	}
 	for millis := range 12_000 {
 		now := start.Add(time.Duration(millis) * time.Millisecond)
 		for len(ends) > 0 && !ends[0].After(now) {
-			fleet.Ended("e")
+			fleet.Release("e")
 			ends = ends[1:]
 		}
 		if millis%20 == 0 {
-			fleet.HeardOpen(now, "e", 44, 1)
+			fleet.PeerActive(now, "e", 44, 1)
 		}
 		if millis%10 == 0 {
 			ask(now, "", 0)
@@ -52,7 +52,7 @@
 				ask(now, adapter, priority)
 			}
 		}
-		line.Look(now)
+		line.Dispatch(now)
 		still := waiting[:0]
 		for _, a := range waiting {
 			switch {
@@ -78,8 +78,8 @@
 }
 
 var _ = Describe("A request of an adapter that is asked for now and then", func() {
-	var fleet counter.Fleet
-	var line counter.Line
+	var fleet counter.UpstreamPool
+	var line counter.Queue
 	var adapters []string
 
 	BeforeEach(func() {
@@ -87,12 +87,12 @@
 		for i := range 8 {
 			adapters = append(adapters, fmt.Sprint("a", i))
 		}
-		fleet = counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
-		fleet.Hold(start, courier.Holdings{Engines: []courier.Holding{{
+		fleet = counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
+		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Models: []courier.HeldModel{{Name: "m", Adapters: adapters}},
 		}}})
-		line = counter.NewLine(fleet, 1)
+		line = counter.NewQueue(fleet, 1)
 	})
 
 	// Five times as many callers ask for a model as its engine can serve. Those of adapters
@@ -114,13 +114,13 @@
 		served := time.Duration(0)
 		for millis := 0; millis < 8000 && served == 0; millis += 100 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
-			fleet.HeardOpen(now, "e", 64, 1)
-			w := line.JoinAs(now, "m", "a1", 0, 800*time.Millisecond)
-			line.Look(now)
+			fleet.PeerActive(now, "e", 64, 1)
+			w := line.EnqueueAs(now, "m", "a1", 0, 800*time.Millisecond)
+			line.Dispatch(now)
 			if counter.Granted(w) {
 				served = now.Sub(start)
 			} else {
-				line.Leave(w)
+				line.Dequeue(w)
 			}
 		}
 		Expect(served).To(BeNumerically("~", 4*time.Second, time.Second))
@@ -129,11 +129,11 @@
 	It("is not sent to an engine that has more than it can run by far", func() {
 		for millis := 0; millis < 8000; millis += 100 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
-			fleet.HeardOpen(now, "e", 80, 1)
-			w := line.JoinAs(now, "m", "a1", 0, 800*time.Millisecond)
-			line.Look(now)
+			fleet.PeerActive(now, "e", 80, 1)
+			w := line.EnqueueAs(now, "m", "a1", 0, 800*time.Millisecond)
+			line.Dispatch(now)
 			Expect(counter.Granted(w)).To(BeFalse())
-			line.Leave(w)
+			line.Dequeue(w)
 		}
 	})
 })
--- a/internal/counter/budget_test.go
+++ b/internal/counter/budget_test.go
@@ -16,7 +16,7 @@
 	DescribeTable("is shared by the instances that there are",
 		func(instances int, slack float64) {
 			limits := counter.RetryLimits{Slack: slack, Window: 10 * time.Second}
-			reserve, refill := counter.RetriesOf(limits, instances)
+			reserve, refill := counter.RetryBudget(limits, instances)
 			Expect(float64(instances) * (reserve + refill*limits.Window.Seconds())).To(BeNumerically("<=", slack))
 			Expect(reserve).To(BeNumerically(">=", 1))
 		},
--- a/internal/counter/choose.go
+++ b/internal/counter/choose.go
@@ -7,221 +7,219 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// wish is what a request asks of an upstream.
-type wish struct {
+// upstreamQuery describes the upstream that a request needs.
+type upstreamQuery struct {
 	service string
 	model   string
 	adapter string
-	// pace bounds what an engine gets.
-	pace pace
-	// tried are the names of upstreams that have failed this request. They are tried
-	// again only after the rest, and after a pause.
+	pacing  pacing
+	// tried are the names of upstreams that have failed this request. They are selected only if no
+	// other upstream is eligible, and not before their avoidance has expired.
 	tried []string
-	// favoured says that an engine may get it that has no room for others.
-	favoured bool
+	// boosted allows an engine without free capacity.
+	boosted bool
 }
 
-// lack says why there is no upstream for a wish.
-type lack uint8
+// missingResource is the reason why no upstream matches a query. Larger values mean that more of
+// the query was met.
+type missingResource uint8
 
 const (
-	// lackNone means that there is one.
-	lackNone lack = iota
-	// lackService means that nobody of the service is there.
-	lackService
-	// lackModel means that nobody who is there holds the model.
-	lackModel
-	// lackAdapter means that the model is held, but not with the adapter.
-	lackAdapter
-	// lackRoom means that those that could run it have enough to do for now.
-	lackRoom
+	// missingNone means that an upstream matches.
+	missingNone missingResource = iota
+	// missingService means that the service has no available upstream.
+	missingService
+	// missingModel means that no available upstream has loaded the model.
+	missingModel
+	// missingAdapter means that the model is loaded, but not the adapter.
+	missingAdapter
+	// missingCapacity means that all upstreams that could run the request are busy, avoided or
+	// paused by their rate limit.
+	missingCapacity
 )
 
-// String returns the word for the log.
-func (l lack) String() string {
-	return [...]string{"none", "service", "model", "adapter", "room"}[l]
+func (m missingResource) String() string {
+	return [...]string{"none", "service", "model", "adapter", "room"}[m]
 }
 
-// remoteCost is what an upstream in another failure domain costs, as a part of
-// its pace: the way there takes a few ms, and bytes between domains are paid for.
-const remoteCost = 0.1
+// crossDomainCost is added to the cost of an upstream in another failure domain, relative to a
+// fully loaded engine: the network path takes a few ms, and traffic between domains is charged for.
+const crossDomainCost = 0.1
 
-// choose returns the upstream with the least load, and says what is lacking if
-// there is none. drawn in [0, 1) chooses among equals.
-func (f *fleet) choose(now time.Time, w wish, drawn float64) (*upstream, lack) {
+// choose returns the available upstream with the lowest cost, or the missing resource if there is
+// none. random, in [0, 1), breaks ties.
+func (p *upstreamPool) choose(now time.Time, q upstreamQuery, random float64) (*upstream, missingResource) {
 	var best *upstream
 	bestCost := 0.0
-	missing := lackService
+	missing := missingService
 	equals := 1.0
-	for _, u := range f.holders(w.service, w.model) {
-		if !f.alive(now, u) {
+	for _, u := range p.holders(q.service, q.model) {
+		if !p.isAvailable(now, u) {
 			continue
 		}
-		if reason := u.misfit(now, w, drawn); reason != lackNone {
+		if reason := u.missing(now, q, random); reason != missingNone {
 			missing = max(missing, reason)
 			continue
 		}
-		cost := u.cost(now, w)
+		cost := u.cost(now, q)
 		switch {
 		case best == nil || cost < bestCost:
 			best, bestCost, equals = u, cost, 1
 		case cost == bestCost:
 			equals++
-			if drawn*equals < 1 {
+			if random*equals < 1 {
 				best = u
 			}
 		}
 	}
 	switch {
 	case best != nil:
-		return best, lackNone
-	case missing == lackService && w.model != "" && f.anyAlive(now, w.service):
-		return nil, lackModel
+		return best, missingNone
+	case missing == missingService && q.model != "" && p.anyAvailable(now, q.service):
+		return nil, missingModel
 	default:
 		return nil, missing
 	}
 }
 
-// misfit returns what u lacks for w.
-func (u *upstream) misfit(now time.Time, w wish, drawn float64) lack {
+// missing returns the resource that u lacks for q.
+func (u *upstream) missing(now time.Time, q upstreamQuery, random float64) missingResource {
 	switch {
-	case !u.holds(w.model, ""):
-		return lackModel
-	case !u.holds(w.model, w.adapter):
-		return lackAdapter
-	case slices.Contains(w.tried, u.name) && now.Before(u.avoidUntil), now.Before(u.limit.heldUntil):
-		return lackRoom
-	case w.model != "" && !u.hasRoom(now, w, drawn):
-		return lackRoom
+	case !u.holds(q.model, ""):
+		return missingModel
+	case !u.holds(q.model, q.adapter):
+		return missingAdapter
+	case slices.Contains(q.tried, u.name) && now.Before(u.avoidUntil), now.Before(u.limit.pausedUntil):
+		return missingCapacity
+	case q.model != "" && !u.hasCapacity(now, q, random):
+		return missingCapacity
 	default:
-		return lackNone
+		return missingNone
 	}
 }
 
-// hasRoom reports whether an engine may get a request now. drawn in [0, 1) is how
-// long this instance lets others go first.
-func (u *upstream) hasRoom(now time.Time, w wish, drawn float64) bool {
-	if w.favoured {
-		return u.load(now) < float64(u.slots+max(u.slots/favourQueue, 1))
+// hasCapacity reports whether an engine may receive a request now. random, in [0, 1), scales the
+// random backoff before this instance sends to a contended engine.
+func (u *upstream) hasCapacity(now time.Time, q upstreamQuery, random float64) bool {
+	if q.boosted {
+		return u.load(now) < float64(u.slots+max(u.slots/boostOverfillDivisor, 1))
 	}
-	return !u.full(now) && u.turn.open(now, u.unread.low(w.pace), drawn, u.rivals.count(now))
+	return !u.isFull(now) && u.backoff.allows(now, u.backlog.readySince(q.pacing), random, u.activePeers.count(now))
 }
 
-// full reports whether the places of an engine are taken.
-func (u *upstream) full(now time.Time) bool {
+// isFull reports whether all slots of an engine are taken.
+func (u *upstream) isFull(now time.Time) bool {
 	return u.slots > 0 && u.load(now) >= float64(u.slots)
 }
 
-// load returns about how many requests an engine has: those of this instance, and what
-// the others told of theirs, less what has ended since.
+// load returns the estimated number of requests at an engine: those of this instance and the
+// decayed counts reported by its peers.
 func (u *upstream) load(now time.Time) float64 {
-	return float64(u.open) + u.others.left(now, u.pace.run)
+	return float64(u.active) + u.peerLoad.estimate(now, u.pacing.serviceTime)
 }
 
-// avoidedCost is above that of any upstream that is not avoided, and triedCost
-// above that of any that has not failed the request yet.
+// avoidedPenalty exceeds the cost of any upstream that is not being avoided, and triedPenalty that
+// of any upstream that has not yet failed the request.
 const (
-	avoidedCost = 1e6
-	triedCost   = 1e3
+	avoidedPenalty = 1e6
+	triedPenalty   = 1e3
 )
 
-// cost returns the load of u: of an engine the part of its pace that is used, else
-// the part of its slots.
-func (u *upstream) cost(now time.Time, w wish) float64 {
+// cost returns the cost of sending to u. For an engine it combines the prompt backlog and the share
+// of slots in use, otherwise it is the share of slots in use by this instance.
+func (u *upstream) cost(now time.Time, q upstreamQuery) float64 {
 	slots := float64(max(u.slots, 1))
-	cost := float64(u.open) / slots
-	if w.model != "" {
-		cost = u.unread.left(now).Seconds()/(w.pace.share*defaultGap.Seconds()) + u.load(now)/slots
+	cost := float64(u.active) / slots
+	if q.model != "" {
+		cost = u.backlog.remaining(now).Seconds()/(q.pacing.prefillShare*defaultMaxGap.Seconds()) + u.load(now)/slots
 	}
 	if u.remote {
-		cost += remoteCost
+		cost += crossDomainCost
 	}
 	if now.Before(u.avoidUntil) {
-		cost += avoidedCost
+		cost += avoidedPenalty
 	}
-	if slices.Contains(w.tried, u.name) {
-		cost += triedCost
+	if slices.Contains(q.tried, u.name) {
+		cost += triedPenalty
 	}
 	return cost
 }
 
-// sent notes that a request goes to u from here, and heard from another instance.
-func (u *upstream) sent(now time.Time, reading time.Duration, p pace) {
-	u.open++
-	u.pace = p
-	u.took(now, reading)
+// recordSend records a request that this instance sends to u.
+func (u *upstream) recordSend(now time.Time, prefill time.Duration, pacing pacing) {
+	u.active++
+	u.pacing = pacing
+	u.recordPrompt(now, prefill)
 }
 
-// use is what another instance tells of an upstream when it sends a request there.
-type use struct {
-	reading time.Duration
-	// open is how many requests it has there.
-	open   int
+// peerUse is a peer's report that it sends a request to an upstream.
+type peerUse struct {
+	prefill time.Duration
+	// active is the number of the peer's requests at the upstream.
+	active int
 	sender uint32
 }
 
-func (u *upstream) heard(now time.Time, told use) {
-	u.rivals.heard(now, told.sender)
-	u.others.told(now, u.pace.run, told.sender, told.open)
-	u.took(now, told.reading)
+func (u *upstream) recordPeerUse(now time.Time, use peerUse) {
+	u.activePeers.record(now, use.sender)
+	u.peerLoad.set(now, u.pacing.serviceTime, use.sender, use.active)
+	u.recordPrompt(now, use.prefill)
 }
 
-func (u *upstream) took(now time.Time, reading time.Duration) {
-	u.unread.add(now, reading, u.pace)
-	u.history.note(now, u.load(now))
-	u.turn.next()
+func (u *upstream) recordPrompt(now time.Time, prefill time.Duration) {
+	u.backlog.add(now, prefill, u.pacing)
+	u.history.record(now, u.load(now))
+	u.backoff.reset()
 }
 
-// ended notes that a request at u is over.
-func (u *upstream) ended() {
-	u.open--
+// release records that a request at u has ended.
+func (u *upstream) release() {
+	u.active--
 }
 
 const (
-	// firstAvoidance is how long an upstream gets no work after a failure to
-	// connect or an answer that broke off. It doubles with each further one up to
-	// longestAvoidance, after which one request tries it again.
-	firstAvoidance   = 250 * time.Millisecond
-	longestAvoidance = 4 * time.Second
+	// initialAvoidance is how long an upstream is avoided after a failure to connect or a response
+	// that broke off. The time doubles with each consecutive failure up to maxAvoidance.
+	initialAvoidance = 250 * time.Millisecond
+	maxAvoidance     = 4 * time.Second
 )
 
-// failed notes that u did not answer as it should.
-func (u *upstream) failed(now time.Time) {
-	wait := firstAvoidance << min(u.failures, 4)
+func (u *upstream) recordFailure(now time.Time) {
+	wait := initialAvoidance << min(u.failures, 4)
 	u.failures++
-	u.avoidUntil = now.Add(min(wait, longestAvoidance))
+	u.avoidUntil = now.Add(min(wait, maxAvoidance))
 }
 
-// fullFor is how long an upstream that refused for want of room gets no work.
-const fullFor = 100 * time.Millisecond
+// refusalAvoidance is how long an upstream is avoided after it refused a request for lack of
+// capacity.
+const refusalAvoidance = 100 * time.Millisecond
 
-// refused notes that u refused a request without running it.
-func (u *upstream) refused(now time.Time) {
-	if until := now.Add(fullFor); until.After(u.avoidUntil) {
+// recordRefusal records that u refused a request without running it.
+func (u *upstream) recordRefusal(now time.Time) {
+	if until := now.Add(refusalAvoidance); until.After(u.avoidUntil) {
 		u.avoidUntil = until
 	}
 }
 
-// note takes in what became of a request for a model at u.
-func (u *upstream) note(now time.Time, key demandKey, outcome permit.Outcome) {
+// recordOutcome updates u with the outcome of a request for a model.
+func (u *upstream) recordOutcome(now time.Time, target target, outcome permit.Outcome) {
 	switch outcome {
 	case permit.Worked:
-		u.worked()
+		u.recordSuccess()
 	case permit.Full:
-		u.refused(now)
+		u.recordRefusal(now)
 	case permit.Absent:
-		u.drop(key.model, key.adapter)
+		u.removeModel(target.model, target.adapter)
 	case permit.Failed:
-		u.failed(now)
+		u.recordFailure(now)
 	case permit.Over:
-		if limit, limits := u.limit.Limit(); limits && !now.Before(u.limit.heldUntil) {
-			u.limit.hold(now, limit.Period())
+		if limit, limits := u.limit.Limit(); limits && !now.Before(u.limit.pausedUntil) {
+			u.limit.pause(now, limit.Period())
 		}
 	case permit.Unused:
 	}
 }
 
-// worked notes that u answered as it should.
-func (u *upstream) worked() {
+func (u *upstream) recordSuccess() {
 	u.failures = 0
 }
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -8,66 +8,66 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// This file is how the instances ask the owner of an upstream's limit whether a request may
-// be sent.
+// Claims are how an instance asks the owner of an upstream's rate limit for permission to send a
+// request.
 
-// limitService stands for the service in the key by which limits have owners.
-const limitService = "\x00limit"
+// limitOwnerService takes the place of the service name in the key that assigns limits to owners.
+const limitOwnerService = "\x00limit"
 
-// limitOwner returns the other instance that paces the requests to an upstream. It returns
-// false if this one does. Nobody takes the place of one that does not answer: two paces
-// would be twice the limit. c.mu is held.
+// limitOwner returns the other instance that paces the requests to an upstream. It returns false if
+// this instance does. An owner that does not answer is not replaced, because two pacing instances
+// would allow twice the limit. c.mu is held.
 func (c *Counter) limitOwner(u *upstream) (netip.AddrPort, bool) {
-	if c.exchange.conn == nil {
+	if c.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
 	anyone := func(netip.AddrPort) bool { return true }
-	owner, known := c.owners.known.Of(limitService, u.name, anyone)
+	owner, known := c.owners.assignment.Of(limitOwnerService, u.name, anyone)
 	return owner, known && owner != c.owners.self
 }
 
-// allow reports whether a request may be sent to an upstream now, by the limit that it
-// names. If it may not, allow returns after what time the next may.
-func (c *Counter) allow(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
+// allowByLimit reports whether the rate limit of an upstream allows a request now. If not, it
+// returns the time until the next one.
+func (c *Counter) allowByLimit(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
 	now := c.options.Now()
 	c.mu.Lock()
-	limit, limits := u.limit.Limit()
-	if !limits {
+	limit, hasLimit := u.limit.Limit()
+	if !hasLimit {
 		c.mu.Unlock()
 		return 0, true
 	}
-	owner, other := c.limitOwner(u)
+	owner, remote := c.limitOwner(u)
 	switch {
-	case !other:
-		wait, ok = u.limit.paceOfAll(now).TakeOwned(now, limit)
+	case !remote:
+		wait, ok = u.limit.paceForAll(now).TakeOwned(now, limit)
 		c.mu.Unlock()
 		return wait, ok
 	case now.Before(c.owners.avoided[owner]):
-		wait, ok = u.limit.takeShare(now, limit, c.links.entries)
+		wait, ok = u.limit.takeOwnShare(now, limit, c.control.entryInstances)
 		c.mu.Unlock()
 		return wait, ok
 	}
-	id, q := c.openQuestion(owner)
+	id, q := c.registerAsk(owner)
 	c.mu.Unlock()
-	defer c.closeQuestion(id)
-	answer := c.claim(ctx, owner, permit.Claim{ID: id, Upstream: u.name, Limit: limit}, q)
+	defer c.unregisterAsk(id)
+	answer := c.claimFromOwner(ctx, owner, permit.Claim{ID: id, Upstream: u.name, Limit: limit}, q)
 	switch m := answer.(type) {
 	case permit.Allowed:
 		return 0, true
 	case permit.Held:
 		return m.Wait, false
 	}
-	c.avoid(owner, avoidSilent)
+	c.avoidOwner(owner, unresponsiveAvoidance)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return u.limit.takeShare(now, limit, c.links.entries)
+	return u.limit.takeOwnShare(now, limit, c.control.entryInstances)
 }
 
-// claim asks the owner of a limit. The answer is nil if none comes in time.
-func (c *Counter) claim(ctx context.Context, owner netip.AddrPort, ask permit.Claim, q *question) permit.Message {
-	for range askTimes {
-		c.exchange.tell(owner, ask)
-		timer := time.NewTimer(answerTime)
+// claimFromOwner asks the owner of a limit. The answer is nil if none arrives in time.
+func (c *Counter) claimFromOwner(ctx context.Context, owner netip.AddrPort, ask permit.Claim, q *pendingAsk) permit.Message {
+	for range askAttempts {
+		c.peers.send(owner, ask)
+		timer := time.NewTimer(ownerTimeout)
 		select {
 		case answer := <-q.answers:
 			timer.Stop()
@@ -81,49 +81,48 @@
 	return nil
 }
 
-// claimKept is how long the owner of a limit keeps what it has answered, for claims that come
-// again as the answer was lost.
-const claimKept = time.Second
+// claimAnswerTTL is how long the owner of a limit keeps its answers, to repeat them for claims
+// whose answer was lost.
+const claimAnswerTTL = time.Second
 
-// claimed is an answer to a claim.
-type claimed struct {
-	answer permit.Message
-	until  time.Time
+// claimAnswer is the stored answer to a claim.
+type claimAnswer struct {
+	answer  permit.Message
+	expires time.Time
 }
 
-// answerClaim decides on a claim of another instance, or tells again what was decided. c.mu
-// is held.
-func (c *Counter) answerClaim(now time.Time, from netip.AddrPort, m permit.Claim) {
-	asker := otherInstance{from, m.ID}
-	known, found := c.claims[asker]
+// handleClaim decides a claim of a peer, or repeats the earlier answer. c.mu is held.
+func (c *Counter) handleClaim(now time.Time, from netip.AddrPort, m permit.Claim) {
+	requester := peerRequest{from, m.ID}
+	answer, found := c.claimAnswers[requester]
 	if !found {
-		known = claimed{answer: c.decideClaim(now, m), until: now.Add(claimKept)}
-		c.claims[asker] = known
+		answer = claimAnswer{answer: c.decideClaim(now, m), expires: now.Add(claimAnswerTTL)}
+		c.claimAnswers[requester] = answer
 	}
-	c.exchange.tell(from, known.answer)
+	c.peers.send(from, answer.answer)
 }
 
 func (c *Counter) decideClaim(now time.Time, m permit.Claim) permit.Message {
-	u := c.fleet.upstreams[m.Upstream]
+	u := c.pool.byName[m.Upstream]
 	if u == nil {
 		return permit.Held{ID: m.ID, Wait: m.Limit.Period()}
 	}
-	limit, limits := u.limit.Limit()
-	if !limits {
+	limit, hasLimit := u.limit.Limit()
+	if !hasLimit {
 		limit = m.Limit
 	}
-	wait, ok := u.limit.paceOfAll(now).TakeOwned(now, limit)
+	wait, ok := u.limit.paceForAll(now).TakeOwned(now, limit)
 	if !ok {
 		return permit.Held{ID: m.ID, Wait: wait}
 	}
 	return permit.Allowed{ID: m.ID}
 }
 
-// sweepClaims forgets answers that nobody waits for any more. c.mu is held.
-func (c *Counter) sweepClaims(now time.Time) {
-	for asker, known := range c.claims {
-		if now.After(known.until) {
-			delete(c.claims, asker)
+// expireClaims removes the answers whose claims are over. c.mu is held.
+func (c *Counter) expireClaims(now time.Time) {
+	for requester, answer := range c.claimAnswers {
+		if now.After(answer.expires) {
+			delete(c.claimAnswers, requester)
 		}
 	}
 }
--- a/internal/counter/ask_test.go
+++ b/internal/counter/controlchoice_test.go
@@ -15,7 +15,7 @@
 func askedBy(entries int, alive []string) map[string]int {
 	asked := map[string]int{}
 	for i := range entries {
-		asked[counter.Asked(fmt.Sprintf("10.0.0.%d:7000", i), entries, alive, alive[0])]++
+		asked[counter.ChosenControl(fmt.Sprintf("10.0.0.%d:7000", i), entries, alive, alive[0])]++
 	}
 	return asked
 }
@@ -40,16 +40,16 @@
 	})
 
 	It("is an instance of the same failure domain, while there is one that does not lead", func() {
-		Expect(counter.AskedNear("10.0.0.7:7000", 86, controls, []string{"c1", "c4"}, "c1")).To(Equal("c4"))
-		Expect(counter.AskedNear("10.0.0.7:7000", 86, controls, []string{"c1"}, "c1")).To(BeElementOf(controls[1:]))
+		Expect(counter.ChosenControlNear("10.0.0.7:7000", 86, controls, []string{"c1", "c4"}, "c1")).To(Equal("c4"))
+		Expect(counter.ChosenControlNear("10.0.0.7:7000", 86, controls, []string{"c1"}, "c1")).To(BeElementOf(controls[1:]))
 	})
 
 	It("changes only for those whose instance is lost or becomes the leader", func() {
 		changed := 0
 		for i := range 86 {
 			self := fmt.Sprintf("10.0.0.%d:7000", i)
-			before := counter.Asked(self, 86, controls, "c1")
-			after := counter.Asked(self, 86, controls[1:], "c2")
+			before := counter.ChosenControl(self, 86, controls, "c1")
+			after := counter.ChosenControl(self, 86, controls[1:], "c2")
 			if before != after {
 				Expect(before).To(Equal("c2"))
 				changed++
@@ -59,8 +59,8 @@
 	})
 
 	It("pauses less between questions that many instances answer", func() {
-		Expect(counter.AskPause(86, controls, "c1", "c1")).To(Equal(516 * time.Millisecond))
-		Expect(counter.AskPause(86, controls, "c2", "c1")).To(Equal(250 * time.Millisecond))
+		Expect(counter.SyncDelay(86, controls, "c1", "c1")).To(Equal(516 * time.Millisecond))
+		Expect(counter.SyncDelay(86, controls, "c2", "c1")).To(Equal(250 * time.Millisecond))
 	})
 
 	// One control instance has a disk that stalls, and answers on from what it had before:
@@ -71,22 +71,22 @@
 
 		DescribeTable("once the first has lagged for a second",
 			func(confirmed bool, age time.Duration) {
-				asker := counter.NewAsker("c1", "c2", "c3")
-				Expect(asker.Answered(at(0), confirmed, age)).To(Equal("c1"))
-				Expect(asker.Answered(at(0.9), confirmed, age)).To(Equal("c1"))
-				Expect(asker.Answered(at(1), confirmed, age)).To(Equal("c2"))
-				Expect(asker.Answered(at(1.2), true, 0)).To(Equal("c2"), "the first is left alone for a while")
-				Expect(asker.Answered(at(3.2), true, 0)).To(Equal("c1"))
+				asker := counter.NewControlChooser("c1", "c2", "c3")
+				Expect(asker.AfterReply(at(0), confirmed, age)).To(Equal("c1"))
+				Expect(asker.AfterReply(at(0.9), confirmed, age)).To(Equal("c1"))
+				Expect(asker.AfterReply(at(1), confirmed, age)).To(Equal("c2"))
+				Expect(asker.AfterReply(at(1.2), true, 0)).To(Equal("c2"), "the first is left alone for a while")
+				Expect(asker.AfterReply(at(3.2), true, 0)).To(Equal("c1"))
 			},
 			Entry("and confirms nothing", false, time.Duration(0)),
 			Entry("and confirms what is old", true, 2*time.Second),
 		)
 
 		It("not while each needs a moment to catch up", func() {
-			asker := counter.NewAsker("c1", "c2", "c3")
-			Expect(asker.Answered(at(0), false, 0)).To(Equal("c1"))
-			Expect(asker.Answered(at(0.5), true, 0)).To(Equal("c1"))
-			Expect(asker.Answered(at(1.2), false, 0)).To(Equal("c1"))
+			asker := counter.NewControlChooser("c1", "c2", "c3")
+			Expect(asker.AfterReply(at(0), false, 0)).To(Equal("c1"))
+			Expect(asker.AfterReply(at(0.5), true, 0)).To(Equal("c1"))
+			Expect(asker.AfterReply(at(1.2), false, 0)).To(Equal("c1"))
 		})
 	})
 })
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -20,68 +20,69 @@
 	"github.com/lovagelift/lovagelift/internal/speed"
 )
 
-// Counter is one entry instance. It is safe for concurrent use.
+// Counter is the proxy of one entry instance. It is safe for concurrent use.
 type Counter struct {
 	options Options
-	// kept carries what may be repeated on connections that are used again, and
-	// fresh the rest, on a connection for each request.
-	kept  *http.Transport
-	fresh *http.Transport
-	table atomic.Pointer[routes.Table]
-
-	mu     sync.Mutex
-	roster *roster.Roster
-	fleet  *fleet
-	links  links
-	seeds  []string
-	demand *demand
-	// speeds are what is learned of the engines of each service.
+	// keepAlive serves idempotent requests over reused connections. singleUse serves all others and
+	// opens a connection for each.
+	keepAlive *http.Transport
+	singleUse *http.Transport
+	routes    atomic.Pointer[routes.Table]
+
+	mu      sync.Mutex
+	roster  *roster.Roster
+	pool    *upstreamPool
+	control controlLinks
+	seeds   []string
+	demand  *demand
+	// speeds holds the estimated engine speed of each service.
 	speeds  map[string]*speed.Speed
 	budgets *retry.Budgets
 	metrics *metrics
-	// quotas bound the log lines of each kind.
-	quotas map[string]*quota
-	// wants are the calls for models and adapters that wait or are under way.
-	wants    map[courier.WantArgs]bool
-	wantPace *wantPace
-	// told says how far the fleet follows the roster.
-	told  uint64
-	queue queue
-	// exchange reaches the other entry instances, and owners says which of them decides
-	// for which model.
-	exchange *exchange
-	owners   owners
-	// questions are the requests of this instance that others decide on, and permits those
-	// of others that this one does.
-	questions    map[permit.ID]*question
-	lastQuestion permit.ID
-	permits      map[otherInstance]*issued
-	// claims are the answers of late to instances that asked to send to upstreams with a
-	// limit.
-	claims map[otherInstance]claimed
-	// coroner looks for upstreams that end under requests. Its lock may be taken while mu
+	// logQuotas limits the log lines of each kind.
+	logQuotas map[string]*logQuota
+	// pendingLoads are the load calls for models and adapters that are waiting or in flight.
+	pendingLoads map[courier.WantArgs]bool
+	loadLimiter  *loadLimiter
+	// rosterRevision is the roster revision up to which the pool has been updated.
+	rosterRevision uint64
+	queue          queue
+	// peers exchanges messages with the other entry instances. owners maps each model to the
+	// instance that places its requests.
+	peers  *peerLink
+	owners ownerTable
+	// pendingAsks are the asks of this instance that await an answer of their owner. permits are
+	// the peers' requests that this instance places.
+	pendingAsks map[permit.ID]*pendingAsk
+	lastAskID   permit.ID
+	permits     map[peerRequest]*issuedPermit
+	// claimAnswers are the recent answers to peers that asked for permission to send to a
+	// rate-limited upstream.
+	claimAnswers map[peerRequest]claimAnswer
+	// crashes detects upstreams that crash while running requests. Its lock may be taken while mu
 	// is held.
-	coroner *coroner.Coroner
-	// open is how many requests are under way.
-	open     int
+	crashes *coroner.Coroner
+	// active is the number of requests in flight.
+	active   int
 	draining bool
 
-	// syncNow has the next sync come at once.
-	syncNow chan struct{}
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	// syncNow triggers the next sync immediately.
+	syncNow    chan struct{}
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
-// idleTime is how long a connection to an upstream is kept. Upstreams close idle
-// ones after some seconds, and a request that crosses the close is lost.
-const idleTime = 2 * time.Second
+// idleConnTimeout is how long an idle connection to an upstream is kept. Upstreams close idle
+// connections after some seconds, and a request sent while the upstream closes its connection is
+// lost.
+const idleConnTimeout = 2 * time.Second
 
-// keptConnections is how many idle connections are kept to each upstream.
-const keptConnections = 8
+// maxIdleConnsPerUpstream is the number of idle connections kept to each upstream.
+const maxIdleConnsPerUpstream = 8
 
-// New returns a Counter that has started to learn from control instances.
+// New returns a Counter that has started to sync with control instances.
 func New(options Options) *Counter {
-	options.RoutesWithin = cmp.Or(options.RoutesWithin, defaultRoutesWithin)
+	options.RoutesWithin = cmp.Or(options.RoutesWithin, defaultRoutesMaxDelay)
 	ctx, cancel := context.WithCancel(context.Background())
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -91,11 +92,11 @@
 	}
 	c := &Counter{
 		options: options,
-		kept: &http.Transport{
+		keepAlive: &http.Transport{
 			DialContext: dial, DisableCompression: true,
-			MaxIdleConnsPerHost: keptConnections, IdleConnTimeout: idleTime,
+			MaxIdleConnsPerHost: maxIdleConnsPerUpstream, IdleConnTimeout: idleConnTimeout,
 		},
-		fresh: &http.Transport{DialContext: dial, DisableCompression: true, DisableKeepAlives: true},
+		singleUse: &http.Transport{DialContext: dial, DisableCompression: true, DisableKeepAlives: true},
 		roster: roster.New(roster.Options{
 			Self:        options.Name,
 			Incarnation: uint64(options.Now().UnixNano()),
@@ -104,83 +105,81 @@
 			},
 			Lease: options.UpstreamLease,
 		}),
-		fleet:  newFleet(options.FailureDomain, options.UpstreamLease),
+		pool:   newUpstreamPool(options.FailureDomain, options.UpstreamLease),
 		demand: newDemand(),
 		speeds: map[string]*speed.Speed{},
 		budgets: retry.NewBudgets(retry.Options{
-			Attempts: maxAttempts, Share: options.Retries.Share, Reserve: leastReserve,
+			Attempts: maxSends, Share: options.Retries.Share, Reserve: minReserve,
 		}),
-		seeds:   options.Seeds,
-		metrics: newMetrics(options.Metrics),
-		quotas:  map[string]*quota{},
-		wants:   map[courier.WantArgs]bool{}, wantPace: newWantPace(),
-		owners:    newOwners(addressOf(options.Name)),
-		questions: map[permit.ID]*question{},
-		// The questions of the process that had this address before have lower numbers.
-		lastQuestion: permit.ID(options.Now().UnixNano()),
-		permits:      map[otherInstance]*issued{},
-		claims:       map[otherInstance]claimed{},
+		seeds:        options.Seeds,
+		metrics:      newMetrics(options.Metrics),
+		logQuotas:    map[string]*logQuota{},
+		pendingLoads: map[courier.WantArgs]bool{}, loadLimiter: newLoadLimiter(),
+		owners:      newOwnerTable(parseAddress(options.Name)),
+		pendingAsks: map[permit.ID]*pendingAsk{},
+		// IDs start at the current time, above those of an earlier process at this address.
+		lastAskID:    permit.ID(options.Now().UnixNano()),
+		permits:      map[peerRequest]*issuedPermit{},
+		claimAnswers: map[peerRequest]claimAnswer{},
 		syncNow:      make(chan struct{}, 1),
-		stop:         cancel,
+		cancel:       cancel,
 	}
 	c.queue = newQueue()
-	c.links = links{
-		calls:    courier.NewPool(options.Dial, syncTimeout),
-		wants:    courier.NewPool(options.Dial, syncTimeout),
-		reports:  courier.NewPool(options.Dial, syncTimeout),
-		controls: options.Seeds,
-		next:     rand.IntN(len(options.Seeds)),
+	c.control = controlLinks{
+		syncCalls:   courier.NewPool(options.Dial, syncTimeout),
+		loadCalls:   courier.NewPool(options.Dial, syncTimeout),
+		reportCalls: courier.NewPool(options.Dial, syncTimeout),
+		known:       options.Seeds,
+		nextIndex:   rand.IntN(len(options.Seeds)),
 	}
-	c.links.asked = options.Seeds[c.links.next]
-	c.exchange = newExchange(options.Peers, options.Now, c.hear, options.Log)
-	c.coroner = c.newCoroner()
-	c.done.Go(func() { c.follow(ctx) })
+	c.control.current = options.Seeds[c.control.nextIndex]
+	c.peers = newPeerLink(options.Peers, options.Now, c.receive, options.Log)
+	c.crashes = c.newCrashDetector()
+	c.background.Go(func() { c.syncLoop(ctx) })
 	return c
 }
 
-// addressOf returns an address, which is not valid if name is none.
-func addressOf(name string) netip.AddrPort {
+// parseAddress returns the parsed address, or an invalid one if name is not an address.
+func parseAddress(name string) netip.AddrPort {
 	address, _ := netip.ParseAddrPort(name)
 	return address
 }
 
-// maxAttempts bounds the sendings of one request, refusals by upstreams
-// included.
-const maxAttempts = 4
+// maxSends bounds how often one request is sent, including attempts that an upstream refused.
+const maxSends = 4
 
-// Serves reports whether the instance takes requests: it knows routes and is not
-// stopping.
+// Serves reports whether the instance accepts requests: it has routes and is not draining.
 func (c *Counter) Serves() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.draining && c.table.Load() != nil
+	return !c.draining && c.routes.Load() != nil
 }
 
-// Open returns how many requests are under way.
+// Open returns the number of requests in flight.
 func (c *Counter) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open
+	return c.active
 }
 
-// Drain begins a planned stop: callers are told to use other instances. Requests
-// that come all the same are served.
+// Drain begins a planned shutdown. Callers are directed to other instances; requests that still
+// arrive are served.
 func (c *Counter) Drain() {
 	c.mu.Lock()
 	c.draining = true
 	c.mu.Unlock()
-	c.hurry()
+	c.syncSoon()
 }
 
-// hurry has the next question to a control instance come at once.
-func (c *Counter) hurry() {
+// syncSoon triggers the next sync immediately.
+func (c *Counter) syncSoon() {
 	select {
 	case c.syncNow <- struct{}{}:
 	default:
 	}
 }
 
-// Draining reports whether a planned stop has begun.
+// Draining reports whether a planned shutdown has begun.
 func (c *Counter) Draining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,18 +191,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
-	c.links.controls = merge(c.links.controls, seeds)
+	c.control.known = union(c.control.known, seeds)
 }
 
-// Close stops learning and closes the connections.
+// Close stops synchronizing and closes all connections.
 func (c *Counter) Close() {
-	c.stop()
-	c.links.calls.Close()
-	c.links.wants.Close()
-	c.coroner.Close()
-	c.links.reports.Close()
-	c.exchange.close()
-	c.done.Wait()
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.cancel()
+	c.control.syncCalls.Close()
+	c.control.loadCalls.Close()
+	c.crashes.Close()
+	c.control.reportCalls.Close()
+	c.peers.close()
+	c.background.Wait()
+	c.keepAlive.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -12,13 +12,13 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// newCoroner returns what looks for upstreams that end under requests.
-func (c *Counter) newCoroner() *coroner.Coroner {
+// newCrashDetector returns the detector of upstreams that crash while running requests.
+func (c *Counter) newCrashDetector() *coroner.Coroner {
 	return coroner.New(coroner.Options{
 		Contact: func(place quarantine.Place) quarantine.Contact {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.fleet.contact(place)
+			return c.pool.contact(place)
 		},
 		Report:  c.reportCrashes,
 		Line:    func(kind string) *zerolog.Event { return c.logLine(c.options.Now(), kind) },
@@ -27,27 +27,27 @@
 	})
 }
 
-// reportCrashes has a control instance record an update, and returns whether it has.
+// reportCrashes sends a quarantine update to a control instance and reports whether it was
+// recorded.
 func (c *Counter) reportCrashes(ctx context.Context, update quarantine.Update) bool {
 	c.mu.Lock()
-	control := c.links.asked
+	control := c.control.current
 	c.mu.Unlock()
-	reply, err := c.links.reports.Note(ctx, control, courier.NoteArgs{Update: update})
+	reply, err := c.control.reportCalls.Note(ctx, control, courier.NoteArgs{Update: update})
 	if err != nil {
-		c.options.Log.Debug().Err(err).Str("control", control).Msg("crashes not reported")
+		c.options.Log.Debug().Err(err).Str("control", control).Msg("cannot send crash reports to the control instance")
 	}
 	return err == nil && reply.Recorded
 }
 
-// digestOf returns the digest of a caller's request.
 func digestOf(r *http.Request, call Call, body []byte) quarantine.Digest {
 	return quarantine.Identity{
-		Caller: call.Caller, Method: r.Method, Host: host(r), Target: r.URL.RequestURI(), Body: body,
+		Caller: call.Caller, Method: r.Method, Host: hostOf(r), Target: r.URL.RequestURI(), Body: body,
 	}.Digest()
 }
 
-func (t *trip) suspect(a *sending) quarantine.Suspect {
-	return quarantine.Suspect{Digest: t.digest, Request: t.call.ID, Answering: a.answering}
+func (t *transaction) suspect(a *upstreamAttempt) quarantine.Suspect {
+	return quarantine.Suspect{Digest: t.digest, Request: t.call.ID, Answering: a.bodyStarted}
 }
 
 func (u *upstream) place() quarantine.Place {
@@ -56,26 +56,26 @@
 	}
 }
 
-// noteBroken notes that an upstream did not answer the request, or not whole.
-func (t *trip) noteBroken(a *sending, cause error) {
+// reportBroken reports a failed or incomplete response to the crash detector.
+func (t *transaction) reportBroken(a *upstreamAttempt, cause error) {
 	place := a.upstream.place()
-	if a.reached.Load() {
-		t.counter.coroner.Broke(place, t.suspect(a))
+	if a.mayHaveSent.Load() {
+		t.counter.crashes.Broke(place, t.suspect(a))
 	}
-	t.counter.coroner.Failed(place, cause)
+	t.counter.crashes.Failed(place, cause)
 }
 
-// noteLeft notes that the caller left while its request was at an upstream.
-func (t *trip) noteLeft(a *sending) {
-	if a.reached.Load() {
-		t.counter.coroner.Left(a.upstream.place(), t.suspect(a))
+// reportCallerLeft reports that the caller disconnected while its request was at an upstream.
+func (t *transaction) reportCallerLeft(a *upstreamAttempt) {
+	if a.mayHaveSent.Load() {
+		t.counter.crashes.Left(a.upstream.place(), t.suspect(a))
 	}
 }
 
-// contact returns what is known of an upstream.
-func (f *fleet) contact(place quarantine.Place) quarantine.Contact {
-	known := f.upstreams[place.Upstream]
-	holder := f.addresses[place.Address]
+// contact returns the state of an upstream for the crash detector.
+func (p *upstreamPool) contact(place quarantine.Place) quarantine.Contact {
+	known := p.byName[place.Upstream]
+	holder := p.byAddress[place.Address]
 	switch {
 	case known != nil && known.incarnation == place.Incarnation && known.Leaving:
 		return quarantine.ContactLeaving
@@ -88,17 +88,16 @@
 	}
 }
 
-// whyQuarantined is what a caller is told of a request in quarantine.
-const whyQuarantined = "upstreams end that run this request"
+// quarantinedText is the text sent to callers of quarantined requests.
+const quarantinedText = "upstreams end that run this request"
 
-// refuseQuarantined answers a request that is in quarantine. The status is one that
-// callers do not try again after.
-func (t *trip) refuseQuarantined(w http.ResponseWriter) {
+// refuseQuarantined answers a quarantined request with a status that callers do not retry.
+func (t *transaction) refuseQuarantined(w http.ResponseWriter) {
 	r := refusal{
-		status: http.StatusBadRequest, why: whyQuarantined,
+		status: http.StatusBadRequest, text: quarantinedText,
 		reason: quarantine.Reason, outcome: outcome.NotRun, digest: t.digest,
 	}
-	if t.runs > 0 {
+	if t.possibleRuns > 0 {
 		r.status, r.outcome = http.StatusBadGateway, outcome.Unknown
 	}
 	t.counter.refuse(w, t.call, t.route, r)
--- a/internal/counter/demand.go
+++ b/internal/counter/demand.go
@@ -6,70 +6,69 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// demandKey names what is asked for.
-type demandKey struct {
+// target identifies the requested model and adapter of a service.
+type target struct {
 	service, model, adapter string
 }
 
-// demand counts what callers asked for since it was last told. It is not safe
-// for concurrent use.
+// demand counts requests by target between two reports to the control instances. It is not safe for
+// concurrent use.
 type demand struct {
-	counts  map[demandKey]*courier.Demand
-	waiting map[demandKey]int
-	// open is how many requests with an adapter are under way.
-	open map[demandKey]int
+	counts  map[target]*courier.Demand
+	waiting map[target]int
+	// active is the number of requests with an adapter in flight.
+	active map[target]int
 }
 
 func newDemand() *demand {
-	return &demand{counts: map[demandKey]*courier.Demand{}, waiting: map[demandKey]int{}, open: map[demandKey]int{}}
+	return &demand{counts: map[target]*courier.Demand{}, waiting: map[target]int{}, active: map[target]int{}}
 }
 
-// add counts one request.
-func (d *demand) add(key demandKey, reading, answering time.Duration) {
-	count := d.counts[key]
+func (d *demand) recordRequest(target target, prefill, decode time.Duration) {
+	count := d.counts[target]
 	if count == nil {
-		count = &courier.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
-		d.counts[key] = count
+		count = &courier.Demand{Service: target.service, Model: target.model, Adapter: target.adapter}
+		d.counts[target] = count
 	}
 	count.Requests++
-	count.Reading += reading
-	count.Answering += answering
+	count.Reading += prefill
+	count.Answering += decode
 }
 
-// run notes that change more requests are under way.
-func (d *demand) run(key demandKey, change int) {
-	if key.adapter == "" {
+// addActive adds change to the number of requests in flight for an adapter.
+func (d *demand) addActive(target target, change int) {
+	if target.adapter == "" {
 		return
 	}
-	d.open[key] += change
-	if d.open[key] == 0 {
-		delete(d.open, key)
+	d.active[target] += change
+	if d.active[target] == 0 {
+		delete(d.active, target)
 	}
 }
 
-// wait notes that change more requests wait for an engine.
-func (d *demand) wait(key demandKey, change int) {
-	d.waiting[key] += change
-	if d.waiting[key] == 0 {
-		delete(d.waiting, key)
+// addWaiting adds change to the number of requests waiting for an engine.
+func (d *demand) addWaiting(target target, change int) {
+	d.waiting[target] += change
+	if d.waiting[target] == 0 {
+		delete(d.waiting, target)
 	}
 }
 
-// take returns what was counted, and begins anew.
-func (d *demand) take() []courier.Demand {
-	for _, kept := range []map[demandKey]int{d.waiting, d.open} {
+// flush returns the demand since the last call and resets the counts.
+func (d *demand) flush() []courier.Demand {
+	for _, kept := range []map[target]int{d.waiting, d.active} {
 		for key := range kept {
 			if d.counts[key] == nil {
 				d.counts[key] = &courier.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
 			}
 		}
 	}
-	taken := make([]courier.Demand, 0, len(d.counts))
+	flushed := make([]courier.Demand, 0, len(d.counts))
 	for key, count := range d.counts {
 		count.Waiting = d.waiting[key]
-		count.Open = d.open[key]
-		taken = append(taken, *count)
+		count.Open = d.active[key]
+		flushed = append(flushed, *count)
 	}
 	clear(d.counts)
-	return taken
+	return flushed
 }
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -6,55 +6,56 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// Under a load that lasts, a queue that everybody may join makes all answers late, and
-// refuses as many callers in the end, each after it has waited for nothing. So a request
-// that will not be served in time is refused at once, and told when to come back.
+// Under sustained overload, an unlimited queue makes all responses late and still refuses as many
+// callers, each after a useless wait. So a request that will not be served in time is refused
+// immediately, with a Retry-After time.
 
 const (
-	// grantSpan is over what time grants are counted: long enough for a few at the rate
-	// of one instance, and short against what callers wait.
-	grantSpan = time.Second
-	// capacityShare is the part of what the engines of a model could run for this instance
-	// that a forecast counts with at the least: other models share them.
-	capacityShare = 0.5
+	// grantRateWindow is the window of the grant rate: long enough for several grants of one
+	// instance, and short compared with the callers' timeouts.
+	grantRateWindow = time.Second
+	// minCapacityShare is the minimum share of the engines' capacity for a model that a forecast
+	// assumes: the engines also serve other models.
+	minCapacityShare = 0.5
 )
 
-// grant counts a request that got an upstream.
-func (q *queue) grant(now time.Time, n *need) {
-	if n.model == "" {
+// recordGrant counts a request that was granted an upstream.
+func (q *queue) recordGrant(now time.Time, req *requirements) {
+	if req.model == "" {
 		return
 	}
-	key := n.modelKey()
-	if q.granted[key] == nil {
-		q.granted[key] = &window{}
+	key := req.modelKey()
+	if q.recentGrants[key] == nil {
+		q.recentGrants[key] = &slidingWindow{}
 	}
-	q.granted[key].add(now)
+	q.recentGrants[key].add(now)
 }
 
-// rate returns how many requests of a model got an upstream within the last second.
-func (q *queue) rate(now time.Time, key modelKey) float64 {
-	granted := q.granted[key]
+// grantRate returns the grants per second of a model within the last window.
+func (q *queue) grantRate(now time.Time, key modelKey) float64 {
+	granted := q.recentGrants[key]
 	if granted == nil {
 		return 0
 	}
-	return float64(granted.sum(now, grantSpan)) / grantSpan.Seconds()
+	return float64(granted.sum(now, grantRateWindow)) / grantRateWindow.Seconds()
 }
 
-// rejection is why a request is refused at once.
+// rejection is the reason why a request is rejected instead of being queued.
 type rejection struct {
 	reason permit.Reason
-	// comeBack is when the caller may come back, and forecast how long it would have waited.
-	comeBack time.Duration
-	forecast time.Duration
-	// survey is what the upstreams that hold the model lack.
+	// retryAfter is when the caller should retry. forecastWait is how long the request would have
+	// waited.
+	retryAfter   time.Duration
+	forecastWait time.Duration
+	// survey counts the states of the upstreams that have loaded the model.
 	survey survey
 }
 
-// Error returns the reason. Refusals are counted by it.
+// Error returns the text sent to the caller, which is also the metric tag of the refusal.
 func (r *rejection) Error() string {
 	switch r.reason {
 	case permit.Missing:
-		return "no upstream: " + lackModel.String()
+		return "no upstream: " + missingModel.String()
 	case permit.Limits:
 		return limitsReached
 	default:
@@ -62,77 +63,77 @@
 	}
 }
 
-// reject decides whether a request that has just joined the queue is refused at once. It
-// returns nil if it may wait. c.mu is held.
-func (c *Counter) reject(now time.Time, w *waiter) *rejection {
-	n := &w.need
-	if rejected := c.rejectHeld(now, w); rejected != nil {
+// rejectionOf decides whether a request that was just enqueued is rejected. It returns nil if the
+// request may wait. c.mu is held.
+func (c *Counter) rejectionOf(now time.Time, w *waiter) *rejection {
+	req := &w.requirements
+	if rejected := c.rejectRateLimited(now, w); rejected != nil {
 		return rejected
 	}
-	if forecast := c.forecast(now, w); forecast > n.bearable(now) && !c.queue.isFirstStarved(now, w) {
-		// It could not be served in time: the caller learns that now, and when it may.
-		return &rejection{reason: permit.Crowded, comeBack: n.comeBackAfter(now, forecast), forecast: forecast}
+	if forecast := c.forecastWait(now, w); forecast > req.maxForecast(now) && !c.queue.isOnlyStarved(now, w) {
+		return &rejection{reason: permit.Crowded, retryAfter: req.retryAfterWait(now, forecast), forecastWait: forecast}
 	}
-	if n.model == "" || w.missing != lackModel {
+	if req.model == "" || w.missing != missingModel {
 		return nil
 	}
-	in, comes := c.fleet.arrival(now, n.service, n.model)
-	if comes && in <= n.bearable(now) {
+	loadTime, loading := c.pool.loadTime(now, req.service, req.model)
+	if loading && loadTime <= req.maxForecast(now) {
 		return nil
 	}
-	return &rejection{reason: permit.Missing, comeBack: n.comeBack(now, in, comes)}
+	return &rejection{reason: permit.Missing, retryAfter: req.retryAfterLoad(now, loadTime, loading)}
 }
 
-// turnAway takes a request that has just joined the queue out of it if it is refused at
-// once, and says why. It returns nil if the request may wait. c.mu is held.
-func (c *Counter) turnAway(now time.Time, w *waiter) *rejection {
-	rejected := c.reject(now, w)
+// rejectOrWait removes a request that was just enqueued from the queue if it is rejected, and
+// returns the reason. It returns nil if the request may wait. c.mu is held.
+func (c *Counter) rejectOrWait(now time.Time, w *waiter) *rejection {
+	rejected := c.rejectionOf(now, w)
 	if rejected == nil {
-		c.wantFor(w)
+		c.requestLoad(w)
 		return nil
 	}
 	if rejected.reason == permit.Missing {
-		// The caller comes back to the model: the leader must hear that it is wanted.
-		c.wantFor(w)
+		// The caller will retry, so the leader must learn that the model is wanted.
+		c.requestLoad(w)
 	}
-	rejected.survey = c.fleet.survey(now, w.need.wish())
+	rejected.survey = c.pool.survey(now, w.requirements.query())
 	c.dequeue(w)
 	return rejected
 }
 
-// forecast returns about how long a request waits that no upstream has room for
-// now: as long as the one that goes next of its model has waited already, and as long as
-// those before it take at the rate of late. That holds however many instances share the
+// forecastWait returns the expected wait of a request for which no upstream has capacity: the
+// longest time that a request before it has been waiting, or the time to serve those before it at
+// the recent grant rate, whichever is longer. This holds for any number of instances that share the
 // engines.
-func (c *Counter) forecast(now time.Time, w *waiter) time.Duration {
-	n := &w.need
-	longest := time.Duration(0)
-	if n.model == "" || w.missing != lackRoom {
-		return longest
+func (c *Counter) forecastWait(now time.Time, w *waiter) time.Duration {
+	req := &w.requirements
+	wait := time.Duration(0)
+	if req.model == "" || w.missing != missingCapacity {
+		return wait
 	}
 	ahead := 0
 	for _, other := range c.queue.waiters {
-		if other != w && other.need.model == n.model && other.need.compare(now, n) <= 0 {
-			longest = max(longest, now.Sub(other.need.began))
+		if other != w && other.requirements.model == req.model && other.requirements.compare(now, req) <= 0 {
+			wait = max(wait, now.Sub(other.requirements.arrived))
 			ahead++
 		}
 	}
-	rate := max(c.queue.rate(now, n.modelKey()), capacityShare*c.capacity(now, w))
+	rate := max(c.queue.grantRate(now, req.modelKey()), minCapacityShare*c.capacity(now, w))
 	if rate > 0 {
-		longest = max(longest, time.Duration(float64(ahead)/rate*float64(time.Second)))
+		wait = max(wait, time.Duration(float64(ahead)/rate*float64(time.Second)))
 	}
-	return longest
+	return wait
 }
 
-// capacity returns how many requests a second the engines that hold what a request asks
-// for could run for this instance, one among its equals. c.mu is held.
+// capacity returns how many requests per second the engines that have loaded the requested model
+// and adapter could run for this instance, assuming an equal share for each placing instance. c.mu
+// is held.
 func (c *Counter) capacity(now time.Time, w *waiter) float64 {
-	n := &w.need
-	places := 0
-	for _, u := range c.fleet.holders(n.service, n.model) {
-		if c.fleet.alive(now, u) && u.holds(n.model, n.adapter) {
-			places += u.slots
+	req := &w.requirements
+	slots := 0
+	for _, u := range c.pool.holders(req.service, req.model) {
+		if c.pool.isAvailable(now, u) && u.holds(req.model, req.adapter) {
+			slots += u.slots
 		}
 	}
-	return float64(places) / max(n.pace.run.Seconds(), dispatchEvery.Seconds()) / float64(max(w.sharers, 1))
+	return float64(slots) / max(req.pacing.serviceTime.Seconds(), dispatchInterval.Seconds()) / float64(max(w.placingInstances, 1))
 }
--- a/internal/counter/forecast_test.go
+++ b/internal/counter/forecast_test.go
@@ -12,13 +12,13 @@
 
 var _ = Describe("A request that finds no room", func() {
 	const objective = 400 * time.Millisecond
-	var fleet counter.Fleet
-	var line counter.Line
+	var fleet counter.UpstreamPool
+	var line counter.Queue
 
 	BeforeEach(func() {
-		fleet = counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
-		line = counter.NewLine(fleet, 6)
+		fleet = counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
+		line = counter.NewQueue(fleet, 6)
 	})
 
 	// Three times as many callers ask for a model as its one engine can serve, for
@@ -36,20 +36,20 @@
 			now := start.Add(time.Duration(millis) * time.Millisecond)
 			if millis%20 == 0 {
 				// Others have 44 of the 64 places all the time.
-				fleet.HeardOpen(now, "e", 44, 1)
-				w := line.Join(now, "m", objective)
-				if line.Refuses(now, w) {
+				fleet.PeerActive(now, "e", 44, 1)
+				w := line.Enqueue(now, "m", objective)
+				if line.Rejects(now, w) {
 					refused++
-					line.Leave(w)
+					line.Dequeue(w)
 				} else {
 					waiting = append(waiting, asked{now, func() bool { return counter.Granted(w) }})
 				}
 			}
 			for len(ends) > 0 && !ends[0].After(now) {
-				fleet.Ended("e")
+				fleet.Release("e")
 				ends = ends[1:]
 			}
-			line.Look(now)
+			line.Dispatch(now)
 			still := waiting[:0]
 			for _, a := range waiting {
 				if !a.granted() {
@@ -70,20 +70,20 @@
 	})
 
 	It("waits if nobody is before it: engines have room again step by step", func() {
-		fleet.HeardOpen(start, "e", 64, 1)
-		Expect(line.Refuses(start, line.Join(start, "m", objective))).To(BeFalse())
+		fleet.PeerActive(start, "e", 64, 1)
+		Expect(line.Rejects(start, line.Enqueue(start, "m", objective))).To(BeFalse())
 	})
 
 	// No engine holds the model, and a load takes seconds: held for 600 ms, the caller
 	// would be told the same, later. If a load ends in time, it waits for that.
 	It("is refused at once if no engine will hold its model in time", func() {
-		w := line.Join(start, "gone", objective)
-		Expect(line.Refuses(start, w)).To(BeTrue())
-		fleet.Hold(start, courier.Holdings{Engines: []courier.Holding{{
+		w := line.Enqueue(start, "gone", objective)
+		Expect(line.Rejects(start, w)).To(BeTrue())
+		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Models: []courier.HeldModel{{Name: "m"}}, Coming: "gone", ComingIn: 2 * time.Second,
 		}}})
-		Expect(line.Refuses(start, w)).To(BeTrue())
-		Expect(line.Refuses(start.Add(1900*time.Millisecond), line.Join(start.Add(1900*time.Millisecond), "gone", objective))).
+		Expect(line.Rejects(start, w)).To(BeTrue())
+		Expect(line.Rejects(start.Add(1900*time.Millisecond), line.Enqueue(start.Add(1900*time.Millisecond), "gone", objective))).
 			To(BeFalse())
 	})
 })
@@ -92,19 +92,19 @@
 	// Hints are lost, and some requests take longer than most: the instance thinks that
 	// the engine has room. The report, half a second old, says what it had then.
 	It("corrects what instances told each other, once", func() {
-		fleet := counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
-		fleet.HeardOpen(start, "e", 20, 1)
+		fleet := counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
+		fleet.PeerActive(start, "e", 20, 1)
 		now := start.Add(500 * time.Millisecond)
 		report := courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Age: 400 * time.Millisecond, Running: 30, Models: []courier.HeldModel{{Name: "m"}},
 		}}}
 		before := fleet.Load(now, "e")
-		fleet.Hold(now, report)
+		fleet.ApplyHoldings(now, report)
 		corrected := fleet.Load(now, "e")
 		Expect(corrected).To(BeNumerically(">", before+5))
 		Expect(corrected).To(BeNumerically("<", 30))
-		fleet.Hold(now.Add(time.Millisecond), report)
+		fleet.ApplyHoldings(now.Add(time.Millisecond), report)
 		Expect(fleet.Load(now, "e")).To(BeNumerically("~", corrected, 0.1), "the same report with the next answer")
 	})
 })
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -9,233 +9,235 @@
 	"github.com/lovagelift/lovagelift/internal/ratelimit"
 )
 
-// limited is the requests that an upstream takes, as far as an instance knows.
-type limited struct {
+// upstreamLimit tracks the rate limit of an upstream.
+type upstreamLimit struct {
 	ratelimit.Known
-	// pace is that of all instances, used while this one owns the limit, and share that of
-	// this one without an owner. They are nil before the first request.
-	pace  *ratelimit.Pace
-	share *ratelimit.Pace
-	// heldUntil is until when nothing is sent there.
-	heldUntil time.Time
+	// sharedPace paces the requests of all instances while this one owns the limit. ownPace paces
+	// the requests of this instance alone while the owner does not answer. They are nil before the
+	// first request.
+	sharedPace *ratelimit.Pace
+	ownPace    *ratelimit.Pace
+	// pausedUntil is the time until which nothing is sent to the upstream.
+	pausedUntil time.Time
 }
 
-// paceOfAll returns the pace of all instances.
-func (l *limited) paceOfAll(now time.Time) *ratelimit.Pace {
-	if l.pace == nil {
-		l.pace = ratelimit.NewPace(now)
+// paceForAll returns the pace of all instances.
+func (l *upstreamLimit) paceForAll(now time.Time) *ratelimit.Pace {
+	if l.sharedPace == nil {
+		l.sharedPace = ratelimit.NewPace(now)
 	}
-	return l.pace
+	return l.sharedPace
 }
 
-// takeShare takes a request of this instance, one of so many that have no owner.
-func (l *limited) takeShare(now time.Time, limit ratelimit.Limit, instances int) (wait time.Duration, ok bool) {
-	if l.share == nil {
-		l.share = ratelimit.NewPace(now)
+// takeOwnShare takes one request from this instance's share of the limit, which is divided evenly
+// among instances.
+func (l *upstreamLimit) takeOwnShare(now time.Time, limit ratelimit.Limit, instances int) (wait time.Duration, ok bool) {
+	if l.ownPace == nil {
+		l.ownPace = ratelimit.NewPace(now)
 	}
-	return l.share.Take(now, ratelimit.Share(limit, instances))
+	return l.ownPace.Take(now, ratelimit.Share(limit, instances))
 }
 
-// hold has nothing be sent for a while.
-func (l *limited) hold(now time.Time, wait time.Duration) {
-	l.heldUntil = now.Add(min(wait, longestHold))
+// pause stops requests to the upstream for a while.
+func (l *upstreamLimit) pause(now time.Time, wait time.Duration) {
+	l.pausedUntil = now.Add(min(wait, maxPause))
 }
 
-// longestHold bounds for how long an upstream is held: its limit may end.
-const longestHold = 2 * time.Second
+// maxPause bounds a pause, because the limit may end before it.
+const maxPause = 2 * time.Second
 
-// noteLimit takes in what an answer of an upstream says of the requests that it takes, and
-// passes on what is new.
-func (c *Counter) noteLimit(t *trip, a *sending, header http.Header) {
-	said := c.options.Dialect.Limit(header)
+// observeLimit processes the rate limit stated in an upstream's response and broadcasts changes.
+func (c *Counter) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
+	stated := c.options.Dialect.Limit(header)
 	now := c.options.Now()
-	if unclear, ok := said.(ratelimit.Unclear); ok {
-		c.logLine(now, "limit not read").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
-			Msg("an upstream names a limit that can't be read")
+	if unclear, ok := stated.(ratelimit.Unclear); ok {
+		c.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
+			Msg("cannot parse the rate limit that an upstream states")
 		return
 	}
 	c.mu.Lock()
 	u := a.upstream
-	if known := c.fleet.upstreams[u.name]; known != nil && known.address == u.address {
+	if known := c.pool.byName[u.name]; known != nil && known.address == u.address {
 		u = known
 	}
-	changed := u.hearLimit(now, t.timing.sent, said)
-	if changed != limitSame {
-		c.tellLimit(now, u, t.timing.sent, said)
+	changed := u.applyLimit(now, t.timing.sent, stated)
+	if changed != limitUnchanged {
+		c.broadcastLimit(now, u, t.timing.sent, stated)
 	}
 	c.mu.Unlock()
-	c.logLimit(now, u.name, u.service, changed, said)
+	c.logLimit(now, u.name, u.service, changed, stated)
 }
 
-// limitChange is what has changed of the limit of an upstream.
+// limitChange is the effect of a response on an upstream's rate limit.
 type limitChange uint8
 
 const (
-	limitSame limitChange = iota
-	limitBegins
-	limitMoves
-	limitEnds
+	limitUnchanged limitChange = iota
+	limitAdded
+	limitChanged
+	limitRemoved
 )
 
-// String returns the text for the log.
+// String returns the log message.
 func (l limitChange) String() string {
 	switch l {
-	case limitBegins:
+	case limitAdded:
 		return "an upstream names its limit"
-	case limitMoves:
+	case limitChanged:
 		return "the limit of an upstream changes"
-	case limitEnds:
+	case limitRemoved:
 		return "the limit of an upstream ends"
 	default:
 		return "the limit of an upstream stays"
 	}
 }
 
-// hearLimit takes in what an answer to a request that was sent at a time said of the limit,
-// and returns what has changed.
-func (u *upstream) hearLimit(now, sent time.Time, said ratelimit.Said) limitChange {
-	was, limited := u.limit.Limit()
-	u.limit.Known = u.limit.With(now, sent, said)
-	is, limits := u.limit.Limit()
+// applyLimit updates the limit from a response to a request that was sent at sent, and returns the
+// change.
+func (u *upstream) applyLimit(now, sent time.Time, stated ratelimit.Said) limitChange {
+	previous, hadLimit := u.limit.Limit()
+	u.limit.Known = u.limit.With(now, sent, stated)
+	current, hasLimit := u.limit.Limit()
 	switch {
-	case limits && !limited:
-		return limitBegins
-	case limited && !limits:
-		u.limit.heldUntil = time.Time{}
-		return limitEnds
-	case was != is:
-		return limitMoves
+	case hasLimit && !hadLimit:
+		return limitAdded
+	case hadLimit && !hasLimit:
+		u.limit.pausedUntil = time.Time{}
+		return limitRemoved
+	case previous != current:
+		return limitChanged
 	default:
-		return limitSame
+		return limitUnchanged
 	}
 }
 
-// tellLimit tells the other instances at once what an answer said. c.mu is held.
-func (c *Counter) tellLimit(now time.Time, u *upstream, sent time.Time, said ratelimit.Said) {
-	told := permit.Limited{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
-	if named, ok := said.(ratelimit.Named); ok {
-		told.Named, told.Limit = true, named.Limit
+// broadcastLimit sends the limit stated in a response to all other instances. c.mu is held.
+func (c *Counter) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Said) {
+	message := permit.Limited{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
+	if named, ok := stated.(ratelimit.Named); ok {
+		message.Named, message.Limit = true, named.Limit
 	}
-	for _, instance := range c.owners.known.All() {
+	for _, instance := range c.owners.assignment.All() {
 		if instance != c.owners.self {
-			c.exchange.tell(instance, told)
+			c.peers.send(instance, message)
 		}
 	}
 }
 
-// hearLimited takes in what an answer said to another instance. c.mu is held.
-func (c *Counter) hearLimited(now time.Time, m permit.Limited) {
-	u := c.fleet.upstreams[m.Upstream]
+// receiveLimit applies a limit stated in a response to another instance. c.mu is held.
+func (c *Counter) receiveLimit(now time.Time, m permit.Limited) {
+	u := c.pool.byName[m.Upstream]
 	if u == nil || u.incarnation != m.Incarnation {
 		return
 	}
-	var said ratelimit.Said = ratelimit.Unnamed{}
+	var stated ratelimit.Said = ratelimit.Unnamed{}
 	if m.Named {
-		said = ratelimit.Named{Limit: m.Limit}
+		stated = ratelimit.Named{Limit: m.Limit}
 	}
-	u.hearLimit(now, now.Add(-m.Age), said)
+	u.applyLimit(now, now.Add(-m.Age), stated)
 }
 
-// logLimit tells of a change of the limit of an upstream, if there is one.
-func (c *Counter) logLimit(now time.Time, upstream, service string, changed limitChange, said ratelimit.Said) {
-	if changed == limitSame {
+// logLimit logs a changed limit.
+func (c *Counter) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Said) {
+	if changed == limitUnchanged {
 		return
 	}
-	named, _ := said.(ratelimit.Named)
+	named, _ := stated.(ratelimit.Named)
 	text := changed.String()
 	c.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
 }
 
-// held notes that an upstream takes no request for a while, and reports whether the request
-// was answered for it.
-func (t *trip) held(w http.ResponseWriter, a *sending, wait time.Duration) bool {
+// rateLimited pauses an upstream that accepts no request for a while, and reports whether the
+// caller was answered because too many upstreams are rate-limited.
+func (t *transaction) rateLimited(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
 	c := t.counter
 	now := c.options.Now()
 	a.outcome = permit.Over
 	c.mu.Lock()
-	c.metrics.held(t.service)
-	if u := c.fleet.upstreams[a.upstream.name]; u != nil {
-		u.limit.hold(now, wait)
+	c.metrics.countLimitedSend(t.service)
+	if u := c.pool.byName[a.upstream.name]; u != nil {
+		u.limit.pause(now, wait)
 	}
 	c.mu.Unlock()
-	t.holds++
-	if t.holds < maxHolds {
+	t.rateLimits++
+	if t.rateLimits < maxRateLimited {
 		return false
 	}
-	c.logAttempt(t, a, "held back", 0, "limit")
-	if t.runs > 0 {
-		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, why: "held back after an earlier attempt"})
+	c.logAttempt(t, a, "held back by rate limit", 0, "limit")
+	if t.possibleRuns > 0 {
+		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "held back after an earlier attempt"})
 		return true
 	}
 	c.refuse(w, t.call, t.route, refusal{
-		status: http.StatusServiceUnavailable, why: limitsReached, comeBack: t.comeBackAfter(now, wait), held: now.Sub(t.began),
+		status: http.StatusServiceUnavailable, text: limitsReached, retryAfter: t.retryAfterWait(now, wait), waited: now.Sub(t.arrived),
 	})
 	return true
 }
 
 const (
-	// maxHolds is how many upstreams may hold a request back until it is rejected.
-	maxHolds = 8
-	// limitsReached is why requests are rejected that no upstream takes.
+	// maxRateLimited is the number of rate-limited upstreams after which a request is rejected.
+	maxRateLimited = 8
+	// limitsReached is the text sent to callers whose request no upstream accepts.
 	limitsReached = "upstreams take no more by their limits"
 )
 
-// heldFor returns how long no upstream that could run a request takes one by its limit, and
-// how many they take in a second from then on. It returns false if one takes it now.
-func (f *fleet) heldFor(now time.Time, w wish) (wait time.Duration, perSecond float64, held bool) {
-	for _, u := range f.holders(w.service, w.model) {
-		if !f.alive(now, u) || !u.holds(w.model, w.adapter) {
+// limitedFor returns how long all upstreams that could run a request are paused by their rate
+// limits, and how many requests per second they accept afterwards. It returns false if one accepts
+// a request now.
+func (p *upstreamPool) limitedFor(now time.Time, q upstreamQuery) (wait time.Duration, perSecond float64, limited bool) {
+	for _, u := range p.holders(q.service, q.model) {
+		if !p.isAvailable(now, u) || !u.holds(q.model, q.adapter) {
 			continue
 		}
-		limit, limits := u.limit.Limit()
-		if !limits || !now.Before(u.limit.heldUntil) {
+		limit, hasLimit := u.limit.Limit()
+		if !hasLimit || !now.Before(u.limit.pausedUntil) {
 			return 0, 0, false
 		}
-		if in := u.limit.heldUntil.Sub(now); !held || in < wait {
-			wait, held = in, true
+		if left := u.limit.pausedUntil.Sub(now); !limited || left < wait {
+			wait, limited = left, true
 		}
 		perSecond += 1 / limit.Period().Seconds()
 	}
-	return wait, perSecond, held
+	return wait, perSecond, limited
 }
 
-// rejectHeld rejects a request that no upstream takes in time by its limit. It returns nil if
-// it may wait. c.mu is held.
-func (c *Counter) rejectHeld(now time.Time, w *waiter) *rejection {
-	n := &w.need
-	wait, perSecond, held := c.fleet.heldFor(now, n.wish())
-	if !held {
+// rejectRateLimited rejects a request that cannot be sent in time because of rate limits. It
+// returns nil if the request may wait. c.mu is held.
+func (c *Counter) rejectRateLimited(now time.Time, w *waiter) *rejection {
+	req := &w.requirements
+	wait, perSecond, limited := c.pool.limitedFor(now, req.query())
+	if !limited {
 		return nil
 	}
 	for _, other := range c.queue.waiters {
-		if other != w && other.need.demandKey == n.demandKey {
+		if other != w && other.requirements.target == req.target {
 			wait += time.Duration(float64(time.Second) / perSecond)
 		}
 	}
-	if wait <= n.bearable(now) {
+	if wait <= req.maxForecast(now) {
 		return nil
 	}
-	return &rejection{reason: permit.Limits, comeBack: n.comeBackAfter(now, wait), forecast: wait}
+	return &rejection{reason: permit.Limits, retryAfter: req.retryAfterWait(now, wait), forecastWait: wait}
 }
 
-// limited returns the upstreams that name a limit.
-func (f *fleet) limited() []courier.LimitedUpstream {
+// limitedUpstreams returns the upstreams that have a rate limit.
+func (p *upstreamPool) limitedUpstreams() []courier.LimitedUpstream {
 	var limited []courier.LimitedUpstream
-	for _, u := range f.upstreams {
-		if limit, limits := u.limit.Limit(); limits {
+	for _, u := range p.byName {
+		if limit, hasLimit := u.limit.Limit(); hasLimit {
 			limited = append(limited, courier.LimitedUpstream{Name: u.name, Limit: limit})
 		}
 	}
 	return limited
 }
 
-// reportLimits sets how many upstreams of each service name a limit. c.mu is held.
-func (c *Counter) reportLimits() {
+// updateLimitGauges sets the number of rate-limited upstreams of each service. c.mu is held.
+func (c *Counter) updateLimitGauges() {
 	counts := map[string]int{}
-	for _, upstream := range c.fleet.limited() {
-		counts[c.fleet.upstreams[upstream.Name].service]++
+	for _, upstream := range c.pool.limitedUpstreams() {
+		counts[c.pool.byName[upstream.Name].service]++
 	}
-	for service := range c.fleet.services {
+	for service := range c.pool.byService {
 		c.metrics.scope.Tagged(map[string]string{"service": service}).Gauge("limited_upstreams").Update(float64(counts[service]))
 	}
 }
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -204,7 +204,7 @@
 		DeferCleanup(silent.Close)
 		gone := silent.LocalAddr().(*net.UDPAddr).AddrPort()
 		c.instances(gone)
-		name := modelOf(counter.LimitService, gone, append(addressesOf(peers), gone)...)
+		name := modelOf(counter.LimitOwnerService, gone, append(addressesOf(peers), gone)...)
 		u := newLimitedUpstream(now)
 		c.announce(name, u.address(), "m")
 		for _, p := range peers {
--- /dev/null
+++ b/internal/counter/loads.go
@@ -0,0 +1,183 @@
+package counter
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/lovagelift/lovagelift/internal/courier"
+	"github.com/lovagelift/lovagelift/internal/pause"
+)
+
+const (
+	// maxLeaderLoadCalls is the number of load calls per second that a leader handles from all
+	// entry instances. A call takes it about 100 us, so that they take a quarter of 0.12 of a core.
+	// It is ten times the number of loads that it can order.
+	maxLeaderLoadCalls = 300.0
+	// loadBurstTime sets the burst of calls allowed to one instance after a pause, as the number of
+	// calls it may make in that time. minLoadBurst is the minimum burst.
+	loadBurstTime = 250 * time.Millisecond
+	minLoadBurst  = 2.0
+	// minLoadBackoff is the backoff of a target after a failed call. It doubles with each
+	// consecutive failure up to maxLoadBackoff.
+	minLoadBackoff = 100 * time.Millisecond
+	maxLoadBackoff = 400 * time.Millisecond
+	// maxInstanceLoadCalls is the maximum number of load calls per second of one instance.
+	maxInstanceLoadCalls = maxLeaderLoadCalls / 8
+)
+
+// loadLimiter limits the load calls to the leader, for models and adapters that no upstream has
+// loaded. It is not safe for concurrent use.
+//
+// A leader that cannot carry out a load receives the same call repeatedly from each entry instance.
+// Without a limit, these calls take the CPU time that it needs to remain leader. Its successor has
+// to wait before it may give orders and receives even more calls. So each instance is limited to a
+// share of the calls that a leader can handle.
+//
+// Most instances have nothing to load, while the owner of a newly loaded model needs dozens of
+// adapters. So the rate of an instance starts at its share, doubles with each successful call and
+// halves with each failed one, but not below the share.
+type loadLimiter struct {
+	// rate is the current limit in calls per second, at least the instance's share.
+	rate float64
+	// tokens is the number of calls allowed immediately, as of refilledAt.
+	tokens     float64
+	refilledAt time.Time
+	failed     map[courier.WantArgs]failedLoad
+}
+
+// failedLoad is the backoff state of a target whose call failed.
+type failedLoad struct {
+	failures int
+	// retryAt is the earliest time of the next call.
+	retryAt time.Time
+}
+
+// loadShare returns the calls per second that each instance may make at least.
+func (l *controlLinks) loadShare() float64 {
+	return maxLeaderLoadCalls / float64(max(l.entryInstances, 1))
+}
+
+func newLoadLimiter() *loadLimiter {
+	return &loadLimiter{tokens: minLoadBurst, failed: map[courier.WantArgs]failedLoad{}}
+}
+
+// delay returns the time until a call may be made. pending is the number of pending calls at this
+// instance, and share its guaranteed calls per second. If the call may be made now, delay consumes
+// a token and returns 0.
+func (l *loadLimiter) delay(now time.Time, args courier.WantArgs, pending int, share float64) time.Duration {
+	l.rate = max(l.rate, share)
+	burst := max(l.rate*loadBurstTime.Seconds(), minLoadBurst)
+	l.tokens = min(l.tokens+l.rate*now.Sub(l.refilledAt).Seconds(), burst)
+	l.refilledAt = now
+	if rest := l.failed[args].retryAt.Sub(now); rest > 0 {
+		return rest
+	}
+	if l.tokens >= 1 {
+		l.tokens--
+		return 0
+	}
+	// Pending calls check again at different times, on average when their turn comes.
+	turn := (1 - l.tokens + float64(pending)*rand.Float64()) / l.rate
+	return time.Duration(turn * float64(time.Second))
+}
+
+// recordResult adjusts the rate and the backoff after a call.
+func (l *loadLimiter) recordResult(now time.Time, args courier.WantArgs, loaded bool) {
+	for key, failed := range l.failed {
+		if now.Sub(failed.retryAt) > maxLoadBackoff {
+			delete(l.failed, key)
+		}
+	}
+	if loaded {
+		l.rate = min(2*l.rate, maxInstanceLoadCalls)
+		delete(l.failed, args)
+		return
+	}
+	l.rate /= 2
+	failures := l.failed[args].failures
+	wait := min(minLoadBackoff<<min(failures, 10), maxLoadBackoff)
+	l.failed[args] = failedLoad{failures: failures + 1, retryAt: now.Add(wait)}
+}
+
+// requestLoad calls the leader to load the model or adapter that a waiting request is missing, if
+// that is what it needs. Requests with the same target share one call. c.mu is held.
+func (c *Counter) requestLoad(w *waiter) {
+	if w.requirements.model == "" || w.missing != missingAdapter && w.missing != missingModel {
+		return
+	}
+	args := w.requirements.loadArgs(w.missing)
+	if c.pendingLoads[args] {
+		return
+	}
+	c.pendingLoads[args] = true
+	go c.runLoadCall(args)
+}
+
+func (c *Counter) runLoadCall(args courier.WantArgs) {
+	ctx, cancel := context.WithTimeout(context.Background(), loadCallTimeout)
+	defer cancel()
+	var reply courier.WantReply
+	if leader := c.waitForLoadCall(ctx, args); leader != "" {
+		reply = c.callLeader(ctx, leader, args)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pendingLoads, args)
+	if u := c.pool.byName[reply.Engine]; u != nil {
+		c.pool.addModel(u, args.Model, args.Adapter)
+	}
+	c.dispatch(c.options.Now())
+}
+
+// waitForLoadCall waits until a call may be made and returns the leader to call, empty if no
+// request needs the load any more or the time has run out.
+func (c *Counter) waitForLoadCall(ctx context.Context, args courier.WantArgs) (leader string) {
+	for first := true; ; first = false {
+		c.mu.Lock()
+		leader = c.control.leader
+		wait := minLoadBackoff
+		wanted := first || c.isStillWanted(args)
+		if wanted && leader != "" {
+			wait = c.loadLimiter.delay(c.options.Now(), args, len(c.pendingLoads), c.control.loadShare())
+		}
+		c.mu.Unlock()
+		switch {
+		case !wanted:
+			return ""
+		case wait == 0:
+			return leader
+		case !pause.For(ctx, wait):
+			return ""
+		}
+	}
+}
+
+// isStillWanted reports whether a waiting request needs the load. c.mu is held.
+func (c *Counter) isStillWanted(args courier.WantArgs) bool {
+	for _, w := range c.queue.waiters {
+		lacks := w.missing == missingModel || w.missing == missingAdapter
+		if lacks && w.requirements.loadArgs(w.missing) == args {
+			return true
+		}
+	}
+	return false
+}
+
+// callLeader makes one load call. If the callee is not the leader or does not answer, no further
+// calls are made until the next sync names a leader.
+func (c *Counter) callLeader(ctx context.Context, leader string, args courier.WantArgs) courier.WantReply {
+	reply, err := c.control.loadCalls.Want(ctx, leader, args)
+	now := c.options.Now()
+	if reply.Engine == "" {
+		c.logLine(now, "not loaded").Err(err).Str("model", args.Model).Str("adapter", args.Adapter).Str("reason", reply.Reason).
+			Str("leader", leader).Msg("not loaded")
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.loadLimiter.recordResult(now, args, reply.Engine != "")
+	if (err != nil || reply.NotLeader) && c.control.leader == leader {
+		c.control.leader = ""
+	}
+	return reply
+}
--- a/internal/counter/wants_test.go
+++ b/internal/counter/loads_test.go
@@ -49,14 +49,14 @@
 	// caller waits for half a minute.
 	It("are as many as the leader carries out, where one instance has much to call for", func() {
 		const share, adapters = 300.0 / 291, 30
-		pace := counter.NewWantPace()
+		pace := counter.NewLoadLimiter()
 		made := 0
 		for millis := 0; millis < 3000 && made < adapters; millis += 10 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
 			adapter := fmt.Sprint("a", made)
-			if pace.Call(now, adapter, share) {
+			if pace.Allow(now, adapter, share) {
 				made++
-				pace.Ended(now, adapter, true)
+				pace.RecordResult(now, adapter, true)
 			}
 		}
 		Expect(made).To(Equal(adapters))
@@ -64,14 +64,14 @@
 
 	It("are no more than the share again once they are not carried out", func() {
 		const share = 1.0
-		pace := counter.NewWantPace()
+		pace := counter.NewLoadLimiter()
 		call := func(from, millis int, loaded bool) (made int) {
 			for at := from; at < from+millis; at += 10 {
 				now := start.Add(time.Duration(at) * time.Millisecond)
 				adapter := fmt.Sprint("a", at)
-				if pace.Call(now, adapter, share) {
+				if pace.Allow(now, adapter, share) {
 					made++
-					pace.Ended(now, adapter, loaded)
+					pace.RecordResult(now, adapter, loaded)
 				}
 			}
 			return made
--- /dev/null
+++ b/internal/counter/logquota.go
@@ -0,0 +1,55 @@
+package counter
+
+import (
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// maxLinesPerSecond bounds the log lines of one kind. A line takes about 10 us, so that one kind
+// takes at most 1/1,000 of a core. Suppressed lines are counted, and the count is logged with the
+// first line of the next second.
+const maxLinesPerSecond = 100
+
+// logQuota limits the log lines of one kind.
+type logQuota struct {
+	second  int64
+	logged  int
+	leftOut int
+}
+
+// allow reports whether a line may be logged at now, and how many lines were suppressed since the
+// last one.
+func (q *logQuota) allow(now time.Time) (leftOut int, ok bool) {
+	if second := now.Unix(); second != q.second {
+		q.second, q.logged = second, 0
+	}
+	if q.logged >= maxLinesPerSecond {
+		q.leftOut++
+		return 0, false
+	}
+	q.logged++
+	leftOut, q.leftOut = q.leftOut, 0
+	return leftOut, true
+}
+
+// logLine returns a log event of a kind, or nil if its quota is used up. zerolog ignores calls on a
+// nil event.
+func (c *Counter) logLine(now time.Time, kind string) *zerolog.Event {
+	c.mu.Lock()
+	quota := c.logQuotas[kind]
+	if quota == nil {
+		quota = &logQuota{}
+		c.logQuotas[kind] = quota
+	}
+	leftOut, ok := quota.allow(now)
+	c.mu.Unlock()
+	if !ok {
+		return nil
+	}
+	event := c.options.Log.Info()
+	if leftOut > 0 {
+		event = event.Int("left-out", leftOut)
+	}
+	return event
+}
--- a/internal/counter/tell_test.go
+++ b/internal/counter/logquota_test.go
@@ -13,7 +13,7 @@
 	// All upstreams refuse for seconds. A line for each of thousands of requests
 	// would take the processor from the rest; what is left out must be told.
 	It("bounds the lines of a second, and tells how many were left out", func() {
-		var quota counter.Quota
+		var quota counter.LogQuota
 		logged := 0
 		for range 1000 {
 			if _, ok := quota.Allow(start); ok {
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -1,10 +1,9 @@
-// Package counter is an entry instance: it takes callers' requests, finds their
-// route, chooses an upstream and relays its answer (reverse proxy).
+// Package counter is the reverse proxy of an entry instance: it matches a caller's request to a
+// route, selects an upstream, waits for capacity there and relays the response.
 //
-// What it knows of routes, upstreams and models it learns from control
-// instances, several times a second. While these are lost it goes on with what
-// it knew last: a caller that is served by a route a minute old is better off
-// than one that is refused.
+// Routes, upstreams and loaded models are synchronized from control instances several times a
+// second. While no control instance answers, the proxy continues with the last known state: serving
+// a caller by a route that is a minute old is better than refusing it.
 package counter
 
 import (
@@ -22,115 +21,114 @@
 
 // Options configures a Counter.
 type Options struct {
-	// Name is the address at which others reach this instance, Peers included. CallerAddress is where callers
-	// reach this one.
+	// Name is the address at which other instances reach this one, over Peers as well.
+	// CallerAddress is the address at which callers reach it.
 	Name          string
 	CallerAddress string
 	FailureDomain string
-	// Seeds are the inner addresses of control instances to begin with.
+	// Seeds are the inner addresses of the first control instances to contact.
 	Seeds []string
 	Dial  courier.Dial
-	// Peers is where other entry instances ask this one to place requests, and answer. The
-	// Counter closes it. If it is nil, this one decides by itself.
+	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
+	// it. If it is nil, this instance places all its requests itself.
 	Peers net.PacketConn
-	// UpstreamLease is how long an upstream gets work after it was heard of.
+	// UpstreamLease is how long an upstream remains eligible for requests after its last sign of
+	// life.
 	UpstreamLease time.Duration
-	// Retries bounds the requests that are sent once more, for each service.
+	// Retries limits the retries of each service.
 	Retries RetryLimits
-	// Table reads the routes that an operator sent.
+	// Table parses the routes that an operator submitted.
 	Table func(content []byte) (*routes.Table, error)
-	// RoutesWithin is how soon after an operator was told so a change of the routes is in
-	// force at an instance that control instances reach. Default 2 s.
+	// RoutesWithin is the longest time between the acknowledgement of a route change to the
+	// operator and its effect at an instance that can reach a control instance. Default 2 s.
 	RoutesWithin time.Duration
-	// Dialect is how upstreams are spoken to.
+	// Dialect is the protocol spoken with upstreams.
 	Dialect Dialect
 	Now     func() time.Time
 	Log     zerolog.Logger
-	// Metrics is where the instance counts; nowhere if nil.
+	// Metrics is the scope of the instance's metrics. If it is nil, none are recorded.
 	Metrics tally.Scope
 }
 
-// RetryLimits bound the requests that all entry instances together send to the
-// upstreams of a service once more.
+// RetryLimits limits the retries that all entry instances together send to the upstreams of one
+// service.
 type RetryLimits struct {
-	// Share is how many there may be for each fresh request.
+	// Share is the number of retries allowed for each new request.
 	Share float64
-	// Slack is how many there may be beyond that within Window.
+	// Slack is the number of additional retries allowed within Window.
 	Slack  float64
 	Window time.Duration
 }
 
-// Dialect is what differs between the protocols that upstreams speak.
+// Dialect covers the differences between the protocols that upstreams speak.
 type Dialect interface {
 	// Prepare completes the header of a request to an upstream.
 	Prepare(header http.Header, attempt Attempt)
-	// Judge tells what an answer's head says of the request.
+	// Judge classifies a response by its status and header.
 	Judge(response *http.Response, requestID string) Judgement
-	// Limit tells what an answer's head says of the requests a second that its upstream takes
-	// from all senders together.
+	// Limit parses the rate limit that a response header states: the requests per second that the
+	// upstream accepts from all senders together.
 	Limit(header http.Header) ratelimit.Said
 }
 
-// Attempt is one sending of a request to an upstream.
+// Attempt describes one attempt to send a request to an upstream.
 type Attempt struct {
 	RequestID string
-	// Upstream is the name of the process that is meant. Whoever else answers at
-	// the address must not run the request.
+	// Upstream is the name of the intended process. Any other process at the same address must not
+	// run the request.
 	Upstream string
-	// Remaining is the time that is left.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
-	// Priority is that of the route, 0 being the most urgent.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority uint8
 }
 
-// Judgement is what an answer's head says of a request.
+// Judgement classifies an upstream's response.
 type Judgement uint8
 
-// The judgements.
 const (
-	// Answered means that the upstream ran the request and this is its answer.
+	// Answered means that the upstream ran the request and this is its response.
 	Answered Judgement = iota + 1
 	// NotRun means that the upstream did not run the request and never will.
 	NotRun
-	// Misdirected is NotRun by a process that is not the one that was meant, or
-	// that does not hold the model.
+	// Misdirected is NotRun from a process that is not the intended one, or that has not loaded the
+	// model.
 	Misdirected
-	// Mismatched means that this is the answer to another request.
+	// Mismatched means that this is the response to another request.
 	Mismatched
 )
 
-// Call is what a caller's headers say of its request.
+// Call holds the values of a caller's request headers.
 type Call struct {
 	ID string
-	// Caller is who sends it, empty if it does not say.
+	// Caller identifies the sender. It is empty if the headers do not name one.
 	Caller string
-	// Patience is how long the caller waits, 0 if it does not say.
+	// Patience is how long the caller waits, 0 if the headers do not state it.
 	Patience time.Duration
 	Model    string
-	// Adapter is empty for the model itself.
+	// Adapter is empty for the base model.
 	Adapter      string
 	PromptTokens int
 	AnswerTokens int
 }
 
-// The intervals and limits of an entry instance.
+// Intervals and timeouts of the calls to control instances and upstreams.
 const (
-	// syncEvery is the time between two questions to a control instance: routes
-	// and departures are in force here well within 1 s.
-	syncEvery = 250 * time.Millisecond
-	// syncShare is the time between the questions of two entry instances at the least, so
-	// that a leader with 0.12 of a core has 20 ms of it for every 28 questions. syncMost
-	// bounds the pause that follows: what leaves must be known within 2 s.
-	syncShare = 6 * time.Millisecond
-	syncMost  = time.Second
-	// syncTimeout is how long a control instance has to answer before another is
-	// asked.
+	// syncInterval is the time between two syncs with a control instance. Routes and departing
+	// upstreams take effect here well within 1 s.
+	syncInterval = 250 * time.Millisecond
+	// minSyncSpacing is the minimum time between the syncs of two entry instances at one control
+	// instance: a leader with 0.12 of a core has 20 ms of CPU time for 28 syncs. maxSyncInterval
+	// bounds the resulting interval, because a departing upstream must be known within 2 s.
+	minSyncSpacing  = 6 * time.Millisecond
+	maxSyncInterval = time.Second
+	// syncTimeout is how long a control instance has to reply before another one is tried.
 	syncTimeout = 600 * time.Millisecond
-	// loadTimeout bounds how long a control instance waits for a load that a request
-	// asks for, and wantTimeout the call.
-	loadTimeout = 800 * time.Millisecond
-	wantTimeout = 1200 * time.Millisecond
-	// connectTimeout bounds connecting to an upstream: a round trip between
-	// failure domains takes 3 ms.
+	// loadTimeout bounds how long a control instance waits for a requested load, and
+	// loadCallTimeout the call itself.
+	loadTimeout     = 800 * time.Millisecond
+	loadCallTimeout = 1200 * time.Millisecond
+	// connectTimeout bounds connecting to an upstream. A round trip between failure domains takes 3
+	// ms.
 	connectTimeout = 250 * time.Millisecond
 )
--- /dev/null
+++ b/internal/counter/ownerclient.go
@@ -0,0 +1,216 @@
+package counter
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/lovagelift/lovagelift/internal/permit"
+)
+
+const (
+	// ownerTimeout is how long the owner of a model has to answer. A round trip takes 3 ms, plus
+	// some tens of ms at a process that is short of CPU time.
+	ownerTimeout = 40 * time.Millisecond
+	// askAttempts is how often an unresponsive owner is asked. After that it counts as lost or
+	// overloaded, and the next owner is asked.
+	askAttempts = 2
+	// renewInterval is the time after which an ask that is queued at the owner is repeated, because
+	// a restarted owner no longer has it.
+	renewInterval = 200 * time.Millisecond
+	// maxOwnersAsked is how many owners are asked for a request before this instance places it.
+	maxOwnersAsked = 2
+)
+
+var (
+	// errDecideLocally means that this instance places the request: it owns the model, no owner
+	// answers, or the owner's answer is unusable.
+	errDecideLocally = errors.New("counter: no owner to ask")
+	errOwnerTimeout  = errors.New("counter: owner did not answer in time")
+)
+
+// pendingAsk is an ask of this instance that awaits the owner's answer.
+type pendingAsk struct {
+	owner netip.AddrPort
+	// answers receives the owner's answers. Its capacity covers one answer to each ask; excess
+	// answers are dropped, and the owner sends them again when asked again.
+	answers chan permit.Message
+}
+
+// acquireFromOwner waits for a grant from the owner of the model. It returns errDecideLocally if
+// there is no owner to ask.
+func (t *transaction) acquireFromOwner(ctx context.Context) (grant, error) {
+	c := t.counter
+	for range maxOwnersAsked {
+		now := c.options.Now()
+		c.mu.Lock()
+		owner, ok := c.remoteOwner(now, &t.requirements)
+		c.mu.Unlock()
+		if !ok {
+			return grant{}, errDecideLocally
+		}
+		t.owner = owner
+		id, answer, err := t.askOwner(ctx, owner)
+		c.countOwnerAnswer(ctx, answer)
+		switch m := answer.(type) {
+		case permit.Granted:
+			return c.grantFrom(t, owner, m)
+		case permit.Refused:
+			return grant{}, &rejection{
+				reason: m.Reason, retryAfter: m.ComeBack, forecastWait: m.Forecast, survey: survey(m.Survey),
+			}
+		case permit.Moved:
+			c.avoidOwner(owner, drainingAvoidance)
+			continue
+		}
+		if errors.Is(err, errDecideLocally) {
+			return grant{}, err
+		}
+		// A grant may be in transit.
+		c.peers.send(owner, permit.Ended{ID: id})
+		if ctx.Err() != nil {
+			t.lastMissing = missingCapacity
+			return grant{}, ctx.Err()
+		}
+		c.avoidOwner(owner, unresponsiveAvoidance)
+		c.logLine(c.options.Now(), "owner unresponsive").Err(err).Stringer("owner", owner).Str("request", t.call.ID).
+			Str("model", t.model).Msg("model owner does not answer; using another instance")
+	}
+	return grant{}, errDecideLocally
+}
+
+// askOwner asks an owner repeatedly until it decides. The answer is nil if none arrives in time.
+func (t *transaction) askOwner(ctx context.Context, owner netip.AddrPort) (permit.ID, permit.Message, error) {
+	c := t.counter
+	id, q := c.startAsk(t, owner)
+	defer c.finishAsk(t, id)
+	if !c.peers.send(owner, t.askMessage(id)) {
+		// The ask exceeds the message size because of the caller's values. The owner is not at
+		// fault.
+		return id, nil, errDecideLocally
+	}
+	timer := time.NewTimer(ownerTimeout)
+	defer timer.Stop()
+	for asked := 1; ; {
+		select {
+		case answer := <-q.answers:
+			if _, queued := answer.(permit.Queued); !queued {
+				return id, answer, nil
+			}
+			asked = 0
+			timer.Reset(renewInterval)
+		case <-timer.C:
+			if asked == askAttempts {
+				return id, nil, errOwnerTimeout
+			}
+			asked++
+			c.peers.send(owner, t.askMessage(id))
+			timer.Reset(ownerTimeout)
+		case <-ctx.Done():
+			return id, nil, ctx.Err()
+		}
+	}
+}
+
+// countOwnerAnswer counts the owner's answer by kind, or its absence.
+func (c *Counter) countOwnerAnswer(ctx context.Context, answer permit.Message) {
+	name := "none"
+	switch answer.(type) {
+	case permit.Granted:
+		name = "granted"
+	case permit.Refused:
+		name = "refused"
+	case permit.Moved:
+		name = "moved"
+	default:
+		if ctx.Err() != nil {
+			name = "waited in vain"
+		}
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.metrics.countOwnerAnswer(name)
+}
+
+// askMessage returns the ask to send now.
+func (t *transaction) askMessage(id permit.ID) permit.Ask {
+	now := t.counter.options.Now()
+	return permit.Ask{
+		ID: id, Service: t.service, Model: t.model, Adapter: t.adapter,
+		PromptTokens: t.promptTokens, AnswerTokens: t.outputTokens, Priority: t.priority,
+		Objective: t.objective, Gap: t.maxGap, Age: now.Sub(t.arrived), Left: t.deadline.Sub(now), Tried: t.tried,
+	}
+}
+
+// startAsk registers an ask for a request and counts the request as waiting.
+func (c *Counter) startAsk(t *transaction, owner netip.AddrPort) (permit.ID, *pendingAsk) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.countWaitingFor(&t.requirements, 1)
+	return c.registerAsk(owner)
+}
+
+// registerAsk registers an ask to another instance. c.mu is held.
+func (c *Counter) registerAsk(owner netip.AddrPort) (permit.ID, *pendingAsk) {
+	c.lastAskID++
+	q := &pendingAsk{owner: owner, answers: make(chan permit.Message, askAttempts+1)}
+	c.pendingAsks[c.lastAskID] = q
+	return c.lastAskID, q
+}
+
+func (c *Counter) unregisterAsk(id permit.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pendingAsks, id)
+}
+
+func (c *Counter) finishAsk(t *transaction, id permit.ID) {
+	c.unregisterAsk(id)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.countWaitingFor(&t.requirements, -1)
+}
+
+func (c *Counter) avoidOwner(owner netip.AddrPort, span time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.owners.avoid(c.options.Now(), owner, span)
+}
+
+// grantFrom returns the grant that an owner has issued.
+//
+// An owner that is cut off from the control instances does not learn that an upstream is leaving,
+// and keeps granting it until it is gone. So a grant for an upstream that is known here to be
+// leaving is returned, and grantFrom returns errDecideLocally.
+func (c *Counter) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	u := c.pool.byName[m.Upstream]
+	if u != nil && u.Leaving {
+		c.peers.send(owner, permit.Ended{ID: m.ID, Outcome: permit.Absent})
+		return grant{}, errDecideLocally
+	}
+	if u == nil || u.address != m.Address {
+		// The owner knows the upstream before this instance does.
+		u = &upstream{name: m.Upstream, address: m.Address, service: t.service}
+	}
+	return grant{upstream: u, prefillAhead: m.Unread, owner: owner, id: m.ID}, nil
+}
+
+// deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
+func (c *Counter) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
+	q := c.pendingAsks[id]
+	if q != nil && q.owner == from {
+		select {
+		case q.answers <- answer:
+			return
+		default:
+		}
+	}
+	if _, granted := answer.(permit.Granted); granted {
+		// The request no longer waits, so the permit is returned.
+		c.peers.send(from, permit.Ended{ID: id})
+	}
+}
--- a/internal/counter/owners.go
+++ b/internal/counter/owners.go
@@ -8,123 +8,125 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// owners is which instance decides for which model, as far as this one knows.
-type owners struct {
-	self  netip.AddrPort
-	known permit.Owners
-	// avoided are instances that did not answer, and until when they are not asked.
+// ownerTable maps each model to the instance that places its requests, as far as this instance
+// knows.
+type ownerTable struct {
+	self       netip.AddrPort
+	assignment permit.Owners
+	// avoided holds the instances that did not answer or are draining, and the time until which
+	// they are not asked.
 	avoided map[netip.AddrPort]time.Time
-	// found are the owners that were looked up, and foundUntil until when they hold: who is
-	// avoided changes them. Each grant asks for those of some models, among hundreds of
-	// instances.
-	found      map[modelKey]netip.AddrPort
-	foundUntil time.Time
+	// cache holds owners that were looked up, valid until cacheExpires or until the avoided
+	// instances change. Each grant looks up several models among hundreds of instances.
+	cache        map[modelKey]netip.AddrPort
+	cacheExpires time.Time
 }
 
-func newOwners(self netip.AddrPort) owners {
-	return owners{self: self, avoided: map[netip.AddrPort]time.Time{}, found: map[modelKey]netip.AddrPort{}}
+func newOwnerTable(self netip.AddrPort) ownerTable {
+	return ownerTable{self: self, avoided: map[netip.AddrPort]time.Time{}, cache: map[modelKey]netip.AddrPort{}}
 }
 
 const (
-	// avoidSilent is how long an instance is not asked that did not answer: one request
-	// in that time waits for it in vain, if it is gone.
-	avoidSilent = time.Second
-	// longestFound is how long an owner that was looked up holds at the most.
-	longestFound = 10 * time.Second
-	// avoidStopping is how long an instance is not asked that is about to stop, which
-	// takes several seconds.
-	avoidStopping = 5 * time.Second
+	// unresponsiveAvoidance is how long an instance that did not answer is not asked. If the
+	// instance is gone, one request in that time waits for it in vain.
+	unresponsiveAvoidance = time.Second
+	// maxCacheAge bounds how long a cached owner is valid.
+	maxCacheAge = 10 * time.Second
+	// drainingAvoidance is how long a draining instance is not asked. Its shutdown takes several
+	// seconds.
+	drainingAvoidance = 5 * time.Second
 )
 
-// follow replaces the instances among which models are shared.
-func (o *owners) follow(now time.Time, addresses []string) {
+// setInstances replaces the instances among which models are distributed.
+func (o *ownerTable) setInstances(now time.Time, addresses []string) {
 	parsed := make([]netip.AddrPort, 0, len(addresses))
 	for _, address := range addresses {
 		if instance, err := netip.ParseAddrPort(address); err == nil {
 			parsed = append(parsed, instance)
 		}
 	}
-	o.known = permit.NewOwners(parsed)
-	o.forgetFound(now)
+	o.assignment = permit.NewOwners(parsed)
+	o.resetCache(now)
 }
 
-// forgetFound has owners be looked up again, and works out until when they hold.
-func (o *owners) forgetFound(now time.Time) {
-	clear(o.found)
-	o.foundUntil = now.Add(longestFound)
+// resetCache clears the cache and computes its next expiry.
+func (o *ownerTable) resetCache(now time.Time) {
+	clear(o.cache)
+	o.cacheExpires = now.Add(maxCacheAge)
 	for address, until := range o.avoided {
 		if now.Before(until) {
-			o.foundUntil = minTime(o.foundUntil, until)
+			o.cacheExpires = earlier(o.cacheExpires, until)
 		} else {
 			delete(o.avoided, address)
 		}
 	}
 }
 
-func minTime(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// of returns who decides for a model. It returns false if nobody is known.
-func (o *owners) of(now time.Time, service, model string) (netip.AddrPort, bool) {
-	if !now.Before(o.foundUntil) {
-		o.forgetFound(now)
+// ownerOf returns the instance that places the requests of a model. It returns false if there is
+// none.
+func (o *ownerTable) ownerOf(now time.Time, service, model string) (netip.AddrPort, bool) {
+	if !now.Before(o.cacheExpires) {
+		o.resetCache(now)
 	}
 	key := modelKey{service, model}
-	if owner, found := o.found[key]; found {
+	if owner, found := o.cache[key]; found {
 		return owner, true
 	}
-	owner, known := o.known.Of(service, model, func(address netip.AddrPort) bool {
+	owner, known := o.assignment.Of(service, model, func(address netip.AddrPort) bool {
 		return address == o.self || !now.Before(o.avoided[address])
 	})
 	if known {
-		o.found[key] = owner
+		o.cache[key] = owner
 	}
 	return owner, known
 }
 
-// avoid has an instance not be asked for a while.
-func (o *owners) avoid(now time.Time, address netip.AddrPort, span time.Duration) {
+// avoid excludes an instance from ownership for a while.
+func (o *ownerTable) avoid(now time.Time, address netip.AddrPort, span time.Duration) {
 	o.avoided[address] = now.Add(span)
-	o.forgetFound(now)
+	o.resetCache(now)
 }
 
-// ownerOf returns the other instance that decides for a request. It returns false if this
-// one does. c.mu is held.
-func (c *Counter) ownerOf(now time.Time, n *need) (netip.AddrPort, bool) {
-	if n.model == "" || c.exchange.conn == nil {
+// remoteOwner returns the other instance that places a request. It returns false if this instance
+// does. c.mu is held.
+func (c *Counter) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
+	if req.model == "" || c.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
-	owner, known := c.owners.of(now, n.service, n.model)
+	owner, known := c.owners.ownerOf(now, req.service, req.model)
 	return owner, known && owner != c.owners.self
 }
 
-// sharers returns how many instances place requests for the model of a request that is
-// decided on here: one, if this one owns it. c.mu is held.
-func (c *Counter) sharers(now time.Time, n *need) int {
-	if owner, known := c.owners.of(now, n.service, n.model); known && owner == c.owners.self {
+// placingInstances returns how many instances place requests for the model of a request that is
+// placed here: one if this instance owns the model, otherwise all of them. c.mu is held.
+func (c *Counter) placingInstances(now time.Time, req *requirements) int {
+	if owner, known := c.owners.ownerOf(now, req.service, req.model); known && owner == c.owners.self {
 		return 1
 	}
-	return c.links.entries
+	return c.control.entryInstances
 }
 
-// tellUse tells those who decide for the other models that an engine holds what it gets.
-// Its reports come half a second later; in that time they would fill what looks empty.
-// c.mu is held.
-func (c *Counter) tellUse(now time.Time, u *upstream, n *need) {
-	if n.model == "" {
+// notifyUse notifies the owners of the engine's other models of a request that is sent there. The
+// engine's reports arrive half a second later, and until then the owners would send to an engine
+// that only appears idle. c.mu is held.
+func (c *Counter) notifyUse(now time.Time, u *upstream, req *requirements) {
+	if req.model == "" {
 		return
 	}
-	var told []netip.AddrPort
+	var notified []netip.AddrPort
 	for model := range u.models {
-		owner, known := c.owners.of(now, u.service, model)
-		if !known || owner == c.owners.self || slices.Contains(told, owner) {
+		owner, known := c.owners.ownerOf(now, u.service, model)
+		if !known || owner == c.owners.self || slices.Contains(notified, owner) {
 			continue
 		}
-		told = append(told, owner)
-		c.exchange.tell(owner, permit.Use{Upstream: u.name, Reading: n.reading, Open: u.open})
+		notified = append(notified, owner)
+		c.peers.send(owner, permit.Use{Upstream: u.name, Reading: req.prefillTime, Open: u.active})
 	}
 }
--- a/internal/counter/pace_test.go
+++ b/internal/counter/pacing_test.go
@@ -55,7 +55,7 @@
 // hold their model.
 type pacedLoad struct {
 	random  *rand.Rand
-	fleets  []counter.Fleet
+	fleets  []counter.UpstreamPool
 	queues  [][]waitingPrompt
 	engines map[string]*batchEngine
 	hints   []hint
@@ -89,13 +89,13 @@
 		engines: map[string]*batchEngine{},
 	}
 	for range instances {
-		l.fleets = append(l.fleets, counter.NewFleet("here", lease))
+		l.fleets = append(l.fleets, counter.NewUpstreamPool("here", lease))
 	}
 	for i := range engines {
 		name := fmt.Sprint("e", i)
 		l.engines[name] = &batchEngine{stepEnds: start}
 		for _, fleet := range l.fleets {
-			fleet.Update(start, engineOf(name, "here", start, "m"))
+			fleet.Apply(start, engineOf(name, "here", start, "m"))
 		}
 	}
 	return l
@@ -129,7 +129,7 @@
 	for len(l.hints) > 0 && !l.hints[0].at.After(now) {
 		for instance, fleet := range l.fleets {
 			if instance != l.hints[0].from {
-				fleet.Heard(now, l.hints[0].engine, l.hints[0].tokens, l.hints[0].from)
+				fleet.PeerSent(now, l.hints[0].engine, l.hints[0].tokens, l.hints[0].from)
 			}
 		}
 		l.hints = l.hints[1:]
--- /dev/null
+++ b/internal/counter/peerload.go
@@ -0,0 +1,56 @@
+package counter
+
+import (
+	"math"
+	"time"
+)
+
+// peerLoad estimates how many requests the other instances have at an engine. Each instance reports
+// its count with every request that it sends there. A reported count decays with the service time
+// of requests until the next report.
+//
+// Reports of the engine itself are at least half a second old. An estimate from such a report plus
+// all requests sent since showed an engine of 24 slots as full while a quarter of them was free,
+// with requests of one second.
+type peerLoad struct {
+	byInstance map[uint32]peerCount
+	total      float64
+	asOf       time.Time
+}
+
+// peerCount is the last count reported by one instance.
+type peerCount struct {
+	active int
+	at     time.Time
+}
+
+// set replaces the count of a peer.
+func (l *peerLoad) set(now time.Time, serviceTime time.Duration, peer uint32, active int) {
+	if l.byInstance == nil {
+		l.byInstance = map[uint32]peerCount{}
+	}
+	previous := l.byInstance[peer]
+	rest := l.estimate(now, serviceTime) - float64(previous.active)*decay(now.Sub(previous.at), serviceTime)
+	l.total, l.asOf = max(rest, 0)+float64(active), now
+	l.byInstance[peer] = peerCount{active: active, at: now}
+}
+
+// correct adjusts the estimate after a report that showed difference more requests at a past time
+// than estimated.
+func (l *peerLoad) correct(now, at time.Time, serviceTime time.Duration, difference float64) {
+	rest := l.estimate(now, serviceTime) + difference*decay(now.Sub(at), serviceTime)
+	l.total, l.asOf = max(rest, 0), now
+}
+
+// estimate returns the estimated number of requests at now.
+func (l *peerLoad) estimate(now time.Time, serviceTime time.Duration) float64 {
+	return l.total * decay(now.Sub(l.asOf), serviceTime)
+}
+
+// decay returns the share of requests still running after age, between 0 and 1.
+func decay(age, serviceTime time.Duration) float64 {
+	if age <= 0 || serviceTime <= 0 {
+		return 1
+	}
+	return math.Exp(-age.Seconds() / serviceTime.Seconds())
+}
--- a/internal/counter/others_test.go
+++ b/internal/counter/peerload_test.go
@@ -18,8 +18,8 @@
 	// quarters full looks full, and callers are refused beside free places.
 	It("is known to an instance that hears of the others' requests", func() {
 		const instances, perSecond = 6, 12.0
-		fleet := counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
+		fleet := counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
 		random := rand.New(rand.NewPCG(3, 3))
 		open := make([]int, instances)
 		ends := map[time.Time]int{}
@@ -30,7 +30,7 @@
 			if sender, ended := ends[now]; ended {
 				open[sender]--
 				if sender == 0 {
-					fleet.Ended("e")
+					fleet.Release("e")
 				}
 			}
 			if random.Float64() < perSecond/1000 {
@@ -40,7 +40,7 @@
 					_, missing := fleet.Send(now, "pool", "m", "", 10)
 					Expect(missing).To(BeEmpty())
 				} else {
-					fleet.HeardOpen(now, "e", open[sender], sender)
+					fleet.PeerActive(now, "e", open[sender], sender)
 				}
 				end := now.Add(time.Duration(700+random.IntN(1200)) * time.Millisecond)
 				for _, taken := ends[end]; taken; _, taken = ends[end] {
@@ -64,24 +64,24 @@
 	// be told. Its load was no number from then on: nothing found it full, and nothing that
 	// starved was sent there.
 	It("stays a number whatever age a report is told to have", func() {
-		fleet := counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
-		fleet.HeardOpen(start, "e", 4, 1)
+		fleet := counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
+		fleet.PeerActive(start, "e", 4, 1)
 		for _, age := range []time.Duration{math.MaxInt64, math.MinInt64, 0} {
-			fleet.Hold(start, courier.Holdings{Engines: []courier.Holding{{
+			fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
 				Name: "e", Age: age, Running: 20, Models: []courier.HeldModel{{Name: "m"}},
 			}}})
 			Expect(fleet.Load(start, "e")).To(And(BeNumerically(">=", 4), BeNumerically("<=", 4+20)), age.String())
 		}
-		fleet.HeardOpen(start.Add(time.Second), "e", 64, 1)
+		fleet.PeerActive(start.Add(time.Second), "e", 64, 1)
 		_, missing := fleet.Send(start.Add(time.Second), "pool", "m", "", 10)
 		Expect(missing).To(Equal("room"))
 	})
 
 	It("is that of the newest report for an instance that has heard nothing yet", func() {
-		fleet := counter.NewFleet("here", lease)
-		fleet.Update(start, engineOf("e", "here", start, "m"))
-		fleet.Hold(start, courier.Holdings{Engines: []courier.Holding{{
+		fleet := counter.NewUpstreamPool("here", lease)
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
+		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Running: 64, Queued: 6, Models: []courier.HeldModel{{Name: "m"}},
 		}}})
 		_, missing := fleet.Send(start, "pool", "m", "", 10)
@@ -95,17 +95,17 @@
 // engines that hold the model had reached: places, prompts to read, or failures.
 var _ = Describe("The survey of a refusal", func() {
 	It("tells which limit each engine has reached", func() {
-		fleet := counter.NewFleet("here", lease)
+		fleet := counter.NewUpstreamPool("here", lease)
 		for _, name := range []string{"full", "reading", "failed", "other"} {
 			model := "m"
 			if name == "other" {
 				model = "n"
 			}
-			fleet.Update(start, engineOf(name, "here", start, model))
+			fleet.Apply(start, engineOf(name, "here", start, model))
 		}
-		fleet.HeardOpen(start, "full", 64, 1)
-		fleet.Heard(start, "reading", 50_000, 1)
-		fleet.Failed(start, "failed")
+		fleet.PeerActive(start, "full", 64, 1)
+		fleet.PeerSent(start, "reading", 50_000, 1)
+		fleet.Fail(start, "failed")
 		holders, slots, pace, avoided := fleet.Survey(start, "pool", "m", "failed")
 		Expect([]int{holders, slots, pace, avoided}).To(Equal([]int{3, 1, 1, 1}))
 	})
--- a/internal/counter/permits_test.go
+++ b/internal/counter/permits_test.go
@@ -38,10 +38,10 @@
 }
 
 // smallEngine is an engine of twelve places.
-func smallEngine(fleet counter.Fleet, name string, models ...string) {
+func smallEngine(fleet counter.UpstreamPool, name string, models ...string) {
 	engine := engineOf(name, "here", start, models...)
 	engine.Announcement.Load.MaxRunning = 12
-	fleet.Update(start, engine)
+	fleet.Apply(start, engine)
 }
 
 func asking(id permit.ID, model string) permit.Ask {
@@ -55,12 +55,12 @@
 	among := addresses(instances)
 	owner := among[7]
 	model := modelOf("pool", owner, among...)
-	var fleet counter.Fleet
-	var own counter.Owner
+	var fleet counter.UpstreamPool
+	var own counter.Instance
 
 	BeforeEach(func() {
-		fleet = counter.NewFleet("here", lease)
-		own = counter.NewOwner(fleet, owner, among)
+		fleet = counter.NewUpstreamPool("here", lease)
+		own = counter.NewInstance(fleet, owner, among)
 	})
 
 	// Each of 291 instances has one request for a model at the same moment, and four
@@ -77,7 +77,7 @@
 			if asker == owner {
 				continue
 			}
-			for _, told := range own.Hear(start, asker, asking(permit.ID(i), model)) {
+			for _, told := range own.Receive(start, asker, asking(permit.ID(i), model)) {
 				messages++
 				Expect(told.To).To(Equal(asker))
 				switch m := told.Message.(type) {
@@ -96,7 +96,7 @@
 	It("tells those alone who own other models of the engine what goes there", func() {
 		shared := modelOf("pool", among[9], among...)
 		smallEngine(fleet, "e", model, shared)
-		told := own.Hear(start, among[1], asking(1, model))
+		told := own.Receive(start, among[1], asking(1, model))
 		Expect(told).To(HaveLen(2))
 		Expect(told[0].To).To(Equal(among[9]))
 		Expect(told[0].Message).To(Equal(permit.Use{Upstream: "e", Reading: told[0].Message.(permit.Use).Reading, Open: 1}))
@@ -107,8 +107,8 @@
 	// request, it would take a second place that nobody uses.
 	It("answers a question that comes again as it did before", func() {
 		smallEngine(fleet, "e", model)
-		first := own.Hear(start, among[1], asking(1, model))
-		again := own.Hear(start.Add(40*time.Millisecond), among[1], asking(1, model))
+		first := own.Receive(start, among[1], asking(1, model))
+		again := own.Receive(start.Add(40*time.Millisecond), among[1], asking(1, model))
 		Expect(again).To(Equal(first))
 		Expect(fleet.Load(start, "e")).To(BeNumerically("~", 1, 0.01))
 	})
@@ -116,11 +116,11 @@
 	It("hands on a place that is given back", func() {
 		smallEngine(fleet, "e", model)
 		for i := range 12 {
-			own.Hear(start, among[1], asking(permit.ID(i), model))
+			own.Receive(start, among[1], asking(permit.ID(i), model))
 		}
-		Expect(own.Hear(start, among[2], asking(1, model))).To(Equal([]counter.Told{{To: among[2], Message: permit.Queued{ID: 1}}}))
-		own.Hear(start, among[1], permit.Ended{ID: 3, Outcome: permit.Worked})
-		told := own.Look(start.Add(10 * time.Millisecond))
+		Expect(own.Receive(start, among[2], asking(1, model))).To(Equal([]counter.SentMessage{{To: among[2], Message: permit.Queued{ID: 1}}}))
+		own.Receive(start, among[1], permit.Ended{ID: 3, Outcome: permit.Worked})
+		told := own.Dispatch(start.Add(10 * time.Millisecond))
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].To).To(Equal(among[2]))
 		Expect(told[0].Message).To(BeAssignableToTypeOf(permit.Granted{}))
@@ -129,11 +129,11 @@
 	It("forgets a request that is taken back while it waits", func() {
 		smallEngine(fleet, "e", model)
 		for i := range 13 {
-			own.Hear(start, among[1], asking(permit.ID(i), model))
+			own.Receive(start, among[1], asking(permit.ID(i), model))
 		}
-		own.Hear(start, among[1], permit.Ended{ID: 12})
-		own.Hear(start, among[1], permit.Ended{ID: 3})
-		Expect(own.Look(start.Add(10 * time.Millisecond))).To(BeEmpty())
+		own.Receive(start, among[1], permit.Ended{ID: 12})
+		own.Receive(start, among[1], permit.Ended{ID: 3})
+		Expect(own.Dispatch(start.Add(10 * time.Millisecond))).To(BeEmpty())
 	})
 
 	// An instance is killed while it has twelve requests at an engine, or what it says of
@@ -141,44 +141,44 @@
 	It("takes places back that nobody gives back", func() {
 		smallEngine(fleet, "e", model)
 		for i := range 12 {
-			own.Hear(start, among[1], asking(permit.ID(i), model))
+			own.Receive(start, among[1], asking(permit.ID(i), model))
 		}
-		own.Sweep(start.Add(time.Second))
+		own.ExpirePermits(start.Add(time.Second))
 		Expect(fleet.Load(start.Add(time.Second), "e")).To(BeNumerically("~", 12, 0.01))
-		own.Sweep(start.Add(12 * time.Second))
+		own.ExpirePermits(start.Add(12 * time.Second))
 		Expect(fleet.Load(start.Add(12*time.Second), "e")).To(BeNumerically("<", 1))
 	})
 
 	It("sends askers on when it is about to stop, and keeps what it has granted", func() {
 		smallEngine(fleet, "e", model)
-		first := own.Hear(start, among[1], asking(1, model))
+		first := own.Receive(start, among[1], asking(1, model))
 		own.Drain()
-		Expect(own.Hear(start, among[1], asking(1, model))).To(Equal(first))
-		Expect(own.Hear(start, among[1], asking(2, model))).To(Equal([]counter.Told{{To: among[1], Message: permit.Moved{ID: 2}}}))
+		Expect(own.Receive(start, among[1], asking(1, model))).To(Equal(first))
+		Expect(own.Receive(start, among[1], asking(2, model))).To(Equal([]counter.SentMessage{{To: among[1], Message: permit.Moved{ID: 2}}}))
 	})
 
 	// Two instances take themselves for the owner, as one has come and not all know it.
 	// Both grant: each counts what the other tells of the engine.
 	It("counts what another instance grants that takes itself for the owner", func() {
 		smallEngine(fleet, "e", model)
-		own.Hear(start, among[3], permit.Use{Upstream: "e", Open: 12})
-		told := own.Hear(start, among[1], asking(1, model))
+		own.Receive(start, among[3], permit.Use{Upstream: "e", Open: 12})
+		told := own.Receive(start, among[1], asking(1, model))
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].Message).To(BeAssignableToTypeOf(permit.Queued{}))
 	})
 
 	It("avoids an engine that askers say has failed", func() {
 		smallEngine(fleet, "e0", model)
-		own.Hear(start, among[1], asking(1, model))
-		own.Hear(start, among[1], permit.Ended{ID: 1, Outcome: permit.Failed})
+		own.Receive(start, among[1], asking(1, model))
+		own.Receive(start, among[1], permit.Ended{ID: 1, Outcome: permit.Failed})
 		smallEngine(fleet, "e1", model)
-		told := own.Hear(start, among[1], asking(2, model))
+		told := own.Receive(start, among[1], asking(2, model))
 		Expect(told[0].Message.(permit.Granted).Upstream).To(Equal("e1"))
 	})
 
 	It("places requests for a service that no route known here goes to", func() {
 		smallEngine(fleet, "e", model)
-		own.Hear(start, among[1], asking(1, model))
+		own.Receive(start, among[1], asking(1, model))
 		Expect(fleet.Load(start, "e")).To(BeNumerically("~", 1, 0.01), "no number would have it look empty for good")
 	})
 })
--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -11,79 +11,81 @@
 )
 
 const (
-	// defaultRoutesWithin is Options.RoutesWithin where it is not set.
-	defaultRoutesWithin = 2 * time.Second
-	// denyShare is the part of RoutesWithin within which the routes must have been proven by
-	// which a request is told that there is none for it. News need the rest.
-	denyShare = 0.5
-	// grantTimes is how many times RoutesWithin ago the routes may have been proven by which
-	// requests are sent: without it, all callers would wait for each new leader.
-	grantTimes = 2
-	// proofWait bounds how long a request waits for a proof, and proofEvery is how often it
-	// looks.
-	proofWait  = time.Second
-	proofEvery = 10 * time.Millisecond
+	// defaultRoutesMaxDelay is the default of Options.RoutesWithin.
+	defaultRoutesMaxDelay = 2 * time.Second
+	// denyProofShare is the maximum age of the routes' proof, as a share of RoutesWithin, at which
+	// a request without a route is refused for good. The rest of RoutesWithin is left for the
+	// propagation of updates.
+	denyProofShare = 0.5
+	// sendProofFactor is the maximum age of the routes' proof, in multiples of RoutesWithin, at
+	// which requests are sent. With a smaller value, all callers would wait during each leader
+	// election.
+	sendProofFactor = 2
+	// maxProofWait bounds how long a request waits for a proof, and proofPollInterval is the time
+	// between two checks.
+	maxProofWait      = time.Second
+	proofPollInterval = 10 * time.Millisecond
 )
 
-// denyWithin returns how old the proof of the routes may be by which a request is told that
-// there is none for it.
-func (o Options) denyWithin() time.Duration {
-	return time.Duration(denyShare * float64(o.RoutesWithin))
+// denyProofMaxAge returns the maximum age of the routes' proof at which a request without a route
+// is refused for good.
+func (o Options) denyProofMaxAge() time.Duration {
+	return time.Duration(denyProofShare * float64(o.RoutesWithin))
 }
 
-// prove takes in how new the routes in force here are known to be. c.mu is held.
-func (c *Counter) prove(now, asked time.Time, address string, version uint64, reading edition.Reading) {
-	l := &c.links
+// recordProof records up to which time the routes in force here are confirmed. c.mu is held.
+func (c *Counter) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
+	l := &c.control
 	if age, ok := l.proof.Age(now); ok {
 		c.metrics.proofAge.RecordDuration(age)
 	}
-	l.proof = l.proof.With(asked, address, version, reading)
+	l.proof = l.proof.With(askedAt, address, version, reading)
 	switch {
-	case l.proof.Covers(now.Add(-grantTimes * c.options.RoutesWithin)):
+	case l.proof.Covers(now.Add(-sendProofFactor * c.options.RoutesWithin)):
 		l.unprovenSince = time.Time{}
 	case l.unprovenSince.IsZero():
 		l.unprovenSince = now
 	}
 }
 
-// awaitsProof reports whether requests wait for a proof of the routes in force. While no
-// control instance answers, there is none to wait for. Where one answers that has not
-// caught up, they wait for within at the most, counted from its first answer.
-func (l *links) awaitsProof(now time.Time, within time.Duration) bool {
-	if l.lost || l.missed || l.proof.Covers(now.Add(-grantTimes*within)) {
+// needsProof reports whether requests wait for a proof of the routes in force. While no control
+// instance answers, none can be expected. While one answers that has not caught up, requests wait
+// for at most maxDelay from its first answer without a sufficient proof.
+func (l *controlLinks) needsProof(now time.Time, maxDelay time.Duration) bool {
+	if l.disconnected || l.lastSyncFailed || l.proof.Covers(now.Add(-sendProofFactor*maxDelay)) {
 		return false
 	}
-	return l.unprovenSince.IsZero() || now.Sub(l.unprovenSince) < within
+	return l.unprovenSince.IsZero() || now.Sub(l.unprovenSince) < maxDelay
 }
 
-// isSettled reports whether requests may be sent by the routes in force.
-func (c *Counter) isSettled() bool {
+// hasUsableRoutes reports whether requests may be sent by the routes in force.
+func (c *Counter) hasUsableRoutes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.links.awaitsProof(c.options.Now(), c.options.RoutesWithin)
+	return !c.control.needsProof(c.options.Now(), c.options.RoutesWithin)
 }
 
-// proves reports whether the routes in force here are known to hold all that was committed
-// at a time.
-func (c *Counter) proves(at time.Time) bool {
+// routesProvenAt reports whether the routes in force here are confirmed to include all changes
+// committed at a given time.
+func (c *Counter) routesProvenAt(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.links.proof.Covers(at)
+	return c.control.proof.Covers(at)
 }
 
-// awaitProof waits until done reports true, or for as long as a request may wait for a
-// proof of the routes, and returns what done reported last.
-func (c *Counter) awaitProof(ctx context.Context, call Call, done func() bool) bool {
+// waitForProof waits until done returns true, or until the maximum wait for a proof of the routes,
+// and returns the last result of done.
+func (c *Counter) waitForProof(ctx context.Context, call Call, done func() bool) bool {
 	if done() {
 		return true
 	}
 	c.mu.Lock()
 	c.metrics.proofWaits.Inc(1)
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/tableShare, proofWait))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/routesWaitDivisor, maxProofWait))
 	defer cancel()
-	c.hurry()
-	for pause.For(ctx, proofEvery) {
+	c.syncSoon()
+	for pause.For(ctx, proofPollInterval) {
 		if done() {
 			return true
 		}
@@ -91,42 +93,42 @@
 	return false
 }
 
-// match returns the route of a request, and the routes that it is of. If there is none,
-// match answers the caller and returns nil.
-func (c *Counter) match(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
-	table, route := c.lookUp(r)
-	if route != nil && !c.isSettled() {
-		// The route may have been dropped, or lead elsewhere.
-		c.awaitProof(r.Context(), call, c.isSettled)
-		table, route = c.lookUp(r)
+// matchRoute returns the route of a request and the routing table that contains it. If there is
+// none, it answers the caller and returns a nil route.
+func (c *Counter) matchRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+	table, route := c.lookUpRoute(r)
+	if route != nil && !c.hasUsableRoutes() {
+		// The route may have been removed or changed.
+		c.waitForProof(r.Context(), call, c.hasUsableRoutes)
+		table, route = c.lookUpRoute(r)
 	}
 	if route != nil {
 		return table, route
 	}
-	return c.matchProven(w, r, call)
+	return c.matchProvenRoute(w, r, call)
 }
 
-// lookUp returns the routes in force and that of a request, which may be nil.
-func (c *Counter) lookUp(r *http.Request) (*routes.Table, *routes.Route) {
-	table := c.table.Load()
-	return table, table.Match(host(r), r.URL.EscapedPath())
+// lookUpRoute returns the routes in force and the route of a request, which may be nil.
+func (c *Counter) lookUpRoute(r *http.Request) (*routes.Table, *routes.Route) {
+	table := c.routes.Load()
+	return table, table.Match(hostOf(r), r.URL.EscapedPath())
 }
 
-// matchProven looks for a route that is not among the routes that are known. If they are not
-// proven, the route may have been added since: a caller that is told that there is none goes
-// away for good. So the request waits for a proof. If none comes in time, matchProven tells
-// the caller to come back, and if there is no route still, that.
-func (c *Counter) matchProven(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
-	asOf := c.options.Now().Add(-c.options.denyWithin())
-	proven := c.awaitProof(r.Context(), call, func() bool { return c.proves(asOf) })
-	table, route := c.lookUp(r)
+// matchProvenRoute handles a request that matches none of the known routes. Without a recent proof,
+// the route may have been added since, and a caller that receives 404 does not retry. So the
+// request waits for a proof. If none arrives in time, the caller is asked to retry; if the routes
+// are proven and there is still no match, it receives 404.
+func (c *Counter) matchProvenRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+	asOf := c.options.Now().Add(-c.options.denyProofMaxAge())
+	proven := c.waitForProof(r.Context(), call, func() bool { return c.routesProvenAt(asOf) })
+	table, route := c.lookUpRoute(r)
 	switch {
 	case route != nil:
 	case proven:
-		c.refuse(w, call, nil, refusal{status: http.StatusNotFound, why: "no route"})
+		c.refuse(w, call, nil, refusal{status: http.StatusNotFound, text: "no route"})
 	default:
 		c.refuse(w, call, nil, refusal{
-			status: http.StatusServiceUnavailable, why: "the routes may be old", comeBack: tableComeBack,
+			status: http.StatusServiceUnavailable, text: "the routes may be old", retryAfter: noRoutesRetryAfter,
 		})
 	}
 	return table, route
--- a/internal/counter/fresh_test.go
+++ b/internal/counter/proof_test.go
@@ -98,7 +98,7 @@
 	ago := func(seconds float64) time.Time { return now.Add(-time.Duration(seconds * float64(time.Second))) }
 	DescribeTable("waits for a proof of routes that must be in force within 2 s",
 		func(proven, unproven time.Time, lost, waits bool) {
-			Expect(counter.AwaitsProof(now, proven, unproven, 2*time.Second, lost)).To(Equal(waits))
+			Expect(counter.NeedsProof(now, proven, unproven, 2*time.Second, lost)).To(Equal(waits))
 		},
 		Entry("not by routes that were proven a moment ago", ago(1), time.Time{}, false, false),
 		Entry("not while a leader is elected", ago(3.9), ago(1), false, false),
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -12,204 +12,205 @@
 
 // waiter is a request that waits for an upstream.
 type waiter struct {
-	need  need
-	asker asker
-	// sharers is how many instances place requests for the model.
-	sharers int
-	// missing is why there was no upstream at the last look.
-	missing lack
-	// counted says that it is told as waiting.
-	counted bool
-	// favoured says that it goes before all others.
-	favoured bool
+	requirements requirements
+	requester    requester
+	// placingInstances is the number of instances that place requests for the model.
+	placingInstances int
+	// missing is the resource that was missing when the request was last dispatched.
+	missing missingResource
+	// countedWaiting is true while the request is counted in the reported demand as waiting.
+	countedWaiting bool
+	// boosted puts the request before all others.
+	boosted bool
 }
 
-// asker is who is told of the upstream: ownRequest or otherInstance.
-type asker interface {
-	asker()
+// requester receives the grant: a localRequest or a peerRequest.
+type requester interface {
+	requester()
 }
 
-// ownRequest is a request that a caller has sent to this instance.
-type ownRequest struct {
-	granted chan place
+// localRequest is a caller's request at this instance.
+type localRequest struct {
+	grants chan grant
 }
 
-// otherInstance is a request at another instance, which has asked this one.
-type otherInstance struct {
+// peerRequest is a request at another instance, which asked this one to place it.
+type peerRequest struct {
 	address netip.AddrPort
 	id      permit.ID
 }
 
-func (ownRequest) asker()    {}
-func (otherInstance) asker() {}
+func (localRequest) requester() {}
+func (peerRequest) requester()  {}
 
-// place is an upstream that a request may be sent to.
-type place struct {
+// grant is permission to send a request to an upstream.
+type grant struct {
 	upstream *upstream
-	// unread is how long the engine reads what it has before.
-	unread time.Duration
-	// owner is who has granted it under id. It is not valid if this instance has.
+	// prefillAhead is the time the engine needs for prompts that were sent before this one.
+	prefillAhead time.Duration
+	// owner is the instance that issued the grant under id. It is invalid if this instance did.
 	owner netip.AddrPort
 	id    permit.ID
 }
 
-// queue is the requests that wait, in no order. It is not safe for concurrent use.
+// queue holds the waiting requests, unordered. It is not safe for concurrent use.
 type queue struct {
 	waiters []*waiter
-	// timer has the queue looked at while somebody waits.
-	timer *time.Timer
-	armed bool
-	// granted is how many requests of each model got an upstream of late.
-	granted map[modelKey]*window
-	// ages says which models and adapters starve, and unfavoured how many requests of each
-	// model got an upstream since one that was favoured.
-	ages       *aging.Ages[demandKey]
-	unfavoured map[modelKey]int
-	favouredAt time.Time
+	// timer triggers the next dispatch while requests are waiting.
+	timer    *time.Timer
+	timerSet bool
+	// recentGrants counts the recent grants of each model.
+	recentGrants map[modelKey]*slidingWindow
+	// starvation tracks how long models and adapters have been requested without being served.
+	// grantsSinceBoost counts the grants of each model since the last boosted one.
+	starvation       *aging.Ages[target]
+	grantsSinceBoost map[modelKey]int
+	lastBoost        time.Time
 }
 
 func newQueue() queue {
 	return queue{
-		granted: map[modelKey]*window{}, ages: aging.New[demandKey](agingOptions), unfavoured: map[modelKey]int{},
+		recentGrants: map[modelKey]*slidingWindow{}, starvation: aging.New[target](starvationOptions), grantsSinceBoost: map[modelKey]int{},
 	}
 }
 
-// modelKey names a model of a service.
+// modelKey identifies a model of a service.
 type modelKey struct {
 	service, model string
 }
 
-// dispatchEvery is the time between two looks at those that wait: engines have room
-// again step by step.
-const dispatchEvery = 4 * time.Millisecond
+// dispatchInterval is the time between two dispatches of the queue. Engines regain capacity in
+// small steps.
+const dispatchInterval = 4 * time.Millisecond
 
-// enqueue adds a request, and looks at once. c.mu is held.
+// enqueue adds a request and dispatches the queue. c.mu is held.
 func (c *Counter) enqueue(now time.Time, w *waiter) {
 	c.queue.waiters = append(c.queue.waiters, w)
-	if w.need.model != "" {
-		c.queue.ages.Asked(now, w.need.demandKey)
+	if w.requirements.model != "" {
+		c.queue.starvation.Asked(now, w.requirements.target)
 	}
 	c.countWaiting(w, true)
 	c.dispatch(now)
 }
 
-// dequeue takes a request out of the queue. c.mu is held.
+// dequeue removes a request from the queue. c.mu is held.
 func (c *Counter) dequeue(w *waiter) {
 	c.queue.waiters = slices.DeleteFunc(c.queue.waiters, func(other *waiter) bool { return other == w })
 	c.countWaiting(w, false)
 }
 
-// countWaiting notes whether a request of this instance waits for an engine.
+// countWaiting updates the demand when a local request starts or stops waiting for an engine.
 func (c *Counter) countWaiting(w *waiter, waits bool) {
-	if _, own := w.asker.(ownRequest); !own || w.counted == waits {
+	if _, own := w.requester.(localRequest); !own || w.countedWaiting == waits {
 		return
 	}
-	w.counted = waits
+	w.countedWaiting = waits
 	change := -1
 	if waits {
 		change = 1
 	}
-	c.countNeed(&w.need, change)
+	c.countWaitingFor(&w.requirements, change)
 }
 
-// countNeed notes that change more requests wait for an engine. c.mu is held.
-func (c *Counter) countNeed(n *need, change int) {
-	if n.model != "" {
-		c.demand.wait(n.demandKey, change)
+// countWaitingFor adds change to the number of requests that wait for the target of req. c.mu is
+// held.
+func (c *Counter) countWaitingFor(req *requirements, change int) {
+	if req.model != "" {
+		c.demand.addWaiting(req.target, change)
 	}
 }
 
-// lookKey is what requests have in common that get the same answer at one look.
-type lookKey struct {
-	demandKey
-	pace pace
+// selectionKey identifies queries that have the same result within one dispatch.
+type selectionKey struct {
+	target
+	pacing pacing
 }
 
-// dispatch grants upstreams to those that wait, in their order. c.mu is held.
+// dispatch grants upstreams to waiting requests in order of priority. c.mu is held.
 //
-// Before all others comes a request now and then of what starves. Then come those whose answer can still be on time, the more urgent before the
-// others. One that can't be on time any more is served with what they leave: it
-// is still worth something to its caller, but must not make the next one late.
+// Boosted requests come first, then requests that can still meet their objective, the more urgent
+// ones first. Late requests get the remaining capacity: their response is still of use to the
+// caller, but must not delay the next request.
 //
-// A request for which there is no room leaves none for those after it that ask for the
-// same: a model that rises has hundreds waiting, and engines are looked at once for all.
+// A failed selection applies to all later requests with the same key: hundreds of requests may wait
+// for a model whose load rises, and the engines are examined once for all of them.
 func (c *Counter) dispatch(now time.Time) {
 	waiters := c.queue.waiters
-	c.queue.favour(now)
+	c.queue.boostStarved(now)
 	if len(waiters) > 1 {
 		slices.SortStableFunc(waiters, func(a, b *waiter) int {
-			if a.favoured != b.favoured {
-				return boolCompare(!a.favoured, !b.favoured)
+			if a.boosted != b.boosted {
+				return compareBools(!a.boosted, !b.boosted)
 			}
-			return a.need.compare(now, &b.need)
+			return a.requirements.compare(now, &b.requirements)
 		})
 	}
-	found := map[lookKey]lack{}
-	kept := waiters[:0]
+	failed := map[selectionKey]missingResource{}
+	remaining := waiters[:0]
 	for _, w := range waiters {
-		key := lookKey{w.need.demandKey, w.need.pace}
-		missing, looked := found[key]
-		var u *upstream
-		shared := len(w.need.tried) == 0 && !w.favoured
-		if !looked || !shared {
-			wish := w.need.wish()
-			wish.favoured = w.favoured
-			u, missing = c.fleet.choose(now, wish, rand.Float64())
+		key := selectionKey{w.requirements.target, w.requirements.pacing}
+		missing, known := failed[key]
+		var chosen *upstream
+		cacheable := len(w.requirements.tried) == 0 && !w.boosted
+		if !known || !cacheable {
+			query := w.requirements.query()
+			query.boosted = w.boosted
+			chosen, missing = c.pool.choose(now, query, rand.Float64())
 		}
 		w.missing = missing
-		if u == nil {
-			if shared {
-				found[key] = missing
+		if chosen == nil {
+			if cacheable {
+				failed[key] = missing
 			}
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
-		c.grant(now, w, u)
+		c.grant(now, w, chosen)
 	}
-	clear(waiters[len(kept):])
-	c.queue.waiters = kept
-	c.arm()
-}
-
-// grant gives u to a request that waits. c.mu is held.
-func (c *Counter) grant(now time.Time, w *waiter, u *upstream) {
-	granted := place{upstream: u, unread: u.unread.left(now)}
-	u.sent(now, w.need.reading, w.need.pace)
-	c.tellUse(now, u, &w.need)
-	c.queue.grant(now, &w.need)
-	c.queue.countFavour(w)
+	clear(waiters[len(remaining):])
+	c.queue.waiters = remaining
+	c.setTimer()
+}
+
+// grant assigns chosen to a waiting request. c.mu is held.
+func (c *Counter) grant(now time.Time, w *waiter, chosen *upstream) {
+	granted := grant{upstream: chosen, prefillAhead: chosen.backlog.remaining(now)}
+	chosen.recordSend(now, w.requirements.prefillTime, w.requirements.pacing)
+	c.notifyUse(now, chosen, &w.requirements)
+	c.queue.recordGrant(now, &w.requirements)
+	c.queue.recordBoost(w)
 	c.countWaiting(w, false)
-	switch to := w.asker.(type) {
-	case ownRequest:
-		to.granted <- granted
-	case otherInstance:
-		c.issue(now, to, granted)
+	switch to := w.requester.(type) {
+	case localRequest:
+		to.grants <- granted
+	case peerRequest:
+		c.issuePermit(now, to, granted)
 	}
 }
 
-// arm has the queue looked at again, if somebody waits.
-func (c *Counter) arm() {
-	if len(c.queue.waiters) == 0 || c.queue.armed {
+// setTimer schedules the next dispatch if requests are waiting.
+func (c *Counter) setTimer() {
+	if len(c.queue.waiters) == 0 || c.queue.timerSet {
 		return
 	}
-	c.queue.armed = true
+	c.queue.timerSet = true
 	wake := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.queue.armed = false
+		c.queue.timerSet = false
 		c.dispatch(c.options.Now())
-		c.wantMissing()
+		c.requestMissingLoads()
 	}
 	if c.queue.timer == nil {
-		c.queue.timer = time.AfterFunc(dispatchEvery, wake)
+		c.queue.timer = time.AfterFunc(dispatchInterval, wake)
 		return
 	}
-	c.queue.timer.Reset(dispatchEvery)
+	c.queue.timer.Reset(dispatchInterval)
 }
 
-// wantMissing has the leader load what requests that wait lack. c.mu is held.
-func (c *Counter) wantMissing() {
+// requestMissingLoads requests the loads that waiting requests need. c.mu is held.
+func (c *Counter) requestMissingLoads() {
 	for _, w := range c.queue.waiters {
-		c.wantFor(w)
+		c.requestLoad(w)
 	}
 }
--- /dev/null
+++ b/internal/counter/relay.go
@@ -0,0 +1,169 @@
+package counter
+
+import (
+	"context"
+	"io"
+	"net/http"
+
+	"github.com/lovagelift/lovagelift/internal/outcome"
+	"github.com/lovagelift/lovagelift/internal/permit"
+	"github.com/lovagelift/lovagelift/internal/quarantine"
+	"github.com/lovagelift/lovagelift/internal/retry"
+	"github.com/lovagelift/lovagelift/internal/routes"
+	"github.com/lovagelift/lovagelift/internal/shuttle"
+)
+
+// maxBufferedBytes is the size up to which a response is read completely before any of it is sent
+// to the caller, so that a truncated response can still be reported as a failure.
+const maxBufferedBytes = 1 << 20
+
+// streamBufferBytes is the buffer size of a stream. An event has about 50 bytes.
+const streamBufferBytes = 4 << 10
+
+// relay passes an upstream's response to the caller. It returns false if nothing was sent to the
+// caller and the request may be retried.
+func (t *transaction) relay(ctx context.Context, w http.ResponseWriter, a *upstreamAttempt, response *http.Response) bool {
+	t.possibleRuns++
+	if t.route.Kind == routes.Stream && response.StatusCode < http.StatusMultipleChoices {
+		t.stream(ctx, w, a, response)
+		return true
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes+1))
+	if err != nil {
+		t.possibleRuns--
+		a.bodyStarted = len(body) > 0
+		return t.handleFailure(ctx, w, a, err)
+	}
+	if response.StatusCode >= http.StatusInternalServerError && t.retryFailedAnswer(a, response.StatusCode) {
+		return false
+	}
+	a.outcome = permit.Worked
+	t.counter.crashes.Succeeded(t.digest, response.StatusCode)
+	copyHeader(w, response)
+	w.WriteHeader(response.StatusCode)
+	if _, err := w.Write(body); err != nil {
+		t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+		return true
+	}
+	if len(body) > maxBufferedBytes {
+		if _, err := io.Copy(w, response.Body); err != nil {
+			t.counter.logAttempt(t, a, "broken off", response.StatusCode, err.Error())
+			panic(http.ErrAbortHandler)
+		}
+	}
+	t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+	return true
+}
+
+// retryFailedAnswer decides whether a request that an upstream answered with a server error is
+// retried. Only repeatable requests are.
+func (t *transaction) retryFailedAnswer(a *upstreamAttempt, status int) bool {
+	if !t.route.Repeatable() {
+		return false
+	}
+	c := t.counter
+	now := c.options.Now()
+	c.mu.Lock()
+	verdict := t.verdict(now, outcome.Ran)
+	c.mu.Unlock()
+	if verdict != retry.Again {
+		return false
+	}
+	t.tried = append(t.tried, a.upstream.name)
+	c.logAttempt(t, a, "failed", status, verdict.String())
+	return true
+}
+
+// stream relays events as they arrive. If the upstream breaks off, the caller's connection is
+// aborted as well, so that a truncated stream does not look complete.
+func (t *transaction) stream(ctx context.Context, w http.ResponseWriter, a *upstreamAttempt, response *http.Response) {
+	copyHeader(w, response)
+	w.WriteHeader(response.StatusCode)
+	control := http.NewResponseController(w)
+	buffer := make([]byte, streamBufferBytes)
+	for {
+		n, readErr := response.Body.Read(buffer)
+		if n > 0 {
+			a.bodyStarted = true
+			t.timing.recordChunk(t.counter.options.Now())
+			if _, err := w.Write(buffer[:n]); err != nil || control.Flush() != nil {
+				t.reportCallerLeft(a)
+				t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+				panic(http.ErrAbortHandler)
+			}
+		}
+		if readErr == io.EOF {
+			a.outcome, a.speed = permit.Worked, t.speedSample()
+			t.counter.crashes.Succeeded(t.digest, response.StatusCode)
+			t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+			return
+		}
+		if readErr != nil && t.request.Context().Err() != nil {
+			t.reportCallerLeft(a)
+			t.counter.logAttempt(t, a, "caller disconnected", response.StatusCode, "the caller left")
+			panic(http.ErrAbortHandler)
+		}
+		if readErr != nil {
+			t.reportBroken(a, readErr)
+			if ctx.Err() == nil {
+				a.outcome = permit.Failed
+			}
+			t.counter.logAttempt(t, a, "broken off", response.StatusCode, readErr.Error())
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+func copyHeader(w http.ResponseWriter, response *http.Response) {
+	header := w.Header()
+	for name, values := range shuttle.Forwardable(response.Header) {
+		header[name] = values
+	}
+	if header.Get("Content-Type") == "" {
+		// Without an entry, net/http would guess the content type.
+		header["Content-Type"] = nil
+	}
+}
+
+// logAttempt logs and counts the result of an attempt.
+func (c *Counter) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
+	now := c.options.Now()
+	c.mu.Lock()
+	if status != 0 {
+		c.metrics.countAnswer(now, t, status)
+	} else {
+		c.metrics.countFailedSend(verdict)
+	}
+	c.mu.Unlock()
+	line := c.logLine(now, event)
+	if line == nil {
+		return
+	}
+	line = line.Str("request", t.call.ID).Str(quarantine.FieldDigest, t.digest.Short()).Str("route", t.route.Name).
+		Uint64("version", t.version).Str("upstream", a.upstream.name).Int("send", t.sends).
+		Int("status", status).Dur("took", now.Sub(t.arrived)).Str("verdict", verdict)
+	if status == 0 && t.lastError != nil {
+		line = line.Str("error", t.lastError.Error())
+	}
+	if t.call.Model != "" {
+		line = line.Str("model", t.call.Model).Str("adapter", t.call.Adapter).Int("prompt-tokens", t.call.PromptTokens).
+			Int("answer-tokens", t.call.AnswerTokens)
+	}
+	if a.owner.IsValid() {
+		line = line.Stringer("placed-by", a.owner)
+	}
+	if !t.timing.sent.IsZero() {
+		line = line.Dur("waited", t.timing.sent.Sub(t.arrived))
+	}
+	if !t.timing.firstChunk.IsZero() {
+		line = line.Dur("first", t.timing.firstChunk.Sub(t.arrived)).Dur("longest-pause", t.timing.longestPause)
+	}
+	line.Msg(event)
+}
+
+// logOutcome logs the end of a request that was sent to no upstream.
+func (c *Counter) logOutcome(t *transaction, event, reason string) {
+	now := c.options.Now()
+	c.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
+		Dur("took", now.Sub(t.arrived)).Str("reason", reason).Msg(event)
+}
--- a/internal/counter/send.go
+++ b/internal/counter/send.go
@@ -14,42 +14,42 @@
 	"github.com/lovagelift/lovagelift/internal/shuttle"
 )
 
-// sending is a request at one upstream.
-type sending struct {
-	place
-	// outcome is what became of it, and sample what it says of the engine's speed.
+// upstreamAttempt is one attempt to serve a request at an upstream.
+type upstreamAttempt struct {
+	grant
+	// outcome is the result of the attempt, and speed the engine's speed measured by it.
 	outcome permit.Outcome
-	sample  sample
-	// answering is true once some of the answer's body has come.
-	answering bool
-	// reached is true once bytes of the request may have gone out.
-	reached atomic.Bool
+	speed   speedSample
+	// bodyStarted is true once part of the response body has arrived.
+	bodyStarted bool
+	// mayHaveSent is true once bytes of the request may have been sent.
+	mayHaveSent atomic.Bool
 }
 
-// finish notes that the upstream has no more work of the request, and tells whoever has
-// granted the place.
-func (c *Counter) finish(t *trip, a *sending) {
+// finishAttempt records that the upstream no longer has the request, and returns the permit to the
+// instance that issued it.
+func (c *Counter) finishAttempt(t *transaction, a *upstreamAttempt) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.upstream.note(now, t.demandKey, a.outcome)
-	c.learn(&t.need, a.sample)
+	a.upstream.recordOutcome(now, t.target, a.outcome)
+	c.recordSpeed(&t.requirements, a.speed)
 	if !a.owner.IsValid() {
-		a.upstream.ended()
+		a.upstream.release()
 		return
 	}
-	c.exchange.tell(a.owner, permit.Ended{
-		ID: a.id, Outcome: a.outcome, First: a.sample.first, Run: a.sample.run, Events: a.sample.events,
-		Writing: a.sample.writing,
+	c.peers.send(a.owner, permit.Ended{
+		ID: a.id, Outcome: a.outcome, First: a.speed.firstEvent, Run: a.speed.serviceTime, Events: a.speed.events,
+		Writing: a.speed.streaming,
 	})
 }
 
-// send sends the request once and waits for the head of the answer.
-func (t *trip) send(ctx context.Context, a *sending) (*http.Response, error) {
+// roundTrip sends the request once and waits for the response header.
+func (t *transaction) roundTrip(ctx context.Context, a *upstreamAttempt) (*http.Response, error) {
 	c := t.counter
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		// From here on bytes may go out. Everything before is connecting.
-		GotConn: func(httptrace.GotConnInfo) { a.reached.Store(true) },
+		// From here on bytes may be sent. All earlier steps only connect.
+		GotConn: func(httptrace.GotConnInfo) { a.mayHaveSent.Store(true) },
 	})
 	incoming := t.request
 	outgoing := (&http.Request{
@@ -61,8 +61,8 @@
 		Host:          incoming.Host,
 		Header:        shuttle.Forwardable(incoming.Header),
 		ContentLength: int64(len(t.body)),
-		// A body that net/http can't rewind, even an empty one, keeps it from ever
-		// sending the request again by itself.
+		// A body that net/http can't rewind, even an empty one, keeps the transport from retrying
+		// the request on its own.
 		Body: io.NopCloser(bytes.NewReader(t.body)),
 	}).WithContext(traced)
 	c.options.Dialect.Prepare(outgoing.Header, Attempt{
@@ -74,12 +74,12 @@
 	return t.transport().RoundTrip(outgoing)
 }
 
-// transport returns the connections that the request may use. On a kept one that
-// the other end has lost track of, or is just closing, a request would be written
-// and never answered; what must not run twice could then not be sent again.
-func (t *trip) transport() *http.Transport {
+// transport returns the transport for the request. On a reused connection that the other end has
+// lost or is just closing, a request may be written and never answered, and a request that must not
+// run twice could then not be retried.
+func (t *transaction) transport() *http.Transport {
 	if t.route.Kind == routes.Idempotent {
-		return t.counter.kept
+		return t.counter.keepAlive
 	}
-	return t.counter.fresh
+	return t.counter.singleUse
 }
--- /dev/null
+++ b/internal/counter/speeds.go
@@ -0,0 +1,72 @@
+package counter
+
+import (
+	"time"
+
+	"github.com/lovagelift/lovagelift/internal/routes"
+	"github.com/lovagelift/lovagelift/internal/speed"
+)
+
+// speedOf returns the speed estimate of a service's engines. c.mu is held.
+func (c *Counter) speedOf(service *routes.Service) *speed.Speed {
+	known := c.speeds[service.Name]
+	if known == nil {
+		known = speed.New(service.Engine.Stride)
+		c.speeds[service.Name] = known
+	}
+	return known
+}
+
+// estimateCost sets the pacing and the expected engine time of a request. c.mu is held.
+func (c *Counter) estimateCost(req *requirements) {
+	engineSpeed := c.speedByName(req.service)
+	req.pacing = pacingFor(req.maxGap, engineSpeed)
+	req.prefillTime = engineSpeed.Reading(req.model, req.promptTokens)
+	req.decodeTime = engineSpeed.Answering(req.outputTokens)
+}
+
+// speedByName returns the speed estimate of a service by name, or the default estimate if no route
+// in force uses the service.
+func (c *Counter) speedByName(service string) *speed.Speed {
+	if table := c.routes.Load(); table != nil {
+		if known := table.Service(service); known != nil && known.Engine != nil {
+			return c.speedOf(known)
+		}
+	}
+	return speed.New(0)
+}
+
+// speedSample is a speed measurement from one complete response. The zero value holds no
+// measurement.
+type speedSample struct {
+	// firstEvent is the time to the first event, less the prefill of earlier prompts. serviceTime
+	// is the time the request spent at the engine.
+	firstEvent  time.Duration
+	serviceTime time.Duration
+	// events is the number of events, and streaming the time from the first to the last.
+	events    int
+	streaming time.Duration
+}
+
+// speedSample returns the measurement of a complete stream. It is empty if the request was sent
+// more than once, because the times would include the other attempts.
+func (t *transaction) speedSample() speedSample {
+	if t.model == "" || t.sends != 1 {
+		return speedSample{}
+	}
+	return speedSample{
+		firstEvent: t.timing.firstChunk.Sub(t.timing.sent) - t.prefillAhead, serviceTime: t.timing.lastChunk.Sub(t.timing.sent),
+		events: t.timing.chunks, streaming: t.timing.lastChunk.Sub(t.timing.firstChunk),
+	}
+}
+
+// recordSpeed updates the speed estimate of a service with a measurement. c.mu is held.
+func (c *Counter) recordSpeed(req *requirements, s speedSample) {
+	engineSpeed := c.speeds[req.service]
+	if engineSpeed == nil || s.serviceTime <= 0 {
+		return
+	}
+	engineSpeed.Read(req.model, req.promptTokens, s.firstEvent)
+	engineSpeed.Ran(s.serviceTime)
+	engineSpeed.Wrote(req.outputTokens, s.events, s.streaming)
+}
--- a/internal/counter/survey.go
+++ b/internal/counter/survey.go
@@ -9,15 +9,14 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// survey is a permit.Survey for the log: who reads of a refusal must see which limit
-// refused.
+// survey is a permit.Survey that can be logged. The log shows which limit caused a refusal.
 type survey permit.Survey
 
-// survey looks at the upstreams of a wish.
-func (f *fleet) survey(now time.Time, w wish) survey {
+// survey counts the states of the upstreams that match q except for capacity.
+func (p *upstreamPool) survey(now time.Time, q upstreamQuery) survey {
 	var s survey
-	for _, u := range f.holders(w.service, w.model) {
-		if !f.alive(now, u) || !u.holds(w.model, w.adapter) {
+	for _, u := range p.holders(q.service, q.model) {
+		if !p.isAvailable(now, u) || !u.holds(q.model, q.adapter) {
 			continue
 		}
 		s.Holders++
@@ -25,11 +24,11 @@
 			s.ReportAge = max(s.ReportAge, now.Sub(u.reportedAt))
 		}
 		switch {
-		case slices.Contains(w.tried, u.name) && now.Before(u.avoidUntil):
+		case slices.Contains(q.tried, u.name) && now.Before(u.avoidUntil):
 			s.Avoided++
-		case u.full(now):
+		case u.isFull(now):
 			s.Full++
-		case now.Before(u.unread.low(w.pace)):
+		case now.Before(u.backlog.readySince(q.pacing)):
 			s.Paced++
 		default:
 			s.Yielding++
@@ -38,7 +37,6 @@
 	return s
 }
 
-// MarshalZerologObject writes the fields of a log line.
 func (s survey) MarshalZerologObject(event *zerolog.Event) {
 	event.Int("holders", s.Holders).Int("no-slot", s.Full).Int("paced", s.Paced).Int("not-its-turn", s.Yielding).
 		Int("avoided", s.Avoided).Dur("report-age", s.ReportAge)
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -13,204 +13,203 @@
 	"github.com/lovagelift/lovagelift/internal/routes"
 )
 
-// links is whom an entry instance asks for news, and how far it has got.
-type links struct {
-	calls *courier.Pool
-	// wants carries calls that take as long as a load: news must not wait for them,
-	// nor end with them.
-	wants *courier.Pool
-	// reports carries reports of upstreams that ended under requests.
-	reports *courier.Pool
-	// leader is the control instance that gives orders, empty while none is known that
-	// does, and asked the one that is asked for news.
-	leader string
-	asked  string
-	// controls are all that are known of; seeds are never forgotten. alive are those that
-	// are alive by the last news, and near those of them in this failure domain.
-	controls []string
-	alive    []string
-	near     []string
-	next     int
-	source   roster.Source
-	// failed is the one that did not answer last, at failedAt.
-	failed   string
-	failedAt time.Time
-	// heardAt is when the news that came last were asked for.
-	heardAt time.Time
-	// proof is how new the routes in force here are known to be.
+// controlLinks holds the connections to the control instances and the state of synchronization.
+type controlLinks struct {
+	syncCalls *courier.Pool
+	// loadCalls carries calls that take as long as a load. They neither delay syncs nor fail with
+	// them.
+	loadCalls *courier.Pool
+	// reportCalls carries reports of crashed upstreams.
+	reportCalls *courier.Pool
+	// leader is the control instance that gives orders to engines, empty while none is known.
+	// current is the one called for the next sync.
+	leader  string
+	current string
+	// known are all known control instances, which always include the seeds. alive are those that
+	// the latest reply lists as alive, and nearby those of them in this failure domain.
+	known     []string
+	alive     []string
+	nearby    []string
+	nextIndex int
+	source    roster.Source
+	// lastFailed is the control instance that most recently failed to answer, at failedAt.
+	lastFailed string
+	failedAt   time.Time
+	// newsAsOf is the send time of the latest answered sync.
+	newsAsOf time.Time
+	// proof records up to which time the routes in force here are confirmed.
 	proof edition.Proof
-	// unprovenSince is when a control instance first answered that did not prove them well
-	// enough, zero while they are or nobody has answered.
+	// unprovenSince is when a control instance first answered without a sufficient proof of the
+	// routes. It is zero while the proof is sufficient or none has answered.
 	unprovenSince time.Time
-	// laggingSince is when the one that is asked first answered without proving them, zero
-	// while it proves them.
+	// laggingSince is when the current control instance first answered without confirming the
+	// routes. It is zero while it confirms them.
 	laggingSince time.Time
-	// entries is how many entry instances there are, and members the revision of who is
-	// alive.
-	entries int
-	members uint64
-	// holdings is the revision that this instance has.
-	holdings uint64
-	// every is the time between two questions.
-	every time.Duration
-	// missed is true if the last question was not answered.
-	missed bool
-	// lost is true while nobody answers.
-	lost bool
+	// entryInstances is the number of entry instances, and membersRevision the revision of the list
+	// of live instances.
+	entryInstances  int
+	membersRevision uint64
+	// holdingsRevision is the revision of the engine states held here.
+	holdingsRevision uint64
+	// syncInterval is the time between two syncs.
+	syncInterval   time.Duration
+	lastSyncFailed bool
+	// disconnected is true while no control instance answers.
+	disconnected bool
 }
 
-// follow keeps asking for news until ctx ends.
-func (c *Counter) follow(ctx context.Context) {
+// syncLoop syncs repeatedly until ctx ends.
+func (c *Counter) syncLoop(ctx context.Context) {
 	for {
 		c.sync(ctx)
-		c.sweepPermits(c.options.Now())
+		c.expirePermits(c.options.Now())
 		select {
 		case <-c.syncNow:
-		case <-time.After(c.syncPause()):
+		case <-time.After(c.nextSyncDelay()):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// sync asks one control instance for news. If it does not answer, the next call
-// asks another.
+// sync fetches updates from one control instance. If it does not answer, the next call tries
+// another.
 func (c *Counter) sync(ctx context.Context) {
 	now := c.options.Now()
 	c.mu.Lock()
-	address := c.links.asked
-	c.roster.Beat(now, roster.InstanceBeat{Draining: c.draining, Stale: c.table.Load() == nil, Streams: c.open})
+	address := c.control.current
+	c.roster.Beat(now, roster.InstanceBeat{Draining: c.draining, Stale: c.routes.Load() == nil, Streams: c.active})
 	args := courier.SyncArgs{
 		FailureDomain: c.options.FailureDomain,
-		Cursor:        c.links.source.Cursor(false),
-		Members:       c.links.members,
-		Holdings:      c.links.holdings,
-		Quarantine:    c.coroner.Mark(),
-		Demand:        c.demand.take(),
-		Limited:       c.fleet.limited(),
+		Cursor:        c.control.source.Cursor(false),
+		Members:       c.control.membersRevision,
+		Holdings:      c.control.holdingsRevision,
+		Quarantine:    c.crashes.Mark(),
+		Demand:        c.demand.flush(),
+		Limited:       c.pool.limitedUpstreams(),
 	}
 	if own := c.roster.Introduction(now); own != nil {
 		args.From = *own
 	}
 	c.mu.Unlock()
-	if table := c.table.Load(); table != nil {
+	if table := c.routes.Load(); table != nil {
 		args.Edition = table.Version
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
-	reply, err := c.links.calls.Sync(ctx, address, args)
+	reply, err := c.control.syncCalls.Sync(ctx, address, args)
 	cancel()
 	if err == nil && reply.Leader == "" {
-		// It may be cut off from the others, and would go on telling what was in force
-		// before.
+		// It may be partitioned from the others and serve outdated state.
 		err = errNoLeader
 	}
 	if err != nil {
-		c.askAnother(now, address, err)
+		c.switchControl(now, address, err)
 		return
 	}
-	// What must not be sent is known before the routes by which it would be.
+	// The quarantine is applied before the routes, so that no new route serves a quarantined
+	// request.
 	if reply.Quarantine != nil {
-		c.coroner.Follow(*reply.Quarantine)
+		c.crashes.Follow(*reply.Quarantine)
 	}
 	if reply.Edition != nil {
-		c.publish(*reply.Edition)
+		c.applyRoutes(*reply.Edition)
 	}
-	c.take(now, address, reply)
+	c.applyReply(now, address, reply)
 }
 
-// errNoLeader is why a control instance is not listened to.
-var errNoLeader = errors.New("counter: the control instance knows no leader")
+// errNoLeader is why a control instance's reply is ignored.
+var errNoLeader = errors.New("counter: control instance has no leader")
 
-// avoidLeader is how long a leader that did not answer is not asked, while others
-// still name it: it may be out of reach from here alone.
-const avoidLeader = 2 * time.Second
+// failedControlAvoidance is how long a control instance that did not answer is not called, even if
+// others name it as leader: it may be unreachable from here only.
+const failedControlAvoidance = 2 * time.Second
 
-// askAnother makes another control instance the one to ask.
-func (c *Counter) askAnother(now time.Time, address string, cause error) {
+// switchControl selects another control instance for the next sync.
+func (c *Counter) switchControl(now time.Time, address string, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.failed, c.links.failedAt = address, now
-	c.links.missed = true
-	c.links.asked = c.links.another()
-	c.links.source = roster.Source{}
-	if !c.links.lost {
-		c.links.lost = true
-		c.options.Log.Warn().Err(cause).Str("control", address).Str("next", c.links.asked).
+	c.control.lastFailed, c.control.failedAt = address, now
+	c.control.lastSyncFailed = true
+	c.control.current = c.control.nextControl()
+	c.control.source = roster.Source{}
+	if !c.control.disconnected {
+		c.control.disconnected = true
+		c.options.Log.Warn().Err(cause).Str("control", address).Str("next", c.control.current).
 			Msg("control instance does not answer; going on with what is known")
 	}
 }
 
-// take takes in the news.
-func (c *Counter) take(asked time.Time, address string, reply courier.SyncReply) {
+// applyReply applies the updates of a sync reply.
+func (c *Counter) applyReply(askedAt time.Time, address string, reply courier.SyncReply) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.heardAt = asked
-	c.links.missed = false
-	c.reportState(now)
-	if c.links.lost {
-		c.links.lost = false
-		c.options.Log.Info().Str("control", address).Msg("control instance regained")
-	}
-	c.roster.Merge(asked, &c.links.source, reply.Changes)
+	c.control.newsAsOf = askedAt
+	c.control.lastSyncFailed = false
+	c.updateGauges(now)
+	if c.control.disconnected {
+		c.control.disconnected = false
+		c.options.Log.Info().Str("control", address).Msg("control instance answers again")
+	}
+	c.roster.Merge(askedAt, &c.control.source, reply.Changes)
 	if reply.Members != nil {
-		c.takeMembers(now, *reply.Members)
+		c.applyMembers(now, *reply.Members)
 	}
 	var changed []roster.Upstream
-	changed, c.told = c.roster.UpstreamsSince(c.told)
-	if table := c.table.Load(); table != nil {
-		c.fleet.served = table.Services()
-		c.prove(now, asked, address, table.Version, reply.Reading)
-	}
-	c.fleet.update(now, changed)
-	c.coroner.Review(c.fleet.contact)
-	c.hold(now, reply)
-	c.links.leader = reply.Leader
-	if next := c.links.answered(now, c.options.Name, reply.Reading, c.options.denyWithin()); next != c.links.asked {
-		c.links.asked = next
-		c.links.source = roster.Source{}
-	}
-	c.links.every = c.links.pause()
+	changed, c.rosterRevision = c.roster.UpstreamsSince(c.rosterRevision)
+	if table := c.routes.Load(); table != nil {
+		c.pool.routedServices = table.Services()
+		c.recordProof(now, askedAt, address, table.Version, reply.Reading)
+	}
+	c.pool.apply(now, changed)
+	c.crashes.Review(c.pool.contact)
+	c.applyHoldings(now, reply)
+	c.control.leader = reply.Leader
+	if next := c.control.afterReply(now, c.options.Name, reply.Reading, c.options.denyProofMaxAge()); next != c.control.current {
+		c.control.current = next
+		c.control.source = roster.Source{}
+	}
+	c.control.syncInterval = c.control.syncDelay()
 	c.dispatch(now)
 }
 
-// takeMembers takes in who is alive. c.mu is held.
-func (c *Counter) takeMembers(now time.Time, members courier.Members) {
-	c.links.members = members.Revision
-	c.links.entries = len(members.Entries)
-	c.owners.follow(now, members.Entries)
-	c.budgets.Resize(c.options.Retries.of(len(members.Entries)))
-	c.links.alive, c.links.near = members.Controls, members.Near
-	c.links.controls = merge(members.Controls, c.seeds)
+// applyMembers applies the list of live instances. c.mu is held.
+func (c *Counter) applyMembers(now time.Time, members courier.Members) {
+	c.control.membersRevision = members.Revision
+	c.control.entryInstances = len(members.Entries)
+	c.owners.setInstances(now, members.Entries)
+	c.budgets.Resize(c.options.Retries.perInstance(len(members.Entries)))
+	c.control.alive, c.control.nearby = members.Controls, members.Near
+	c.control.known = union(members.Controls, c.seeds)
 }
 
-// hold takes in what engines hold, if that is news.
-func (c *Counter) hold(now time.Time, reply courier.SyncReply) {
+// applyHoldings applies the engine states of a reply, if it has any. c.mu is held.
+func (c *Counter) applyHoldings(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
 	}
 	held, err := courier.DecodeHoldings(reply.Holdings)
 	if err != nil {
-		c.options.Log.Warn().Err(err).Msg("what engines hold can't be read here")
+		c.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
 	}
-	c.fleet.hold(now.Add(-reply.HoldingsAge), &held)
-	c.links.holdings = held.Revision
+	c.pool.applyHoldings(now.Add(-reply.HoldingsAge), &held)
+	c.control.holdingsRevision = held.Revision
 }
 
-// syncPause returns the time until the next question to a control instance.
-func (c *Counter) syncPause() time.Duration {
+// nextSyncDelay returns the time until the next sync.
+func (c *Counter) nextSyncDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links.missed {
-		// The news are late already.
-		return syncEvery
+	if c.control.lastSyncFailed {
+		// The updates are overdue.
+		return syncInterval
 	}
-	return max(c.links.every, syncEvery)
+	return max(c.control.syncInterval, syncInterval)
 }
 
-// merge returns the names of both lists, each once.
-func merge(a, b []string) []string {
+// union returns the elements of both lists without duplicates.
+func union(a, b []string) []string {
 	seen := map[string]bool{}
 	var all []string
 	for _, list := range [][]string{a, b} {
@@ -224,20 +223,20 @@
 	return all
 }
 
-// publish puts the routes of an edition into force here. Versions never go back.
-func (c *Counter) publish(held edition.Edition) {
-	if table := c.table.Load(); table != nil && table.Version >= held.Version {
+// applyRoutes puts the routes of an edition into force. Older versions are ignored.
+func (c *Counter) applyRoutes(latest edition.Edition) {
+	if table := c.routes.Load(); table != nil && table.Version >= latest.Version {
 		return
 	}
-	content, err := registry.Unpack(held.Content)
+	content, err := registry.Unpack(latest.Content)
 	var table *routes.Table
 	if err == nil {
 		table, err = c.options.Table(content)
 	}
 	if err != nil {
-		c.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("routes in force can't be read here")
+		c.options.Log.Error().Err(err).Uint64("version", latest.Version).Msg("cannot parse the routes in force")
 		return
 	}
-	c.table.Store(table)
+	c.routes.Store(table)
 	c.options.Log.Info().Uint64("version", table.Version).Int("routes", table.Routes()).Msg("routes in force")
 }
--- a/internal/counter/timing.go
+++ b/internal/counter/timing.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// timing is when what happened to a request, for the log.
-type timing struct {
-	// sent is when it went to an upstream last.
+// requestTiming holds the times of a request for the log and for speed estimates.
+type requestTiming struct {
+	// sent is when the request was last sent to an upstream.
 	sent time.Time
-	// first and last are when the first and the latest piece of a stream came, and
-	// pause is the longest time between two.
-	first time.Time
-	last  time.Time
-	pause time.Duration
-	// events is how many pieces came.
-	events int
+	// firstChunk and lastChunk are when the first and the latest chunk of a stream arrived, and
+	// longestPause is the longest time between two chunks.
+	firstChunk   time.Time
+	lastChunk    time.Time
+	longestPause time.Duration
+	chunks       int
 }
 
-// piece notes that a piece of a stream has come.
-func (t *timing) piece(now time.Time) {
-	t.events++
-	if t.first.IsZero() {
-		t.first = now
+// recordChunk records the arrival of a chunk.
+func (t *requestTiming) recordChunk(now time.Time) {
+	t.chunks++
+	if t.firstChunk.IsZero() {
+		t.firstChunk = now
 	} else {
-		t.pause = max(t.pause, now.Sub(t.last))
+		t.longestPause = max(t.longestPause, now.Sub(t.lastChunk))
 	}
-	t.last = now
+	t.lastChunk = now
 }
--- /dev/null
+++ b/internal/counter/transaction.go
@@ -0,0 +1,175 @@
+package counter
+
+import (
+	"context"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/lovagelift/lovagelift/internal/pause"
+	"github.com/lovagelift/lovagelift/internal/quarantine"
+	"github.com/lovagelift/lovagelift/internal/routes"
+)
+
+// transaction is the state of one proxied request.
+type transaction struct {
+	counter *Counter
+	call    Call
+	route   *routes.Route
+	version uint64
+	request *http.Request
+	body    []byte
+	digest  quarantine.Digest
+	requirements
+	// possibleRuns is the number of upstreams that may have run the request, and sends the number
+	// of times it was sent.
+	possibleRuns int
+	sends        int
+	// rateLimits is the number of times an upstream's rate limit held the request back.
+	rateLimits int
+	// prefillAhead is the engine's prefill work for earlier prompts when the request was granted.
+	prefillAhead time.Duration
+	// owner is the instance last asked for a permit, invalid if none was.
+	owner netip.AddrPort
+	// lastMissing is the resource missing when the wait for an upstream ended.
+	lastMissing missingResource
+	// timing and lastError, the error of the last failed attempt, are logged.
+	timing    requestTiming
+	lastError error
+}
+
+// Serve handles one request of a caller.
+func (c *Counter) Serve(w http.ResponseWriter, r *http.Request, call Call) {
+	arrived := c.options.Now()
+	if c.waitForRoutes(r.Context(), call) == nil {
+		c.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
+		return
+	}
+	table, route := c.matchRoute(w, r, call)
+	if route == nil {
+		return
+	}
+	body, status := readBody(w, r, table.Limits.BodyBytes)
+	if status != 0 {
+		c.refuse(w, call, route, refusal{status: status, text: "body not read"})
+		return
+	}
+	t := &transaction{
+		counter: c, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
+		requirements: requirements{
+			target:       target{service: route.Service(rand.Float64()), model: call.Model, adapter: call.Adapter},
+			promptTokens: call.PromptTokens, outputTokens: call.AnswerTokens,
+			priority: route.Priority, objective: route.Objective, maxGap: route.Gap,
+			arrived: arrived, deadline: arrived.Add(timeoutOf(call, route)),
+		},
+	}
+	if c.crashes.Holds(t.digest) {
+		t.refuseQuarantined(w)
+		return
+	}
+	c.trackActive(t, 1)
+	defer c.trackActive(t, -1)
+	ctx, cancel := context.WithTimeout(r.Context(), t.deadline.Sub(c.options.Now()))
+	defer cancel()
+	t.serve(ctx, w)
+}
+
+const (
+	// maxRoutesWait bounds how long a request waits at an instance that has just started and has no
+	// routes yet. After an outage of all control instances, a new leader is elected within about 2
+	// s. The wait is at most the caller's timeout divided by routesWaitDivisor.
+	maxRoutesWait     = 2 * time.Second
+	routesWaitDivisor = 4
+	// noRoutesRetryAfter is the Retry-After time at an instance without routes.
+	noRoutesRetryAfter = 500 * time.Millisecond
+	// routesPollInterval is the time between two checks whether routes are known.
+	routesPollInterval = 20 * time.Millisecond
+)
+
+// waitForRoutes returns the routes in force, or nil if there are none in time.
+func (c *Counter) waitForRoutes(ctx context.Context, call Call) *routes.Table {
+	if table := c.routes.Load(); table != nil {
+		return table
+	}
+	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/routesWaitDivisor, maxRoutesWait))
+	defer cancel()
+	for pause.For(ctx, routesPollInterval) {
+		if table := c.routes.Load(); table != nil {
+			return table
+		}
+	}
+	return nil
+}
+
+// hostOf returns the host of a request without its port.
+func hostOf(r *http.Request) string {
+	if name, _, err := net.SplitHostPort(r.Host); err == nil {
+		return name
+	}
+	return r.Host
+}
+
+// timeoutOf returns the time limit of a request.
+func timeoutOf(call Call, route *routes.Route) time.Duration {
+	if call.Patience > 0 {
+		return min(call.Patience, route.Timeout)
+	}
+	return route.Timeout
+}
+
+// trackActive updates the counts of requests in flight, and of new requests of each service.
+func (c *Counter) trackActive(t *transaction, change int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.active += change
+	c.demand.addActive(t.target, change)
+	if change < 0 {
+		return
+	}
+	c.budgets.Of(t.arrived, t.service).Fresh()
+	if t.model != "" {
+		c.estimateCost(&t.requirements)
+		c.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
+	}
+}
+
+// defaultMaxBodyBytes is the body limit where the routes do not set one.
+const defaultMaxBodyBytes = 4 << 20
+
+// readBody reads the whole body before the request is sent. Only then can the refusal of a
+// truncated body state that nothing was run.
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) (body []byte, status int) {
+	if r.ContentLength == 0 {
+		return nil, 0
+	}
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		return nil, http.StatusRequestEntityTooLarge
+	case err != nil:
+		return nil, http.StatusBadRequest
+	}
+	return body, 0
+}
+
+// serve attempts the request until it is answered.
+func (t *transaction) serve(ctx context.Context, w http.ResponseWriter) {
+	for {
+		granted, ok := t.acquireUpstream(ctx, w)
+		if !ok {
+			return
+		}
+		if t.attempt(ctx, w, granted) {
+			return
+		}
+	}
+}
