--- /dev/null
+++ b/internal/counter/upstreampool.go
@@ -0,0 +1,295 @@
+package counter
+
+import (
+	"slices"
+	"time"
+
+	"github.com/lovagelift/lovagelift/internal/courier"
+	"github.com/lovagelift/lovagelift/internal/roster"
+	"github.com/lovagelift/lovagelift/internal/routes"
+	"github.com/lovagelift/lovagelift/internal/speed"
+	"github.com/lovagelift/lovagelift/internal/upstreamapi"
+)
+
+// upstreamPool is the set of upstreams known to an entry instance, with their estimated load. It is
+// not safe for concurrent use.
+type upstreamPool struct {
+	lease         time.Duration
+	failureDomain string
+	byName        map[string]*upstream
+	byService     map[string][]*upstream
+	// byModel indexes the upstreams by loaded model. It is rebuilt when byModelStale is true. Every
+	// request uses it, and a model is loaded by few of hundreds of upstreams.
+	byModel      map[modelKey][]*upstream
+	byModelStale bool
+	// byAddress maps each address to the upstream last heard of there. A crashed upstream is
+	// restarted under another name: until the lease of the old one expires, requests for it would
+	// reach the new one, which refuses them. Upstreams of services that no route uses own no
+	// address: such an announcement may come from a foreign program and would take a working
+	// upstream out of service.
+	byAddress map[string]*upstream
+	// routedServices are the services of the routes in force, nil before the first routes.
+	routedServices map[string]*routes.Service
+	// lastHeard is the latest time at which any upstream was heard of.
+	lastHeard time.Time
+	// graceUntil is the time until which no lease expires. After an outage of the control
+	// instances, upstreams are heard of again one after the other.
+	graceUntil time.Time
+}
+
+// upstream is one process of a service.
+type upstream struct {
+	roster.Upstream
+	// name and address never change, so that requests in flight may read them during updates. A
+	// record that only reports a departure has no address.
+	name        string
+	incarnation uint64
+	address     string
+	service     string
+	slots       int
+	remote      bool
+	// models maps each loaded model to its loaded adapters. loading is the model that will be
+	// available at loadedAt, empty if there is none.
+	models   map[string][]string
+	loading  string
+	loadedAt time.Time
+	// active is the number of requests of this instance in flight.
+	active int
+	// reportedAt is the time of the state described by the latest report.
+	reportedAt time.Time
+	// peerLoad estimates the peers' requests at the upstream. backlog estimates its unprocessed
+	// prompts, and pacing is that of the last request from here.
+	peerLoad peerLoad
+	history  loadHistory
+	backlog  promptBacklog
+	pacing   pacing
+	// backoff and activePeers keep instances from sending at the same moment.
+	backoff     sendBackoff
+	activePeers activePeers
+	// avoidUntil is the time until which the upstream, after a failure or refusal, is selected only
+	// if there is no other.
+	avoidUntil time.Time
+	failures   int
+	// limit is the rate limit that the upstream states in its responses.
+	limit upstreamLimit
+}
+
+func newUpstreamPool(failureDomain string, lease time.Duration) *upstreamPool {
+	return &upstreamPool{
+		lease: lease, failureDomain: failureDomain,
+		byName: map[string]*upstream{}, byService: map[string][]*upstream{}, byAddress: map[string]*upstream{},
+	}
+}
+
+// apply updates the pool with changed roster entries.
+func (p *upstreamPool) apply(now time.Time, changed []roster.Upstream) {
+	previous := p.lastHeard
+	for _, known := range changed {
+		p.upsert(known)
+	}
+	if !previous.IsZero() && p.lastHeard.Sub(previous) > p.lease/2 {
+		p.graceUntil = now.Add(p.lease)
+	}
+	if now.Before(p.graceUntil) {
+		return
+	}
+	for name, u := range p.byName {
+		if p.lastHeard.Sub(u.Heard) > forgetAfterLeases*p.lease && u.active == 0 {
+			p.remove(name)
+		}
+	}
+}
+
+// forgetAfterLeases is the number of leases after which an expired upstream is removed.
+const forgetAfterLeases = 10
+
+func (p *upstreamPool) upsert(known roster.Upstream) {
+	name := known.Announcement.Name
+	u := p.byName[name]
+	if u != nil && known.Announcement.Incarnation < u.incarnation {
+		return
+	}
+	if u != nil && known.Announcement.Incarnation > u.incarnation && len(known.Announcement.Services) > 0 {
+		// The process was restarted under its name. Load, models and failures of its predecessor do
+		// not apply to it.
+		p.remove(name)
+		u = nil
+	}
+	if u == nil {
+		if len(known.Announcement.Services) == 0 {
+			return
+		}
+		u = &upstream{
+			name: name, incarnation: known.Announcement.Incarnation, address: known.Announcement.Address, service: known.Announcement.Services[0],
+			pacing: pacingFor(defaultMaxGap, speed.New(0)),
+		}
+		p.byName[name] = u
+		p.byService[u.service] = append(p.byService[u.service], u)
+	}
+	if p.ownsAddress(u, known) {
+		p.byAddress[u.address] = u
+	}
+	residentChanged := !slices.EqualFunc(u.Announcement.Resident, known.Announcement.Resident, equalResidents)
+	u.Upstream = known
+	u.slots = known.Announcement.Load.MaxRunning
+	u.remote = known.Announcement.FailureDomain != p.failureDomain
+	if residentChanged || u.models == nil {
+		u.models = make(map[string][]string, len(known.Announcement.Resident))
+		for _, held := range known.Announcement.Resident {
+			u.models[held.Model] = held.Adapters
+		}
+		p.byModelStale = true
+	}
+	if known.Heard.After(p.lastHeard) {
+		p.lastHeard = known.Heard
+	}
+}
+
+// ownsAddress reports whether u is the upstream that currently uses its address.
+func (p *upstreamPool) ownsAddress(u *upstream, known roster.Upstream) bool {
+	current := p.byAddress[u.address]
+	if current == nil {
+		return true
+	}
+	if !p.isRouted(current.service) {
+		return true
+	}
+	return p.isRouted(u.service) && !known.Leaving && known.Heard.After(current.Heard)
+}
+
+// isRouted reports whether requests may go to a service. All services count as routed before the
+// first routes.
+func (p *upstreamPool) isRouted(service string) bool {
+	return p.routedServices == nil || p.routedServices[service] != nil
+}
+
+func (p *upstreamPool) remove(name string) {
+	u := p.byName[name]
+	delete(p.byName, name)
+	if p.byAddress[u.address] == u {
+		delete(p.byAddress, u.address)
+	}
+	p.byService[u.service] = slices.DeleteFunc(p.byService[u.service], func(other *upstream) bool { return other == u })
+	p.byModelStale = true
+}
+
+// holders returns the upstreams of a service that have loaded a model, or all of them if model is
+// empty. Unavailable upstreams are included.
+func (p *upstreamPool) holders(service, model string) []*upstream {
+	if model == "" {
+		return p.byService[service]
+	}
+	if p.byModelStale {
+		p.byModelStale = false
+		p.byModel = make(map[modelKey][]*upstream, len(p.byModel))
+		for name, upstreams := range p.byService {
+			for _, u := range upstreams {
+				for held := range u.models {
+					key := modelKey{name, held}
+					p.byModel[key] = append(p.byModel[key], u)
+				}
+			}
+		}
+	}
+	return p.byModel[modelKey{service, model}]
+}
+
+// anyAvailable reports whether a service has an available upstream.
+func (p *upstreamPool) anyAvailable(now time.Time, service string) bool {
+	return slices.ContainsFunc(p.byService[service], func(u *upstream) bool { return p.isAvailable(now, u) })
+}
+
+// reportLag is the approximate age of an engine's report when the engine sends it.
+const reportLag = 100 * time.Millisecond
+
+// applyHoldings applies the engine states known to the leader, which are newer than the engines'
+// own announcements.
+func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
+	for _, held := range holdings.Engines {
+		u := p.byName[held.Name]
+		if u == nil || held.Incarnation != u.incarnation {
+			continue
+		}
+		u.models = make(map[string][]string, len(held.Models))
+		for _, model := range held.Models {
+			u.models[model.Name] = model.Adapters
+		}
+		p.byModelStale = true
+		u.loading, u.loadedAt = held.Coming, now.Add(held.ComingIn)
+		if age := held.Age + reportLag; age >= 0 {
+			u.applyReport(now, now.Add(-age), held.Running+held.Queued)
+		}
+	}
+}
+
+// reportDedupInterval is the largest difference between the computed times of one report. Each
+// reply of the leader repeats the report, with a delay of some ms. Engines are polled at most every
+// 125 ms.
+const reportDedupInterval = 100 * time.Millisecond
+
+// applyReport corrects the load estimate with the number of requests u had at a given time.
+// Messages between instances may be lost, and some requests take longer than average.
+func (u *upstream) applyReport(now, at time.Time, requests int) {
+	if at.Sub(u.reportedAt) < reportDedupInterval {
+		return
+	}
+	u.reportedAt = at
+	// The load before the first recorded sample counts as 0.
+	estimated, _ := u.history.loadAt(at)
+	u.peerLoad.correct(now, at, u.pacing.serviceTime, float64(requests)-estimated)
+	u.history.record(now, u.load(now))
+}
+
+// loadTime returns the time until an upstream of a service has loaded a model that it is loading or
+// making room for. It returns false if there is none.
+func (p *upstreamPool) loadTime(now time.Time, service, model string) (shortest time.Duration, ok bool) {
+	for _, u := range p.byService[service] {
+		if u.loading != model || model == "" || !p.isAvailable(now, u) {
+			continue
+		}
+		if left := max(u.loadedAt.Sub(now), 0); !ok || left < shortest {
+			shortest, ok = left, true
+		}
+	}
+	return shortest, ok
+}
+
+// isAvailable reports whether u may receive new requests.
+func (p *upstreamPool) isAvailable(now time.Time, u *upstream) bool {
+	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.Heard) < p.lease || now.Before(p.graceUntil))
+}
+
+// holds reports whether u can run a model, with an adapter unless it is empty.
+func (u *upstream) holds(model, adapter string) bool {
+	if model == "" {
+		return true
+	}
+	adapters, held := u.models[model]
+	return held && (adapter == "" || slices.Contains(adapters, adapter))
+}
+
+func equalResidents(a, b upstreamapi.Resident) bool {
+	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
+}
+
+// addModel records that u has loaded a model, with an adapter unless it is empty.
+func (p *upstreamPool) addModel(u *upstream, model, adapter string) {
+	if u.holds(model, adapter) {
+		return
+	}
+	p.byModelStale = true
+	adapters := slices.Clone(u.models[model])
+	if adapter != "" {
+		adapters = append(adapters, adapter)
+	}
+	u.models[model] = adapters
+}
+
+// removeModel records that u has not loaded a model, or only not the adapter unless it is empty.
+func (u *upstream) removeModel(model, adapter string) {
+	if adapter == "" {
+		delete(u.models, model)
+		return
+	}
+	u.models[model] = slices.DeleteFunc(slices.Clone(u.models[model]), func(a string) bool { return a == adapter })
+}
--- a/internal/counter/fleet_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -28,14 +28,14 @@
 }
 
 var _ = Describe("the choice of an upstream", func() {
-	var fleet counter.Fleet
+	var fleet counter.UpstreamPool
 
 	BeforeEach(func() {
-		fleet = counter.NewFleet("here", lease)
+		fleet = counter.NewUpstreamPool("here", lease)
 	})
 
 	It("goes to the engine that was sent least of late, the own failure domain first", func() {
-		fleet.Update(start, engineOf("far", "there", start, "m"), engineOf("near", "here", start, "m"))
+		fleet.Apply(start, engineOf("far", "there", start, "m"), engineOf("near", "here", start, "m"))
 		var order []string
 		for i := range 4 {
 			name, _ := fleet.Send(start.Add(time.Duration(i)*20*time.Millisecond), "pool", "m", "", 1000)
@@ -46,7 +46,7 @@
 
 	DescribeTable("says what is lacking",
 		func(model, adapter, missing string) {
-			fleet.Update(start, engineOf("e", "here", start, "m"))
+			fleet.Apply(start, engineOf("e", "here", start, "m"))
 			_, lack := fleet.Send(start, "pool", model, adapter, 100)
 			Expect(lack).To(Equal(missing))
 		},
@@ -58,13 +58,13 @@
 	// All control instances are lost, so nobody is heard of any more. The upstreams
 	// are there all the same: an instance that forgot them would refuse everybody.
 	It("keeps upstreams while nobody is heard of, and drops the one that others outlive", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "m"))
+		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "m"))
 		late := start.Add(time.Minute)
 		name, _ := fleet.Send(late, "pool", "m", "", 100)
 		Expect(name).NotTo(BeEmpty())
 		for second := range 10 {
 			at := late.Add(time.Duration(second) * time.Second)
-			fleet.Update(at, engineOf("b", "here", at, "m"))
+			fleet.Apply(at, engineOf("b", "here", at, "m"))
 		}
 		after := late.Add(10 * time.Second)
 		for range 3 {
@@ -76,9 +76,9 @@
 	// Control instances come back and hear of upstreams one after the other. Those
 	// that they have not heard of yet must not count as lost.
 	It("waits for all upstreams after the control instances were away", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "n"))
+		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "n"))
 		back := start.Add(time.Minute)
-		fleet.Update(back, engineOf("a", "here", back, "m"))
+		fleet.Apply(back, engineOf("a", "here", back, "m"))
 		name, _ := fleet.Send(back, "pool", "n", "", 100)
 		Expect(name).To(Equal("b"))
 	})
@@ -86,7 +86,7 @@
 	It("gives nothing to an upstream that leaves", func() {
 		gone := engineOf("a", "here", start, "m")
 		gone.Leaving = true
-		fleet.Update(start, gone)
+		fleet.Apply(start, gone)
 		_, lack := fleet.Send(start, "pool", "m", "", 100)
 		Expect(lack).To(Equal("service"))
 	})
@@ -96,10 +96,10 @@
 	// refuses, and each refusal takes from the budget of retries.
 	It("gives nothing to an upstream whose address another has now", func() {
 		later := start.Add(time.Second)
-		fleet.Update(start, engineOf("old", "here", start, "m"))
+		fleet.Apply(start, engineOf("old", "here", start, "m"))
 		successor := engineOf("new", "here", later, "n")
 		successor.Announcement.Address = "old.test:1"
-		fleet.Update(later, successor)
+		fleet.Apply(later, successor)
 		_, lack := fleet.Send(later, "pool", "m", "", 100)
 		Expect(lack).To(Equal("model"))
 		name, _ := fleet.Send(later, "pool", "n", "", 100)
@@ -110,8 +110,8 @@
 	// instance that had never heard of it and knows no address. What the request
 	// reads of the upstream must not change under it.
 	It("never changes where an upstream is", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"))
-		fleet.Update(start, roster.Upstream{
+		fleet.Apply(start, engineOf("a", "here", start, "m"))
+		fleet.Apply(start, roster.Upstream{
 			Heard: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
 		})
 		Expect(fleet.Address("a")).To(Equal("a.test:1"))
@@ -120,11 +120,11 @@
 	})
 
 	It("avoids an upstream that failed, unless nobody else is there", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"), engineOf("b", "there", start, "m"))
-		fleet.Failed(start, "a")
+		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "there", start, "m"))
+		fleet.Fail(start, "a")
 		name, _ := fleet.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("b"))
-		fleet.Failed(start, "b")
+		fleet.Fail(start, "b")
 		name, _ = fleet.Send(start, "pool", "m", "", 100)
 		Expect(name).NotTo(BeEmpty())
 	})
@@ -132,8 +132,8 @@
 	// One upstream is there and has just refused the request. Sent again at once, it
 	// would be refused again; a moment later there may be room.
 	It("lets a request that its only upstream failed wait for a moment", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"))
-		fleet.Failed(start, "a")
+		fleet.Apply(start, engineOf("a", "here", start, "m"))
+		fleet.Fail(start, "a")
 		_, lack := fleet.Send(start, "pool", "m", "", 100, "a")
 		Expect(lack).To(Equal("room"))
 		name, _ := fleet.Send(start.Add(time.Second), "pool", "m", "", 100, "a")
@@ -143,8 +143,8 @@
 	// An engine reports 40 of 64 requests. What is sent after the report is not in it
 	// for half a second, and all that would go there meanwhile.
 	It("fills no engine beyond its slots", func() {
-		fleet.Update(start, engineOf("a", "here", start, "m"))
-		fleet.Hold(start, courier.Holdings{Engines: []courier.Holding{
+		fleet.Apply(start, engineOf("a", "here", start, "m"))
+		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
 			{Name: "a", Running: 40, Models: []courier.HeldModel{{Name: "m"}}},
 		}})
 		sent, lack := 0, ""
@@ -171,48 +171,48 @@
 		}
 		return courier.Holdings{Engines: []courier.Holding{held}}
 	}
-	var fleet counter.Fleet
+	var fleet counter.UpstreamPool
 
 	BeforeEach(func() {
-		fleet = counter.NewFleet("here", lease)
+		fleet = counter.NewUpstreamPool("here", lease)
 		first := engineOf("e", "here", start, "m")
 		first.Announcement.Incarnation = 1
-		fleet.Update(start, first)
+		fleet.Apply(start, first)
 	})
 
 	// The engine crashes and starts empty. What the leader told of the one before comes
 	// after its announcement: a request sent by that would be refused, and tried again
 	// on the budget that all share.
 	It("holds nothing of what the one before held, in either order of the news", func() {
-		fleet.Hold(start, holds(1, "m"))
-		fleet.Update(start.Add(time.Second), again(start.Add(time.Second)))
+		fleet.ApplyHoldings(start, holds(1, "m"))
+		fleet.Apply(start.Add(time.Second), again(start.Add(time.Second)))
 		_, missing := fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		fleet.Hold(start.Add(time.Second), holds(1, "m"))
+		fleet.ApplyHoldings(start.Add(time.Second), holds(1, "m"))
 		_, missing = fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		fleet.Hold(start.Add(time.Second), holds(2, "n"))
+		fleet.ApplyHoldings(start.Add(time.Second), holds(2, "n"))
 		name, _ := fleet.Send(start.Add(time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
 
 	It("is not known by news of the one before that come late", func() {
-		fleet.Update(start.Add(time.Second), again(start.Add(time.Second), "n"))
+		fleet.Apply(start.Add(time.Second), again(start.Add(time.Second), "n"))
 		late := engineOf("e", "here", start.Add(2*time.Second), "m")
 		late.Announcement.Incarnation = 1
 		late.Leaving = true
-		fleet.Update(start.Add(2*time.Second), late)
+		fleet.Apply(start.Add(2*time.Second), late)
 		name, _ := fleet.Send(start.Add(2*time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
 
 	It("is not avoided for what the one before failed", func() {
 		other := engineOf("other", "there", start, "m")
-		fleet.Update(start, other)
-		fleet.Failed(start, "e")
+		fleet.Apply(start, other)
+		fleet.Fail(start, "e")
 		name, _ := fleet.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("other"))
-		fleet.Update(start, again(start, "m"))
+		fleet.Apply(start, again(start, "m"))
 		name, _ = fleet.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("e"), "the one in the own failure domain")
 	})
@@ -222,13 +222,13 @@
 // address of a sound engine. Requests must still go there.
 var _ = Describe("An announcement of a service that no route knows", func() {
 	It("takes no address from an upstream", func() {
-		fleet := counter.NewFleet("here", lease)
-		fleet.Serve("pool")
-		fleet.Update(start, engineOf("e", "here", start, "m"))
+		fleet := counter.NewUpstreamPool("here", lease)
+		fleet.SetRouted("pool")
+		fleet.Apply(start, engineOf("e", "here", start, "m"))
 		foreign := engineOf("foreign", "here", start.Add(time.Second))
 		foreign.Announcement.Address = "e.test:1"
 		foreign.Announcement.Services = []string{"nowhere"}
-		fleet.Update(start.Add(time.Second), foreign)
+		fleet.Apply(start.Add(time.Second), foreign)
 		name, _ := fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(name).To(Equal("e"))
 	})
