--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// engineCounts are those of the deployments in use and of the target.
+// engineCounts are the sizes of the deployments in use and of the target deployment.
 var engineCounts = []int{20, 240, 1100}
 
-// holdingsOf are those of so many engines with four models each.
+// holdingsOf returns the states of engines with four models each.
 func holdingsOf(engines int) courier.Holdings {
 	var held courier.Holdings
 	for i := range engines {
@@ -26,83 +26,82 @@
 	return held
 }
 
-func fleetOf(engines int) counter.UpstreamPool {
-	fleet := counter.NewUpstreamPool("here", lease)
+func poolOf(engines int) counter.UpstreamPool {
+	pool := counter.NewUpstreamPool("here", lease)
 	for i := range engines {
-		smallEngine(fleet, fmt.Sprint("e", i))
+		addSmallEngine(pool, fmt.Sprint("e", i))
 	}
-	fleet.ApplyHoldings(start, holdingsOf(engines))
-	return fleet
+	pool.ApplyHoldings(start, holdingsOf(engines))
+	return pool
 }
 
-// BenchmarkHold takes in what engines hold, as each entry instance does some times a
-// second.
+// BenchmarkHold applies engine states, which each entry instance does several times a second.
 func BenchmarkHold(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			fleet := fleetOf(engines)
+			pool := poolOf(engines)
 			held := holdingsOf(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				fleet.ApplyHoldings(start, held)
+				pool.ApplyHoldings(start, held)
 			}
 		})
 	}
 }
 
-// BenchmarkAnswer answers a question for a model at its owner, and takes the place back.
+// BenchmarkAnswer handles an ask at the owner of a model, and the end of the permit.
 func BenchmarkAnswer(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			among := addresses(engines * 5 / 4)
-			own := counter.NewInstance(fleetOf(engines), among[0], among)
+			among := instanceAddresses(engines * 5 / 4)
+			instance := counter.NewInstance(poolOf(engines), among[0], among)
 			id := permit.ID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				own.Receive(start, among[1], asking(id, "model-7"))
-				own.Receive(start, among[1], permit.Ended{ID: id, Outcome: permit.Worked})
+				instance.Receive(start, among[1], askMessage(id, "model-7"))
+				instance.Receive(start, among[1], permit.Ended{ID: id, Outcome: permit.Worked})
 			}
 		})
 	}
 }
 
-// BenchmarkLook looks at 200 requests that wait for engines that are full, as an owner
-// does 250 times a second while one of its models rises.
+// BenchmarkLook dispatches 200 requests that wait for full engines, which an owner does 250 times a
+// second while the load of one of its models rises.
 func BenchmarkLook(b *testing.B) {
 	const waiting = 200
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			fleet := fleetOf(engines)
+			pool := poolOf(engines)
 			for i := range engines {
-				fleet.PeerActive(start, fmt.Sprint("e", i), 12, 1)
+				pool.PeerActive(start, fmt.Sprint("e", i), 12, 1)
 			}
-			line := counter.NewQueue(fleet, 1)
+			queue := counter.NewQueue(pool, 1)
 			for range waiting {
-				line.Enqueue(start, "model-7", 800*time.Millisecond)
+				queue.Enqueue(start, "model-7", 800*time.Millisecond)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				line.Dispatch(start)
+				queue.Dispatch(start)
 			}
 		})
 	}
 }
 
-// BenchmarkAllow asks whether a request may be sent to an upstream that names no limit, and to
-// one whose limit the instance owns.
+// BenchmarkAllow checks the rate limit of an upstream without a limit, and of one whose limit the
+// instance owns.
 func BenchmarkAllow(b *testing.B) {
 	for _, limit := range []float64{-1, 200} {
 		b.Run(fmt.Sprint(limit), func(b *testing.B) {
-			among := addresses(330)
-			fleet := fleetOf(1)
-			own := counter.NewInstance(fleet, among[0], among[:1])
+			among := instanceAddresses(330)
+			pool := poolOf(1)
+			instance := counter.NewInstance(pool, among[0], among[:1])
 			if limit >= 0 {
-				fleet.SetLimit(start, "e0", limit)
+				pool.SetLimit(start, "e0", limit)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				own.AllowByLimit("e0")
+				instance.AllowByLimit("e0")
 			}
 		})
 	}
--- a/internal/counter/budget_test.go
+++ b/internal/counter/budget_test.go
@@ -9,11 +9,10 @@
 	"github.com/lovagelift/lovagelift/internal/counter"
 )
 
-var _ = Describe("The budget of retries", func() {
-	// All upstreams of a service refuse, and every instance retries what it may. What
-	// they get more than once within a window must stay within the slack, whether 7
-	// instances share it or 86.
-	DescribeTable("is shared by the instances that there are",
+var _ = Describe("The retry budget", func() {
+	// All upstreams of a service refuse, and every instance uses its full retry budget. The total
+	// within a window must stay within the slack for any number of instances.
+	DescribeTable("is divided among the instances",
 		func(instances int, slack float64) {
 			limits := counter.RetryLimits{Slack: slack, Window: 10 * time.Second}
 			reserve, refill := counter.RetryBudget(limits, instances)
--- a/internal/counter/controlchoice_test.go
+++ b/internal/counter/controlchoice_test.go
@@ -10,9 +10,9 @@
 	"github.com/lovagelift/lovagelift/internal/counter"
 )
 
-// askedBy returns how many of so many entry instances ask each control instance, of which
-// the first leads.
-func askedBy(entries int, alive []string) map[string]int {
+// entriesPerControl returns the number of entry instances that call each control instance. The
+// first control instance is the leader.
+func entriesPerControl(entries int, alive []string) map[string]int {
 	asked := map[string]int{}
 	for i := range entries {
 		asked[counter.ChosenControl(fmt.Sprintf("10.0.0.%d:7000", i), entries, alive, alive[0])]++
@@ -23,15 +23,15 @@
 var _ = Describe("Whom an entry instance asks for news", func() {
 	controls := []string{"c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"}
 
-	It("is the leader, while all of them take little of its time", func() {
-		Expect(askedBy(7, controls)).To(Equal(map[string]int{"c1": 7}))
+	It("is the leader, while there are few entry instances", func() {
+		Expect(entriesPerControl(7, controls)).To(Equal(map[string]int{"c1": 7}))
 	})
 
-	// A leader was lost, and 86 entry instances came to its successor at once, each with a
-	// new connection and for all upstreams: the successor sent its heartbeats late and was
-	// replaced too, and so on. No model or adapter was loaded meanwhile.
+	// A leader failed, and 86 entry instances called its successor at once, each with a new
+	// connection and a request for all upstreams. The successor sent its heartbeats late and was
+	// replaced in turn, repeatedly. No model or adapter was loaded in the meantime.
 	It("is any instance but the leader, about as many each, where there are many", func() {
-		asked := askedBy(86, controls)
+		asked := entriesPerControl(86, controls)
 		Expect(asked).NotTo(HaveKey("c1"))
 		Expect(asked).To(HaveLen(8))
 		for _, count := range asked {
@@ -39,12 +39,12 @@
 		}
 	})
 
-	It("is an instance of the same failure domain, while there is one that does not lead", func() {
+	It("is a non-leader in the same failure domain, if there is one", func() {
 		Expect(counter.ChosenControlNear("10.0.0.7:7000", 86, controls, []string{"c1", "c4"}, "c1")).To(Equal("c4"))
 		Expect(counter.ChosenControlNear("10.0.0.7:7000", 86, controls, []string{"c1"}, "c1")).To(BeElementOf(controls[1:]))
 	})
 
-	It("changes only for those whose instance is lost or becomes the leader", func() {
+	It("changes only if that instance is lost or becomes the leader", func() {
 		changed := 0
 		for i := range 86 {
 			self := fmt.Sprintf("10.0.0.%d:7000", i)
@@ -58,13 +58,13 @@
 		Expect(changed).To(BeNumerically("<=", 20))
 	})
 
-	It("pauses less between questions that many instances answer", func() {
+	It("is asked at shorter intervals if it is not the leader", func() {
 		Expect(counter.SyncDelay(86, controls, "c1", "c1")).To(Equal(516 * time.Millisecond))
 		Expect(counter.SyncDelay(86, controls, "c2", "c1")).To(Equal(250 * time.Millisecond))
 	})
 
-	// One control instance has a disk that stalls, and answers on from what it had before:
-	// entry instances that ask it would know no change until the disk is well.
+	// A control instance whose disk stalls keeps answering from its old state. Entry instances that
+	// call it would miss all changes until the disk recovers.
 	Describe("is another one", func() {
 		start := time.Unix(1000, 0)
 		at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -75,11 +75,11 @@
 				Expect(asker.AfterReply(at(0), confirmed, age)).To(Equal("c1"))
 				Expect(asker.AfterReply(at(0.9), confirmed, age)).To(Equal("c1"))
 				Expect(asker.AfterReply(at(1), confirmed, age)).To(Equal("c2"))
-				Expect(asker.AfterReply(at(1.2), true, 0)).To(Equal("c2"), "the first is left alone for a while")
+				Expect(asker.AfterReply(at(1.2), true, 0)).To(Equal("c2"), "the first is avoided for a while")
 				Expect(asker.AfterReply(at(3.2), true, 0)).To(Equal("c1"))
 			},
 			Entry("and confirms nothing", false, time.Duration(0)),
-			Entry("and confirms what is old", true, 2*time.Second),
+			Entry("and confirms an old state", true, 2*time.Second),
 		)
 
 		It("not while each needs a moment to catch up", func() {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -29,17 +29,17 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// specTimeout bounds what a spec waits for. Nothing takes a tenth of it.
+// specTimeout bounds each wait of a spec. No spec needs a tenth of it.
 const specTimeout = 20 * time.Second
 
-// The headers of the protocol that these specs speak with upstreams.
+// Headers of the protocol that these specs use with upstreams.
 const (
 	idHeader     = "Spec-Request"
 	notRunHeader = "Spec-Not-Run"
 	limitHeader  = "Spec-Limit"
 )
 
-// dialect is that protocol.
+// dialect implements that protocol.
 type dialect struct{}
 
 func (dialect) Prepare(header http.Header, attempt counter.Attempt) {
@@ -70,11 +70,12 @@
 	return ratelimit.Named{Limit: ratelimit.Limit(limit)}
 }
 
-// withoutLook is the content of the second version of the routes, of which one is dropped.
-const withoutLook = "without-look"
+// withoutLookRoute is the content of the second version of the routes, which lacks the route
+// "look".
+const withoutLookRoute = "without-look"
 
-// table is the routes of all specs.
-func table(content []byte) (*routes.Table, error) {
+// parseRoutes returns the routes of all specs.
+func parseRoutes(content []byte) (*routes.Table, error) {
 	route := func(name string, kind routes.Kind, change func(*routes.Route)) routes.Route {
 		r := routes.Route{
 			Name: name, Host: "spec.test", Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
@@ -96,41 +97,40 @@
 		},
 		Services: []routes.Service{{Name: "desk"}, {Name: "nobody"}},
 	}
-	if string(content) == withoutLook {
+	if string(content) == withoutLookRoute {
 		draft.Version = 2
 		draft.Routes = draft.Routes[1:]
 	}
 	return routes.New(draft)
 }
 
-// control is a control instance that tells of upstreams.
-type control struct {
+// fakeControl is a control instance that serves syncs.
+type fakeControl struct {
 	mu     sync.Mutex
 	roster *roster.Roster
-	told   []courier.SyncArgs
-	// silent is true while it knows no leader.
+	syncs  []courier.SyncArgs
+	// leaderless is true while the control instance knows no leader.
 	leaderless bool
-	// behind is true while it has not caught up with what is committed, and dropped once
-	// the second version of the routes is.
-	behind  bool
-	dropped bool
-	address string
-	// entries are the entry instances beside the asker, and wants how many calls for a
-	// model or an adapter came.
-	entries []string
-	wants   int
-	// exactly are all entry instances, if they are set.
-	exactly []string
-	// quarantine is told of requests in quarantine, if it is set, and noted what was
-	// reported of crashes.
+	// catchingUp is true while the control instance has not applied all committed changes.
+	// routeDropped is true once the second version of the routes is committed.
+	catchingUp   bool
+	routeDropped bool
+	address      string
+	// otherEntries are the entry instances besides the caller. wantCalls is the number of load
+	// calls.
+	otherEntries []string
+	wantCalls    int
+	// onlyEntries, if set, are all entry instances.
+	onlyEntries []string
+	// quarantine, if set, is served to the callers. reported holds the reported crashes.
 	quarantine *quarantine.News
-	noted      quarantine.Update
+	reported   quarantine.Update
 }
 
-func newControl() *control {
+func newFakeControl() *fakeControl {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	c := &control{
+	c := &fakeControl{
 		address: listener.Addr().String(),
 		roster:  roster.New(roster.Options{Self: "control", Incarnation: 1, Lease: time.Minute}),
 	}
@@ -140,17 +140,17 @@
 	return c
 }
 
-func (c *control) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
+func (c *fakeControl) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = append(c.told, args)
+	c.syncs = append(c.syncs, args)
 	reply := courier.SyncReply{
-		Leader: c.address, Reading: edition.Reading{Version: 1, Confirmed: !c.behind},
+		Leader: c.address, Reading: edition.Reading{Version: 1, Confirmed: !c.catchingUp},
 		Changes: c.roster.Since(time.Now(), args.Cursor),
-		Members: &courier.Members{Controls: []string{c.address}, Entries: append([]string{args.From.Name}, c.entries...)},
+		Members: &courier.Members{Controls: []string{c.address}, Entries: append([]string{args.From.Name}, c.otherEntries...)},
 	}
-	if c.exactly != nil {
-		reply.Members.Entries = c.exactly
+	if c.onlyEntries != nil {
+		reply.Members.Entries = c.onlyEntries
 	}
 	if c.quarantine != nil && c.quarantine.Mark != args.Quarantine {
 		reply.Quarantine = c.quarantine
@@ -159,8 +159,8 @@
 		reply.Leader = ""
 	}
 	held := edition.Edition{Version: 1, Content: []byte("{}")}
-	if c.dropped && !c.behind {
-		held = edition.Edition{Version: 2, Content: []byte(withoutLook)}
+	if c.routeDropped && !c.catchingUp {
+		held = edition.Edition{Version: 2, Content: []byte(withoutLookRoute)}
 	}
 	reply.Reading.Version = held.Version
 	if args.Edition < held.Version {
@@ -169,85 +169,85 @@
 	return reply
 }
 
-// lead says whether the control instance knows a leader: if not, it is not listened to.
-func (c *control) lead(leads bool) {
+// setHasLeader sets whether the control instance knows a leader. Its replies are ignored if not.
+func (c *fakeControl) setHasLeader(hasLeader bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaderless = !leads
+	c.leaderless = !hasLeader
 }
 
-// drop has the second version of the routes be committed.
-func (c *control) drop() {
+// dropRoute commits the second version of the routes.
+func (c *fakeControl) dropRoute() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropped = true
+	c.routeDropped = true
 }
 
-// fallBehind says whether the control instance has still to catch up.
-func (c *control) fallBehind(behind bool) {
+// setCatchingUp sets whether the control instance lags behind.
+func (c *fakeControl) setCatchingUp(catchingUp bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.behind = behind
+	c.catchingUp = catchingUp
 }
 
-func (c *control) Note(_ context.Context, args courier.NoteArgs) courier.NoteReply {
+func (c *fakeControl) Note(_ context.Context, args courier.NoteArgs) courier.NoteReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noted = c.noted.With(args.Update)
+	c.reported = c.reported.With(args.Update)
 	return courier.NoteReply{Recorded: true}
 }
 
-func (c *control) Gather(context.Context, courier.GatherArgs) courier.GatherReply {
+func (c *fakeControl) Gather(context.Context, courier.GatherArgs) courier.GatherReply {
 	return courier.GatherReply{}
 }
 
-func (c *control) Want(context.Context, courier.WantArgs) courier.WantReply {
+func (c *fakeControl) Want(context.Context, courier.WantArgs) courier.WantReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wants++
+	c.wantCalls++
 	return courier.WantReply{Reason: "none"}
 }
 
-// limited returns the limits that it was told of last.
-func (c *control) limited() []courier.LimitedUpstream {
+// reportedLimits returns the limits in the latest sync.
+func (c *fakeControl) reportedLimits() []courier.LimitedUpstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told[len(c.told)-1].Limited
+	return c.syncs[len(c.syncs)-1].Limited
 }
 
-// wanted returns how many calls for a model or an adapter came.
-func (c *control) wanted() int {
+// wantCount returns the number of load calls.
+func (c *fakeControl) wantCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wants
+	return c.wantCalls
 }
 
-// among has the asker be one of so many entry instances.
-func (c *control) among(instances int) {
+// addEntries sets the total number of entry instances, including the caller.
+func (c *fakeControl) addEntries(instances int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range instances - 1 {
-		c.entries = append(c.entries, fmt.Sprintf("127.0.0.1:%d", 10+i))
+		c.otherEntries = append(c.otherEntries, fmt.Sprintf("127.0.0.1:%d", 10+i))
 	}
 }
 
-// instances has control tell of the entry instances at some addresses alone.
-func (c *control) instances(addresses ...netip.AddrPort) {
+// setEntries adds to the exact list of entry instances.
+func (c *fakeControl) setEntries(addresses ...netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
-		c.exactly = append(c.exactly, address.String())
+		c.onlyEntries = append(c.onlyEntries, address.String())
 	}
 }
 
-// leave has control tell that an upstream leaves.
-func (c *control) leave(name string) {
+// announceLeave announces that an upstream is leaving.
+func (c *fakeControl) announceLeave(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.roster.Leave(time.Now(), upstreamapi.Leave{Name: name, Incarnation: 1})
 }
 
-func (c *control) announce(name, address string, models ...string) {
+func (c *fakeControl) announce(name, address string, models ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var resident []upstreamapi.Resident
@@ -260,8 +260,8 @@
 	})).To(Succeed())
 }
 
-// reborn has control tell that a process has started again under the name of an upstream.
-func (c *control) reborn(name, address string) {
+// announceRestart announces that a process has restarted under the name of an upstream.
+func (c *fakeControl) announceRestart(name, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	Expect(c.roster.Announce(time.Now(), upstreamapi.Announcement{
@@ -270,14 +270,14 @@
 	})).To(Succeed())
 }
 
-// upstream answers with a script and counts what reached it.
+// upstream responds with a handler and records the requests that reach it.
 type upstream struct {
 	mu       sync.Mutex
 	arrivals []string
 	server   *httptest.Server
 }
 
-func newUpstream(answer http.HandlerFunc) *upstream {
+func newFakeUpstream(answer http.HandlerFunc) *upstream {
 	u := &upstream{}
 	u.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		u.mu.Lock()
@@ -302,22 +302,22 @@
 	return len(u.arrivals)
 }
 
-// good answers a request whole.
-func good(w http.ResponseWriter, r *http.Request) {
+// succeed sends a complete response.
+func succeed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(idHeader, r.Header.Get(idHeader))
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
 }
 
-// breaking closes the connection without an answer.
-func breaking(w http.ResponseWriter, _ *http.Request) {
+// closeWithoutResponse closes the connection without a response.
+func closeWithoutResponse(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	Expect(err).NotTo(HaveOccurred())
 	conn.Close()
 }
 
-// raw answers with bytes of its own and closes the connection.
-func raw(text string) http.HandlerFunc {
+// respondRaw sends raw bytes and closes the connection.
+func respondRaw(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		Expect(err).NotTo(HaveOccurred())
@@ -326,67 +326,66 @@
 	}
 }
 
-func notRun(w http.ResponseWriter, _ *http.Request) {
+func refuseNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(notRunHeader, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// entry is a Counter behind a listener.
-type entry struct {
+// testProxy is a Counter behind a listener.
+type testProxy struct {
 	upstreams []*upstream
-	control   *control
+	control   *fakeControl
 	counter   *counter.Counter
 	server    *httptest.Server
-	// skipped is how far the instance's clock is ahead, in nanoseconds.
-	skipped atomic.Int64
+	// clockOffset is the offset of the instance's clock in nanoseconds.
+	clockOffset atomic.Int64
 }
 
-// now is the instance's clock.
-func (e *entry) now() time.Time {
-	return time.Now().Add(time.Duration(e.skipped.Load()))
+func (p *testProxy) now() time.Time {
+	return time.Now().Add(time.Duration(p.clockOffset.Load()))
 }
 
-func newEntry(upstreams ...*upstream) *entry {
-	e := &entry{control: newControl(), upstreams: upstreams}
+func newTestProxy(upstreams ...*upstream) *testProxy {
+	p := &testProxy{control: newFakeControl(), upstreams: upstreams}
 	for i, u := range upstreams {
-		e.control.announce(fmt.Sprint("u", i), u.address())
+		p.control.announce(fmt.Sprint("u", i), u.address())
 	}
-	e.counter = counter.New(counter.Options{
-		Name: "127.0.0.1:1", CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{e.control.address},
+	p.counter = counter.New(counter.Options{
+		Name: "127.0.0.1:1", CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{p.control.address},
 		Dial: courier.DialTCP, UpstreamLease: time.Minute,
 		Retries: counter.RetryLimits{Share: 0.1, Slack: 20, Window: 10 * time.Second},
-		Table:   table, Dialect: dialect{}, Now: e.now, Log: zerolog.Nop(),
+		Table:   parseRoutes, Dialect: dialect{}, Now: p.now, Log: zerolog.Nop(),
 	})
-	e.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.counter.Serve(w, r, counter.Call{ID: r.Header.Get(idHeader), Patience: 5 * time.Second})
+	p.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		p.counter.Serve(w, r, counter.Call{ID: r.Header.Get(idHeader), Patience: 5 * time.Second})
 	}))
 	DeferCleanup(func() {
-		e.server.CloseClientConnections()
-		e.server.Close()
-		e.counter.Close()
+		p.server.CloseClientConnections()
+		p.server.Close()
+		p.counter.Close()
 	})
-	Eventually(e.counter.Serves, specTimeout).Should(BeTrue())
-	return e
+	Eventually(p.counter.Serves, specTimeout).Should(BeTrue())
+	return p
 }
 
-// arrivals returns how many requests have reached all upstreams.
-func (e *entry) arrivals() int {
+// arrivals returns the number of requests that have reached any upstream.
+func (p *testProxy) arrivals() int {
 	total := 0
-	for _, u := range e.upstreams {
+	for _, u := range p.upstreams {
 		total += u.count()
 	}
 	return total
 }
 
-// broken reports whether a request has reached the first upstream.
-func (e *entry) broken() bool {
-	return e.upstreams[0].count() > 0
+// firstReached reports whether a request has reached the first upstream.
+func (p *testProxy) firstReached() bool {
+	return p.upstreams[0].count() > 0
 }
 
-// ask sends a request and returns the status, the body and the error of reading.
-func (e *entry) ask(ctx context.Context, method, path, body string) (*http.Response, string, error) {
+// send sends a request and returns the response, its body and any error.
+func (p *testProxy) send(ctx context.Context, method, path, body string) (*http.Response, string, error) {
 	GinkgoHelper()
-	request, err := http.NewRequestWithContext(ctx, method, e.server.URL+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, p.server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "spec.test"
 	request.Header.Set(idHeader, "r1")
@@ -400,61 +399,61 @@
 }
 
 var _ = Describe("Counter", func() {
-	It("passes a request on unchanged and its answer back", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		response, text, err := e.ask(ctx, http.MethodPost, "/book/a%2Fb?x=%20y", "seat 7")
+	It("forwards a request unchanged and relays its response", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(succeed))
+		response, text, err := p.send(ctx, http.MethodPost, "/book/a%2Fb?x=%20y", "seat 7")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 		Expect(response.Header.Get(idHeader)).To(Equal("r1"))
 		Expect(text).To(Equal("POST /book/a%2Fb?x=%20y seat 7"))
 	}, SpecTimeout(specTimeout))
 
-	It("says that there is no route", func(ctx SpecContext) {
-		response, _, err := newEntry().ask(ctx, http.MethodGet, "/elsewhere/", "")
+	It("answers 404 if there is no route", func(ctx SpecContext) {
+		response, _, err := newTestProxy().send(ctx, http.MethodGet, "/elsewhere/", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusNotFound))
 	}, SpecTimeout(specTimeout))
 
-	// The upstream has read a booking and breaks off. It may have run: sent again it
-	// could charge the rider twice, and 503 would promise that it has not run.
+	// An upstream receives a booking and breaks off. It may have run the booking. A retry could
+	// charge the rider twice, and status 503 would state that it has not run.
 	It("sends what must not run twice once, and promises nothing", func(ctx SpecContext) {
-		e := newEntry(newUpstream(breaking), newUpstream(breaking))
-		response, _, err := e.ask(ctx, http.MethodPost, "/book/", "seat 7")
+		p := newTestProxy(newFakeUpstream(closeWithoutResponse), newFakeUpstream(closeWithoutResponse))
+		response, _, err := p.send(ctx, http.MethodPost, "/book/", "seat 7")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(response.Header.Get("Retry-After")).To(BeEmpty())
-		Expect(e.arrivals()).To(Equal(1))
+		Expect(p.arrivals()).To(Equal(1))
 	}, SpecTimeout(specTimeout))
 
-	It("tries what may run twice at another upstream", func(ctx SpecContext) {
-		first := newUpstream(breaking)
-		second := newUpstream(good)
-		e := newEntry(first, second)
+	It("retries an idempotent request at another upstream", func(ctx SpecContext) {
+		first := newFakeUpstream(closeWithoutResponse)
+		second := newFakeUpstream(succeed)
+		p := newTestProxy(first, second)
 		for range 4 {
-			response, _, err := e.ask(ctx, http.MethodGet, "/look/", "")
+			response, _, err := p.send(ctx, http.MethodGet, "/look/", "")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.StatusCode).To(Equal(http.StatusOK))
 		}
 	}, SpecTimeout(specTimeout))
 
-	// No upstream of an attempt has run the request, as each says itself. The caller
-	// must learn that, and when to come back.
+	// The upstream states that it has not run the request. The caller must learn that, and when to
+	// retry.
 	It("answers 503 with Retry-After when no upstream has run the request", func(ctx SpecContext) {
-		e := newEntry(newUpstream(notRun))
-		response, _, err := e.ask(ctx, http.MethodPost, "/book/", "seat 7")
+		p := newTestProxy(newFakeUpstream(refuseNotRun))
+		response, _, err := p.send(ctx, http.MethodPost, "/book/", "seat 7")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty())
 	}, SpecTimeout(specTimeout))
 
-	// A first upstream runs an idempotent request and breaks off, a second one
-	// refuses. Together that is not "not run".
-	It("does not say not run once an upstream may have run the request", func(ctx SpecContext) {
-		e := newEntry(newUpstream(breaking), newUpstream(notRun))
+	// One upstream may have run an idempotent request before it broke off, and a second one refuses
+	// it. The result must not be "not run".
+	It("does not report not-run once an upstream may have run the request", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(closeWithoutResponse), newFakeUpstream(refuseNotRun))
 		for range 6 {
-			response, _, err := e.ask(ctx, http.MethodGet, "/look/", "")
+			response, _, err := p.send(ctx, http.MethodGet, "/look/", "")
 			Expect(err).NotTo(HaveOccurred())
-			if e.broken() {
+			if p.firstReached() {
 				Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 				return
 			}
@@ -462,35 +461,35 @@
 		Fail("the request never reached the upstream that breaks off")
 	}, SpecTimeout(specTimeout))
 
-	DescribeTable("gives no caller an answer that is not its own or not whole",
+	DescribeTable("relays no mismatched or incomplete response",
 		func(ctx SpecContext, answer string) {
-			e := newEntry(newUpstream(raw(answer)))
-			response, text, err := e.ask(ctx, http.MethodPost, "/book/", "seat 7")
+			p := newTestProxy(newFakeUpstream(respondRaw(answer)))
+			response, text, err := p.send(ctx, http.MethodPost, "/book/", "seat 7")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
 			Expect(text).NotTo(ContainSubstring("secret"))
 		},
-		Entry("another request's", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nSpec-Request: r9\r\nContent-Length: 6\r\n\r\nsecret"),
-		Entry("no request's", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"),
-		Entry("cut off", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nSpec-Request: ID\r\nContent-Length: 60\r\n\r\nsecret"),
-		Entry("cut off between chunks", SpecTimeout(specTimeout),
+		Entry("to another request", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nSpec-Request: r9\r\nContent-Length: 6\r\n\r\nsecret"),
+		Entry("without a request id", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"),
+		Entry("truncated", SpecTimeout(specTimeout), "HTTP/1.1 200 OK\r\nSpec-Request: ID\r\nContent-Length: 60\r\n\r\nsecret"),
+		Entry("truncated between chunks", SpecTimeout(specTimeout),
 			"HTTP/1.1 200 OK\r\nSpec-Request: ID\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nsecret\r\n"),
-		Entry("no answer in the protocol", SpecTimeout(specTimeout), "secret secret secret\r\n\r\n"),
+		Entry("not HTTP", SpecTimeout(specTimeout), "secret secret secret\r\n\r\n"),
 	)
 
-	// An engine dies in the middle of a stream. The caller's connection must break:
-	// a stream that just ends would look whole.
+	// An engine fails in the middle of a stream. The caller's connection must be aborted, because a
+	// stream that just ends would look complete.
 	It("breaks a stream off where its upstream does", func(ctx SpecContext) {
-		e := newEntry(newUpstream(raw(
+		p := newTestProxy(newFakeUpstream(respondRaw(
 			"HTTP/1.1 200 OK\r\nSpec-Request: ID\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n")))
-		_, text, err := e.ask(ctx, http.MethodPost, "/write/", "a reply")
+		_, text, err := p.send(ctx, http.MethodPost, "/write/", "a reply")
 		Expect(err).To(HaveOccurred())
 		Expect(text).To(Equal("data: a\n\n"))
 	}, SpecTimeout(specTimeout))
 
-	It("passes events on as they come", func(ctx SpecContext) {
+	It("relays events as they arrive", func(ctx SpecContext) {
 		next := make(chan struct{})
-		e := newEntry(newUpstream(func(w http.ResponseWriter, r *http.Request) {
+		p := newTestProxy(newFakeUpstream(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(idHeader, r.Header.Get(idHeader))
 			for _, event := range []string{"data: a\n\n", "data: b\n\n"} {
 				_, _ = io.WriteString(w, event)
@@ -498,7 +497,7 @@
 				<-next
 			}
 		}))
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.server.URL+"/write/", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, p.server.URL+"/write/", nil)
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = "spec.test"
 		request.Header.Set(idHeader, "r1")
@@ -507,7 +506,7 @@
 		defer response.Body.Close()
 		lines := bufio.NewScanner(response.Body)
 		Expect(lines.Scan()).To(BeTrue())
-		Expect(lines.Text()).To(Equal("data: a"), "the second event is not made yet")
+		Expect(lines.Text()).To(Equal("data: a"), "the second event has not been sent yet")
 		close(next)
 		Expect(lines.Scan()).To(BeTrue())
 		Expect(lines.Text()).To(BeEmpty(), "the end of the first event")
@@ -515,11 +514,11 @@
 		Expect(lines.Text()).To(Equal("data: b"))
 	}, SpecTimeout(specTimeout))
 
-	// A caller gives up. Its engine must not go on for nobody.
-	It("cancels at the upstream when the caller leaves", func(ctx SpecContext) {
+	// The engine must not continue a request that nobody waits for.
+	It("cancels the upstream request when the caller disconnects", func(ctx SpecContext) {
 		cancelled := make(chan struct{})
 		reached := make(chan struct{})
-		e := newEntry(newUpstream(func(_ http.ResponseWriter, r *http.Request) {
+		p := newTestProxy(newFakeUpstream(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.ReadAll(r.Body)
 			close(reached)
 			<-r.Context().Done()
@@ -528,7 +527,7 @@
 		asking, leave := context.WithCancel(ctx)
 		go func() {
 			defer GinkgoRecover()
-			_, _, err := e.ask(asking, http.MethodPost, "/write/", "a reply")
+			_, _, err := p.send(asking, http.MethodPost, "/write/", "a reply")
 			Expect(err).To(HaveOccurred())
 		}()
 		Eventually(ctx, reached).Should(BeClosed())
@@ -536,49 +535,49 @@
 		Eventually(ctx, cancelled).Should(BeClosed())
 	}, SpecTimeout(specTimeout))
 
-	It("answers by the route's timeout", func(ctx SpecContext) {
-		e := newEntry(newUpstream(func(_ http.ResponseWriter, r *http.Request) {
+	It("answers within the route's timeout", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.ReadAll(r.Body)
 			<-r.Context().Done()
 		}))
-		response, _, err := e.ask(ctx, http.MethodGet, "/short/", "")
+		response, _, err := p.send(ctx, http.MethodGet, "/short/", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusGatewayTimeout))
 	}, SpecTimeout(specTimeout))
 
-	It("tells a caller at once when nobody of the service is there in time", func(ctx SpecContext) {
-		response, _, err := newEntry().ask(ctx, http.MethodGet, "/empty/", "")
+	It("answers 503 with Retry-After if the service has no upstream", func(ctx SpecContext) {
+		response, _, err := newTestProxy().send(ctx, http.MethodGet, "/empty/", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty())
 	}, SpecTimeout(specTimeout))
 
-	// A control instance is cut off from the others. It goes on answering, with what
-	// was in force before the cut; whoever listened to it would serve old routes.
+	// A control instance that is partitioned from the others keeps answering with the state from
+	// before the partition. Using its replies would mean serving outdated routes.
 	It("does not listen to a control instance that knows no leader", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		other := newControl()
-		e.control.mu.Lock()
-		e.control.leaderless = true
-		e.control.mu.Unlock()
-		e.counter.Seed([]string{other.address})
+		p := newTestProxy(newFakeUpstream(succeed))
+		other := newFakeControl()
+		p.control.mu.Lock()
+		p.control.leaderless = true
+		p.control.mu.Unlock()
+		p.counter.Seed([]string{other.address})
 		Eventually(ctx, func() int {
 			other.mu.Lock()
 			defer other.mu.Unlock()
-			return len(other.told)
+			return len(other.syncs)
 		}).Should(BeNumerically(">", 0))
 	}, SpecTimeout(specTimeout))
 
-	It("says that it stops as soon as a planned stop begins, and serves on", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		e.counter.Drain()
-		Expect(e.counter.Serves()).To(BeFalse())
+	It("reports draining as soon as a planned shutdown begins, and continues to serve", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(succeed))
+		p.counter.Drain()
+		Expect(p.counter.Serves()).To(BeFalse())
 		Eventually(ctx, func() bool {
-			e.control.mu.Lock()
-			defer e.control.mu.Unlock()
-			return e.control.told[len(e.control.told)-1].From.Beat.Draining
+			p.control.mu.Lock()
+			defer p.control.mu.Unlock()
+			return p.control.syncs[len(p.control.syncs)-1].From.Beat.Draining
 		}).Should(BeTrue())
-		response, _, err := e.ask(ctx, http.MethodGet, "/look/", "")
+		response, _, err := p.send(ctx, http.MethodGet, "/look/", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 	}, SpecTimeout(specTimeout))
--- a/internal/counter/crashes_test.go
+++ b/internal/counter/crashes_test.go
@@ -14,38 +14,38 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// identity is that of a request as the specs send it.
-func identity(method, target, body string) quarantine.Identity {
+// identityOf returns the identity of a request sent by these specs.
+func identityOf(method, target, body string) quarantine.Identity {
 	return quarantine.Identity{Method: method, Host: "spec.test", Target: target, Body: []byte(body)}
 }
 
-// hold has the control instance tell that requests are in quarantine, and waits until the
-// entry instance knows.
-func (e *entry) hold(ctx context.Context, requests ...quarantine.Identity) {
+// setQuarantined makes the control instance report requests as quarantined, and waits until the
+// entry instance has applied it.
+func (p *testProxy) setQuarantined(ctx context.Context, requests ...quarantine.Identity) {
 	GinkgoHelper()
 	news := &quarantine.News{Revision: 1, Mark: 1}
 	for _, request := range requests {
 		news.Quarantined = append(news.Quarantined, quarantine.Entry{Digest: request.Digest()})
 	}
-	e.control.mu.Lock()
-	e.control.quarantine = news
-	e.control.mu.Unlock()
+	p.control.mu.Lock()
+	p.control.quarantine = news
+	p.control.mu.Unlock()
 	Eventually(ctx, func() uint64 {
-		e.control.mu.Lock()
-		defer e.control.mu.Unlock()
-		return e.control.told[len(e.control.told)-1].Quarantine
+		p.control.mu.Lock()
+		defer p.control.mu.Unlock()
+		return p.control.syncs[len(p.control.syncs)-1].Quarantine
 	}).Should(Equal(uint64(1)))
 }
 
-// reports returns what was reported of upstreams that ended.
-func (c *control) reports() []quarantine.Report {
+// crashReports returns the reported crashes.
+func (c *fakeControl) crashReports() []quarantine.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.noted.Reports
+	return c.reported.Reports
 }
 
-// ending ends the upstream that runs a request with a body, and answers any other.
-func ending(u *upstream, body string) {
+// crashOn makes an upstream crash when it receives a body, and succeed otherwise.
+func crashOn(u *upstream, body string) {
 	u.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		u.mu.Lock()
@@ -53,7 +53,7 @@
 		u.mu.Unlock()
 		if string(text) == body {
 			u.server.Listener.Close()
-			breaking(w, r)
+			closeWithoutResponse(w, r)
 			return
 		}
 		w.Header().Set(idHeader, r.Header.Get(idHeader))
@@ -61,27 +61,27 @@
 }
 
 var _ = Describe("A request in quarantine", func() {
-	It("is refused at once, and need not come back", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		e.hold(ctx, identity(http.MethodPost, "/write/x", "crash"), identity(http.MethodGet, "/look/x?page=1", ""))
-		response, text, err := e.ask(ctx, http.MethodPost, "/write/x", "crash")
+	It("is refused immediately, without Retry-After", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(succeed))
+		p.setQuarantined(ctx, identityOf(http.MethodPost, "/write/x", "crash"), identityOf(http.MethodGet, "/look/x?page=1", ""))
+		response, text, err := p.send(ctx, http.MethodPost, "/write/x", "crash")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		Expect(response.Header.Get(quarantine.ReasonHeader)).To(Equal(quarantine.Reason))
 		Expect(response.Header.Get("Lovagelift-Outcome")).To(Equal("not-run"))
 		Expect(response.Header.Get("Retry-After")).To(BeEmpty())
 		Expect(text).To(Equal("upstreams end that run this request\n"))
-		response, _, err = e.ask(ctx, http.MethodGet, "/look/x?page=1", "")
+		response, _, err = p.send(ctx, http.MethodGet, "/look/x?page=1", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(response.StatusCode).To(Equal(http.StatusBadRequest), "one without a body")
-		Expect(e.arrivals()).To(BeZero())
+		Expect(response.StatusCode).To(Equal(http.StatusBadRequest), "a request without a body")
+		Expect(p.arrivals()).To(BeZero())
 	}, SpecTimeout(specTimeout))
 
-	// The next attempt has another id and other headers, and may send its body in pieces.
-	It("is known by another id and other headers, and in pieces", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		e.hold(ctx, identity(http.MethodPost, "/write/x", "crash"))
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.server.URL+"/write/x", io.MultiReader(
+	// A retry by the caller has another id and other headers, and its body may be chunked.
+	It("is recognized with another id, other headers and a chunked body", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(succeed))
+		p.setQuarantined(ctx, identityOf(http.MethodPost, "/write/x", "crash"))
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, p.server.URL+"/write/x", io.MultiReader(
 			strings.NewReader("cra"), strings.NewReader("sh")))
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = "spec.test"
@@ -94,44 +94,43 @@
 		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 	}, SpecTimeout(specTimeout))
 
-	It("stands for no request that differs by path, method or body", func(ctx SpecContext) {
-		e := newEntry(newUpstream(good))
-		e.hold(ctx, identity(http.MethodPost, "/write/x", "crash"))
+	It("does not match a request with another path, method or body", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(succeed))
+		p.setQuarantined(ctx, identityOf(http.MethodPost, "/write/x", "crash"))
 		for _, other := range [][3]string{
 			{http.MethodPost, "/write/y", "crash"},
 			{http.MethodPut, "/write/x", "crash"},
 			{http.MethodPost, "/write/x", "crash "},
 			{http.MethodPost, "/write/x", ""},
 		} {
-			response, _, err := e.ask(ctx, other[0], other[1], other[2])
+			response, _, err := p.send(ctx, other[0], other[1], other[2])
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.StatusCode).To(Equal(http.StatusOK), "%v", other)
 		}
 	}, SpecTimeout(specTimeout))
 })
 
-var _ = Describe("An upstream that ends", func() {
-	It("is reported with what it had, under the digest of each request", func(ctx SpecContext) {
-		u := newUpstream(good)
-		ending(u, "crash")
-		e := newEntry(u)
-		response, _, err := e.ask(ctx, http.MethodPost, "/book/x", "crash")
+var _ = Describe("A crashed upstream", func() {
+	It("is reported with the digests of its requests", func(ctx SpecContext) {
+		u := newFakeUpstream(succeed)
+		crashOn(u, "crash")
+		p := newTestProxy(u)
+		response, _, err := p.send(ctx, http.MethodPost, "/book/x", "crash")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadGateway))
-		Eventually(ctx, e.control.reports).Should(Equal([]quarantine.Report{{
+		Eventually(ctx, p.control.crashReports).Should(Equal([]quarantine.Report{{
 			Lifetime: quarantine.Lifetime{Upstream: "u0", Incarnation: 1},
-			Suspects: []quarantine.Suspect{{Digest: identity(http.MethodPost, "/book/x", "crash").Digest(), Request: "r1"}},
+			Suspects: []quarantine.Suspect{{Digest: identityOf(http.MethodPost, "/book/x", "crash").Digest(), Request: "r1"}},
 		}}))
 	}, SpecTimeout(specTimeout))
 
-	// A connection that is reset, or an answer that breaks off, is no crash: the upstream
-	// still listens.
-	It("is told from one that breaks an answer off", func(ctx SpecContext) {
-		e := newEntry(newUpstream(breaking))
+	// A reset connection or a truncated response is not a crash: the upstream still listens.
+	It("is distinguished from one that breaks off a response", func(ctx SpecContext) {
+		p := newTestProxy(newFakeUpstream(closeWithoutResponse))
 		for n := range 5 {
-			_, _, err := e.ask(ctx, http.MethodPost, "/book/x", fmt.Sprint(n))
+			_, _, err := p.send(ctx, http.MethodPost, "/book/x", fmt.Sprint(n))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Consistently(e.control.reports).WithTimeout(500 * time.Millisecond).Should(BeEmpty())
+		Consistently(p.control.crashReports).WithTimeout(500 * time.Millisecond).Should(BeEmpty())
 	}, SpecTimeout(specTimeout))
 })
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -17,24 +17,24 @@
 	"github.com/lovagelift/lovagelift/internal/speed"
 )
 
-// Fleet gives specs the choice of upstreams without a network.
+// UpstreamPool gives specs access to upstream selection without a network.
 type UpstreamPool struct {
 	pool   *upstreamPool
 	maxGap time.Duration
 	random func() float64
 }
 
-// NewFleet returns a Fleet in a failure domain.
+// NewUpstreamPool returns an empty pool of an instance in a failure domain.
 func NewUpstreamPool(failureDomain string, lease time.Duration) UpstreamPool {
 	return UpstreamPool{pool: newUpstreamPool(failureDomain, lease), maxGap: defaultMaxGap, random: rand.New(rand.NewPCG(7, 7)).Float64}
 }
 
-// Update takes in upstreams.
+// Apply updates the pool with changed upstreams.
 func (p UpstreamPool) Apply(now time.Time, changed ...roster.Upstream) {
 	p.pool.apply(now, changed)
 }
 
-// Serve sets the services of the routes in force.
+// SetRouted sets the services of the routes in force.
 func (p UpstreamPool) SetRouted(services ...string) {
 	p.pool.routedServices = map[string]*routes.Service{}
 	for _, service := range services {
@@ -42,13 +42,13 @@
 	}
 }
 
-// Hold takes in what engines hold.
+// ApplyHoldings applies engine states known to the leader.
 func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.Holdings) {
 	p.pool.applyHoldings(now, &holdings)
 }
 
-// Send chooses an upstream for a request and counts it as sent. If there is none,
-// Send returns what is lacking.
+// Send selects an upstream for a request and records the request there. If there is none, it
+// returns the missing resource.
 func (p UpstreamPool) Send(now time.Time, service, model, adapter string, tokens int, tried ...string) (name, missing string) {
 	q := upstreamQuery{service: service, model: model, adapter: adapter, tried: tried, pacing: pacingFor(p.maxGap, speed.New(3))}
 	u, lacking := p.pool.choose(now, q, p.random())
@@ -59,70 +59,70 @@
 	return u.name, ""
 }
 
-// reading is how long an engine reads tokens before anything is learned.
+// prefillTime is the assumed prefill time before any measurement.
 func prefillTime(tokens int) time.Duration {
 	return speed.New(3).Reading("m", tokens)
 }
 
-// Heard counts what another instance sends.
+// PeerSent records a request that a peer sends to an upstream.
 func (p UpstreamPool) PeerSent(now time.Time, name string, tokens, peer int) {
 	p.pool.byName[name].recordPeerUse(now, peerUse{prefill: prefillTime(tokens), active: 1, sender: uint32(peer)})
 }
 
-// HeardOpen takes in that another instance sends a request and has so many there.
+// PeerActive records a peer's number of requests at an upstream, reported with a new one.
 func (p UpstreamPool) PeerActive(now time.Time, name string, active, peer int) {
 	p.pool.byName[name].recordPeerUse(now, peerUse{active: active, sender: uint32(peer)})
 }
 
-// Ended notes that a request at an upstream is over.
+// Release records that a request at an upstream has ended.
 func (p UpstreamPool) Release(name string) {
 	p.pool.byName[name].release()
 }
 
-// Load returns about how many requests an upstream has.
+// Load returns the estimated number of requests at an upstream.
 func (p UpstreamPool) Load(now time.Time, name string) float64 {
 	return p.pool.byName[name].load(now)
 }
 
-// Survey returns why upstreams did not get a request: how many hold it, have no place,
-// have too much to read, and are avoided.
+// Survey returns how many upstreams have loaded the model, and how many of them are full, have too
+// large a prompt backlog, and are avoided.
 func (p UpstreamPool) Survey(now time.Time, service, model string, tried ...string) (holders, slots, pace, avoided int) {
 	s := p.pool.survey(now, upstreamQuery{service: service, model: model, pacing: pacingFor(p.maxGap, speed.New(3)), tried: tried})
 	return s.Holders, s.Full, s.Paced, s.Avoided
 }
 
-// Failed notes that an upstream did not answer.
+// Fail records that an upstream did not answer.
 func (p UpstreamPool) Fail(now time.Time, name string) {
 	p.pool.byName[name].recordFailure(now)
 }
 
-// Quota bounds the log lines of one kind.
+// LogQuota gives specs access to a log quota.
 type LogQuota struct {
 	quota logQuota
 }
 
-// Allow reports whether a line may be logged, and how many were left out before.
+// Allow reports whether a line may be logged, and how many lines were suppressed before.
 func (q *LogQuota) Allow(now time.Time) (leftOut int, ok bool) {
 	return q.quota.allow(now)
 }
 
-// RetriesOf returns the reserve and the refill of one among so many instances.
+// RetryBudget returns the reserve and the refill per second of each instance.
 func RetryBudget(limits RetryLimits, instances int) (reserve, refill float64) {
 	return limits.perInstance(instances)
 }
 
-// Address returns where requests to an upstream go.
+// Address returns the address of an upstream.
 func (p UpstreamPool) Address(name string) string {
 	return p.pool.byName[name].address
 }
 
-// Line gives specs the queue of an instance without a network.
+// Queue gives specs access to the request queue of an instance without a network.
 type Queue struct {
 	counter *Counter
 	pool    UpstreamPool
 }
 
-// NewLine returns the queue of one instance among so many.
+// NewQueue returns the queue of one of several instances.
 func NewQueue(pool UpstreamPool, instances int) Queue {
 	c := &Counter{
 		pool: pool.pool, peers: &peerLink{}, demand: newDemand(), pendingLoads: map[courier.WantArgs]bool{}, loadLimiter: newLoadLimiter(),
@@ -134,15 +134,15 @@
 	return Queue{counter: c, pool: pool}
 }
 
-// Join has a request for a model wait since began, and returns what it waits for.
-func (q Queue) Enqueue(began time.Time, model string, objective time.Duration) *waiter {
-	return q.enqueue(began, q.waiter(began, model, objective))
+// Enqueue adds a request for a model that arrived at a given time.
+func (q Queue) Enqueue(arrived time.Time, model string, objective time.Duration) *waiter {
+	return q.enqueue(arrived, q.waiter(arrived, model, objective))
 }
 
-func (q Queue) waiter(began time.Time, model string, objective time.Duration) *waiter {
+func (q Queue) waiter(arrived time.Time, model string, objective time.Duration) *waiter {
 	return &waiter{
 		requirements: requirements{
-			target: target{service: "pool", model: model}, arrived: began, deadline: began.Add(10 * time.Second),
+			target: target{service: "pool", model: model}, arrived: arrived, deadline: arrived.Add(10 * time.Second),
 			objective: objective, pacing: pacingFor(q.pool.maxGap, speed.New(3)), prefillTime: prefillTime(1000),
 		},
 		requester: localRequest{grants: make(chan grant, 1)}, placingInstances: q.counter.control.entryInstances,
@@ -156,14 +156,14 @@
 	return w
 }
 
-// Look has the queue looked at.
+// Dispatch dispatches the queue.
 func (q Queue) Dispatch(now time.Time) {
 	q.counter.mu.Lock()
 	defer q.counter.mu.Unlock()
 	q.counter.dispatch(now)
 }
 
-// Refuses reports whether a request is refused at once.
+// Rejects reports whether a request that was just enqueued is rejected.
 func (q Queue) Rejects(now time.Time, w *waiter) bool {
 	if Granted(w) {
 		return false
@@ -173,31 +173,31 @@
 	return q.counter.rejectionOf(now, w) != nil
 }
 
-// Leave takes a request out of the queue.
+// Dequeue removes a request from the queue.
 func (q Queue) Dequeue(w *waiter) {
 	q.counter.mu.Lock()
 	defer q.counter.mu.Unlock()
 	q.counter.dequeue(w)
 }
 
-// Granted reports whether a request got an upstream.
+// Granted reports whether a request was granted an upstream.
 func Granted(w *waiter) bool {
 	return len(w.requester.(localRequest).grants) > 0
 }
 
-// Owner gives specs an instance that decides for models, without a network.
+// Instance gives specs access to an instance that owns models, without a network.
 type Instance struct {
 	counter *Counter
 	conn    *recordingConn
 }
 
-// Told is a message that an instance has sent.
+// SentMessage is a message that an instance has sent.
 type SentMessage struct {
 	To      netip.AddrPort
 	Message permit.Message
 }
 
-// toldConn keeps what is sent.
+// recordingConn records the sent messages.
 type recordingConn struct {
 	net.PacketConn
 	sent []SentMessage
@@ -212,7 +212,7 @@
 	return len(encoded), nil
 }
 
-// NewOwner returns the instance at self among others.
+// NewInstance returns the instance at self, one of all instances.
 func NewInstance(pool UpstreamPool, self netip.AddrPort, all []netip.AddrPort) Instance {
 	conn := &recordingConn{}
 	c := NewQueue(pool, len(all)).counter
@@ -224,13 +224,13 @@
 	return Instance{counter: c, conn: conn}
 }
 
-// Hear takes in a message and returns what the instance tells then.
+// Receive handles a message and returns the messages sent in response.
 func (i Instance) Receive(now time.Time, from netip.AddrPort, message permit.Message) []SentMessage {
 	i.counter.receive(now, from, message)
 	return i.takeSent()
 }
 
-// Look has the queue looked at, and returns what the instance tells then.
+// Dispatch dispatches the queue and returns the messages sent.
 func (i Instance) Dispatch(now time.Time) []SentMessage {
 	i.counter.mu.Lock()
 	i.counter.dispatch(now)
@@ -238,17 +238,17 @@
 	return i.takeSent()
 }
 
-// Sweep has the instance forget permits that have not ended in time.
+// ExpirePermits removes permits whose time has run out.
 func (i Instance) ExpirePermits(now time.Time) {
 	i.counter.expirePermits(now)
 }
 
-// Drain begins a planned stop.
+// Drain begins a planned shutdown.
 func (i Instance) Drain() {
 	i.counter.draining = true
 }
 
-// Permits returns how many questions and permits of others the instance keeps.
+// Permits returns the number of peers' requests that the instance places.
 func (c *Counter) Permits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,60 +261,61 @@
 	return sent
 }
 
-// Instances returns how many entry instances there are by the last news.
+// Instances returns the number of entry instances by the latest sync.
 func (c *Counter) Instances() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.control.entryInstances
 }
 
-// WantPace gives specs the pace of calls to the leader.
+// LoadLimiter gives specs access to the limiter of load calls.
 type LoadLimiter struct {
 	limiter *loadLimiter
 }
 
-// NewWantPace returns that of an instance that has made no call.
+// NewLoadLimiter returns the limiter of an instance that has made no call.
 func NewLoadLimiter() LoadLimiter {
 	return LoadLimiter{newLoadLimiter()}
 }
 
-// Call reports whether a call for an adapter may be made now by an instance with a share.
+// Allow reports whether an instance with the given share may make a load call for an adapter now.
 func (l LoadLimiter) Allow(now time.Time, adapter string, share float64) bool {
 	return l.limiter.delay(now, courier.WantArgs{Adapter: adapter}, 1, share) == 0
 }
 
-// Ended notes what became of it.
+// RecordResult records the result of a call.
 func (l LoadLimiter) RecordResult(now time.Time, adapter string, loaded bool) {
 	l.limiter.recordResult(now, courier.WantArgs{Adapter: adapter}, loaded)
 }
 
-// Upstreams returns how many upstreams the instance knows.
+// Upstreams returns the number of upstreams that the instance knows.
 func (c *Counter) Upstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pool.byName)
 }
 
-// Asked returns the control instance that one of so many entry instances asks.
+// ChosenControl returns the control instance that an entry instance calls.
 func ChosenControl(self string, entries int, alive []string, leader string) string {
 	l := controlLinks{entryInstances: entries, alive: alive, leader: leader}
 	return l.chooseControl(time.Time{}, self)
 }
 
-// AskedNear is Asked with some of the control instances in the asker's failure domain.
+// ChosenControlNear is ChosenControl with some control instances in the failure domain of the entry
+// instance.
 func ChosenControlNear(self string, entries int, alive, near []string, leader string) string {
 	l := controlLinks{entryInstances: entries, alive: alive, nearby: near, leader: leader}
 	return l.chooseControl(time.Time{}, self)
 }
 
-// AskPause returns the time between two questions to one control instance.
+// SyncDelay returns the time between two syncs with a control instance.
 func SyncDelay(entries int, alive []string, asked, leader string) time.Duration {
 	l := controlLinks{entryInstances: entries, alive: alive, current: asked, leader: leader}
 	return l.syncDelay()
 }
 
-// AwaitsProof reports whether requests wait at now for a proof of routes that were proven
-// and first found unproven at some times, zero for never.
+// NeedsProof reports whether requests wait at now for a proof of the routes, which were last proven
+// and first found unproven at the given times. Zero times stand for never.
 func NeedsProof(now, proven, unproven time.Time, maxDelay time.Duration, lost bool) bool {
 	l := controlLinks{unprovenSince: unproven, disconnected: lost}
 	if !proven.IsZero() {
@@ -323,31 +324,31 @@
 	return l.needsProof(now, maxDelay)
 }
 
-// Asker gives specs whom an entry instance asks, without a network.
+// ControlChooser gives specs access to the choice of a control instance without a network.
 type ControlChooser struct {
 	control controlLinks
 }
 
-// NewAsker returns an Asker that asks the first of some control instances, which leads.
+// NewControlChooser returns a ControlChooser that calls the first of several control instances,
+// which is the leader.
 func NewControlChooser(controls ...string) *ControlChooser {
 	return &ControlChooser{control: controlLinks{known: controls, alive: controls, leader: controls[0], current: controls[0]}}
 }
 
-// Answered returns whom it asks after an answer.
+// AfterReply returns the control instance to call after a reply.
 func (a *ControlChooser) AfterReply(now time.Time, confirmed bool, age time.Duration) string {
 	a.control.current = a.control.afterReply(now, "entry", edition.Reading{Confirmed: confirmed, Age: age}, time.Second)
 	return a.control.current
 }
 
-// JoinAs is Join for an adapter, with the priority of a route.
-func (q Queue) EnqueueAs(began time.Time, model, adapter string, priority uint8, objective time.Duration) *waiter {
-	w := q.waiter(began, model, objective)
+// EnqueueAs is Enqueue for an adapter, with the priority of a route.
+func (q Queue) EnqueueAs(arrived time.Time, model, adapter string, priority uint8, objective time.Duration) *waiter {
+	w := q.waiter(arrived, model, objective)
 	w.requirements.adapter, w.requirements.priority = adapter, priority
-	return q.enqueue(began, w)
+	return q.enqueue(arrived, w)
 }
 
-// LimitOf returns a function that returns the limit that an upstream names, as far as the
-// instance knows.
+// LimitOf returns a function that returns the known rate limit of an upstream.
 func (c *Counter) LimitOf(name string) func() string {
 	return func() string {
 		c.mu.Lock()
@@ -364,16 +365,16 @@
 	}
 }
 
-// LimitService stands for the service in the key by which limits have owners, and the name of
-// the upstream for the model.
+// LimitOwnerService takes the place of the service, and the upstream's name that of the model, in
+// the key that assigns limits to owners.
 const LimitOwnerService = limitOwnerService
 
-// Named notes that an upstream has named a limit.
+// SetLimit records that an upstream has stated a rate limit.
 func (p UpstreamPool) SetLimit(now time.Time, name string, limit float64) {
 	p.pool.byName[name].applyLimit(now, now, ratelimit.Named{Limit: ratelimit.Limit(limit)})
 }
 
-// Allow reports whether a request may be sent to an upstream by its limit.
+// AllowByLimit reports whether the rate limit of an upstream allows a request.
 func (i Instance) AllowByLimit(name string) bool {
 	_, ok := i.counter.allowByLimit(context.Background(), i.counter.pool.byName[name])
 	return ok
--- a/internal/counter/forecast_test.go
+++ b/internal/counter/forecast_test.go
@@ -12,18 +12,18 @@
 
 var _ = Describe("A request that finds no room", func() {
 	const objective = 400 * time.Millisecond
-	var fleet counter.UpstreamPool
-	var line counter.Queue
+	var pool counter.UpstreamPool
+	var queue counter.Queue
 
 	BeforeEach(func() {
-		fleet = counter.NewUpstreamPool("here", lease)
-		fleet.Apply(start, engineOf("e", "here", start, "m"))
-		line = counter.NewQueue(fleet, 6)
+		pool = counter.NewUpstreamPool("here", lease)
+		pool.Apply(start, engineRecord("e", "here", start, "m"))
+		queue = counter.NewQueue(pool, 6)
 	})
 
-	// Three times as many callers ask for a model as its one engine can serve, for
-	// seconds. A queue that all may join makes every answer late, and still refuses two
-	// of three, each after it has waited for 600 ms: so they are refused when they come.
+	// For several seconds, the load of a model is three times the capacity of its only engine. An
+	// unlimited queue makes every response late and still refuses two of three requests, each after
+	// a wait of 600 ms. So requests are refused on arrival.
 	It("is refused at once under a load that lasts, and what is let in is on time", func() {
 		type asked struct {
 			at      time.Time
@@ -35,21 +35,21 @@
 		for millis := range 4000 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
 			if millis%20 == 0 {
-				// Others have 44 of the 64 places all the time.
-				fleet.PeerActive(now, "e", 44, 1)
-				w := line.Enqueue(now, "m", objective)
-				if line.Rejects(now, w) {
+				// Peers constantly occupy 44 of the 64 slots.
+				pool.PeerActive(now, "e", 44, 1)
+				w := queue.Enqueue(now, "m", objective)
+				if queue.Rejects(now, w) {
 					refused++
-					line.Dequeue(w)
+					queue.Dequeue(w)
 				} else {
 					waiting = append(waiting, asked{now, func() bool { return counter.Granted(w) }})
 				}
 			}
 			for len(ends) > 0 && !ends[0].After(now) {
-				fleet.Release("e")
+				pool.Release("e")
 				ends = ends[1:]
 			}
-			line.Dispatch(now)
+			queue.Dispatch(now)
 			still := waiting[:0]
 			for _, a := range waiting {
 				if !a.granted() {
@@ -69,42 +69,43 @@
 		Expect(late).To(BeNumerically("<", served/4))
 	})
 
-	It("waits if nobody is before it: engines have room again step by step", func() {
-		fleet.PeerActive(start, "e", 64, 1)
-		Expect(line.Rejects(start, line.Enqueue(start, "m", objective))).To(BeFalse())
+	It("waits if no request is before it, because engines regain capacity in small steps", func() {
+		pool.PeerActive(start, "e", 64, 1)
+		Expect(queue.Rejects(start, queue.Enqueue(start, "m", objective))).To(BeFalse())
 	})
 
-	// No engine holds the model, and a load takes seconds: held for 600 ms, the caller
-	// would be told the same, later. If a load ends in time, it waits for that.
+	// No engine has loaded the model, and a load takes seconds: after a wait of 600 ms the caller
+	// would get the same answer. If a load completes in time, the request waits for it.
 	It("is refused at once if no engine will hold its model in time", func() {
-		w := line.Enqueue(start, "gone", objective)
-		Expect(line.Rejects(start, w)).To(BeTrue())
-		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
+		w := queue.Enqueue(start, "gone", objective)
+		Expect(queue.Rejects(start, w)).To(BeTrue())
+		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Models: []courier.HeldModel{{Name: "m"}}, Coming: "gone", ComingIn: 2 * time.Second,
 		}}})
-		Expect(line.Rejects(start, w)).To(BeTrue())
-		Expect(line.Rejects(start.Add(1900*time.Millisecond), line.Enqueue(start.Add(1900*time.Millisecond), "gone", objective))).
+		Expect(queue.Rejects(start, w)).To(BeTrue())
+		Expect(queue.Rejects(start.Add(1900*time.Millisecond), queue.Enqueue(start.Add(1900*time.Millisecond), "gone", objective))).
 			To(BeFalse())
 	})
 })
 
 var _ = Describe("A report of an engine", func() {
-	// Hints are lost, and some requests take longer than most: the instance thinks that
-	// the engine has room. The report, half a second old, says what it had then.
+	// Messages between instances are lost, and some requests take longer than average, so that the
+	// engine appears to have capacity. The report, half a second old, contains its actual load at
+	// that time.
 	It("corrects what instances told each other, once", func() {
-		fleet := counter.NewUpstreamPool("here", lease)
-		fleet.Apply(start, engineOf("e", "here", start, "m"))
-		fleet.PeerActive(start, "e", 20, 1)
+		pool := counter.NewUpstreamPool("here", lease)
+		pool.Apply(start, engineRecord("e", "here", start, "m"))
+		pool.PeerActive(start, "e", 20, 1)
 		now := start.Add(500 * time.Millisecond)
 		report := courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Age: 400 * time.Millisecond, Running: 30, Models: []courier.HeldModel{{Name: "m"}},
 		}}}
-		before := fleet.Load(now, "e")
-		fleet.ApplyHoldings(now, report)
-		corrected := fleet.Load(now, "e")
+		before := pool.Load(now, "e")
+		pool.ApplyHoldings(now, report)
+		corrected := pool.Load(now, "e")
 		Expect(corrected).To(BeNumerically(">", before+5))
 		Expect(corrected).To(BeNumerically("<", 30))
-		fleet.ApplyHoldings(now.Add(time.Millisecond), report)
-		Expect(fleet.Load(now, "e")).To(BeNumerically("~", corrected, 0.1), "the same report with the next answer")
+		pool.ApplyHoldings(now.Add(time.Millisecond), report)
+		Expect(pool.Load(now, "e")).To(BeNumerically("~", corrected, 0.1), "the same report with the next reply")
 	})
 })
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -18,7 +18,7 @@
 	"github.com/lovagelift/lovagelift/internal/ratelimit"
 )
 
-// clock is a clock that specs move.
+// clock is a manual clock.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -36,7 +36,7 @@
 	c.now = c.now.Add(by)
 }
 
-// limitedUpstream names a limit in its answers while it has one.
+// limitedUpstream states a rate limit in its responses while it has one.
 type limitedUpstream struct {
 	*upstream
 	clock *clock
@@ -48,32 +48,32 @@
 
 func newLimitedUpstream(c *clock) *limitedUpstream {
 	u := &limitedUpstream{clock: c}
-	u.upstream = newUpstream(func(w http.ResponseWriter, r *http.Request) {
+	u.upstream = newFakeUpstream(func(w http.ResponseWriter, r *http.Request) {
 		u.mu.Lock()
 		u.arrivals = append(u.arrivals, u.clock.Now())
 		if u.limit != "" {
 			w.Header().Set(limitHeader, u.limit)
 		}
 		u.mu.Unlock()
-		good(w, r)
+		succeed(w, r)
 	})
 	return u
 }
 
-func (u *limitedUpstream) names(limit string) {
+func (u *limitedUpstream) setLimit(limit string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.limit = limit
 }
 
-// since returns when requests have come since a time.
-func (u *limitedUpstream) since(at time.Time) []time.Time {
+// arrivalsSince returns the arrival times of requests from a given time on.
+func (u *limitedUpstream) arrivalsSince(at time.Time) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(u.arrivals), func(came time.Time) bool { return came.Before(at) })
 }
 
-// mostInWindow returns the most of some times, in order, within one window of the limit.
+// mostInWindow returns the maximum number of the sorted times within one window of the limit.
 func mostInWindow(times []time.Time) int {
 	most := 0
 	for i, first := range times {
@@ -90,18 +90,18 @@
 	var (
 		now   *clock
 		peers []peer
-		c     *control
+		c     *fakeControl
 	)
 
 	startPeers := func(count int) {
-		now, c, peers = &clock{now: time.Now()}, newControl(), nil
+		now, c, peers = &clock{now: time.Now()}, newFakeControl(), nil
 		var addresses []netip.AddrPort
 		for range count {
-			p := startPeerAt(c, now.Now)
+			p := startPeerWithClock(c, now.Now)
 			peers = append(peers, p)
 			addresses = append(addresses, p.address)
 		}
-		c.instances(addresses...)
+		c.setEntries(addresses...)
 	}
 	known := func(upstreams int) {
 		for _, p := range peers {
@@ -109,16 +109,17 @@
 			Eventually(p.counter.Upstreams, specTimeout).Should(Equal(upstreams))
 		}
 	}
-	// startWith starts instances before an upstream that names a limit.
+	// startWith starts instances and an upstream with a rate limit.
 	startWith := func(count int, limit string) *limitedUpstream {
 		startPeers(count)
 		u := newLimitedUpstream(now)
 		c.announce("u", u.address(), "m")
 		known(1)
-		u.names(limit)
+		u.setLimit(limit)
 		return u
 	}
-	// send has the instances serve a request each 50 ms in turn, and returns the statuses.
+	// send sends requests to the instances in turn, 50 ms apart, and returns the number of each
+	// status.
 	send := func(count int, path, model string) map[int]int {
 		statuses := map[int]int{}
 		for i := range count {
@@ -136,17 +137,18 @@
 		return statuses
 	}
 
-	// An engine in need got three times what it takes, as each instance sent on as before.
+	// An overloaded engine received three times its limit, because each instance continued to send
+	// as before.
 	DescribeTable("gets no more than it takes from all instances together",
 		func(instances int, limit ratelimit.Limit, path, model string) {
 			u := startWith(instances, fmt.Sprint(float64(limit)))
 			send(20, path, model)
 			from := now.Now()
 			statuses := send(200, path, model)
-			came := u.since(from)
+			came := u.arrivalsSince(from)
 			Expect(mostInWindow(came)).To(BeNumerically("<=", ratelimit.Allowed(limit)))
-			Expect(len(came)).To(BeNumerically(">=", 4), "it is asked on")
-			Expect(statuses[http.StatusServiceUnavailable]).To(BeNumerically(">=", 100), "the rest is told when to come back")
+			Expect(len(came)).To(BeNumerically(">=", 4), "some requests are still sent")
+			Expect(statuses[http.StatusServiceUnavailable]).To(BeNumerically(">=", 100), "the rest receives Retry-After")
 		},
 		Entry("a plain service", 3, ratelimit.Limit(1.1), "/short/", ""),
 		Entry("an engine", 3, ratelimit.Limit(1.1), "/short/", "m"),
@@ -154,15 +156,15 @@
 		Entry("a limit of 0", 3, ratelimit.Limit(0), "/short/", ""),
 	)
 
-	// One instance has seen the answer. The others would send on until they have seen one
-	// themselves, and after the need is over hold back until then.
+	// Only one instance has seen the response. The others would continue to send until they see one
+	// themselves, and would hold requests back after the limit has ended.
 	It("is known at all instances at once, and so is the end of it", func() {
 		u := startWith(3, "1.1")
 		Expect(send(1, "/short/", "")).To(HaveKey(http.StatusOK))
 		for _, p := range peers {
 			Eventually(p.counter.LimitOf("u"), specTimeout).Should(Equal("1.1"))
 		}
-		u.names("")
+		u.setLimit("")
 		now.move(5 * time.Second)
 		send(40, "/short/", "")
 		for _, p := range peers {
@@ -171,10 +173,10 @@
 		Expect(send(30, "/short/", "")).To(Equal(map[int]int{http.StatusOK: 30}))
 	})
 
-	It("is told to the control instances", func() {
+	It("is reported to the control instances", func() {
 		startWith(1, "0.3")
 		send(1, "/short/", "")
-		Eventually(c.limited, specTimeout).Should(Equal([]courier.LimitedUpstream{{Name: "u", Limit: 0.3}}))
+		Eventually(c.reportedLimits, specTimeout).Should(Equal([]courier.LimitedUpstream{{Name: "u", Limit: 0.3}}))
 	})
 
 	It("leaves the rest to upstreams that take more", func() {
@@ -183,39 +185,40 @@
 		c.announce("u", u.address(), "m")
 		c.announce("v", free.address(), "m")
 		known(2)
-		u.names("1.1")
+		u.setLimit("1.1")
 		send(40, "/short/", "")
 		Expect(send(100, "/short/", "")).To(Equal(map[int]int{http.StatusOK: 100}))
 	})
 
-	// An engine crashes in its need and starts again: what it named before says nothing of it.
+	// An overloaded engine crashes and restarts. The limit stated before does not apply to the new
+	// process.
 	It("is not limited by what the process before it named", func() {
 		u := startWith(1, "0.3")
 		send(1, "/short/", "")
 		Expect(peers[0].counter.LimitOf("u")()).To(Equal("0.3"))
-		c.reborn("u", u.address())
+		c.announceRestart("u", u.address())
 		Eventually(peers[0].counter.LimitOf("u"), specTimeout).Should(Equal("none"))
 	})
 
-	// The owner of the limit is frozen or gone, and its address is in the lists still.
+	// The owner of the limit is frozen or gone, but still listed.
 	It("gets no more than it takes while nobody answers for the owner of its limit", func() {
 		startPeers(2)
 		silent := listenPeer()
 		DeferCleanup(silent.Close)
 		gone := silent.LocalAddr().(*net.UDPAddr).AddrPort()
-		c.instances(gone)
-		name := modelOf(counter.LimitOwnerService, gone, append(addressesOf(peers), gone)...)
+		c.setEntries(gone)
+		name := modelOwnedBy(counter.LimitOwnerService, gone, append(addressesOf(peers), gone)...)
 		u := newLimitedUpstream(now)
 		c.announce(name, u.address(), "m")
 		for _, p := range peers {
 			Eventually(p.counter.Instances, specTimeout).Should(Equal(3))
 			Eventually(p.counter.Upstreams, specTimeout).Should(Equal(1))
 		}
-		u.names("1.1")
+		u.setLimit("1.1")
 		send(20, "/short/", "")
 		from := now.Now()
 		send(160, "/short/", "")
-		came := u.since(from)
+		came := u.arrivalsSince(from)
 		Expect(mostInWindow(came)).To(BeNumerically("<=", ratelimit.Allowed(1.1)))
 		Expect(came).NotTo(BeEmpty())
 	})
--- a/internal/counter/loads_test.go
+++ b/internal/counter/loads_test.go
@@ -14,40 +14,40 @@
 )
 
 var _ = Describe("Calls for what no engine holds", func() {
-	// Callers of most adapters were refused for as long as the day lasted: 103 of 300 models
-	// and adapters were never served. Whatever kept the leader from loading (a lease, no
-	// place, a lack of processor time) had each of 86 entry instances ask for each missing
-	// adapter ten times a second. Those calls took the leader's time, its heartbeats came
-	// late and it was replaced: nine leaders in 22 s, 9,985 of 11,148 failed calls answered
-	// "this instance gives no orders". A new leader has to wait before it orders, so that
-	// still more calls came.
+	// A leader could not carry out loads (because of a lease, a lack of space or a lack of CPU
+	// time), and each of 86 entry instances called it for each missing adapter ten times a second.
+	// The calls took its CPU time, its heartbeats were late, and it was replaced: there were nine
+	// leaders in 22 s, and 9,985 of 11,148 failed calls were answered "this instance gives no
+	// orders". A new leader has to wait before it gives orders, which caused still more calls. As a
+	// result, 103 of 300 models and adapters were never served.
 	It("are bounded, however many callers wait for adapters that the leader can't load", func() {
 		const instances, adapters = 86, 60
-		e := newEntry()
-		e.control.among(instances)
-		e.control.announce("u", "127.0.0.1:9", "m")
-		Eventually(func() int { return e.counter.Instances() }, specTimeout).Should(Equal(instances))
+		p := newTestProxy()
+		p.control.addEntries(instances)
+		p.control.announce("u", "127.0.0.1:9", "m")
+		Eventually(func() int { return p.counter.Instances() }, specTimeout).Should(Equal(instances))
 		began := time.Now()
 		var callers sync.WaitGroup
 		for i := range adapters {
 			callers.Go(func() {
 				request := httptest.NewRequest(http.MethodPost, "http://spec.test/write/", nil)
 				call := counter.Call{ID: fmt.Sprint(i), Patience: 5 * time.Second, Model: "m", Adapter: fmt.Sprint("a", i)}
-				e.counter.Serve(httptest.NewRecorder(), request, call)
+				p.counter.Serve(httptest.NewRecorder(), request, call)
 			})
 		}
 		callers.Wait()
-		// A leader with 0.12 of a core has time for about 300 calls a second beside the rest.
+		// A leader with 0.12 of a core has time for about 300 calls a second besides its other
+		// work.
 		const leaderCalls, burst = 300.0, 10.0
 		share := leaderCalls / instances * time.Since(began).Seconds()
-		Expect(e.control.wanted()).To(BeNumerically(">", 0))
-		Expect(e.control.wanted()).To(BeNumerically("<=", burst+share))
+		Expect(p.control.wantCount()).To(BeNumerically(">", 0))
+		Expect(p.control.wantCount()).To(BeNumerically("<=", burst+share))
 	})
 
-	// A model has just been loaded, and its owner is asked for 30 adapters at once. By its
-	// share, one call a second among 291 instances of which most call for nothing, the last
-	// caller waits for half a minute.
-	It("are as many as the leader carries out, where one instance has much to call for", func() {
+	// The owner of a newly loaded model needs 30 adapters at once. With a share of one call per
+	// second, among 291 instances of which most have nothing to load, the last caller would wait
+	// for half a minute.
+	It("increase above the share while the leader carries them out", func() {
 		const share, adapters = 300.0 / 291, 30
 		pace := counter.NewLoadLimiter()
 		made := 0
@@ -62,7 +62,7 @@
 		Expect(made).To(Equal(adapters))
 	})
 
-	It("are no more than the share again once they are not carried out", func() {
+	It("fall back to the share once they fail", func() {
 		const share = 1.0
 		pace := counter.NewLoadLimiter()
 		call := func(from, millis int, loaded bool) (made int) {
--- a/internal/counter/logquota_test.go
+++ b/internal/counter/logquota_test.go
@@ -9,10 +9,10 @@
 	"github.com/lovagelift/lovagelift/internal/counter"
 )
 
-var _ = Describe("The quota of log lines", func() {
-	// All upstreams refuse for seconds. A line for each of thousands of requests
-	// would take the processor from the rest; what is left out must be told.
-	It("bounds the lines of a second, and tells how many were left out", func() {
+var _ = Describe("The log quota", func() {
+	// All upstreams refuse for several seconds. A line for each of thousands of requests would take
+	// CPU time from the requests. The number of suppressed lines must be logged.
+	It("limits the lines per second, and reports how many were suppressed", func() {
 		var quota counter.LogQuota
 		logged := 0
 		for range 1000 {
--- a/internal/counter/pacing_test.go
+++ b/internal/counter/pacing_test.go
@@ -12,8 +12,8 @@
 	"github.com/lovagelift/lovagelift/internal/counter"
 )
 
-// batchEngine reads what it was sent in steps, each of which makes a token for
-// every stream. An event of a stream is three tokens.
+// batchEngine processes prompts in steps, each of which generates one token for every stream. An
+// event of a stream holds three tokens.
 type batchEngine struct {
 	unread   int
 	stepEnds time.Time
@@ -27,7 +27,7 @@
 	eventSteps      = 3
 )
 
-func (e *batchEngine) run(now time.Time) {
+func (e *batchEngine) advance(now time.Time) {
 	for !e.stepEnds.After(now) {
 		read := min(e.unread, stepTokens)
 		e.unread -= read
@@ -37,7 +37,7 @@
 	}
 }
 
-// pauses returns the time between the events of streams, in order.
+// pauses returns the sorted times between the events of a stream.
 func (e *batchEngine) pauses() []time.Duration {
 	var all []time.Duration
 	for i := range len(e.steps) - eventSteps + 1 {
@@ -51,15 +51,15 @@
 	return all
 }
 
-// pacedLoad is what requests meet that seven instances send to engines which all
-// hold their model.
-type pacedLoad struct {
-	random  *rand.Rand
-	fleets  []counter.UpstreamPool
-	queues  [][]waitingPrompt
-	engines map[string]*batchEngine
-	hints   []hint
-	waits   []time.Duration
+// loadSimulation simulates requests that seven instances send to engines, all of which have loaded
+// the model.
+type loadSimulation struct {
+	random   *rand.Rand
+	pools    []counter.UpstreamPool
+	queues   [][]waitingPrompt
+	engines  map[string]*batchEngine
+	messages []peerMessage
+	waits    []time.Duration
 }
 
 type waitingPrompt struct {
@@ -67,8 +67,8 @@
 	tokens int
 }
 
-// hint arrives at the other instances some time after a prompt was sent.
-type hint struct {
+// peerMessage is a report of a sent prompt that arrives at the other instances after messageDelay.
+type peerMessage struct {
 	at     time.Time
 	from   int
 	engine string
@@ -77,84 +77,84 @@
 
 const (
 	instances = 7
-	// hintTime is how long a hint takes, and lookEvery how often an instance looks
-	// whether those that wait can go.
-	hintTime  = 2 * time.Millisecond
-	lookEvery = 4
+	// messageDelay is the latency of messages between instances. dispatchMillis is the time between
+	// two dispatches of an instance in ms.
+	messageDelay   = 2 * time.Millisecond
+	dispatchMillis = 4
 )
 
-func newPacedLoad(engines int) *pacedLoad {
-	l := &pacedLoad{
+func newLoadSimulation(engines int) *loadSimulation {
+	s := &loadSimulation{
 		random: rand.New(rand.NewPCG(7, 7)), queues: make([][]waitingPrompt, instances),
 		engines: map[string]*batchEngine{},
 	}
 	for range instances {
-		l.fleets = append(l.fleets, counter.NewUpstreamPool("here", lease))
+		s.pools = append(s.pools, counter.NewUpstreamPool("here", lease))
 	}
 	for i := range engines {
 		name := fmt.Sprint("e", i)
-		l.engines[name] = &batchEngine{stepEnds: start}
-		for _, fleet := range l.fleets {
-			fleet.Apply(start, engineOf(name, "here", start, "m"))
+		s.engines[name] = &batchEngine{stepEnds: start}
+		for _, pool := range s.pools {
+			pool.Apply(start, engineRecord(name, "here", start, "m"))
 		}
 	}
-	return l
+	return s
 }
 
-// play sends prompts for a while, so many a second, of 300 to 2,600 tokens.
-func (l *pacedLoad) play(perSecond float64, length time.Duration) {
+// run sends prompts of 300 to 2,600 tokens at a given rate.
+func (s *loadSimulation) run(perSecond float64, length time.Duration) {
 	next := start
 	for millis := range int(length / time.Millisecond) {
 		now := start.Add(time.Duration(millis) * time.Millisecond)
-		for _, engine := range l.engines {
-			engine.run(now)
+		for _, engine := range s.engines {
+			engine.advance(now)
 		}
-		l.tell(now)
+		s.deliver(now)
 		for !next.After(now) {
-			instance := l.random.IntN(instances)
-			l.queues[instance] = append(l.queues[instance], waitingPrompt{next, 300 + l.random.IntN(2300)})
-			l.look(now, instance)
-			next = next.Add(time.Duration(l.random.ExpFloat64() / perSecond * float64(time.Second)))
+			instance := s.random.IntN(instances)
+			s.queues[instance] = append(s.queues[instance], waitingPrompt{next, 300 + s.random.IntN(2300)})
+			s.dispatch(now, instance)
+			next = next.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
 		}
 		for instance := range instances {
-			if (millis+instance)%lookEvery == 0 {
-				l.look(now, instance)
+			if (millis+instance)%dispatchMillis == 0 {
+				s.dispatch(now, instance)
 			}
 		}
 	}
 }
 
-// tell has hints arrive.
-func (l *pacedLoad) tell(now time.Time) {
-	for len(l.hints) > 0 && !l.hints[0].at.After(now) {
-		for instance, fleet := range l.fleets {
-			if instance != l.hints[0].from {
-				fleet.PeerSent(now, l.hints[0].engine, l.hints[0].tokens, l.hints[0].from)
+// deliver delivers the messages that are due.
+func (s *loadSimulation) deliver(now time.Time) {
+	for len(s.messages) > 0 && !s.messages[0].at.After(now) {
+		for instance, pool := range s.pools {
+			if instance != s.messages[0].from {
+				pool.PeerSent(now, s.messages[0].engine, s.messages[0].tokens, s.messages[0].from)
 			}
 		}
-		l.hints = l.hints[1:]
+		s.messages = s.messages[1:]
 	}
 }
 
-// look sends what can go of those that wait at an instance, the first first.
-func (l *pacedLoad) look(now time.Time, instance int) {
-	for len(l.queues[instance]) > 0 {
-		first := l.queues[instance][0]
-		name, _ := l.fleets[instance].Send(now, "pool", "m", "", first.tokens)
+// dispatch sends the waiting prompts of an instance in order, as far as engines accept them.
+func (s *loadSimulation) dispatch(now time.Time, instance int) {
+	for len(s.queues[instance]) > 0 {
+		first := s.queues[instance][0]
+		name, _ := s.pools[instance].Send(now, "pool", "m", "", first.tokens)
 		if name == "" {
 			return
 		}
-		l.queues[instance] = l.queues[instance][1:]
-		l.engines[name].unread += first.tokens
-		l.waits = append(l.waits, now.Sub(first.since))
-		l.hints = append(l.hints, hint{now.Add(hintTime), instance, name, first.tokens})
+		s.queues[instance] = s.queues[instance][1:]
+		s.engines[name].unread += first.tokens
+		s.waits = append(s.waits, now.Sub(first.since))
+		s.messages = append(s.messages, peerMessage{now.Add(messageDelay), instance, name, first.tokens})
 	}
 }
 
-// longPauses returns the part of the pauses that are longer than callers bear.
-func (l *pacedLoad) longPauses() float64 {
+// longPauses returns the share of the pauses that are longer than callers tolerate.
+func (s *loadSimulation) longPauses() float64 {
 	long, all := 0, 0
-	for _, engine := range l.engines {
+	for _, engine := range s.engines {
 		pauses := engine.pauses()
 		all += len(pauses)
 		place, _ := slices.BinarySearch(pauses, 250*time.Millisecond)
@@ -163,30 +163,30 @@
 	return float64(long) / float64(all)
 }
 
-// waitOf returns how long the part share of the prompts waited at most.
-func (l *pacedLoad) waitOf(share float64) time.Duration {
-	slices.Sort(l.waits)
-	return l.waits[int(share*float64(len(l.waits)-1))]
+// waitQuantile returns a quantile of the waiting times.
+func (s *loadSimulation) waitQuantile(share float64) time.Duration {
+	slices.Sort(s.waits)
+	return s.waits[int(share*float64(len(s.waits)-1))]
 }
 
 var _ = Describe("the pace of an engine", func() {
-	// Seven instances send 70 prompts a second to ten engines, a third of what these
-	// can read. Each instance by itself sees a seventh, and the prompts of a quarter
-	// of a second fell on one engine by chance: 40 in 100 streams paused for too long.
+	// Seven instances send 70 prompts a second to ten engines, a third of the engines' capacity.
+	// Each instance sees only a seventh of the load. All prompts of a quarter of a second could go
+	// to the same engine, and 40 in 100 streams paused for too long.
 	It("keeps pauses short under a load that engines carry easily", func() {
-		load := newPacedLoad(10)
-		load.play(70, 10*time.Second)
+		load := newLoadSimulation(10)
+		load.run(70, 10*time.Second)
 		Expect(load.longPauses()).To(BeNumerically("<", 0.001))
-		Expect(load.waitOf(0.98)).To(BeNumerically("<", 30*time.Millisecond))
+		Expect(load.waitQuantile(0.98)).To(BeNumerically("<", 30*time.Millisecond))
 	})
 
-	// A model has risen, and three engines hold it: prompts wait at every instance.
-	// All saw at the same moment that an engine had room again, and sent it one each:
-	// streams paused for half a second.
+	// The load of a model has risen beyond the capacity of its three engines, and prompts wait at
+	// every instance. All instances learned at the same moment that an engine had capacity, and
+	// each sent a prompt: streams paused for half a second.
 	It("keeps instances that wait for the same engine from sending at once", func() {
-		load := newPacedLoad(3)
-		load.play(37, 10*time.Second)
+		load := newLoadSimulation(3)
+		load.run(37, 10*time.Second)
 		Expect(load.longPauses()).To(BeNumerically("<", 0.02))
-		Expect(load.waitOf(0.9)).To(BeNumerically("<", 600*time.Millisecond))
+		Expect(load.waitQuantile(0.9)).To(BeNumerically("<", 600*time.Millisecond))
 	})
 })
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -16,7 +16,7 @@
 
 const lease = 3 * time.Second
 
-func engineOf(name, domain string, heard time.Time, models ...string) roster.Upstream {
+func engineRecord(name, domain string, heard time.Time, models ...string) roster.Upstream {
 	u := roster.Upstream{Heard: heard, Announcement: upstreamapi.Announcement{
 		Name: name, Address: name + ".test:1", FailureDomain: domain, Services: []string{"pool"},
 		Load: upstreamapi.Load{MaxRunning: 64},
@@ -28,208 +28,207 @@
 }
 
 var _ = Describe("the choice of an upstream", func() {
-	var fleet counter.UpstreamPool
+	var pool counter.UpstreamPool
 
 	BeforeEach(func() {
-		fleet = counter.NewUpstreamPool("here", lease)
+		pool = counter.NewUpstreamPool("here", lease)
 	})
 
-	It("goes to the engine that was sent least of late, the own failure domain first", func() {
-		fleet.Apply(start, engineOf("far", "there", start, "m"), engineOf("near", "here", start, "m"))
+	It("selects the engine with the lowest load, and the own failure domain first", func() {
+		pool.Apply(start, engineRecord("far", "there", start, "m"), engineRecord("near", "here", start, "m"))
 		var order []string
 		for i := range 4 {
-			name, _ := fleet.Send(start.Add(time.Duration(i)*20*time.Millisecond), "pool", "m", "", 1000)
+			name, _ := pool.Send(start.Add(time.Duration(i)*20*time.Millisecond), "pool", "m", "", 1000)
 			order = append(order, name)
 		}
 		Expect(order).To(Equal([]string{"near", "far", "near", "far"}))
 	})
 
-	DescribeTable("says what is lacking",
+	DescribeTable("returns the missing resource",
 		func(model, adapter, missing string) {
-			fleet.Apply(start, engineOf("e", "here", start, "m"))
-			_, lack := fleet.Send(start, "pool", model, adapter, 100)
-			Expect(lack).To(Equal(missing))
+			pool.Apply(start, engineRecord("e", "here", start, "m"))
+			_, lacking := pool.Send(start, "pool", model, adapter, 100)
+			Expect(lacking).To(Equal(missing))
 		},
 		Entry("the model", "other", "", "model"),
 		Entry("the adapter", "m", "a1", "adapter"),
 		Entry("nothing", "m", "", ""),
 	)
 
-	// All control instances are lost, so nobody is heard of any more. The upstreams
-	// are there all the same: an instance that forgot them would refuse everybody.
-	It("keeps upstreams while nobody is heard of, and drops the one that others outlive", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "m"))
+	// All control instances are down, so that no upstream is heard of, although the upstreams are
+	// running. An instance that expired them would refuse all callers.
+	It("keeps upstreams while none is heard of, and drops one whose lease alone expires", func() {
+		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "m"))
 		late := start.Add(time.Minute)
-		name, _ := fleet.Send(late, "pool", "m", "", 100)
+		name, _ := pool.Send(late, "pool", "m", "", 100)
 		Expect(name).NotTo(BeEmpty())
 		for second := range 10 {
 			at := late.Add(time.Duration(second) * time.Second)
-			fleet.Apply(at, engineOf("b", "here", at, "m"))
+			pool.Apply(at, engineRecord("b", "here", at, "m"))
 		}
 		after := late.Add(10 * time.Second)
 		for range 3 {
-			name, _ = fleet.Send(after, "pool", "m", "", 100)
+			name, _ = pool.Send(after, "pool", "m", "", 100)
 			Expect(name).To(Equal("b"))
 		}
 	})
 
-	// Control instances come back and hear of upstreams one after the other. Those
-	// that they have not heard of yet must not count as lost.
+	// Control instances come back and hear of the upstreams one after the other. Upstreams they
+	// have not heard of yet must not count as lost.
 	It("waits for all upstreams after the control instances were away", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "here", start, "n"))
+		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "n"))
 		back := start.Add(time.Minute)
-		fleet.Apply(back, engineOf("a", "here", back, "m"))
-		name, _ := fleet.Send(back, "pool", "n", "", 100)
+		pool.Apply(back, engineRecord("a", "here", back, "m"))
+		name, _ := pool.Send(back, "pool", "n", "", 100)
 		Expect(name).To(Equal("b"))
 	})
 
-	It("gives nothing to an upstream that leaves", func() {
-		gone := engineOf("a", "here", start, "m")
+	It("excludes a leaving upstream", func() {
+		gone := engineRecord("a", "here", start, "m")
 		gone.Leaving = true
-		fleet.Apply(start, gone)
-		_, lack := fleet.Send(start, "pool", "m", "", 100)
-		Expect(lack).To(Equal("service"))
+		pool.Apply(start, gone)
+		_, lacking := pool.Send(start, "pool", "m", "", 100)
+		Expect(lacking).To(Equal("service"))
 	})
 
-	// An upstream has crashed and was started anew at its address, under another name.
-	// The one that is gone is still within its lease; what is sent to it, the new one
-	// refuses, and each refusal takes from the budget of retries.
+	// An upstream has crashed and was restarted at its address under another name. The lease of the
+	// old one has not expired yet. The new one would refuse requests sent to the old one, and each
+	// refusal uses up retry budget.
 	It("gives nothing to an upstream whose address another has now", func() {
 		later := start.Add(time.Second)
-		fleet.Apply(start, engineOf("old", "here", start, "m"))
-		successor := engineOf("new", "here", later, "n")
+		pool.Apply(start, engineRecord("old", "here", start, "m"))
+		successor := engineRecord("new", "here", later, "n")
 		successor.Announcement.Address = "old.test:1"
-		fleet.Apply(later, successor)
-		_, lack := fleet.Send(later, "pool", "m", "", 100)
-		Expect(lack).To(Equal("model"))
-		name, _ := fleet.Send(later, "pool", "n", "", 100)
+		pool.Apply(later, successor)
+		_, lacking := pool.Send(later, "pool", "m", "", 100)
+		Expect(lacking).To(Equal("model"))
+		name, _ := pool.Send(later, "pool", "n", "", 100)
 		Expect(name).To(Equal("new"))
 	})
 
-	// A request is on its way to an upstream when news come that it leaves, from an
-	// instance that had never heard of it and knows no address. What the request
-	// reads of the upstream must not change under it.
-	It("never changes where an upstream is", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"))
-		fleet.Apply(start, roster.Upstream{
+	// A request is in flight to an upstream when its departure is reported by an instance that
+	// never knew its address. The fields that the request reads must not change.
+	It("never changes the address of an upstream", func() {
+		pool.Apply(start, engineRecord("a", "here", start, "m"))
+		pool.Apply(start, roster.Upstream{
 			Heard: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
 		})
-		Expect(fleet.Address("a")).To(Equal("a.test:1"))
-		_, lack := fleet.Send(start, "pool", "m", "", 100)
-		Expect(lack).To(Equal("service"))
+		Expect(pool.Address("a")).To(Equal("a.test:1"))
+		_, lacking := pool.Send(start, "pool", "m", "", 100)
+		Expect(lacking).To(Equal("service"))
 	})
 
-	It("avoids an upstream that failed, unless nobody else is there", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"), engineOf("b", "there", start, "m"))
-		fleet.Fail(start, "a")
-		name, _ := fleet.Send(start, "pool", "m", "", 100)
+	It("avoids a failed upstream, unless there is no other", func() {
+		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "there", start, "m"))
+		pool.Fail(start, "a")
+		name, _ := pool.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("b"))
-		fleet.Fail(start, "b")
-		name, _ = fleet.Send(start, "pool", "m", "", 100)
+		pool.Fail(start, "b")
+		name, _ = pool.Send(start, "pool", "m", "", 100)
 		Expect(name).NotTo(BeEmpty())
 	})
 
-	// One upstream is there and has just refused the request. Sent again at once, it
-	// would be refused again; a moment later there may be room.
-	It("lets a request that its only upstream failed wait for a moment", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"))
-		fleet.Fail(start, "a")
-		_, lack := fleet.Send(start, "pool", "m", "", 100, "a")
-		Expect(lack).To(Equal("room"))
-		name, _ := fleet.Send(start.Add(time.Second), "pool", "m", "", 100, "a")
+	// The only upstream has just failed the request. An immediate retry would fail again, while a
+	// later one may find capacity.
+	It("makes a request wait whose only upstream has failed it", func() {
+		pool.Apply(start, engineRecord("a", "here", start, "m"))
+		pool.Fail(start, "a")
+		_, lacking := pool.Send(start, "pool", "m", "", 100, "a")
+		Expect(lacking).To(Equal("room"))
+		name, _ := pool.Send(start.Add(time.Second), "pool", "m", "", 100, "a")
 		Expect(name).To(Equal("a"))
 	})
 
-	// An engine reports 40 of 64 requests. What is sent after the report is not in it
-	// for half a second, and all that would go there meanwhile.
+	// An engine reports 40 of 64 requests. Requests sent after the report are missing from it for
+	// half a second.
 	It("fills no engine beyond its slots", func() {
-		fleet.Apply(start, engineOf("a", "here", start, "m"))
-		fleet.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
+		pool.Apply(start, engineRecord("a", "here", start, "m"))
+		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
 			{Name: "a", Running: 40, Models: []courier.HeldModel{{Name: "m"}}},
 		}})
-		sent, lack := 0, ""
-		for sent < 64 && lack == "" {
-			if _, lack = fleet.Send(start, "pool", "m", "", 1); lack == "" {
+		sent, lacking := 0, ""
+		for sent < 64 && lacking == "" {
+			if _, lacking = pool.Send(start, "pool", "m", "", 1); lacking == "" {
 				sent++
 			}
 		}
-		Expect(lack).To(Equal("room"))
-		Expect(sent).To(BeNumerically("~", 25, 3), "24 places were free, and some requests have ended since the report")
+		Expect(lacking).To(Equal("room"))
+		Expect(sent).To(BeNumerically("~", 25, 3), "24 slots were free, and some requests have ended since the report")
 	})
 })
 
 var _ = Describe("An engine that starts again under its name", func() {
 	again := func(heard time.Time, models ...string) roster.Upstream {
-		u := engineOf("e", "here", heard, models...)
+		u := engineRecord("e", "here", heard, models...)
 		u.Announcement.Incarnation = 2
 		return u
 	}
-	holds := func(incarnation uint64, models ...string) courier.Holdings {
+	holdingsOf := func(incarnation uint64, models ...string) courier.Holdings {
 		held := courier.Holding{Name: "e", Incarnation: incarnation, Running: 24}
 		for _, model := range models {
 			held.Models = append(held.Models, courier.HeldModel{Name: model})
 		}
 		return courier.Holdings{Engines: []courier.Holding{held}}
 	}
-	var fleet counter.UpstreamPool
+	var pool counter.UpstreamPool
 
 	BeforeEach(func() {
-		fleet = counter.NewUpstreamPool("here", lease)
-		first := engineOf("e", "here", start, "m")
+		pool = counter.NewUpstreamPool("here", lease)
+		first := engineRecord("e", "here", start, "m")
 		first.Announcement.Incarnation = 1
-		fleet.Apply(start, first)
+		pool.Apply(start, first)
 	})
 
-	// The engine crashes and starts empty. What the leader told of the one before comes
-	// after its announcement: a request sent by that would be refused, and tried again
-	// on the budget that all share.
+	// The engine crashes and restarts without models. The leader's state of the old process arrives
+	// after the new announcement. A request sent on the basis of it would be refused and retried at
+	// the expense of the shared retry budget.
 	It("holds nothing of what the one before held, in either order of the news", func() {
-		fleet.ApplyHoldings(start, holds(1, "m"))
-		fleet.Apply(start.Add(time.Second), again(start.Add(time.Second)))
-		_, missing := fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
+		pool.ApplyHoldings(start, holdingsOf(1, "m"))
+		pool.Apply(start.Add(time.Second), again(start.Add(time.Second)))
+		_, missing := pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		fleet.ApplyHoldings(start.Add(time.Second), holds(1, "m"))
-		_, missing = fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
+		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(1, "m"))
+		_, missing = pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		fleet.ApplyHoldings(start.Add(time.Second), holds(2, "n"))
-		name, _ := fleet.Send(start.Add(time.Second), "pool", "n", "", 100)
+		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(2, "n"))
+		name, _ := pool.Send(start.Add(time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
 
 	It("is not known by news of the one before that come late", func() {
-		fleet.Apply(start.Add(time.Second), again(start.Add(time.Second), "n"))
-		late := engineOf("e", "here", start.Add(2*time.Second), "m")
+		pool.Apply(start.Add(time.Second), again(start.Add(time.Second), "n"))
+		late := engineRecord("e", "here", start.Add(2*time.Second), "m")
 		late.Announcement.Incarnation = 1
 		late.Leaving = true
-		fleet.Apply(start.Add(2*time.Second), late)
-		name, _ := fleet.Send(start.Add(2*time.Second), "pool", "n", "", 100)
+		pool.Apply(start.Add(2*time.Second), late)
+		name, _ := pool.Send(start.Add(2*time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
 
 	It("is not avoided for what the one before failed", func() {
-		other := engineOf("other", "there", start, "m")
-		fleet.Apply(start, other)
-		fleet.Fail(start, "e")
-		name, _ := fleet.Send(start, "pool", "m", "", 100)
+		other := engineRecord("other", "there", start, "m")
+		pool.Apply(start, other)
+		pool.Fail(start, "e")
+		name, _ := pool.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("other"))
-		fleet.Apply(start, again(start, "m"))
-		name, _ = fleet.Send(start, "pool", "m", "", 100)
+		pool.Apply(start, again(start, "m"))
+		name, _ = pool.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("e"), "the one in the own failure domain")
 	})
 })
 
-// Another program announces an upstream of a service that no route knows, at the
-// address of a sound engine. Requests must still go there.
+// A foreign program announces an upstream of a service that no route uses, at the address of a
+// working engine. Requests must still go to that engine.
 var _ = Describe("An announcement of a service that no route knows", func() {
 	It("takes no address from an upstream", func() {
-		fleet := counter.NewUpstreamPool("here", lease)
-		fleet.SetRouted("pool")
-		fleet.Apply(start, engineOf("e", "here", start, "m"))
-		foreign := engineOf("foreign", "here", start.Add(time.Second))
+		pool := counter.NewUpstreamPool("here", lease)
+		pool.SetRouted("pool")
+		pool.Apply(start, engineRecord("e", "here", start, "m"))
+		foreign := engineRecord("foreign", "here", start.Add(time.Second))
 		foreign.Announcement.Address = "e.test:1"
 		foreign.Announcement.Services = []string{"nowhere"}
-		fleet.Apply(start.Add(time.Second), foreign)
-		name, _ := fleet.Send(start.Add(time.Second), "pool", "m", "", 100)
+		pool.Apply(start.Add(time.Second), foreign)
+		name, _ := pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(name).To(Equal("e"))
 	})
 })
