--- a/internal/counter/attempt.go
+++ b/internal/counter/attempt.go
@@ -22,7 +22,7 @@
 		return true
 	}
 	if wait, ok := c.allowByLimit(ctx, a.upstream); !ok {
-		return t.rateLimited(w, a, wait)
+		return t.handleRateLimit(w, a, wait)
 	}
 	t.sends++
 	t.timing.sent = c.options.Now()
--- a/internal/counter/backoff.go
+++ b/internal/counter/backoff.go
@@ -52,7 +52,7 @@
 // activePeerWindow is how long a peer that sent to an engine is expected to send again.
 const activePeerWindow = 250 * time.Millisecond
 
-// activePeers counts the peers that send to an engine. It keeps a bit set of hashed addresses for
+// activePeers estimates how many peers send to an engine, from a 64-bit set of address hashes for
 // the current window and the previous one.
 type activePeers struct {
 	window   int64
--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkAnswer handles an ask at the owner of a model, and the end of the permit.
+// BenchmarkAnswer handles a permit request at the owner of a model, and the end of the permit.
 func BenchmarkAnswer(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/counter/boost.go
+++ b/internal/counter/boost.go
@@ -26,10 +26,10 @@
 // without free capacity: the owner of the engine's other requests learns first when one ends, and
 // would fill the engine again each time.
 func (q *queue) boostStarved(now time.Time) {
-	if now.Sub(q.lastBoost) < boostInterval {
+	if now.Sub(q.lastBoostCheck) < boostInterval {
 		return
 	}
-	q.lastBoost = now
+	q.lastBoostCheck = now
 	longest := map[modelKey]time.Duration{}
 	chosen := map[modelKey]*waiter{}
 	for _, w := range q.waiters {
--- a/internal/counter/boost_test.go
+++ b/internal/counter/boost_test.go
@@ -16,22 +16,22 @@
 // rarely. It returns the longest time for which each of them was not served.
 func simulateOverload(queue counter.Queue, pool counter.UpstreamPool, priority uint8, adapters ...string) map[string]time.Duration {
 	const objective = 800 * time.Millisecond
-	type asked struct {
+	type pendingRequest struct {
 		adapter string
 		until   time.Time
 		granted func() bool
-		leave   func()
+		dequeue func()
 	}
 	longest, last := map[string]time.Duration{}, map[string]time.Time{}
-	var waiting []asked
+	var waiting []pendingRequest
 	var ends []time.Time
-	ask := func(now time.Time, adapter string, priority uint8) {
+	enqueue := func(now time.Time, adapter string, priority uint8) {
 		w := queue.EnqueueAs(now, "m", adapter, priority, objective)
 		if queue.Rejects(now, w) {
 			queue.Dequeue(w)
 			return
 		}
-		waiting = append(waiting, asked{
+		waiting = append(waiting, pendingRequest{
 			adapter, now.Add(3 * objective / 2), func() bool { return counter.Granted(w) }, func() { queue.Dequeue(w) },
 		})
 	}
@@ -45,27 +45,27 @@
 			pool.PeerActive(now, "e", 44, 1)
 		}
 		if millis%10 == 0 {
-			ask(now, "", 0)
+			enqueue(now, "", 0)
 		}
 		for i, adapter := range adapters {
 			if millis%500 == 20*i+1 {
-				ask(now, adapter, priority)
+				enqueue(now, adapter, priority)
 			}
 		}
 		queue.Dispatch(now)
-		still := waiting[:0]
-		for _, a := range waiting {
+		remaining := waiting[:0]
+		for _, r := range waiting {
 			switch {
-			case a.granted():
+			case r.granted():
 				ends = append(ends, now.Add(time.Second))
-				last[a.adapter] = now
-			case now.After(a.until):
-				a.leave()
+				last[r.adapter] = now
+			case now.After(r.until):
+				r.dequeue()
 			default:
-				still = append(still, a)
+				remaining = append(remaining, r)
 			}
 		}
-		waiting = still
+		waiting = remaining
 		for _, adapter := range adapters {
 			since := last[adapter]
 			if since.IsZero() {
--- a/internal/counter/choose.go
+++ b/internal/counter/choose.go
@@ -38,12 +38,14 @@
 	missingCapacity
 )
 
+// String returns the word used in response texts and in the log.
 func (m missingResource) String() string {
 	return [...]string{"none", "service", "model", "adapter", "room"}[m]
 }
 
-// crossDomainCost is added to the cost of an upstream in another failure domain, relative to a
-// fully loaded engine: the network path takes a few ms, and traffic between domains is charged for.
+// crossDomainCost is added to the cost of an upstream in another failure domain. It is a tenth of
+// the cost of having all slots in use: the network path takes a few ms, and traffic between domains
+// is charged for.
 const crossDomainCost = 0.1
 
 // choose returns the available upstream with the lowest cost, or the missing resource if there is
@@ -52,8 +54,8 @@
 	var best *upstream
 	bestCost := 0.0
 	missing := missingService
-	equals := 1.0
-	for _, u := range p.holders(q.service, q.model) {
+	ties := 1.0
+	for _, u := range p.upstreamsWith(q.service, q.model) {
 		if !p.isAvailable(now, u) {
 			continue
 		}
@@ -64,10 +66,10 @@
 		cost := u.cost(now, q)
 		switch {
 		case best == nil || cost < bestCost:
-			best, bestCost, equals = u, cost, 1
+			best, bestCost, ties = u, cost, 1
 		case cost == bestCost:
-			equals++
-			if random*equals < 1 {
+			ties++
+			if random*ties < 1 {
 				best = u
 			}
 		}
@@ -85,9 +87,9 @@
 // missing returns the resource that u lacks for q.
 func (u *upstream) missing(now time.Time, q upstreamQuery, random float64) missingResource {
 	switch {
-	case !u.holds(q.model, ""):
+	case !u.canRun(q.model, ""):
 		return missingModel
-	case !u.holds(q.model, q.adapter):
+	case !u.canRun(q.model, q.adapter):
 		return missingAdapter
 	case slices.Contains(q.tried, u.name) && now.Before(u.avoidUntil), now.Before(u.limit.pausedUntil):
 		return missingCapacity
@@ -155,14 +157,14 @@
 // peerUse is a peer's report that it sends a request to an upstream.
 type peerUse struct {
 	prefill time.Duration
-	// active is the number of the peer's requests at the upstream.
+	// active is the number of the peer's requests at the upstream. peer is a hash of its address.
 	active int
-	sender uint32
+	peer   uint32
 }
 
 func (u *upstream) recordPeerUse(now time.Time, use peerUse) {
-	u.activePeers.record(now, use.sender)
-	u.peerLoad.set(now, u.pacing.serviceTime, use.sender, use.active)
+	u.activePeers.record(now, use.peer)
+	u.peerLoad.set(now, u.pacing.serviceTime, use.peer, use.active)
 	u.recordPrompt(now, use.prefill)
 }
 
@@ -213,7 +215,7 @@
 	case permit.Failed:
 		u.recordFailure(now)
 	case permit.Over:
-		if limit, limits := u.limit.Limit(); limits && !now.Before(u.limit.pausedUntil) {
+		if limit, hasLimit := u.limit.Limit(); hasLimit && !now.Before(u.limit.pausedUntil) {
 			u.limit.pause(now, limit.Period())
 		}
 	case permit.Unused:
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -8,8 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// Claims are how an instance asks the owner of an upstream's rate limit for permission to send a
-// request.
+// An instance sends a claim to the owner of an upstream's rate limit to ask for permission to send
+// a request.
 
 // limitOwnerService takes the place of the service name in the key that assigns limits to owners.
 const limitOwnerService = "\x00limit"
@@ -47,10 +47,10 @@
 		c.mu.Unlock()
 		return wait, ok
 	}
-	id, q := c.registerAsk(owner)
+	id, pending := c.expectReply(owner)
 	c.mu.Unlock()
-	defer c.unregisterAsk(id)
-	answer := c.claimFromOwner(ctx, owner, permit.Claim{ID: id, Upstream: u.name, Limit: limit}, q)
+	defer c.dropReply(id)
+	answer := c.claimFromOwner(ctx, owner, permit.Claim{ID: id, Upstream: u.name, Limit: limit}, pending)
 	switch m := answer.(type) {
 	case permit.Allowed:
 		return 0, true
@@ -63,13 +63,13 @@
 	return u.limit.takeOwnShare(now, limit, c.control.entryInstances)
 }
 
-// claimFromOwner asks the owner of a limit. The answer is nil if none arrives in time.
-func (c *Counter) claimFromOwner(ctx context.Context, owner netip.AddrPort, ask permit.Claim, q *pendingAsk) permit.Message {
-	for range askAttempts {
-		c.peers.send(owner, ask)
+// claimFromOwner sends a claim to the owner of a limit. The answer is nil if none arrives in time.
+func (c *Counter) claimFromOwner(ctx context.Context, owner netip.AddrPort, claim permit.Claim, pending *pendingReply) permit.Message {
+	for range ownerAttempts {
+		c.peers.send(owner, claim)
 		timer := time.NewTimer(ownerTimeout)
 		select {
-		case answer := <-q.answers:
+		case answer := <-pending.answers:
 			timer.Stop()
 			return answer
 		case <-timer.C:
@@ -91,7 +91,7 @@
 	expires time.Time
 }
 
-// handleClaim decides a claim of a peer, or repeats the earlier answer. c.mu is held.
+// handleClaim decides a peer's claim, or repeats the earlier answer. c.mu is held.
 func (c *Counter) handleClaim(now time.Time, from netip.AddrPort, m permit.Claim) {
 	requester := peerRequest{from, m.ID}
 	answer, found := c.claimAnswers[requester]
--- a/internal/counter/controlchoice.go
+++ b/internal/counter/controlchoice.go
@@ -8,8 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/rendezvous"
 )
 
-// syncIntervalFor returns the sync interval of each of the given number of entry instances that
-// together does not overload the one control instance they all call.
+// syncIntervalFor returns the sync interval at which the given number of entry instances do not
+// overload the control instance they share.
 func syncIntervalFor(entries int) time.Duration {
 	return min(max(syncInterval, time.Duration(entries)*minSyncSpacing), maxSyncInterval)
 }
@@ -63,14 +63,14 @@
 	return l.nextControl()
 }
 
-// nextControl returns the next control instance in the list.
+// nextControl returns the next known control instance, in round-robin order.
 func (l *controlLinks) nextControl() string {
 	l.nextIndex++
 	return l.known[l.nextIndex%len(l.known)]
 }
 
 // assignedControl returns the candidate to which rendezvous hashing assigns this entry instance,
-// empty if there is none. The load is spread about evenly.
+// empty if there is none. Each candidate is assigned about the same number of entry instances.
 func (l *controlLinks) assignedControl(now time.Time, self string, candidates []string) string {
 	chosen := ""
 	var highest uint64
--- a/internal/counter/controlchoice_test.go
+++ b/internal/counter/controlchoice_test.go
@@ -71,22 +71,22 @@
 
 		DescribeTable("once the first has lagged for a second",
 			func(confirmed bool, age time.Duration) {
-				asker := counter.NewControlChooser("c1", "c2", "c3")
-				Expect(asker.AfterReply(at(0), confirmed, age)).To(Equal("c1"))
-				Expect(asker.AfterReply(at(0.9), confirmed, age)).To(Equal("c1"))
-				Expect(asker.AfterReply(at(1), confirmed, age)).To(Equal("c2"))
-				Expect(asker.AfterReply(at(1.2), true, 0)).To(Equal("c2"), "the first is avoided for a while")
-				Expect(asker.AfterReply(at(3.2), true, 0)).To(Equal("c1"))
+				chooser := counter.NewControlChooser("c1", "c2", "c3")
+				Expect(chooser.AfterReply(at(0), confirmed, age)).To(Equal("c1"))
+				Expect(chooser.AfterReply(at(0.9), confirmed, age)).To(Equal("c1"))
+				Expect(chooser.AfterReply(at(1), confirmed, age)).To(Equal("c2"))
+				Expect(chooser.AfterReply(at(1.2), true, 0)).To(Equal("c2"), "the first is avoided for a while")
+				Expect(chooser.AfterReply(at(3.2), true, 0)).To(Equal("c1"))
 			},
 			Entry("and confirms nothing", false, time.Duration(0)),
 			Entry("and confirms an old state", true, 2*time.Second),
 		)
 
 		It("not while each needs a moment to catch up", func() {
-			asker := counter.NewControlChooser("c1", "c2", "c3")
-			Expect(asker.AfterReply(at(0), false, 0)).To(Equal("c1"))
-			Expect(asker.AfterReply(at(0.5), true, 0)).To(Equal("c1"))
-			Expect(asker.AfterReply(at(1.2), false, 0)).To(Equal("c1"))
+			chooser := counter.NewControlChooser("c1", "c2", "c3")
+			Expect(chooser.AfterReply(at(0), false, 0)).To(Equal("c1"))
+			Expect(chooser.AfterReply(at(0.5), true, 0)).To(Equal("c1"))
+			Expect(chooser.AfterReply(at(1.2), false, 0)).To(Equal("c1"))
 		})
 	})
 })
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -51,16 +51,16 @@
 	// instance that places its requests.
 	peers  *peerLink
 	owners ownerTable
-	// pendingAsks are the asks of this instance that await an answer of their owner. permits are
-	// the peers' requests that this instance places.
-	pendingAsks map[permit.ID]*pendingAsk
-	lastAskID   permit.ID
-	permits     map[peerRequest]*issuedPermit
+	// pendingReplies are the messages of this instance to which the owner of a model or limit has
+	// yet to reply. permits are the peers' requests that this instance places.
+	pendingReplies map[permit.ID]*pendingReply
+	lastMessageID  permit.ID
+	permits        map[peerRequest]*permitRecord
 	// claimAnswers are the recent answers to peers that asked for permission to send to a
 	// rate-limited upstream.
 	claimAnswers map[peerRequest]claimAnswer
-	// crashes detects upstreams that crash while running requests. Its lock may be taken while mu
-	// is held.
+	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock of
+	// the detector.
 	crashes *coroner.Coroner
 	// active is the number of requests in flight.
 	active   int
@@ -115,14 +115,15 @@
 		metrics:      newMetrics(options.Metrics),
 		logQuotas:    map[string]*logQuota{},
 		pendingLoads: map[courier.WantArgs]bool{}, loadLimiter: newLoadLimiter(),
-		owners:      newOwnerTable(parseAddress(options.Name)),
-		pendingAsks: map[permit.ID]*pendingAsk{},
-		// IDs start at the current time, above those of an earlier process at this address.
-		lastAskID:    permit.ID(options.Now().UnixNano()),
-		permits:      map[peerRequest]*issuedPermit{},
-		claimAnswers: map[peerRequest]claimAnswer{},
-		syncNow:      make(chan struct{}, 1),
-		cancel:       cancel,
+		owners:         newOwnerTable(parseAddress(options.Name)),
+		pendingReplies: map[permit.ID]*pendingReply{},
+		// IDs start at the current time, so that they are above those of an earlier process at this
+		// address.
+		lastMessageID: permit.ID(options.Now().UnixNano()),
+		permits:       map[peerRequest]*permitRecord{},
+		claimAnswers:  map[peerRequest]claimAnswer{},
+		syncNow:       make(chan struct{}, 1),
+		cancel:        cancel,
 	}
 	c.queue = newQueue()
 	c.control = controlLinks{
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -116,12 +116,12 @@
 	catchingUp   bool
 	routeDropped bool
 	address      string
-	// otherEntries are the entry instances besides the caller. wantCalls is the number of load
-	// calls.
+	// otherEntries are the entry instances other than the caller. loadCalls is the number of load
+	// calls received.
 	otherEntries []string
-	wantCalls    int
-	// onlyEntries, if set, are all entry instances.
-	onlyEntries []string
+	loadCalls    int
+	// exactEntries, if set, are all entry instances.
+	exactEntries []string
 	// quarantine, if set, is served to the callers. reported holds the reported crashes.
 	quarantine *quarantine.News
 	reported   quarantine.Update
@@ -149,8 +149,8 @@
 		Changes: c.roster.Since(time.Now(), args.Cursor),
 		Members: &courier.Members{Controls: []string{c.address}, Entries: append([]string{args.From.Name}, c.otherEntries...)},
 	}
-	if c.onlyEntries != nil {
-		reply.Members.Entries = c.onlyEntries
+	if c.exactEntries != nil {
+		reply.Members.Entries = c.exactEntries
 	}
 	if c.quarantine != nil && c.quarantine.Mark != args.Quarantine {
 		reply.Quarantine = c.quarantine
@@ -158,13 +158,13 @@
 	if c.leaderless {
 		reply.Leader = ""
 	}
-	held := edition.Edition{Version: 1, Content: []byte("{}")}
+	current := edition.Edition{Version: 1, Content: []byte("{}")}
 	if c.routeDropped && !c.catchingUp {
-		held = edition.Edition{Version: 2, Content: []byte(withoutLookRoute)}
+		current = edition.Edition{Version: 2, Content: []byte(withoutLookRoute)}
 	}
-	reply.Reading.Version = held.Version
-	if args.Edition < held.Version {
-		reply.Edition = &held
+	reply.Reading.Version = current.Version
+	if args.Edition < current.Version {
+		reply.Edition = &current
 	}
 	return reply
 }
@@ -204,7 +204,7 @@
 func (c *fakeControl) Want(context.Context, courier.WantArgs) courier.WantReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wantCalls++
+	c.loadCalls++
 	return courier.WantReply{Reason: "none"}
 }
 
@@ -215,15 +215,15 @@
 	return c.syncs[len(c.syncs)-1].Limited
 }
 
-// wantCount returns the number of load calls.
-func (c *fakeControl) wantCount() int {
+// loadCallCount returns the number of load calls received.
+func (c *fakeControl) loadCallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wantCalls
+	return c.loadCalls
 }
 
-// addEntries sets the total number of entry instances, including the caller.
-func (c *fakeControl) addEntries(instances int) {
+// setEntryCount sets the number of entry instances, including the caller.
+func (c *fakeControl) setEntryCount(instances int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range instances - 1 {
@@ -231,12 +231,12 @@
 	}
 }
 
-// setEntries adds to the exact list of entry instances.
-func (c *fakeControl) setEntries(addresses ...netip.AddrPort) {
+// addExactEntries adds to the list of all entry instances.
+func (c *fakeControl) addExactEntries(addresses ...netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range addresses {
-		c.onlyEntries = append(c.onlyEntries, address.String())
+		c.exactEntries = append(c.exactEntries, address.String())
 	}
 }
 
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -31,11 +31,11 @@
 // recorded.
 func (c *Counter) reportCrashes(ctx context.Context, update quarantine.Update) bool {
 	c.mu.Lock()
-	control := c.control.current
+	address := c.control.current
 	c.mu.Unlock()
-	reply, err := c.control.reportCalls.Note(ctx, control, courier.NoteArgs{Update: update})
+	reply, err := c.control.reportCalls.Note(ctx, address, courier.NoteArgs{Update: update})
 	if err != nil {
-		c.options.Log.Debug().Err(err).Str("control", control).Msg("cannot send crash reports to the control instance")
+		c.options.Log.Debug().Err(err).Str("control", address).Msg("cannot send crash reports to the control instance")
 	}
 	return err == nil && reply.Recorded
 }
@@ -75,13 +75,13 @@
 // contact returns the state of an upstream for the crash detector.
 func (p *upstreamPool) contact(place quarantine.Place) quarantine.Contact {
 	known := p.byName[place.Upstream]
-	holder := p.byAddress[place.Address]
+	current := p.byAddress[place.Address]
 	switch {
 	case known != nil && known.incarnation == place.Incarnation && known.Leaving:
 		return quarantine.ContactLeaving
 	case known != nil && known.incarnation > place.Incarnation:
 		return quarantine.ContactReplaced
-	case holder != nil && holder.name != place.Upstream && known != nil && holder.Heard.After(known.Heard):
+	case current != nil && current.name != place.Upstream && known != nil && current.Heard.After(known.Heard):
 		return quarantine.ContactReplaced
 	default:
 		return quarantine.ContactNone
--- a/internal/counter/demand.go
+++ b/internal/counter/demand.go
@@ -16,7 +16,7 @@
 type demand struct {
 	counts  map[target]*courier.Demand
 	waiting map[target]int
-	// active is the number of requests with an adapter in flight.
+	// active counts the requests with an adapter in flight.
 	active map[target]int
 }
 
@@ -56,8 +56,8 @@
 
 // flush returns the demand since the last call and resets the counts.
 func (d *demand) flush() []courier.Demand {
-	for _, kept := range []map[target]int{d.waiting, d.active} {
-		for key := range kept {
+	for _, counts := range []map[target]int{d.waiting, d.active} {
+		for key := range counts {
 			if d.counts[key] == nil {
 				d.counts[key] = &courier.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
 			}
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -66,12 +66,12 @@
 
 // PeerSent records a request that a peer sends to an upstream.
 func (p UpstreamPool) PeerSent(now time.Time, name string, tokens, peer int) {
-	p.pool.byName[name].recordPeerUse(now, peerUse{prefill: prefillTime(tokens), active: 1, sender: uint32(peer)})
+	p.pool.byName[name].recordPeerUse(now, peerUse{prefill: prefillTime(tokens), active: 1, peer: uint32(peer)})
 }
 
 // PeerActive records a peer's number of requests at an upstream, reported with a new one.
 func (p UpstreamPool) PeerActive(now time.Time, name string, active, peer int) {
-	p.pool.byName[name].recordPeerUse(now, peerUse{active: active, sender: uint32(peer)})
+	p.pool.byName[name].recordPeerUse(now, peerUse{active: active, peer: uint32(peer)})
 }
 
 // Release records that a request at an upstream has ended.
@@ -84,9 +84,9 @@
 	return p.pool.byName[name].load(now)
 }
 
-// Survey returns how many upstreams have loaded the model, and how many of them are full, have too
-// large a prompt backlog, and are avoided.
-func (p UpstreamPool) Survey(now time.Time, service, model string, tried ...string) (holders, slots, pace, avoided int) {
+// Survey returns how many upstreams have loaded the model, and how many of them are full, delayed
+// by their prompt backlog, or avoided.
+func (p UpstreamPool) Survey(now time.Time, service, model string, tried ...string) (holders, full, paced, avoided int) {
 	s := p.pool.survey(now, upstreamQuery{service: service, model: model, pacing: pacingFor(p.maxGap, speed.New(3)), tried: tried})
 	return s.Holders, s.Full, s.Paced, s.Avoided
 }
@@ -102,7 +102,7 @@
 }
 
 // Allow reports whether a line may be logged, and how many lines were suppressed before.
-func (q *LogQuota) Allow(now time.Time) (leftOut int, ok bool) {
+func (q *LogQuota) Allow(now time.Time) (suppressed int, ok bool) {
 	return q.quota.allow(now)
 }
 
@@ -170,7 +170,7 @@
 	}
 	q.counter.mu.Lock()
 	defer q.counter.mu.Unlock()
-	return q.counter.rejectionOf(now, w) != nil
+	return q.counter.rejectionFor(now, w) != nil
 }
 
 // Dequeue removes a request from the queue.
@@ -219,8 +219,8 @@
 	c.peers = &peerLink{conn: conn}
 	c.owners = newOwnerTable(self)
 	c.owners.assignment = permit.NewOwners(all)
-	c.permits = map[peerRequest]*issuedPermit{}
-	c.pendingAsks = map[permit.ID]*pendingAsk{}
+	c.permits = map[peerRequest]*permitRecord{}
+	c.pendingReplies = map[permit.ID]*pendingReply{}
 	return Instance{counter: c, conn: conn}
 }
 
@@ -316,8 +316,8 @@
 
 // NeedsProof reports whether requests wait at now for a proof of the routes, which were last proven
 // and first found unproven at the given times. Zero times stand for never.
-func NeedsProof(now, proven, unproven time.Time, maxDelay time.Duration, lost bool) bool {
-	l := controlLinks{unprovenSince: unproven, disconnected: lost}
+func NeedsProof(now, proven, unproven time.Time, maxDelay time.Duration, disconnected bool) bool {
+	l := controlLinks{unprovenSince: unproven, disconnected: disconnected}
 	if !proven.IsZero() {
 		l.proof = l.proof.With(proven, "control", 1, edition.Reading{Version: 1, Confirmed: true})
 	}
@@ -336,9 +336,9 @@
 }
 
 // AfterReply returns the control instance to call after a reply.
-func (a *ControlChooser) AfterReply(now time.Time, confirmed bool, age time.Duration) string {
-	a.control.current = a.control.afterReply(now, "entry", edition.Reading{Confirmed: confirmed, Age: age}, time.Second)
-	return a.control.current
+func (c *ControlChooser) AfterReply(now time.Time, confirmed bool, age time.Duration) string {
+	c.control.current = c.control.afterReply(now, "entry", edition.Reading{Confirmed: confirmed, Age: age}, time.Second)
+	return c.control.current
 }
 
 // EnqueueAs is Enqueue for an adapter, with the priority of a route.
@@ -357,8 +357,8 @@
 		if u == nil {
 			return "unknown"
 		}
-		limit, limits := u.limit.Limit()
-		if !limits {
+		limit, hasLimit := u.limit.Limit()
+		if !hasLimit {
 			return "none"
 		}
 		return fmt.Sprint(float64(limit))
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// rejectionOf decides whether a request that was just enqueued is rejected. It returns nil if the
+// rejectionFor decides whether a request that was just enqueued is rejected. It returns nil if the
 // request may wait. c.mu is held.
-func (c *Counter) rejectionOf(now time.Time, w *waiter) *rejection {
+func (c *Counter) rejectionFor(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
 	if rejected := c.rejectRateLimited(now, w); rejected != nil {
 		return rejected
@@ -86,7 +86,7 @@
 // rejectOrWait removes a request that was just enqueued from the queue if it is rejected, and
 // returns the reason. It returns nil if the request may wait. c.mu is held.
 func (c *Counter) rejectOrWait(now time.Time, w *waiter) *rejection {
-	rejected := c.rejectionOf(now, w)
+	rejected := c.rejectionFor(now, w)
 	if rejected == nil {
 		c.requestLoad(w)
 		return nil
@@ -130,8 +130,8 @@
 func (c *Counter) capacity(now time.Time, w *waiter) float64 {
 	req := &w.requirements
 	slots := 0
-	for _, u := range c.pool.holders(req.service, req.model) {
-		if c.pool.isAvailable(now, u) && u.holds(req.model, req.adapter) {
+	for _, u := range c.pool.upstreamsWith(req.service, req.model) {
+		if c.pool.isAvailable(now, u) && u.canRun(req.model, req.adapter) {
 			slots += u.slots
 		}
 	}
--- a/internal/counter/forecast_test.go
+++ b/internal/counter/forecast_test.go
@@ -25,12 +25,12 @@
 	// unlimited queue makes every response late and still refuses two of three requests, each after
 	// a wait of 600 ms. So requests are refused on arrival.
 	It("is refused at once under a load that lasts, and what is let in is on time", func() {
-		type asked struct {
+		type pendingRequest struct {
 			at      time.Time
 			granted func() bool
 		}
 		refused, late, served := 0, 0, 0
-		var waiting []asked
+		var waiting []pendingRequest
 		var ends []time.Time
 		for millis := range 4000 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
@@ -42,7 +42,7 @@
 					refused++
 					queue.Dequeue(w)
 				} else {
-					waiting = append(waiting, asked{now, func() bool { return counter.Granted(w) }})
+					waiting = append(waiting, pendingRequest{now, func() bool { return counter.Granted(w) }})
 				}
 			}
 			for len(ends) > 0 && !ends[0].After(now) {
@@ -50,21 +50,21 @@
 				ends = ends[1:]
 			}
 			queue.Dispatch(now)
-			still := waiting[:0]
-			for _, a := range waiting {
-				if !a.granted() {
-					still = append(still, a)
+			remaining := waiting[:0]
+			for _, r := range waiting {
+				if !r.granted() {
+					remaining = append(remaining, r)
 					continue
 				}
 				served++
 				ends = append(ends, now.Add(time.Second))
-				if now.Sub(a.at) > objective {
+				if now.Sub(r.at) > objective {
 					late++
 				}
 			}
-			waiting = still
+			waiting = remaining
 		}
-		Expect(served).To(BeNumerically(">", 60), "of 200; 20 places for 4 s")
+		Expect(served).To(BeNumerically(">", 60), "of 200 requests; 20 slots are free for 4 s")
 		Expect(refused).To(BeNumerically(">", 80))
 		Expect(late).To(BeNumerically("<", served/4))
 	})
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -12,8 +12,8 @@
 // upstreamLimit tracks the rate limit of an upstream.
 type upstreamLimit struct {
 	ratelimit.Known
-	// sharedPace paces the requests of all instances while this one owns the limit. ownPace paces
-	// the requests of this instance alone while the owner does not answer. They are nil before the
+	// sharedPace paces the requests of all instances, if this one owns the limit. ownPace paces the
+	// requests of this instance alone while the owner does not answer. They are nil before the
 	// first request.
 	sharedPace *ratelimit.Pace
 	ownPace    *ratelimit.Pace
@@ -147,9 +147,9 @@
 	c.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
 }
 
-// rateLimited pauses an upstream that accepts no request for a while, and reports whether the
-// caller was answered because too many upstreams are rate-limited.
-func (t *transaction) rateLimited(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
+// handleRateLimit pauses an upstream whose rate limit allows no request for a while. It reports
+// whether the caller was answered, which happens once the request has met too many rate limits.
+func (t *transaction) handleRateLimit(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
 	c := t.counter
 	now := c.options.Now()
 	a.outcome = permit.Over
@@ -159,8 +159,8 @@
 		u.limit.pause(now, wait)
 	}
 	c.mu.Unlock()
-	t.rateLimits++
-	if t.rateLimits < maxRateLimited {
+	t.rateLimitHits++
+	if t.rateLimitHits < maxRateLimitHits {
 		return false
 	}
 	c.logAttempt(t, a, "held back by rate limit", 0, "limit")
@@ -175,8 +175,9 @@
 }
 
 const (
-	// maxRateLimited is the number of rate-limited upstreams after which a request is rejected.
-	maxRateLimited = 8
+	// maxRateLimitHits is how often a request may be held back by a rate limit before it is
+	// rejected.
+	maxRateLimitHits = 8
 	// limitsReached is the text sent to callers whose request no upstream accepts.
 	limitsReached = "upstreams take no more by their limits"
 )
@@ -185,8 +186,8 @@
 // limits, and how many requests per second they accept afterwards. It returns false if one accepts
 // a request now.
 func (p *upstreamPool) limitedFor(now time.Time, q upstreamQuery) (wait time.Duration, perSecond float64, limited bool) {
-	for _, u := range p.holders(q.service, q.model) {
-		if !p.isAvailable(now, u) || !u.holds(q.model, q.adapter) {
+	for _, u := range p.upstreamsWith(q.service, q.model) {
+		if !p.isAvailable(now, u) || !u.canRun(q.model, q.adapter) {
 			continue
 		}
 		limit, hasLimit := u.limit.Limit()
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -18,19 +18,19 @@
 	"github.com/lovagelift/lovagelift/internal/ratelimit"
 )
 
-// clock is a manual clock.
-type clock struct {
+// manualClock is a clock that specs advance.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *clock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) move(by time.Duration) {
+func (c *manualClock) advance(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(by)
@@ -39,14 +39,14 @@
 // limitedUpstream states a rate limit in its responses while it has one.
 type limitedUpstream struct {
 	*upstream
-	clock *clock
+	clock *manualClock
 
 	mu       sync.Mutex
 	limit    string
 	arrivals []time.Time
 }
 
-func newLimitedUpstream(c *clock) *limitedUpstream {
+func newLimitedUpstream(c *manualClock) *limitedUpstream {
 	u := &limitedUpstream{clock: c}
 	u.upstream = newFakeUpstream(func(w http.ResponseWriter, r *http.Request) {
 		u.mu.Lock()
@@ -73,8 +73,8 @@
 	return slices.DeleteFunc(slices.Clone(u.arrivals), func(came time.Time) bool { return came.Before(at) })
 }
 
-// mostInWindow returns the maximum number of the sorted times within one window of the limit.
-func mostInWindow(times []time.Time) int {
+// maxInWindow returns the maximum number of the sorted times within one window of the limit.
+func maxInWindow(times []time.Time) int {
 	most := 0
 	for i, first := range times {
 		end := i
@@ -88,33 +88,33 @@
 
 var _ = Describe("An upstream that names a limit", func() {
 	var (
-		now   *clock
+		clock *manualClock
 		peers []peer
 		c     *fakeControl
 	)
 
 	startPeers := func(count int) {
-		now, c, peers = &clock{now: time.Now()}, newFakeControl(), nil
+		clock, c, peers = &manualClock{now: time.Now()}, newFakeControl(), nil
 		var addresses []netip.AddrPort
 		for range count {
-			p := startPeerWithClock(c, now.Now)
+			p := startPeerWithClock(c, clock.Now)
 			peers = append(peers, p)
 			addresses = append(addresses, p.address)
 		}
-		c.setEntries(addresses...)
+		c.addExactEntries(addresses...)
 	}
-	known := func(upstreams int) {
+	waitUntilKnown := func(upstreams int) {
 		for _, p := range peers {
 			Eventually(p.counter.Instances, specTimeout).Should(Equal(len(peers)))
 			Eventually(p.counter.Upstreams, specTimeout).Should(Equal(upstreams))
 		}
 	}
-	// startWith starts instances and an upstream with a rate limit.
-	startWith := func(count int, limit string) *limitedUpstream {
+	// startWithLimit starts instances and an upstream that states a rate limit.
+	startWithLimit := func(count int, limit string) *limitedUpstream {
 		startPeers(count)
-		u := newLimitedUpstream(now)
+		u := newLimitedUpstream(clock)
 		c.announce("u", u.address(), "m")
-		known(1)
+		waitUntilKnown(1)
 		u.setLimit(limit)
 		return u
 	}
@@ -123,7 +123,7 @@
 	send := func(count int, path, model string) map[int]int {
 		statuses := map[int]int{}
 		for i := range count {
-			now.move(50 * time.Millisecond)
+			clock.advance(50 * time.Millisecond)
 			request := httptest.NewRequest(http.MethodPost, "http://spec.test"+path, nil)
 			request.Header.Set(idHeader, "r1")
 			recorder := httptest.NewRecorder()
@@ -141,13 +141,13 @@
 	// as before.
 	DescribeTable("gets no more than it takes from all instances together",
 		func(instances int, limit ratelimit.Limit, path, model string) {
-			u := startWith(instances, fmt.Sprint(float64(limit)))
+			u := startWithLimit(instances, fmt.Sprint(float64(limit)))
 			send(20, path, model)
-			from := now.Now()
+			from := clock.Now()
 			statuses := send(200, path, model)
-			came := u.arrivalsSince(from)
-			Expect(mostInWindow(came)).To(BeNumerically("<=", ratelimit.Allowed(limit)))
-			Expect(len(came)).To(BeNumerically(">=", 4), "some requests are still sent")
+			arrivals := u.arrivalsSince(from)
+			Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.Allowed(limit)))
+			Expect(len(arrivals)).To(BeNumerically(">=", 4), "some requests are still sent")
 			Expect(statuses[http.StatusServiceUnavailable]).To(BeNumerically(">=", 100), "the rest receives Retry-After")
 		},
 		Entry("a plain service", 3, ratelimit.Limit(1.1), "/short/", ""),
@@ -159,13 +159,13 @@
 	// Only one instance has seen the response. The others would continue to send until they see one
 	// themselves, and would hold requests back after the limit has ended.
 	It("is known at all instances at once, and so is the end of it", func() {
-		u := startWith(3, "1.1")
+		u := startWithLimit(3, "1.1")
 		Expect(send(1, "/short/", "")).To(HaveKey(http.StatusOK))
 		for _, p := range peers {
 			Eventually(p.counter.LimitOf("u"), specTimeout).Should(Equal("1.1"))
 		}
 		u.setLimit("")
-		now.move(5 * time.Second)
+		clock.advance(5 * time.Second)
 		send(40, "/short/", "")
 		for _, p := range peers {
 			Eventually(p.counter.LimitOf("u"), specTimeout).Should(Equal("none"))
@@ -174,17 +174,17 @@
 	})
 
 	It("is reported to the control instances", func() {
-		startWith(1, "0.3")
+		startWithLimit(1, "0.3")
 		send(1, "/short/", "")
 		Eventually(c.reportedLimits, specTimeout).Should(Equal([]courier.LimitedUpstream{{Name: "u", Limit: 0.3}}))
 	})
 
 	It("leaves the rest to upstreams that take more", func() {
 		startPeers(3)
-		u, free := newLimitedUpstream(now), newLimitedUpstream(now)
+		u, free := newLimitedUpstream(clock), newLimitedUpstream(clock)
 		c.announce("u", u.address(), "m")
 		c.announce("v", free.address(), "m")
-		known(2)
+		waitUntilKnown(2)
 		u.setLimit("1.1")
 		send(40, "/short/", "")
 		Expect(send(100, "/short/", "")).To(Equal(map[int]int{http.StatusOK: 100}))
@@ -193,7 +193,7 @@
 	// An overloaded engine crashes and restarts. The limit stated before does not apply to the new
 	// process.
 	It("is not limited by what the process before it named", func() {
-		u := startWith(1, "0.3")
+		u := startWithLimit(1, "0.3")
 		send(1, "/short/", "")
 		Expect(peers[0].counter.LimitOf("u")()).To(Equal("0.3"))
 		c.announceRestart("u", u.address())
@@ -203,12 +203,12 @@
 	// The owner of the limit is frozen or gone, but still listed.
 	It("gets no more than it takes while nobody answers for the owner of its limit", func() {
 		startPeers(2)
-		silent := listenPeer()
-		DeferCleanup(silent.Close)
-		gone := silent.LocalAddr().(*net.UDPAddr).AddrPort()
-		c.setEntries(gone)
-		name := modelOwnedBy(counter.LimitOwnerService, gone, append(addressesOf(peers), gone)...)
-		u := newLimitedUpstream(now)
+		silentConn := listenPeer()
+		DeferCleanup(silentConn.Close)
+		silentOwner := silentConn.LocalAddr().(*net.UDPAddr).AddrPort()
+		c.addExactEntries(silentOwner)
+		name := modelOwnedBy(counter.LimitOwnerService, silentOwner, append(addressesOf(peers), silentOwner)...)
+		u := newLimitedUpstream(clock)
 		c.announce(name, u.address(), "m")
 		for _, p := range peers {
 			Eventually(p.counter.Instances, specTimeout).Should(Equal(3))
@@ -216,11 +216,11 @@
 		}
 		u.setLimit("1.1")
 		send(20, "/short/", "")
-		from := now.Now()
+		from := clock.Now()
 		send(160, "/short/", "")
-		came := u.arrivalsSince(from)
-		Expect(mostInWindow(came)).To(BeNumerically("<=", ratelimit.Allowed(1.1)))
-		Expect(came).NotTo(BeEmpty())
+		arrivals := u.arrivalsSince(from)
+		Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.Allowed(1.1)))
+		Expect(arrivals).NotTo(BeEmpty())
 	})
 })
 
--- a/internal/counter/loadhistory.go
+++ b/internal/counter/loadhistory.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// historySize is the number of samples kept. At ten requests a second they cover more than two
-// seconds, longer than a report takes to arrive.
+// historySize is the number of samples kept. At ten requests a second, they cover at least two
+// seconds, which is longer than a report takes to arrive.
 const historySize = 64
 
 // loadHistory holds the past load estimates of an engine, to compare with a report that arrives
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -156,8 +156,8 @@
 // isStillWanted reports whether a waiting request needs the load. c.mu is held.
 func (c *Counter) isStillWanted(args courier.WantArgs) bool {
 	for _, w := range c.queue.waiters {
-		lacks := w.missing == missingModel || w.missing == missingAdapter
-		if lacks && w.requirements.loadArgs(w.missing) == args {
+		needsLoad := w.missing == missingModel || w.missing == missingAdapter
+		if needsLoad && w.requirements.loadArgs(w.missing) == args {
 			return true
 		}
 	}
--- a/internal/counter/loads_test.go
+++ b/internal/counter/loads_test.go
@@ -23,7 +23,7 @@
 	It("are bounded, however many callers wait for adapters that the leader can't load", func() {
 		const instances, adapters = 86, 60
 		p := newTestProxy()
-		p.control.addEntries(instances)
+		p.control.setEntryCount(instances)
 		p.control.announce("u", "127.0.0.1:9", "m")
 		Eventually(func() int { return p.counter.Instances() }, specTimeout).Should(Equal(instances))
 		began := time.Now()
@@ -40,8 +40,8 @@
 		// work.
 		const leaderCalls, burst = 300.0, 10.0
 		share := leaderCalls / instances * time.Since(began).Seconds()
-		Expect(p.control.wantCount()).To(BeNumerically(">", 0))
-		Expect(p.control.wantCount()).To(BeNumerically("<=", burst+share))
+		Expect(p.control.loadCallCount()).To(BeNumerically(">", 0))
+		Expect(p.control.loadCallCount()).To(BeNumerically("<=", burst+share))
 	})
 
 	// The owner of a newly loaded model needs 30 adapters at once. With a share of one call per
@@ -49,14 +49,14 @@
 	// for half a minute.
 	It("increase above the share while the leader carries them out", func() {
 		const share, adapters = 300.0 / 291, 30
-		pace := counter.NewLoadLimiter()
+		limiter := counter.NewLoadLimiter()
 		made := 0
 		for millis := 0; millis < 3000 && made < adapters; millis += 10 {
 			now := start.Add(time.Duration(millis) * time.Millisecond)
 			adapter := fmt.Sprint("a", made)
-			if pace.Allow(now, adapter, share) {
+			if limiter.Allow(now, adapter, share) {
 				made++
-				pace.RecordResult(now, adapter, true)
+				limiter.RecordResult(now, adapter, true)
 			}
 		}
 		Expect(made).To(Equal(adapters))
@@ -64,14 +64,14 @@
 
 	It("fall back to the share once they fail", func() {
 		const share = 1.0
-		pace := counter.NewLoadLimiter()
+		limiter := counter.NewLoadLimiter()
 		call := func(from, millis int, loaded bool) (made int) {
 			for at := from; at < from+millis; at += 10 {
 				now := start.Add(time.Duration(at) * time.Millisecond)
 				adapter := fmt.Sprint("a", at)
-				if pace.Allow(now, adapter, share) {
+				if limiter.Allow(now, adapter, share) {
 					made++
-					pace.RecordResult(now, adapter, loaded)
+					limiter.RecordResult(now, adapter, loaded)
 				}
 			}
 			return made
--- a/internal/counter/logquota.go
+++ b/internal/counter/logquota.go
@@ -13,24 +13,24 @@
 
 // logQuota limits the log lines of one kind.
 type logQuota struct {
-	second  int64
-	logged  int
-	leftOut int
+	second     int64
+	logged     int
+	suppressed int
 }
 
 // allow reports whether a line may be logged at now, and how many lines were suppressed since the
 // last one.
-func (q *logQuota) allow(now time.Time) (leftOut int, ok bool) {
+func (q *logQuota) allow(now time.Time) (suppressed int, ok bool) {
 	if second := now.Unix(); second != q.second {
 		q.second, q.logged = second, 0
 	}
 	if q.logged >= maxLinesPerSecond {
-		q.leftOut++
+		q.suppressed++
 		return 0, false
 	}
 	q.logged++
-	leftOut, q.leftOut = q.leftOut, 0
-	return leftOut, true
+	suppressed, q.suppressed = q.suppressed, 0
+	return suppressed, true
 }
 
 // logLine returns a log event of a kind, or nil if its quota is used up. zerolog ignores calls on a
@@ -42,14 +42,14 @@
 		quota = &logQuota{}
 		c.logQuotas[kind] = quota
 	}
-	leftOut, ok := quota.allow(now)
+	suppressed, ok := quota.allow(now)
 	c.mu.Unlock()
 	if !ok {
 		return nil
 	}
 	event := c.options.Log.Info()
-	if leftOut > 0 {
-		event = event.Int("left-out", leftOut)
+	if suppressed > 0 {
+		event = event.Int("left-out", suppressed)
 	}
 	return event
 }
--- a/internal/counter/logquota_test.go
+++ b/internal/counter/logquota_test.go
@@ -21,10 +21,10 @@
 			}
 		}
 		Expect(logged).To(Equal(100))
-		leftOut, ok := quota.Allow(start.Add(time.Second))
+		suppressed, ok := quota.Allow(start.Add(time.Second))
 		Expect(ok).To(BeTrue())
-		Expect(leftOut).To(Equal(900))
-		leftOut, _ = quota.Allow(start.Add(time.Second))
-		Expect(leftOut).To(BeZero())
+		Expect(suppressed).To(Equal(900))
+		suppressed, _ = quota.Allow(start.Add(time.Second))
+		Expect(suppressed).To(BeZero())
 	})
 })
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -138,7 +138,7 @@
 	scope.Gauge("suspected").Update(float64(suspected))
 	scope.Gauge("upstreams").Update(float64(len(c.pool.byName)))
 	c.updateLimitGauges()
-	scope.Gauge("news_age_seconds").Update(now.Sub(c.control.newsAsOf).Seconds())
+	scope.Gauge("news_age_seconds").Update(now.Sub(c.control.lastSyncSent).Seconds())
 	if table := c.routes.Load(); table != nil {
 		scope.Gauge("routes_version").Update(float64(table.Version))
 	}
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -32,8 +32,8 @@
 	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
 	// it. If it is nil, this instance places all its requests itself.
 	Peers net.PacketConn
-	// UpstreamLease is how long an upstream remains eligible for requests after its last sign of
-	// life.
+	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
+	// of.
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
@@ -128,7 +128,7 @@
 	// loadCallTimeout the call itself.
 	loadTimeout     = 800 * time.Millisecond
 	loadCallTimeout = 1200 * time.Millisecond
-	// connectTimeout bounds connecting to an upstream. A round trip between failure domains takes 3
-	// ms.
+	// connectTimeout bounds connecting to an upstream. A round trip between failure domains takes
+	// 3 ms.
 	connectTimeout = 250 * time.Millisecond
 )
--- a/internal/counter/ownerclient.go
+++ b/internal/counter/ownerclient.go
@@ -14,13 +14,14 @@
 	// ownerTimeout is how long the owner of a model has to answer. A round trip takes 3 ms, plus
 	// some tens of ms at a process that is short of CPU time.
 	ownerTimeout = 40 * time.Millisecond
-	// askAttempts is how often an unresponsive owner is asked. After that it counts as lost or
-	// overloaded, and the next owner is asked.
-	askAttempts = 2
-	// renewInterval is the time after which an ask that is queued at the owner is repeated, because
-	// a restarted owner no longer has it.
+	// ownerAttempts is how often a message to an owner is sent before the owner counts as lost or
+	// overloaded. The next owner of the model is asked then.
+	ownerAttempts = 2
+	// renewInterval is the time after which a permit request that is queued at the owner is
+	// repeated, because a restarted owner no longer has it.
 	renewInterval = 200 * time.Millisecond
-	// maxOwnersAsked is how many owners are asked for a request before this instance places it.
+	// maxOwnersAsked is how many owners are asked to place a request before this instance places
+	// it.
 	maxOwnersAsked = 2
 )
 
@@ -31,11 +32,11 @@
 	errOwnerTimeout  = errors.New("counter: owner did not answer in time")
 )
 
-// pendingAsk is an ask of this instance that awaits the owner's answer.
-type pendingAsk struct {
+// pendingReply is a message of this instance to which an owner has yet to reply.
+type pendingReply struct {
 	owner netip.AddrPort
-	// answers receives the owner's answers. Its capacity covers one answer to each ask; excess
-	// answers are dropped, and the owner sends them again when asked again.
+	// answers receives the owner's replies. Its capacity covers one reply to each attempt. Excess
+	// replies are dropped, and the owner sends them again when asked again.
 	answers chan permit.Message
 }
 
@@ -52,7 +53,7 @@
 			return grant{}, errDecideLocally
 		}
 		t.owner = owner
-		id, answer, err := t.askOwner(ctx, owner)
+		id, answer, err := t.requestPermit(ctx, owner)
 		c.countOwnerAnswer(ctx, answer)
 		switch m := answer.(type) {
 		case permit.Granted:
@@ -81,31 +82,31 @@
 	return grant{}, errDecideLocally
 }
 
-// askOwner asks an owner repeatedly until it decides. The answer is nil if none arrives in time.
-func (t *transaction) askOwner(ctx context.Context, owner netip.AddrPort) (permit.ID, permit.Message, error) {
+// requestPermit asks an owner for a permit, repeatedly until it decides. The answer is nil if none
+// arrives in time.
+func (t *transaction) requestPermit(ctx context.Context, owner netip.AddrPort) (permit.ID, permit.Message, error) {
 	c := t.counter
-	id, q := c.startAsk(t, owner)
-	defer c.finishAsk(t, id)
+	id, pending := c.startPermitRequest(t, owner)
+	defer c.finishPermitRequest(t, id)
 	if !c.peers.send(owner, t.askMessage(id)) {
-		// The ask exceeds the message size because of the caller's values. The owner is not at
-		// fault.
+		// The caller's values exceed the maximum message size. The owner is not at fault.
 		return id, nil, errDecideLocally
 	}
 	timer := time.NewTimer(ownerTimeout)
 	defer timer.Stop()
-	for asked := 1; ; {
+	for attempts := 1; ; {
 		select {
-		case answer := <-q.answers:
+		case answer := <-pending.answers:
 			if _, queued := answer.(permit.Queued); !queued {
 				return id, answer, nil
 			}
-			asked = 0
+			attempts = 0
 			timer.Reset(renewInterval)
 		case <-timer.C:
-			if asked == askAttempts {
+			if attempts == ownerAttempts {
 				return id, nil, errOwnerTimeout
 			}
-			asked++
+			attempts++
 			c.peers.send(owner, t.askMessage(id))
 			timer.Reset(ownerTimeout)
 		case <-ctx.Done():
@@ -134,7 +135,7 @@
 	c.metrics.countOwnerAnswer(name)
 }
 
-// askMessage returns the ask to send now.
+// askMessage returns the permit request to send now.
 func (t *transaction) askMessage(id permit.ID) permit.Ask {
 	now := t.counter.options.Now()
 	return permit.Ask{
@@ -144,39 +145,39 @@
 	}
 }
 
-// startAsk registers an ask for a request and counts the request as waiting.
-func (c *Counter) startAsk(t *transaction, owner netip.AddrPort) (permit.ID, *pendingAsk) {
+// startPermitRequest registers a permit request and counts the caller's request as waiting.
+func (c *Counter) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.countWaitingFor(&t.requirements, 1)
-	return c.registerAsk(owner)
+	c.addWaiting(&t.requirements, 1)
+	return c.expectReply(owner)
 }
 
-// registerAsk registers an ask to another instance. c.mu is held.
-func (c *Counter) registerAsk(owner netip.AddrPort) (permit.ID, *pendingAsk) {
-	c.lastAskID++
-	q := &pendingAsk{owner: owner, answers: make(chan permit.Message, askAttempts+1)}
-	c.pendingAsks[c.lastAskID] = q
-	return c.lastAskID, q
+// expectReply registers a message to another instance that expects a reply. c.mu is held.
+func (c *Counter) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
+	c.lastMessageID++
+	pending := &pendingReply{owner: owner, answers: make(chan permit.Message, ownerAttempts+1)}
+	c.pendingReplies[c.lastMessageID] = pending
+	return c.lastMessageID, pending
 }
 
-func (c *Counter) unregisterAsk(id permit.ID) {
+func (c *Counter) dropReply(id permit.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.pendingAsks, id)
+	delete(c.pendingReplies, id)
 }
 
-func (c *Counter) finishAsk(t *transaction, id permit.ID) {
-	c.unregisterAsk(id)
+func (c *Counter) finishPermitRequest(t *transaction, id permit.ID) {
+	c.dropReply(id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.countWaitingFor(&t.requirements, -1)
+	c.addWaiting(&t.requirements, -1)
 }
 
-func (c *Counter) avoidOwner(owner netip.AddrPort, span time.Duration) {
+func (c *Counter) avoidOwner(owner netip.AddrPort, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.owners.avoid(c.options.Now(), owner, span)
+	c.owners.avoid(c.options.Now(), owner, duration)
 }
 
 // grantFrom returns the grant that an owner has issued.
@@ -201,10 +202,10 @@
 
 // deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
 func (c *Counter) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
-	q := c.pendingAsks[id]
-	if q != nil && q.owner == from {
+	pending := c.pendingReplies[id]
+	if pending != nil && pending.owner == from {
 		select {
-		case q.answers <- answer:
+		case pending.answers <- answer:
 			return
 		default:
 		}
--- a/internal/counter/owners.go
+++ b/internal/counter/owners.go
@@ -8,8 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// ownerTable maps each model to the instance that places its requests, as far as this instance
-// knows.
+// ownerTable maps each model to its owner as known here. The owner is the instance that places the
+// model's requests, which means that it queues them and selects their upstreams.
 type ownerTable struct {
 	self       netip.AddrPort
 	assignment permit.Owners
@@ -89,8 +89,8 @@
 }
 
 // avoid excludes an instance from ownership for a while.
-func (o *ownerTable) avoid(now time.Time, address netip.AddrPort, span time.Duration) {
-	o.avoided[address] = now.Add(span)
+func (o *ownerTable) avoid(now time.Time, address netip.AddrPort, duration time.Duration) {
+	o.avoided[address] = now.Add(duration)
 	o.resetCache(now)
 }
 
--- a/internal/counter/pacing_test.go
+++ b/internal/counter/pacing_test.go
@@ -15,7 +15,7 @@
 // batchEngine processes prompts in steps, each of which generates one token for every stream. An
 // event of a stream holds three tokens.
 type batchEngine struct {
-	unread   int
+	backlog  int
 	stepEnds time.Time
 	steps    []time.Duration
 }
@@ -29,8 +29,8 @@
 
 func (e *batchEngine) advance(now time.Time) {
 	for !e.stepEnds.After(now) {
-		read := min(e.unread, stepTokens)
-		e.unread -= read
+		read := min(e.backlog, stepTokens)
+		e.backlog -= read
 		step := decodeTime + time.Duration(float64(read)/tokensPerMillis*float64(time.Millisecond))
 		e.steps = append(e.steps, step)
 		e.stepEnds = e.stepEnds.Add(step)
@@ -78,7 +78,7 @@
 const (
 	instances = 7
 	// messageDelay is the latency of messages between instances. dispatchMillis is the time between
-	// two dispatches of an instance in ms.
+	// two dispatches of an instance in milliseconds.
 	messageDelay   = 2 * time.Millisecond
 	dispatchMillis = 4
 )
@@ -145,7 +145,7 @@
 			return
 		}
 		s.queues[instance] = s.queues[instance][1:]
-		s.engines[name].unread += first.tokens
+		s.engines[name].backlog += first.tokens
 		s.waits = append(s.waits, now.Sub(first.since))
 		s.messages = append(s.messages, peerMessage{now.Add(messageDelay), instance, name, first.tokens})
 	}
--- a/internal/counter/peerload_test.go
+++ b/internal/counter/peerload_test.go
@@ -21,26 +21,26 @@
 		pool := counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
 		random := rand.New(rand.NewPCG(3, 3))
-		open := make([]int, instances)
+		active := make([]int, instances)
 		ends := map[time.Time]int{}
-		off, looks := 0.0, 0
+		totalError, samples := 0.0, 0
 		now := start
 		for range 20_000 {
 			now = now.Add(time.Millisecond)
 			if sender, ended := ends[now]; ended {
-				open[sender]--
+				active[sender]--
 				if sender == 0 {
 					pool.Release("e")
 				}
 			}
 			if random.Float64() < perSecond/1000 {
 				sender := random.IntN(instances)
-				open[sender]++
+				active[sender]++
 				if sender == 0 {
 					_, missing := pool.Send(now, "pool", "m", "", 10)
 					Expect(missing).To(BeEmpty())
 				} else {
-					pool.PeerActive(now, "e", open[sender], sender)
+					pool.PeerActive(now, "e", active[sender], sender)
 				}
 				end := now.Add(time.Duration(700+random.IntN(1200)) * time.Millisecond)
 				for _, taken := ends[end]; taken; _, taken = ends[end] {
@@ -49,15 +49,15 @@
 				ends[end] = sender
 			}
 			total := 0
-			for _, count := range open {
+			for _, count := range active {
 				total += count
 			}
 			if now.Sub(start) > 3*time.Second {
-				off += math.Abs(pool.Load(now, "e") - float64(total))
-				looks++
+				totalError += math.Abs(pool.Load(now, "e") - float64(total))
+				samples++
 			}
 		}
-		Expect(off/float64(looks)).To(BeNumerically("<", 2.5), "requests, of about 16")
+		Expect(totalError/float64(samples)).To(BeNumerically("<", 2.5), "requests, of about 16")
 	})
 
 	// An order to an engine got no answer, and the age of its state was reported as the maximum
@@ -96,7 +96,7 @@
 var _ = Describe("The survey of a refusal", func() {
 	It("counts the engines by the limit they have reached", func() {
 		pool := counter.NewUpstreamPool("here", lease)
-		for _, name := range []string{"full", "reading", "failed", "other"} {
+		for _, name := range []string{"full", "backlogged", "failed", "other"} {
 			model := "m"
 			if name == "other" {
 				model = "n"
@@ -104,9 +104,9 @@
 			pool.Apply(start, engineRecord(name, "here", start, model))
 		}
 		pool.PeerActive(start, "full", 64, 1)
-		pool.PeerSent(start, "reading", 50_000, 1)
+		pool.PeerSent(start, "backlogged", 50_000, 1)
 		pool.Fail(start, "failed")
-		holders, slots, pace, avoided := pool.Survey(start, "pool", "m", "failed")
-		Expect([]int{holders, slots, pace, avoided}).To(Equal([]int{3, 1, 1, 1}))
+		holders, full, paced, avoided := pool.Survey(start, "pool", "m", "failed")
+		Expect([]int{holders, full, paced, avoided}).To(Equal([]int{3, 1, 1, 1}))
 	})
 })
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -8,10 +8,10 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// issuedPermit is a peer's request that this instance places.
-type issuedPermit struct {
+// permitRecord is the state of a peer's request that this instance places.
+type permitRecord struct {
 	waiter *waiter
-	// grant has no upstream while the request waits.
+	// grant has no upstream while the request is queued.
 	grant grant
 	// expires is when the permit is removed even without a message from the peer, which may be
 	// gone.
@@ -19,10 +19,11 @@
 }
 
 const (
-	// maxPermitServiceTimes is the maximum lifetime of a permit, in service times of a request. A
-	// permit whose end was not reported makes the engine appear more loaded than it is.
+	// maxPermitServiceTimes is the number of service times after which a granted permit expires.
+	// Until then, a permit whose end was not reported makes the engine appear more loaded than it
+	// is.
 	maxPermitServiceTimes = 4
-	// minPermitTime is the minimum lifetime limit of a permit.
+	// minPermitTime is the lower bound of that time.
 	minPermitTime = 2 * time.Second
 	// requesterGrace is how long a waiting request is kept after its requester has stopped waiting.
 	requesterGrace = 500 * time.Millisecond
@@ -39,7 +40,7 @@
 		c.handleEnded(now, peerRequest{from, m.ID}, m)
 	case permit.Use:
 		if u := c.pool.byName[m.Upstream]; u != nil {
-			u.recordPeerUse(now, peerUse{prefill: m.Reading, active: m.Open, sender: hashAddress(from)})
+			u.recordPeerUse(now, peerUse{prefill: m.Reading, active: m.Open, peer: hashAddress(from)})
 		}
 	case permit.Limited:
 		c.receiveLimit(now, m)
@@ -60,11 +61,11 @@
 	}
 }
 
-// handleAsk decides an ask, or repeats the earlier decision. c.mu is held.
+// handleAsk decides a peer's permit request, or repeats the earlier decision. c.mu is held.
 func (c *Counter) handleAsk(now time.Time, from netip.AddrPort, m permit.Ask) {
 	requester := peerRequest{from, m.ID}
-	if issued := c.permits[requester]; issued != nil {
-		c.sendDecision(requester, issued)
+	if record := c.permits[requester]; record != nil {
+		c.sendDecision(requester, record)
 		return
 	}
 	if c.draining {
@@ -73,10 +74,10 @@
 		return
 	}
 	w := &waiter{requirements: c.requirementsOf(now, m), requester: requester, placingInstances: 1}
-	issued := &issuedPermit{waiter: w, expires: w.requirements.arrived.Add(w.requirements.maxWait() + requesterGrace)}
-	c.permits[requester] = issued
+	record := &permitRecord{waiter: w, expires: w.requirements.arrived.Add(w.requirements.maxWait() + requesterGrace)}
+	c.permits[requester] = record
 	c.enqueue(now, w)
-	if issued.grant.upstream != nil {
+	if record.grant.upstream != nil {
 		return
 	}
 	if rejected := c.rejectOrWait(now, w); rejected != nil {
@@ -89,7 +90,7 @@
 		return
 	}
 	c.metrics.countDecision("queued")
-	c.sendDecision(requester, issued)
+	c.sendDecision(requester, record)
 }
 
 // requirementsOf returns the requirements of a peer's request.
@@ -105,46 +106,46 @@
 
 // issuePermit grants an upstream to a peer's request. c.mu is held.
 func (c *Counter) issuePermit(now time.Time, requester peerRequest, granted grant) {
-	issued := c.permits[requester]
-	issued.grant = granted
+	record := c.permits[requester]
+	record.grant = granted
 	c.metrics.countDecision("granted")
-	req := &issued.waiter.requirements
-	issued.expires = now.Add(min(req.deadline.Sub(now), max(maxPermitServiceTimes*req.pacing.serviceTime, minPermitTime)))
-	c.sendDecision(requester, issued)
+	req := &record.waiter.requirements
+	record.expires = now.Add(min(req.deadline.Sub(now), max(maxPermitServiceTimes*req.pacing.serviceTime, minPermitTime)))
+	c.sendDecision(requester, record)
 }
 
 // sendDecision sends the state of a request to its requester.
-func (c *Counter) sendDecision(requester peerRequest, issued *issuedPermit) {
-	u := issued.grant.upstream
+func (c *Counter) sendDecision(requester peerRequest, record *permitRecord) {
+	u := record.grant.upstream
 	if u == nil {
 		c.peers.send(requester.address, permit.Queued{ID: requester.id})
 		return
 	}
 	c.peers.send(requester.address, permit.Granted{
-		ID: requester.id, Upstream: u.name, Address: u.address, Unread: issued.grant.prefillAhead,
+		ID: requester.id, Upstream: u.name, Address: u.address, Unread: record.grant.prefillAhead,
 	})
 }
 
 // handleEnded processes the outcome of a peer's request. c.mu is held.
 func (c *Counter) handleEnded(now time.Time, requester peerRequest, m permit.Ended) {
-	issued := c.permits[requester]
-	if issued == nil {
+	record := c.permits[requester]
+	if record == nil {
 		return
 	}
-	c.removePermit(requester, issued)
-	if u := issued.grant.upstream; u != nil {
-		u.recordOutcome(now, issued.waiter.requirements.target, m.Outcome)
-		c.recordSpeed(&issued.waiter.requirements, speedSample{firstEvent: m.First, serviceTime: m.Run, events: m.Events, streaming: m.Writing})
+	c.removePermit(requester, record)
+	if u := record.grant.upstream; u != nil {
+		u.recordOutcome(now, record.waiter.requirements.target, m.Outcome)
+		c.recordSpeed(&record.waiter.requirements, speedSample{firstEvent: m.First, serviceTime: m.Run, events: m.Events, streaming: m.Writing})
 	}
 }
 
-func (c *Counter) removePermit(requester peerRequest, issued *issuedPermit) {
+func (c *Counter) removePermit(requester peerRequest, record *permitRecord) {
 	delete(c.permits, requester)
-	if u := issued.grant.upstream; u != nil {
+	if u := record.grant.upstream; u != nil {
 		u.release()
 		return
 	}
-	c.dequeue(issued.waiter)
+	c.dequeue(record.waiter)
 }
 
 // expirePermits removes permits and claim answers whose time has run out.
@@ -152,9 +153,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expireClaims(now)
-	for requester, issued := range c.permits {
-		if now.After(issued.expires) {
-			c.removePermit(requester, issued)
+	for requester, record := range c.permits {
+		if now.After(record.expires) {
+			c.removePermit(requester, record)
 		}
 	}
 }
--- a/internal/counter/permits_test.go
+++ b/internal/counter/permits_test.go
@@ -72,25 +72,25 @@
 			addSmallEngine(pool, fmt.Sprint("e", i), model)
 		}
 		granted := map[string]int{}
-		messages, others := 0, 0
-		for i, asker := range instances {
-			if asker == owner {
+		messages, notGranted := 0, 0
+		for i, peerAddress := range instances {
+			if peerAddress == owner {
 				continue
 			}
-			for _, sent := range instance.Receive(start, asker, askMessage(permit.ID(i), model)) {
+			for _, sent := range instance.Receive(start, peerAddress, askMessage(permit.ID(i), model)) {
 				messages++
-				Expect(sent.To).To(Equal(asker))
+				Expect(sent.To).To(Equal(peerAddress))
 				switch m := sent.Message.(type) {
 				case permit.Granted:
 					granted[m.Upstream]++
 				case permit.Queued, permit.Refused:
-					others++
+					notGranted++
 				}
 			}
 		}
 		Expect(granted).To(Equal(map[string]int{"e0": 12, "e1": 12, "e2": 12, "e3": 12}))
 		Expect(messages).To(Equal(instanceCount-1), "one answer each")
-		Expect(others).To(Equal(instanceCount - 1 - 48))
+		Expect(notGranted).To(Equal(instanceCount - 1 - 48))
 	})
 
 	It("notifies only the owners of the engine's other models", func() {
@@ -103,8 +103,8 @@
 		Expect(sent[1].To).To(Equal(instances[1]))
 	})
 
-	// An answer is lost, and the ask is repeated. Treated as a new request, it would occupy a
-	// second slot that is never used.
+	// An answer is lost, and the permit request is repeated. Treated as a new one, it would occupy
+	// a second slot that is never used.
 	It("answers a question that comes again as it did before", func() {
 		addSmallEngine(pool, "e", model)
 		first := instance.Receive(start, instances[1], askMessage(1, model))
@@ -237,7 +237,7 @@
 			succeed(w, r)
 		})
 		c.announce("u", u.address(), model)
-		c.setEntries(first.address, second.address)
+		c.addExactEntries(first.address, second.address)
 		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
 		Eventually(second.counter.Upstreams, specTimeout).Should(Equal(1))
 		Expect(first.serve(model)).To(Equal(http.StatusOK))
@@ -249,15 +249,15 @@
 	It("is not sent to an engine that leaves by what its own instance knows", func() {
 		c := newFakeControl()
 		first := startPeer(c)
-		cut := listenPeer()
-		DeferCleanup(cut.Close)
-		owner := cut.LocalAddr().(*net.UDPAddr).AddrPort()
+		ownerConn := listenPeer()
+		DeferCleanup(ownerConn.Close)
+		owner := ownerConn.LocalAddr().(*net.UDPAddr).AddrPort()
 		model := modelOwnedBy("desk", owner, first.address, owner)
 		leaving, staying := newFakeUpstream(succeed), newFakeUpstream(succeed)
 		c.announce("leaving", leaving.address(), model)
 		c.announce("staying", staying.address(), model)
 		c.announceLeave("leaving")
-		c.setEntries(first.address, owner)
+		c.addExactEntries(first.address, owner)
 		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
 		Eventually(first.counter.Upstreams, specTimeout).Should(Equal(2))
 		ended := make(chan permit.Ended, 1)
@@ -265,7 +265,7 @@
 			defer GinkgoRecover()
 			buffer := make([]byte, permit.MaxBytes)
 			for {
-				n, from, err := cut.ReadFrom(buffer)
+				n, from, err := ownerConn.ReadFrom(buffer)
 				if err != nil {
 					return
 				}
@@ -274,7 +274,7 @@
 				switch m := message.(type) {
 				case permit.Ask:
 					granted := permit.Granted{ID: m.ID, Upstream: "leaving", Address: leaving.address()}
-					_, _ = cut.WriteTo(permit.Append(nil, granted), from)
+					_, _ = ownerConn.WriteTo(permit.Append(nil, granted), from)
 				case permit.Ended:
 					ended <- m
 				}
@@ -291,13 +291,13 @@
 	It("is served without the owner if that does not answer, and the next at once", func() {
 		c := newFakeControl()
 		first := startPeer(c)
-		silent := listenPeer()
-		DeferCleanup(silent.Close)
-		gone := silent.LocalAddr().(*net.UDPAddr).AddrPort()
-		model := modelOwnedBy("desk", gone, first.address, gone)
+		silentConn := listenPeer()
+		DeferCleanup(silentConn.Close)
+		silentOwner := silentConn.LocalAddr().(*net.UDPAddr).AddrPort()
+		model := modelOwnedBy("desk", silentOwner, first.address, silentOwner)
 		u := newFakeUpstream(succeed)
 		c.announce("u", u.address(), model)
-		c.setEntries(first.address, gone)
+		c.addExactEntries(first.address, silentOwner)
 		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
 		Eventually(first.counter.Upstreams, specTimeout).Should(Equal(1))
 		began := time.Now()
--- a/internal/counter/proof_test.go
+++ b/internal/counter/proof_test.go
@@ -97,8 +97,8 @@
 	now := time.Unix(1000, 0)
 	ago := func(seconds float64) time.Time { return now.Add(-time.Duration(seconds * float64(time.Second))) }
 	DescribeTable("waits for a recent proof of the routes",
-		func(proven, unproven time.Time, lost, waits bool) {
-			Expect(counter.NeedsProof(now, proven, unproven, 2*time.Second, lost)).To(Equal(waits))
+		func(proven, unproven time.Time, disconnected, waits bool) {
+			Expect(counter.NeedsProof(now, proven, unproven, 2*time.Second, disconnected)).To(Equal(waits))
 		},
 		Entry("not if the routes were proven recently", ago(1), time.Time{}, false, false),
 		Entry("not while a leader is elected", ago(3.9), ago(1), false, false),
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -46,7 +46,7 @@
 // grant is permission to send a request to an upstream.
 type grant struct {
 	upstream *upstream
-	// prefillAhead is the time the engine needs for prompts that were sent before this one.
+	// prefillAhead is the engine's prefill time for prompts that were sent before this one.
 	prefillAhead time.Duration
 	// owner is the instance that issued the grant under id. It is invalid if this instance did.
 	owner netip.AddrPort
@@ -56,7 +56,7 @@
 // queue holds the waiting requests, unordered. It is not safe for concurrent use.
 type queue struct {
 	waiters []*waiter
-	// timer triggers the next dispatch while requests are waiting.
+	// timer triggers the next dispatch. It is set while requests are waiting.
 	timer    *time.Timer
 	timerSet bool
 	// recentGrants counts the recent grants of each model.
@@ -65,7 +65,7 @@
 	// grantsSinceBoost counts the grants of each model since the last boosted one.
 	starvation       *aging.Ages[target]
 	grantsSinceBoost map[modelKey]int
-	lastBoost        time.Time
+	lastBoostCheck   time.Time
 }
 
 func newQueue() queue {
@@ -89,32 +89,32 @@
 	if w.requirements.model != "" {
 		c.queue.starvation.Asked(now, w.requirements.target)
 	}
-	c.countWaiting(w, true)
+	c.updateWaiting(w, true)
 	c.dispatch(now)
 }
 
 // dequeue removes a request from the queue. c.mu is held.
 func (c *Counter) dequeue(w *waiter) {
 	c.queue.waiters = slices.DeleteFunc(c.queue.waiters, func(other *waiter) bool { return other == w })
-	c.countWaiting(w, false)
+	c.updateWaiting(w, false)
 }
 
-// countWaiting updates the demand when a local request starts or stops waiting for an engine.
-func (c *Counter) countWaiting(w *waiter, waits bool) {
-	if _, own := w.requester.(localRequest); !own || w.countedWaiting == waits {
+// updateWaiting updates the demand when a local request starts or stops waiting for an engine. c.mu
+// is held.
+func (c *Counter) updateWaiting(w *waiter, waiting bool) {
+	if _, local := w.requester.(localRequest); !local || w.countedWaiting == waiting {
 		return
 	}
-	w.countedWaiting = waits
+	w.countedWaiting = waiting
 	change := -1
-	if waits {
+	if waiting {
 		change = 1
 	}
-	c.countWaitingFor(&w.requirements, change)
+	c.addWaiting(&w.requirements, change)
 }
 
-// countWaitingFor adds change to the number of requests that wait for the target of req. c.mu is
-// held.
-func (c *Counter) countWaitingFor(req *requirements, change int) {
+// addWaiting adds change to the number of requests that wait for the target of req. c.mu is held.
+func (c *Counter) addWaiting(req *requirements, change int) {
 	if req.model != "" {
 		c.demand.addWaiting(req.target, change)
 	}
@@ -165,21 +165,21 @@
 			remaining = append(remaining, w)
 			continue
 		}
-		c.grant(now, w, chosen)
+		c.issueGrant(now, w, chosen)
 	}
 	clear(waiters[len(remaining):])
 	c.queue.waiters = remaining
 	c.setTimer()
 }
 
-// grant assigns chosen to a waiting request. c.mu is held.
-func (c *Counter) grant(now time.Time, w *waiter, chosen *upstream) {
+// issueGrant grants chosen to a waiting request. c.mu is held.
+func (c *Counter) issueGrant(now time.Time, w *waiter, chosen *upstream) {
 	granted := grant{upstream: chosen, prefillAhead: chosen.backlog.remaining(now)}
 	chosen.recordSend(now, w.requirements.prefillTime, w.requirements.pacing)
 	c.notifyUse(now, chosen, &w.requirements)
 	c.queue.recordGrant(now, &w.requirements)
 	c.queue.recordBoost(w)
-	c.countWaiting(w, false)
+	c.updateWaiting(w, false)
 	switch to := w.requester.(type) {
 	case localRequest:
 		to.grants <- granted
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -79,14 +79,14 @@
 func (t *transaction) stream(ctx context.Context, w http.ResponseWriter, a *upstreamAttempt, response *http.Response) {
 	copyHeader(w, response)
 	w.WriteHeader(response.StatusCode)
-	control := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, readErr := response.Body.Read(buffer)
 		if n > 0 {
 			a.bodyStarted = true
 			t.timing.recordChunk(t.counter.options.Now())
-			if _, err := w.Write(buffer[:n]); err != nil || control.Flush() != nil {
+			if _, err := w.Write(buffer[:n]); err != nil || controller.Flush() != nil {
 				t.reportCallerLeft(a)
 				t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
 				panic(http.ErrAbortHandler)
--- a/internal/counter/requirements.go
+++ b/internal/counter/requirements.go
@@ -108,8 +108,8 @@
 // randomized so that callers refused together do not retry together.
 func (req *requirements) retryAfterWait(now time.Time, wait time.Duration) time.Duration {
 	left := req.deadline.Sub(now)
-	spread := 0.5 + rand.Float64()/2
-	return max(time.Duration(spread*float64(min(wait, left/3))), minRetryAfter)
+	jitter := 0.5 + rand.Float64()/2
+	return max(time.Duration(jitter*float64(min(wait, left/3))), minRetryAfter)
 }
 
 // retryAfterLoad returns the Retry-After time of a request whose model is not available in time. It
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -35,8 +35,8 @@
 	// lastFailed is the control instance that most recently failed to answer, at failedAt.
 	lastFailed string
 	failedAt   time.Time
-	// newsAsOf is the send time of the latest answered sync.
-	newsAsOf time.Time
+	// lastSyncSent is the send time of the latest answered sync.
+	lastSyncSent time.Time
 	// proof records up to which time the routes in force here are confirmed.
 	proof edition.Proof
 	// unprovenSince is when a control instance first answered without a sufficient proof of the
@@ -144,7 +144,7 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.control.newsAsOf = askedAt
+	c.control.lastSyncSent = askedAt
 	c.control.lastSyncFailed = false
 	c.updateGauges(now)
 	if c.control.disconnected {
@@ -188,13 +188,13 @@
 	if len(reply.Holdings) == 0 {
 		return
 	}
-	held, err := courier.DecodeHoldings(reply.Holdings)
+	holdings, err := courier.DecodeHoldings(reply.Holdings)
 	if err != nil {
 		c.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
 	}
-	c.pool.applyHoldings(now.Add(-reply.HoldingsAge), &held)
-	c.control.holdingsRevision = held.Revision
+	c.pool.applyHoldings(now.Add(-reply.HoldingsAge), &holdings)
+	c.control.holdingsRevision = holdings.Revision
 }
 
 // nextSyncDelay returns the time until the next sync.
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -30,13 +30,13 @@
 	// of times it was sent.
 	possibleRuns int
 	sends        int
-	// rateLimits is the number of times an upstream's rate limit held the request back.
-	rateLimits int
-	// prefillAhead is the engine's prefill work for earlier prompts when the request was granted.
+	// rateLimitHits is the number of times an upstream's rate limit held the request back.
+	rateLimitHits int
+	// prefillAhead is the engine's prefill time for earlier prompts when the grant was issued.
 	prefillAhead time.Duration
 	// owner is the instance last asked for a permit, invalid if none was.
 	owner netip.AddrPort
-	// lastMissing is the resource missing when the wait for an upstream ended.
+	// lastMissing is the resource that was missing when the wait for an upstream ended.
 	lastMissing missingResource
 	// timing and lastError, the error of the last failed attempt, are logged.
 	timing    requestTiming
@@ -81,8 +81,8 @@
 
 const (
 	// maxRoutesWait bounds how long a request waits at an instance that has just started and has no
-	// routes yet. After an outage of all control instances, a new leader is elected within about 2
-	// s. The wait is at most the caller's timeout divided by routesWaitDivisor.
+	// routes yet. After an outage of all control instances, a new leader is elected within about
+	// 2 s. The wait is at most the caller's timeout divided by routesWaitDivisor.
 	maxRoutesWait     = 2 * time.Second
 	routesWaitDivisor = 4
 	// noRoutesRetryAfter is the Retry-After time at an instance without routes.
@@ -114,7 +114,7 @@
 	return r.Host
 }
 
-// timeoutOf returns the time limit of a request.
+// timeoutOf returns the timeout of a request: the caller's, limited by that of the route.
 func timeoutOf(call Call, route *routes.Route) time.Duration {
 	if call.Patience > 0 {
 		return min(call.Patience, route.Timeout)
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -46,8 +46,10 @@
 	incarnation uint64
 	address     string
 	service     string
-	slots       int
-	remote      bool
+	// slots is the number of requests that the upstream runs at once, 0 if it is not known. remote is
+	// true for another failure domain.
+	slots  int
+	remote bool
 	// models maps each loaded model to its loaded adapters. loading is the model that will be
 	// available at loadedAt, empty if there is none.
 	models   map[string][]string
@@ -135,8 +137,8 @@
 	u.remote = known.Announcement.FailureDomain != p.failureDomain
 	if residentChanged || u.models == nil {
 		u.models = make(map[string][]string, len(known.Announcement.Resident))
-		for _, held := range known.Announcement.Resident {
-			u.models[held.Model] = held.Adapters
+		for _, resident := range known.Announcement.Resident {
+			u.models[resident.Model] = resident.Adapters
 		}
 		p.byModelStale = true
 	}
@@ -173,9 +175,9 @@
 	p.byModelStale = true
 }
 
-// holders returns the upstreams of a service that have loaded a model, or all of them if model is
-// empty. Unavailable upstreams are included.
-func (p *upstreamPool) holders(service, model string) []*upstream {
+// upstreamsWith returns the upstreams of a service that have loaded a model, or all of them if
+// model is empty. Unavailable upstreams are included.
+func (p *upstreamPool) upstreamsWith(service, model string) []*upstream {
 	if model == "" {
 		return p.byService[service]
 	}
@@ -184,8 +186,8 @@
 		p.byModel = make(map[modelKey][]*upstream, len(p.byModel))
 		for name, upstreams := range p.byService {
 			for _, u := range upstreams {
-				for held := range u.models {
-					key := modelKey{name, held}
+				for loaded := range u.models {
+					key := modelKey{name, loaded}
 					p.byModel[key] = append(p.byModel[key], u)
 				}
 			}
@@ -205,19 +207,19 @@
 // applyHoldings applies the engine states known to the leader, which are newer than the engines'
 // own announcements.
 func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
-	for _, held := range holdings.Engines {
-		u := p.byName[held.Name]
-		if u == nil || held.Incarnation != u.incarnation {
+	for _, engine := range holdings.Engines {
+		u := p.byName[engine.Name]
+		if u == nil || engine.Incarnation != u.incarnation {
 			continue
 		}
-		u.models = make(map[string][]string, len(held.Models))
-		for _, model := range held.Models {
+		u.models = make(map[string][]string, len(engine.Models))
+		for _, model := range engine.Models {
 			u.models[model.Name] = model.Adapters
 		}
 		p.byModelStale = true
-		u.loading, u.loadedAt = held.Coming, now.Add(held.ComingIn)
-		if age := held.Age + reportLag; age >= 0 {
-			u.applyReport(now, now.Add(-age), held.Running+held.Queued)
+		u.loading, u.loadedAt = engine.Coming, now.Add(engine.ComingIn)
+		if age := engine.Age + reportLag; age >= 0 {
+			u.applyReport(now, now.Add(-age), engine.Running+engine.Queued)
 		}
 	}
 }
@@ -259,13 +261,13 @@
 	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.Heard) < p.lease || now.Before(p.graceUntil))
 }
 
-// holds reports whether u can run a model, with an adapter unless it is empty.
-func (u *upstream) holds(model, adapter string) bool {
+// canRun reports whether u can run a model, with an adapter unless it is empty.
+func (u *upstream) canRun(model, adapter string) bool {
 	if model == "" {
 		return true
 	}
-	adapters, held := u.models[model]
-	return held && (adapter == "" || slices.Contains(adapters, adapter))
+	adapters, loaded := u.models[model]
+	return loaded && (adapter == "" || slices.Contains(adapters, adapter))
 }
 
 func equalResidents(a, b upstreamapi.Resident) bool {
@@ -274,7 +276,7 @@
 
 // addModel records that u has loaded a model, with an adapter unless it is empty.
 func (p *upstreamPool) addModel(u *upstream, model, adapter string) {
-	if u.holds(model, adapter) {
+	if u.canRun(model, adapter) {
 		return
 	}
 	p.byModelStale = true
@@ -285,7 +287,7 @@
 	u.models[model] = adapters
 }
 
-// removeModel records that u has not loaded a model, or only not the adapter unless it is empty.
+// removeModel records that u lacks a model, or only an adapter of it if one is given.
 func (u *upstream) removeModel(model, adapter string) {
 	if adapter == "" {
 		delete(u.models, model)
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -158,7 +158,7 @@
 })
 
 var _ = Describe("An engine that starts again under its name", func() {
-	again := func(heard time.Time, models ...string) roster.Upstream {
+	restarted := func(heard time.Time, models ...string) roster.Upstream {
 		u := engineRecord("e", "here", heard, models...)
 		u.Announcement.Incarnation = 2
 		return u
@@ -184,7 +184,7 @@
 	// the expense of the shared retry budget.
 	It("holds nothing of what the one before held, in either order of the news", func() {
 		pool.ApplyHoldings(start, holdingsOf(1, "m"))
-		pool.Apply(start.Add(time.Second), again(start.Add(time.Second)))
+		pool.Apply(start.Add(time.Second), restarted(start.Add(time.Second)))
 		_, missing := pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
 		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(1, "m"))
@@ -196,7 +196,7 @@
 	})
 
 	It("is not known by news of the one before that come late", func() {
-		pool.Apply(start.Add(time.Second), again(start.Add(time.Second), "n"))
+		pool.Apply(start.Add(time.Second), restarted(start.Add(time.Second), "n"))
 		late := engineRecord("e", "here", start.Add(2*time.Second), "m")
 		late.Announcement.Incarnation = 1
 		late.Leaving = true
@@ -211,7 +211,7 @@
 		pool.Fail(start, "e")
 		name, _ := pool.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("other"))
-		pool.Apply(start, again(start, "m"))
+		pool.Apply(start, restarted(start, "m"))
 		name, _ = pool.Send(start, "pool", "m", "", 100)
 		Expect(name).To(Equal("e"), "the one in the own failure domain")
 	})
