--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -15,15 +15,15 @@
 
 // holdingsOf returns the states of engines with four models each.
 func holdingsOf(engines int) courier.Holdings {
-	var held courier.Holdings
+	var holdings courier.Holdings
 	for i := range engines {
-		one := courier.Holding{Name: fmt.Sprint("e", i), Age: 100 * time.Millisecond, Running: 6}
+		engine := courier.Holding{Name: fmt.Sprint("e", i), Age: 100 * time.Millisecond, Running: 6}
 		for m := range 4 {
-			one.Models = append(one.Models, courier.HeldModel{Name: fmt.Sprint("model-", (i*4+m)%(engines+50)), Adapters: []string{"a1", "a2"}})
+			engine.Models = append(engine.Models, courier.HeldModel{Name: fmt.Sprint("model-", (i*4+m)%(engines+50)), Adapters: []string{"a1", "a2"}})
 		}
-		held.Engines = append(held.Engines, one)
+		holdings.Engines = append(holdings.Engines, engine)
 	}
-	return held
+	return holdings
 }
 
 func poolOf(engines int) counter.UpstreamPool {
@@ -40,10 +40,10 @@
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			pool := poolOf(engines)
-			held := holdingsOf(engines)
+			holdings := holdingsOf(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				pool.ApplyHoldings(start, held)
+				pool.ApplyHoldings(start, holdings)
 			}
 		})
 	}
--- a/internal/counter/boost.go
+++ b/internal/counter/boost.go
@@ -34,12 +34,12 @@
 	chosen := map[modelKey]*waiter{}
 	for _, w := range q.waiters {
 		w.boosted = false
-		since, starved := q.starvation.Starved(now, w.requirements.target)
+		starvedFor, starved := q.starvation.Starved(now, w.requirements.target)
 		if !starved || w.missing == missingModel || w.missing == missingAdapter {
 			continue
 		}
-		if key := w.requirements.modelKey(); since > longest[key] && q.isBoostDue(now, key) {
-			longest[key], chosen[key] = since, w
+		if key := w.requirements.modelKey(); starvedFor > longest[key] && q.isBoostDue(now, key) {
+			longest[key], chosen[key] = starvedFor, w
 		}
 	}
 	for _, w := range chosen {
--- a/internal/counter/choose.go
+++ b/internal/counter/choose.go
@@ -148,9 +148,9 @@
 }
 
 // recordSend records a request that this instance sends to u.
-func (u *upstream) recordSend(now time.Time, prefill time.Duration, pacing pacing) {
+func (u *upstream) recordSend(now time.Time, prefill time.Duration, p pacing) {
 	u.active++
-	u.pacing = pacing
+	u.pacing = p
 	u.recordPrompt(now, prefill)
 }
 
@@ -204,14 +204,14 @@
 }
 
 // recordOutcome updates u with the outcome of a request for a model.
-func (u *upstream) recordOutcome(now time.Time, target target, outcome permit.Outcome) {
+func (u *upstream) recordOutcome(now time.Time, t target, outcome permit.Outcome) {
 	switch outcome {
 	case permit.Worked:
 		u.recordSuccess()
 	case permit.Full:
 		u.recordRefusal(now)
 	case permit.Absent:
-		u.removeModel(target.model, target.adapter)
+		u.removeModel(t.model, t.adapter)
 	case permit.Failed:
 		u.recordFailure(now)
 	case permit.Over:
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -94,12 +94,12 @@
 // handleClaim decides a peer's claim, or repeats the earlier answer. c.mu is held.
 func (c *Counter) handleClaim(now time.Time, from netip.AddrPort, m permit.Claim) {
 	requester := peerRequest{from, m.ID}
-	answer, found := c.claimAnswers[requester]
+	stored, found := c.claimAnswers[requester]
 	if !found {
-		answer = claimAnswer{answer: c.decideClaim(now, m), expires: now.Add(claimAnswerTTL)}
-		c.claimAnswers[requester] = answer
+		stored = claimAnswer{answer: c.decideClaim(now, m), expires: now.Add(claimAnswerTTL)}
+		c.claimAnswers[requester] = stored
 	}
-	c.peers.send(from, answer.answer)
+	c.peers.send(from, stored.answer)
 }
 
 func (c *Counter) decideClaim(now time.Time, m permit.Claim) permit.Message {
@@ -120,8 +120,8 @@
 
 // expireClaims removes the answers whose claims are over. c.mu is held.
 func (c *Counter) expireClaims(now time.Time) {
-	for requester, answer := range c.claimAnswers {
-		if now.After(answer.expires) {
+	for requester, stored := range c.claimAnswers {
+		if now.After(stored.expires) {
 			delete(c.claimAnswers, requester)
 		}
 	}
--- a/internal/counter/controlchoice.go
+++ b/internal/counter/controlchoice.go
@@ -11,13 +11,13 @@
 // syncIntervalFor returns the sync interval at which the given number of entry instances do not
 // overload the control instance they share.
 func syncIntervalFor(entries int) time.Duration {
-	return min(max(syncInterval, time.Duration(entries)*minSyncSpacing), maxSyncInterval)
+	return min(max(minSyncInterval, time.Duration(entries)*minSyncSpacing), maxSyncInterval)
 }
 
-// tooManyForOne reports whether one control instance cannot serve this many entry instances at the
-// regular sync interval.
+// tooManyForOne reports whether one control instance cannot serve this many entry instances at
+// minSyncInterval.
 func tooManyForOne(entries int) bool {
-	return time.Duration(entries)*minSyncSpacing > syncInterval
+	return time.Duration(entries)*minSyncSpacing > minSyncInterval
 }
 
 // chooseControl returns the control instance for the next sync, based on the latest reply. A few
--- a/internal/counter/controlchoice_test.go
+++ b/internal/counter/controlchoice_test.go
@@ -13,11 +13,11 @@
 // entriesPerControl returns the number of entry instances that call each control instance. The
 // first control instance is the leader.
 func entriesPerControl(entries int, alive []string) map[string]int {
-	asked := map[string]int{}
+	counts := map[string]int{}
 	for i := range entries {
-		asked[counter.ChosenControl(fmt.Sprintf("10.0.0.%d:7000", i), entries, alive, alive[0])]++
+		counts[counter.ChosenControl(fmt.Sprintf("10.0.0.%d:7000", i), entries, alive, alive[0])]++
 	}
-	return asked
+	return counts
 }
 
 var _ = Describe("Whom an entry instance asks for news", func() {
@@ -31,10 +31,10 @@
 	// connection and a request for all upstreams. The successor sent its heartbeats late and was
 	// replaced in turn, repeatedly. No model or adapter was loaded in the meantime.
 	It("is any instance but the leader, about as many each, where there are many", func() {
-		asked := entriesPerControl(86, controls)
-		Expect(asked).NotTo(HaveKey("c1"))
-		Expect(asked).To(HaveLen(8))
-		for _, count := range asked {
+		counts := entriesPerControl(86, controls)
+		Expect(counts).NotTo(HaveKey("c1"))
+		Expect(counts).To(HaveLen(8))
+		for _, count := range counts {
 			Expect(count).To(BeNumerically("<=", 20))
 		}
 	})
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -59,8 +59,8 @@
 	// claimAnswers are the recent answers to peers that asked for permission to send to a
 	// rate-limited upstream.
 	claimAnswers map[peerRequest]claimAnswer
-	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock of
-	// the detector.
+	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock
+	// of the detector.
 	crashes *coroner.Coroner
 	// active is the number of requests in flight.
 	active   int
--- a/internal/counter/demand.go
+++ b/internal/counter/demand.go
@@ -24,11 +24,11 @@
 	return &demand{counts: map[target]*courier.Demand{}, waiting: map[target]int{}, active: map[target]int{}}
 }
 
-func (d *demand) recordRequest(target target, prefill, decode time.Duration) {
-	count := d.counts[target]
+func (d *demand) recordRequest(t target, prefill, decode time.Duration) {
+	count := d.counts[t]
 	if count == nil {
-		count = &courier.Demand{Service: target.service, Model: target.model, Adapter: target.adapter}
-		d.counts[target] = count
+		count = &courier.Demand{Service: t.service, Model: t.model, Adapter: t.adapter}
+		d.counts[t] = count
 	}
 	count.Requests++
 	count.Reading += prefill
@@ -36,37 +36,37 @@
 }
 
 // addActive adds change to the number of requests in flight for an adapter.
-func (d *demand) addActive(target target, change int) {
-	if target.adapter == "" {
+func (d *demand) addActive(t target, change int) {
+	if t.adapter == "" {
 		return
 	}
-	d.active[target] += change
-	if d.active[target] == 0 {
-		delete(d.active, target)
+	d.active[t] += change
+	if d.active[t] == 0 {
+		delete(d.active, t)
 	}
 }
 
 // addWaiting adds change to the number of requests waiting for an engine.
-func (d *demand) addWaiting(target target, change int) {
-	d.waiting[target] += change
-	if d.waiting[target] == 0 {
-		delete(d.waiting, target)
+func (d *demand) addWaiting(t target, change int) {
+	d.waiting[t] += change
+	if d.waiting[t] == 0 {
+		delete(d.waiting, t)
 	}
 }
 
 // flush returns the demand since the last call and resets the counts.
 func (d *demand) flush() []courier.Demand {
 	for _, counts := range []map[target]int{d.waiting, d.active} {
-		for key := range counts {
-			if d.counts[key] == nil {
-				d.counts[key] = &courier.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
+		for t := range counts {
+			if d.counts[t] == nil {
+				d.counts[t] = &courier.Demand{Service: t.service, Model: t.model, Adapter: t.adapter}
 			}
 		}
 	}
 	flushed := make([]courier.Demand, 0, len(d.counts))
-	for key, count := range d.counts {
-		count.Waiting = d.waiting[key]
-		count.Open = d.active[key]
+	for t, count := range d.counts {
+		count.Waiting = d.waiting[t]
+		count.Open = d.active[t]
 		flushed = append(flushed, *count)
 	}
 	clear(d.counts)
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -33,11 +33,11 @@
 
 // grantRate returns the grants per second of a model within the last window.
 func (q *queue) grantRate(now time.Time, key modelKey) float64 {
-	granted := q.recentGrants[key]
-	if granted == nil {
+	window := q.recentGrants[key]
+	if window == nil {
 		return 0
 	}
-	return float64(granted.sum(now, grantRateWindow)) / grantRateWindow.Seconds()
+	return float64(window.sum(now, grantRateWindow)) / grantRateWindow.Seconds()
 }
 
 // rejection is the reason why a request is rejected instead of being queued.
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxLeaderLoadCalls is the number of load calls per second that a leader handles from all
-	// entry instances. A call takes it about 100 us, so that they take a quarter of 0.12 of a core.
-	// It is ten times the number of loads that it can order.
-	maxLeaderLoadCalls = 300.0
-	// loadBurstTime sets the burst of calls allowed to one instance after a pause, as the number of
-	// calls it may make in that time. minLoadBurst is the minimum burst.
-	loadBurstTime = 250 * time.Millisecond
-	minLoadBurst  = 2.0
+	// leaderLoadCallsPerSecond is how many load calls a leader handles from all entry instances. A
+	// call takes it about 100 us, so that they take a quarter of 0.12 of a core. It is ten times
+	// the number of loads that it can order.
+	leaderLoadCallsPerSecond = 300.0
+	// loadBurstTime sets the burst of calls that one instance may make after a pause, as the time
+	// in which its rate allows as many. minLoadBurstCalls is the minimum burst.
+	loadBurstTime     = 250 * time.Millisecond
+	minLoadBurstCalls = 2.0
 	// minLoadBackoff is the backoff of a target after a failed call. It doubles with each
 	// consecutive failure up to maxLoadBackoff.
 	minLoadBackoff = 100 * time.Millisecond
 	maxLoadBackoff = 400 * time.Millisecond
-	// maxInstanceLoadCalls is the maximum number of load calls per second of one instance.
-	maxInstanceLoadCalls = maxLeaderLoadCalls / 8
+	// instanceLoadCallsPerSecond is the maximum rate of one instance.
+	instanceLoadCallsPerSecond = leaderLoadCallsPerSecond / 8
 )
 
 // loadLimiter limits the load calls to the leader, for models and adapters that no upstream has
@@ -38,7 +38,8 @@
 // adapters. So the rate of an instance starts at its share, doubles with each successful call and
 // halves with each failed one, but not below the share.
 type loadLimiter struct {
-	// rate is the current limit in calls per second, at least the instance's share.
+	// rate is the current limit in calls per second. delay raises it to the instance's share if it
+	// is lower.
 	rate float64
 	// tokens is the number of calls allowed immediately, as of refilledAt.
 	tokens     float64
@@ -55,11 +56,11 @@
 
 // loadShare returns the calls per second that each instance may make at least.
 func (l *controlLinks) loadShare() float64 {
-	return maxLeaderLoadCalls / float64(max(l.entryInstances, 1))
+	return leaderLoadCallsPerSecond / float64(max(l.entryInstances, 1))
 }
 
 func newLoadLimiter() *loadLimiter {
-	return &loadLimiter{tokens: minLoadBurst, failed: map[courier.WantArgs]failedLoad{}}
+	return &loadLimiter{tokens: minLoadBurstCalls, failed: map[courier.WantArgs]failedLoad{}}
 }
 
 // delay returns the time until a call may be made. pending is the number of pending calls at this
@@ -67,7 +68,7 @@
 // a token and returns 0.
 func (l *loadLimiter) delay(now time.Time, args courier.WantArgs, pending int, share float64) time.Duration {
 	l.rate = max(l.rate, share)
-	burst := max(l.rate*loadBurstTime.Seconds(), minLoadBurst)
+	burst := max(l.rate*loadBurstTime.Seconds(), minLoadBurstCalls)
 	l.tokens = min(l.tokens+l.rate*now.Sub(l.refilledAt).Seconds(), burst)
 	l.refilledAt = now
 	if rest := l.failed[args].retryAt.Sub(now); rest > 0 {
@@ -90,7 +91,7 @@
 		}
 	}
 	if loaded {
-		l.rate = min(2*l.rate, maxInstanceLoadCalls)
+		l.rate = min(2*l.rate, instanceLoadCallsPerSecond)
 		delete(l.failed, args)
 		return
 	}
--- a/internal/counter/peerlink.go
+++ b/internal/counter/peerlink.go
@@ -17,15 +17,15 @@
 type peerLink struct {
 	conn       net.PacketConn
 	now        func() time.Time
-	receive    func(now time.Time, from netip.AddrPort, message permit.Message)
+	handler    func(now time.Time, from netip.AddrPort, message permit.Message)
 	background sync.WaitGroup
 }
 
 // newPeerLink starts to receive from conn. If conn is nil, nothing is sent or received.
 func newPeerLink(
-	conn net.PacketConn, now func() time.Time, receive func(time.Time, netip.AddrPort, permit.Message), log zerolog.Logger,
+	conn net.PacketConn, now func() time.Time, handler func(time.Time, netip.AddrPort, permit.Message), log zerolog.Logger,
 ) *peerLink {
-	l := &peerLink{conn: conn, now: now, receive: receive}
+	l := &peerLink{conn: conn, now: now, handler: handler}
 	if conn != nil {
 		l.background.Go(func() { l.listen(log) })
 	}
@@ -64,7 +64,7 @@
 			continue
 		}
 		address := sender.AddrPort()
-		l.receive(l.now(), netip.AddrPortFrom(address.Addr().Unmap(), address.Port()), message)
+		l.handler(l.now(), netip.AddrPortFrom(address.Addr().Unmap(), address.Port()), message)
 	}
 }
 
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -162,8 +162,8 @@
 
 // hashAddress returns a hash that distinguishes the peers.
 func hashAddress(from netip.AddrPort) uint32 {
-	sum := fnv.New32a()
-	text, _ := from.MarshalBinary()
-	_, _ = sum.Write(text)
-	return sum.Sum32()
+	hash := fnv.New32a()
+	encoded, _ := from.MarshalBinary()
+	_, _ = hash.Write(encoded)
+	return hash.Sum32()
 }
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -93,7 +93,7 @@
 			}
 		}
 		if readErr == io.EOF {
-			a.outcome, a.speed = permit.Worked, t.speedSample()
+			a.outcome, a.speed = permit.Worked, t.measuredSpeed()
 			t.counter.crashes.Succeeded(t.digest, response.StatusCode)
 			t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
 			return
--- a/internal/counter/speeds.go
+++ b/internal/counter/speeds.go
@@ -48,9 +48,9 @@
 	streaming time.Duration
 }
 
-// speedSample returns the measurement of a complete stream. It is empty if the request was sent
+// measuredSpeed returns the measurement of a complete stream. It is empty if the request was sent
 // more than once, because the times would include the other attempts.
-func (t *transaction) speedSample() speedSample {
+func (t *transaction) measuredSpeed() speedSample {
 	if t.model == "" || t.sends != 1 {
 		return speedSample{}
 	}
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -51,8 +51,8 @@
 	membersRevision uint64
 	// holdingsRevision is the revision of the engine states held here.
 	holdingsRevision uint64
-	// syncInterval is the time between two syncs.
-	syncInterval   time.Duration
+	// interval is the time between two syncs.
+	interval       time.Duration
 	lastSyncFailed bool
 	// disconnected is true while no control instance answers.
 	disconnected bool
@@ -169,7 +169,7 @@
 		c.control.current = next
 		c.control.source = roster.Source{}
 	}
-	c.control.syncInterval = c.control.syncDelay()
+	c.control.interval = c.control.syncDelay()
 	c.dispatch(now)
 }
 
@@ -203,9 +203,9 @@
 	defer c.mu.Unlock()
 	if c.control.lastSyncFailed {
 		// The updates are overdue.
-		return syncInterval
+		return minSyncInterval
 	}
-	return max(c.control.syncInterval, syncInterval)
+	return max(c.control.interval, minSyncInterval)
 }
 
 // union returns the elements of both lists without duplicates.
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -82,7 +82,8 @@
 const (
 	// maxRoutesWait bounds how long a request waits at an instance that has just started and has no
 	// routes yet. After an outage of all control instances, a new leader is elected within about
-	// 2 s. The wait is at most the caller's timeout divided by routesWaitDivisor.
+	// 2 s. The wait is at most the caller's timeout divided by routesWaitDivisor, so that callers
+	// that state no timeout do not wait.
 	maxRoutesWait     = 2 * time.Second
 	routesWaitDivisor = 4
 	// noRoutesRetryAfter is the Retry-After time at an instance without routes.
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -46,8 +46,8 @@
 	incarnation uint64
 	address     string
 	service     string
-	// slots is the number of requests that the upstream runs at once, 0 if it is not known. remote is
-	// true for another failure domain.
+	// slots is the number of requests that the upstream runs at once, 0 if it is not known. remote
+	// is true for another failure domain.
 	slots  int
 	remote bool
 	// models maps each loaded model to its loaded adapters. loading is the model that will be
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -84,9 +84,9 @@
 	})
 
 	It("excludes a leaving upstream", func() {
-		gone := engineRecord("a", "here", start, "m")
-		gone.Leaving = true
-		pool.Apply(start, gone)
+		leaving := engineRecord("a", "here", start, "m")
+		leaving.Leaving = true
+		pool.Apply(start, leaving)
 		_, lacking := pool.Send(start, "pool", "m", "", 100)
 		Expect(lacking).To(Equal("service"))
 	})
