--- a/internal/counter/pacing_test.go
+++ b/internal/counter/pacing_test.go
@@ -180,7 +180,7 @@
 		Expect(load.waitQuantile(0.98)).To(BeNumerically("<", 30*time.Millisecond))
 	})
 
-	// The load of a model has risen beyond the capacity of its three engines, and prompts wait at
+	// The load of a model has risen close to the capacity of its three engines, and prompts wait at
 	// every instance. All instances learned at the same moment that an engine had capacity, and
 	// each sent a prompt: streams paused for half a second.
 	It("keeps instances that wait for the same engine from sending at once", func() {
