--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -1,11 +1,11 @@
-// Package speed learns how fast the engines of a service are, from the answers that
-// they give (online estimation).
+// Package speed is the online estimation of service times: it estimates the prefill
+// and decode speeds of a service's engines from the answers observed so far.
 //
-// Engines differ by deployment and by service, and nobody tells their speed. Decisions
-// that take a fixed one leave a third of a faster engine unused, or have the streams of
-// a slower one pause.
+// Engine speeds differ by deployment and by service, and engines don't report them.
+// Decisions based on a fixed speed leave a third of a faster engine idle, or make the
+// streams of a slower one pause.
 //
-// It is pure: what was measured goes in, estimates come out.
+// It does no I/O and reads no clock: measurements go in, estimates come out.
 package speed
 
 import (
@@ -14,132 +14,135 @@
 )
 
 const (
-	// priorReadRate is the prompt tokens a second that are assumed before anything was
-	// measured: a model of 70 GB on one accelerator reads 25 to 40 in a ms.
-	priorReadRate = 26_000
-	// priorStep is the time in which an engine makes one token of each of its answers,
-	// of a batch that is half full: 5 to 12 ms with the same models.
-	priorStep = 10 * time.Millisecond
-	// priorRun is how long a request is at an engine: some 150 tokens.
-	priorRun = 1500 * time.Millisecond
-	// widest bounds how far an estimate may go from its prior: what lies beyond is a
-	// fault of the measurement.
-	widest = 8
-	// priorPrompt and priorSpread are the prompt of which the prior is, and how far the
-	// two samples that stand for it lie from that.
-	priorPrompt = 1000
-	priorSpread = 500
-	// priorWeight is how many samples the prior of a service counts for, each of two, and
-	// modelWeight that of a model, which is what is known of the service.
-	priorWeight = 20
-	modelWeight = 8
-	// priorOverhead is the time to the first token beside the reading.
+	// priorPrefillTokensPerSecond is the prefill speed assumed before the first
+	// measurement. One accelerator with a 70 GB model prefills 25,000 to 40,000 tokens a
+	// second.
+	priorPrefillTokensPerSecond = 26_000
+	// priorDecodeStep is the duration of one decode step, which adds a token to each
+	// answer, with the batch half full: 5 to 12 ms with the same models.
+	priorDecodeStep = 10 * time.Millisecond
+	// priorRequestTime is the time that a request spends at an engine: about 150 tokens.
+	priorRequestTime = 1500 * time.Millisecond
+	// maxPriorRatio bounds the ratio of an estimate to its prior, in both directions. A
+	// value beyond it is a measurement error.
+	maxPriorRatio = 8
+	// The prior of a regression is two samples, at prompts of priorPromptTokens minus and
+	// plus priorPromptSpreadTokens.
+	priorPromptTokens       = 1000
+	priorPromptSpreadTokens = 500
+	// priorSamples is the weight of each of the two prior samples of a service, in
+	// measured samples. modelPriorSamples is the same for a model, whose prior is the
+	// estimate for the service.
+	priorSamples      = 20
+	modelPriorSamples = 8
+	// priorOverhead is the part of the time to the first token that is not prefill.
 	priorOverhead = 15 * time.Millisecond
-	// memory is over how many samples an estimate forgets: a minute of one instance
-	// among sixty, some seconds of one among six.
-	memory = 300
-	// outlier is how many times longer than expected a first token may take and still
-	// count in full. A request that waited for a place at the engine says little of its
-	// speed.
-	outlier = 2.5
-	// gapQuantile is the quantile of the time between events that stands for an event
-	// without prompts that were read meanwhile, and gapStep how far one sample moves it.
-	gapQuantile = 0.15
-	gapStep     = 0.04
-	// answerStep is how far one sample moves the time a token.
-	answerStep = 0.02
+	// windowSamples is the number of samples after which an older one counts 1/e. They
+	// arrive in a minute at one of sixty instances, in some seconds at one of six.
+	windowSamples = 300
+	// maxOutlierRatio caps a time to the first token relative to the expected one. A
+	// longer time is mostly queueing at the engine and says little about its speed.
+	maxOutlierRatio = 2.5
+	// eventQuantile is the quantile of the time between two events of a stream that is
+	// taken as the time without prefills in between. eventStepSize is the step of its
+	// stochastic approximation, on a logarithmic scale.
+	eventQuantile = 0.15
+	eventStepSize = 0.04
+	// meanWeight is the weight of one sample in the moving means.
+	meanWeight = 0.02
 )
 
-// Speed is what is known of the engines of one service. It is not safe for concurrent
-// use.
+// Speed holds the estimates for the engines of one service. It is not safe for
+// concurrent use.
 type Speed struct {
-	// all is the reading of prompts for any model, and models that for each: a larger one
-	// reads three times as long.
-	all    line
-	models map[string]*line
-	// event is the time between two events of a stream in a batch, in seconds.
-	event float64
-	prior time.Duration
-	// token is the time that an answer takes a token that was announced, in seconds.
-	token float64
-	// run is how long a request is at an engine, in seconds.
-	run float64
+	// allModels estimates prefill over all models, and models for each model: prefill of
+	// a larger model takes three times as long.
+	allModels regression
+	models    map[string]*regression
+	// eventSeconds is the time between two events of a stream.
+	eventSeconds   float64
+	priorEventTime time.Duration
+	// tokenSeconds is the answer time divided by the declared number of answer tokens.
+	tokenSeconds float64
+	// requestSeconds is the time that a request spends at an engine.
+	requestSeconds float64
 }
 
-// New returns a Speed of which only the prior is known. stride is how many tokens an
-// event of a stream holds, or 0 if that is not known.
-func New(stride int) *Speed {
-	event := time.Duration(max(stride, 1)) * priorStep
+// New returns a Speed that holds the priors. tokensPerEvent is the number of tokens in
+// one event of a stream, 0 if unknown.
+func New(tokensPerEvent int) *Speed {
+	event := time.Duration(max(tokensPerEvent, 1)) * priorDecodeStep
 	s := &Speed{
-		models: map[string]*line{}, event: event.Seconds(), prior: event, token: priorStep.Seconds(), run: priorRun.Seconds(),
+		models: map[string]*regression{}, eventSeconds: event.Seconds(), priorEventTime: event,
+		tokenSeconds: priorDecodeStep.Seconds(), requestSeconds: priorRequestTime.Seconds(),
 	}
-	s.all.assume(1.0/priorReadRate, priorOverhead.Seconds(), priorWeight)
+	s.allModels.addPrior(1.0/priorPrefillTokensPerSecond, priorOverhead.Seconds(), priorSamples)
 	return s
 }
 
-// Read takes in that the first token of an answer came took after the engine began to
-// read a prompt of so many tokens for a model.
-func (s *Speed) Read(model string, tokens int, took time.Duration) {
-	if tokens <= 0 || took <= 0 {
+// Read records one prefill: the prompt's length in tokens, and the time from the start
+// of the prefill to the first token.
+func (s *Speed) Read(model string, promptTokens int, duration time.Duration) {
+	if promptTokens <= 0 || duration <= 0 {
 		return
 	}
-	s.all.learn(float64(tokens), took.Seconds())
-	known := s.models[model]
-	if known == nil {
-		// What is known of a model begins as what is known of all.
-		known = &line{}
-		slope, base := s.all.fit()
-		known.assume(slope, base, modelWeight)
-		s.models[model] = known
+	s.allModels.observe(float64(promptTokens), duration.Seconds())
+	prefill := s.models[model]
+	if prefill == nil {
+		// The prior of a model is the estimate over all models.
+		prefill = &regression{}
+		slope, intercept := s.allModels.fit()
+		prefill.addPrior(slope, intercept, modelPriorSamples)
+		s.models[model] = prefill
 	}
-	known.learn(float64(tokens), took.Seconds())
+	prefill.observe(float64(promptTokens), duration.Seconds())
 }
 
-// Reading returns how long an engine reads a prompt for a model. Nothing is kept of a
-// model that no engine has answered for: callers may name any.
-func (s *Speed) Reading(model string, tokens int) time.Duration {
-	known := s.models[model]
-	if known == nil {
-		known = &s.all
+// Reading returns the estimated prefill time of a prompt. It stores nothing for a model
+// without an answer so far, because callers may name any model.
+func (s *Speed) Reading(model string, promptTokens int) time.Duration {
+	prefill := s.models[model]
+	if prefill == nil {
+		prefill = &s.allModels
 	}
-	slope, _ := known.fit()
-	return time.Duration(float64(tokens) * slope * float64(time.Second))
+	slope, _ := prefill.fit()
+	return time.Duration(float64(promptTokens) * slope * float64(time.Second))
 }
 
-// Wrote takes in a whole stream: the tokens that its request announced, and the time of
-// its events after the first.
-func (s *Speed) Wrote(announced, events int, took time.Duration) {
-	if events < 2 || announced <= 0 || took <= 0 {
+// Wrote records a complete stream: the number of answer tokens that its request declared,
+// the number of events, and the time from the first event to the last.
+func (s *Speed) Wrote(declaredTokens, events int, duration time.Duration) {
+	if events < 2 || declaredTokens <= 0 || duration <= 0 {
 		return
 	}
-	gap := took.Seconds() / float64(events-1)
-	if gap > s.event {
-		s.event *= math.Exp(gapStep * gapQuantile)
+	gap := duration.Seconds() / float64(events-1)
+	if gap > s.eventSeconds {
+		s.eventSeconds *= math.Exp(eventStepSize * eventQuantile)
 	} else {
-		s.event *= math.Exp(-gapStep * (1 - gapQuantile))
+		s.eventSeconds *= math.Exp(-eventStepSize * (1 - eventQuantile))
 	}
-	s.event = min(max(s.event, s.prior.Seconds()/widest), s.prior.Seconds()*widest)
-	s.token += answerStep * (min(took.Seconds()/float64(announced), priorStep.Seconds()*widest) - s.token)
+	s.eventSeconds = min(max(s.eventSeconds, s.priorEventTime.Seconds()/maxPriorRatio), s.priorEventTime.Seconds()*maxPriorRatio)
+	s.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - s.tokenSeconds)
 }
 
-// Ran takes in how long a request was at an engine.
-func (s *Speed) Ran(took time.Duration) {
-	s.run += answerStep * (min(took.Seconds(), priorRun.Seconds()*widest) - s.run)
+// Ran records the time that a request spent at an engine.
+func (s *Speed) Ran(duration time.Duration) {
+	s.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - s.requestSeconds)
 }
 
-// RunTime returns about how long a request is at an engine.
+// RunTime returns the estimated time that a request spends at an engine.
 func (s *Speed) RunTime() time.Duration {
-	return time.Duration(s.run * float64(time.Second))
+	return time.Duration(s.requestSeconds * float64(time.Second))
 }
 
-// EventTime returns about how long an engine takes from one event of a stream to the
-// next while it reads few prompts.
+// EventTime returns the estimated time between two events of a stream while the engine
+// prefills few prompts.
 func (s *Speed) EventTime() time.Duration {
-	return time.Duration(s.event * float64(time.Second))
+	return time.Duration(s.eventSeconds * float64(time.Second))
 }
 
-// Answering returns about how long an engine makes an answer of so many announced
-// tokens.
-func (s *Speed) Answering(tokens int) time.Duration {
-	return time.Duration(float64(tokens) * s.token * float64(time.Second))
+// Answering returns the estimated time to generate the answer to a request that declared
+// this number of answer tokens.
+func (s *Speed) Answering(declaredTokens int) time.Duration {
+	return time.Duration(float64(declaredTokens) * s.tokenSeconds * float64(time.Second))
 }
