--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -10,28 +10,28 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// BenchmarkChoose decides, sends and ends one request at the size of the target:
-// 1,100 engines and 1,700 models with an adapter each, ten models an engine. It
-// reports the 99th percentile of a decision besides the mean of the whole.
+// BenchmarkChoose chooses an upstream for one request, sends it and finishes it, at the
+// target size: 1,100 engines with ten models each, of 1,700 models with one adapter each.
+// It also reports the median and the 99th percentile of the choice alone.
 func BenchmarkChoose(b *testing.B) {
 	const (
-		manyEngines = 1100
-		manyModels  = 1700
-		perEngine   = 10
+		engineCount     = 1100
+		modelCount      = 1700
+		modelsPerEngine = 10
 	)
 	d := dispatch.New(dispatch.Options{Instances: 330, Seed: 1})
-	for e := range manyEngines {
+	for e := range engineCount {
 		view := viewOf("e"+strconv.Itoa(e), 1, 64)
 		view.Resident = nil
-		for i := range perEngine {
-			model := (e*perEngine + i) * 7 % manyModels
+		for i := range modelsPerEngine {
+			model := (e*modelsPerEngine + i) * 7 % modelCount
 			view.Resident = append(view.Resident, upstreamapi.Resident{
 				Model: "m" + strconv.Itoa(model), Adapters: []string{"a" + strconv.Itoa(model)},
 			})
 		}
 		d.Update(view)
 	}
-	requests := make([]dispatch.Request, manyModels)
+	requests := make([]dispatch.Request, modelCount)
 	for i := range requests {
 		requests[i] = dispatch.Request{
 			Target: dispatch.Target{Model: "m" + strconv.Itoa(i), Adapter: "a" + strconv.Itoa(i)},
@@ -41,34 +41,34 @@
 		requests[i].Blocks = dispatch.BlockHashes(nil, requests[i].Target, prompt, 512)
 	}
 	now := start
-	round := func(i int) time.Duration {
+	runRequest := func(i int) time.Duration {
 		now = now.Add(time.Millisecond)
-		r := &requests[i*31%manyModels]
-		began := time.Now()
+		r := &requests[i*31%modelCount]
+		choiceStart := time.Now()
 		decision := d.Choose(now, r)
-		took := time.Since(began)
+		choiceTime := time.Since(choiceStart)
 		if !decision.OK() {
 			b.Fatal(decision.Reason)
 		}
 		flight := d.Sent(now, r, &decision)
 		d.FirstByte(now, &flight)
 		d.Finished(now, &flight)
-		return took
+		return choiceTime
 	}
-	// The steady state is reached when the rings of all upstreams have grown.
-	for i := range 1000 * manyEngines {
-		round(i)
+	// Warm up until the change logs of all upstreams have their final size.
+	for i := range 1000 * engineCount {
+		runRequest(i)
 	}
-	samples := make([]time.Duration, 0, 1<<20)
+	choiceTimes := make([]time.Duration, 0, 1<<20)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		if took := round(i); len(samples) < cap(samples) {
-			samples = append(samples, took)
+		if choiceTime := runRequest(i); len(choiceTimes) < cap(choiceTimes) {
+			choiceTimes = append(choiceTimes, choiceTime)
 		}
 	}
 	b.StopTimer()
-	slices.Sort(samples)
-	b.ReportMetric(float64(samples[len(samples)*99/100].Nanoseconds()), "p99-ns/choice")
-	b.ReportMetric(float64(samples[len(samples)/2].Nanoseconds()), "p50-ns/choice")
+	slices.Sort(choiceTimes)
+	b.ReportMetric(float64(choiceTimes[len(choiceTimes)*99/100].Nanoseconds()), "p99-ns/choice")
+	b.ReportMetric(float64(choiceTimes[len(choiceTimes)/2].Nanoseconds()), "p50-ns/choice")
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// cacheTrust is the expected part of a known prefix that is still cached, and
-	// doubtTrust the same after a gap in the cache events.
-	cacheTrust = 0.9
-	doubtTrust = 0.3
-	// doubtFor is how long a gap counts. A cache turns over in that time.
-	doubtFor = 30 * time.Second
+	// cacheConfidence is the expected share of a known prefix that is still cached, and
+	// gapCacheConfidence the same after a gap in the cache events.
+	cacheConfidence    = 0.9
+	gapCacheConfidence = 0.3
+	// gapPenaltyTime is the time for which gapCacheConfidence applies after a gap. A cache
+	// turns over in that time.
+	gapPenaltyTime = 30 * time.Second
 )
 
-// Choose returns the upstream for r, or the reason why there is none.
+// Choose returns the upstream for r, or the reason for choosing none.
 func (d *Dispatcher) Choose(now time.Time, r *Request) Decision {
 	var decision Decision
 	p := d.pools[r.Target]
@@ -19,25 +20,26 @@
 		decision.Reason = ReasonNoCandidate
 		return decision
 	}
-	holder := d.holder(now, p, r)
+	holder := d.prefixHolder(now, p, r)
 	if holder != nil {
-		d.compare(now, &decision, holder, r, 0)
+		d.evaluate(now, &decision, holder, r, 0)
 	}
-	compared := d.sample(now, p, r, holder, &decision)
-	if compared == 0 && holder == nil {
-		compared = d.walk(now, p, r, &decision)
+	evaluated := d.evaluateSample(now, p, r, holder, &decision)
+	if evaluated == 0 && holder == nil {
+		evaluated = d.scanPool(now, p, r, &decision)
 	}
-	decision.Reason = reasonOf(&decision, holder, compared)
+	decision.Reason = choiceReason(&decision, holder, evaluated)
 	if !decision.OK() {
-		decision.Reason = d.whyNone(now, p, r)
+		decision.Reason = d.poolRejectReason(now, p, r)
 	}
 	return decision
 }
 
-// forecast returns the shortest predicted times to the first token at a few
-// candidates, full or not: idle if nothing else ran there, and loaded once a
-// place is free for r. The wait for that place is the queue's to tell.
-func (d *Dispatcher) forecast(now time.Time, r *Request) (idle, loaded time.Duration) {
+// predictFirstToken predicts the time to the first token from a few candidates, whether
+// they have room or not. idle is the shortest time at an idle candidate. loaded is the
+// time at the candidate of least cost after one of its requests has finished; it doesn't
+// include the wait in the admission queue.
+func (d *Dispatcher) predictFirstToken(now time.Time, r *Request) (idle, loaded time.Duration) {
 	p := d.pools[r.Target]
 	if p == nil {
 		return 0, 0
@@ -47,140 +49,142 @@
 	start := d.random.IntN(size)
 	for i := range min(size, maxSamples) {
 		u := p.members[(start+i)%size]
-		if !u.alive(now) {
+		if !u.available(now) {
 			continue
 		}
-		d.compare(now, &decision, u, r, 1)
-		own := time.Duration(u.idle(r.PromptTokens) * float64(time.Second))
-		if idle == 0 || own < idle {
-			idle = own
+		d.evaluate(now, &decision, u, r, 1)
+		candidateIdle := time.Duration(u.idleFirstTokenSeconds(r.PromptTokens) * float64(time.Second))
+		if idle == 0 || candidateIdle < idle {
+			idle = candidateIdle
 		}
 	}
 	return idle, decision.Chosen.FirstToken
 }
 
-// sample compares up to Options.Samples different members of p.
-func (d *Dispatcher) sample(now time.Time, p *pool, r *Request, holder *upstream, decision *Decision) int {
+// evaluateSample samples Options.Samples members of p without replacement, evaluates the
+// eligible ones except holder and returns their number.
+func (d *Dispatcher) evaluateSample(now time.Time, p *pool, r *Request, holder *upstream, decision *Decision) int {
 	size := len(p.members)
-	compared := 0
+	evaluated := 0
 	if size <= d.options.Samples {
 		for _, u := range p.members {
-			if u != holder && d.fit(now, u, r) {
-				d.compare(now, decision, u, r, 0)
-				compared++
+			if u != holder && d.eligible(now, u, r) {
+				d.evaluate(now, decision, u, r, 0)
+				evaluated++
 			}
 		}
-		return compared
+		return evaluated
 	}
-	var drawn [maxSamples]int
+	var sampled [maxSamples]int
 	for n := range d.options.Samples {
 		i := d.random.IntN(size - n)
-		for _, before := range drawn[:n] {
-			if i >= before {
+		for _, smaller := range sampled[:n] {
+			if i >= smaller {
 				i++
 			}
 		}
-		insertSorted(drawn[:n+1], i)
-		if u := p.members[i]; u != holder && d.fit(now, u, r) {
-			d.compare(now, decision, u, r, 0)
-			compared++
+		insertSorted(sampled[:n+1], i)
+		if u := p.members[i]; u != holder && d.eligible(now, u, r) {
+			d.evaluate(now, decision, u, r, 0)
+			evaluated++
 		}
 	}
-	return compared
+	return evaluated
 }
 
-// insertSorted puts i into sorted, whose last place is free.
+// insertSorted inserts i into sorted, whose last element is unused.
 func insertSorted(sorted []int, i int) {
-	at := len(sorted) - 1
-	for at > 0 && sorted[at-1] > i {
-		sorted[at] = sorted[at-1]
-		at--
+	position := len(sorted) - 1
+	for position > 0 && sorted[position-1] > i {
+		sorted[position] = sorted[position-1]
+		position--
 	}
-	sorted[at] = i
+	sorted[position] = i
 }
 
-// walk goes over p from a random start until enough fit members are compared.
-// It is for the case that no sampled one is fit. If all that are fit otherwise
-// are ejected, it takes those: a bad upstream is better than none.
-func (d *Dispatcher) walk(now time.Time, p *pool, r *Request, decision *Decision) int {
+// scanPool evaluates up to Options.Samples usable members of p, scanning from a random
+// start, and returns their number. It is the fallback if no sampled member is eligible.
+// If all members that could run r are ejected, it evaluates those: an unhealthy upstream
+// is better than none.
+func (d *Dispatcher) scanPool(now time.Time, p *pool, r *Request, decision *Decision) int {
 	size := len(p.members)
 	start := d.random.IntN(size)
-	compared := 0
-	for i := 0; i < size && compared < d.options.Samples; i++ {
+	evaluated := 0
+	for i := 0; i < size && evaluated < d.options.Samples; i++ {
 		u := p.members[(start+i)%size]
 		if d.usable(now, u, r) && !u.health.ejected(now) {
-			d.compare(now, decision, u, r, 0)
-			compared++
+			d.evaluate(now, decision, u, r, 0)
+			evaluated++
 		}
 	}
-	if compared > 0 || p.anyHealthy(now, r) {
-		return compared
+	if evaluated > 0 || p.hasHealthy(now, r) {
+		return evaluated
 	}
-	for i := 0; i < size && compared < d.options.Samples; i++ {
+	for i := 0; i < size && evaluated < d.options.Samples; i++ {
 		u := p.members[(start+i)%size]
 		if d.usable(now, u, r) {
-			d.compare(now, decision, u, r, 0)
-			compared++
+			d.evaluate(now, decision, u, r, 0)
+			evaluated++
 		}
 	}
-	return compared
+	return evaluated
 }
 
-// anyHealthy reports whether p has a member that r could use but for its limit.
-func (p *pool) anyHealthy(now time.Time, r *Request) bool {
+// hasHealthy reports whether p has a member that could run r, ignoring limits.
+func (p *pool) hasHealthy(now time.Time, r *Request) bool {
 	for _, u := range p.members {
-		if u.alive(now) && !u.health.ejected(now) && !r.tried(u.view.Name) {
+		if u.available(now) && !u.health.ejected(now) && !r.tried(u.view.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// usable reports whether u may be given r, ejected or not.
+// usable reports whether u may receive r, ignoring ejection.
 func (d *Dispatcher) usable(now time.Time, u *upstream, r *Request) bool {
-	return u.alive(now) && d.room(now, u, r.Priority) && !r.tried(u.view.Name)
+	return u.available(now) && d.hasRoom(now, u, r.Priority) && !r.tried(u.view.Name)
 }
 
-// fit reports whether u may be given r. An upstream that returns from an
-// ejection is passed over at random, less and less often.
-func (d *Dispatcher) fit(now time.Time, u *upstream, r *Request) bool {
+// eligible reports whether u may receive r. During the slow start after an ejection it
+// returns false at random, with decreasing probability.
+func (d *Dispatcher) eligible(now time.Time, u *upstream, r *Request) bool {
 	if !d.usable(now, u, r) || u.health.ejected(now) {
 		return false
 	}
-	share := u.health.share(now)
+	share := u.health.trafficShare(now)
 	return share >= 1 || d.random.Float64() < share
 }
 
-// holder returns the member of p that is thought to have the longest prefix of r
-// in its cache, or nil.
-func (d *Dispatcher) holder(now time.Time, p *pool, r *Request) *upstream {
+// prefixHolder returns an eligible member of p that has the longest known prefix of r in
+// its cache by estimate, or nil.
+func (d *Dispatcher) prefixHolder(now time.Time, p *pool, r *Request) *upstream {
 	if len(r.Blocks) == 0 {
 		return nil
 	}
-	for _, id := range d.prefixes.longest(r.Blocks) {
+	for _, id := range d.prefixes.longestPrefixHolders(r.Blocks) {
 		u := d.byID[id]
-		if u != nil && u.memberOf(p) && d.fit(now, u, r) {
+		if u != nil && u.inPool(p) && d.eligible(now, u, r) {
 			return u
 		}
 	}
 	return nil
 }
 
-// compare predicts r at u, after ended requests there have ended, and takes it
-// into the decision.
-func (d *Dispatcher) compare(now time.Time, decision *Decision, u *upstream, r *Request, ended int) {
+// evaluate adds u to the decision as a candidate, with the prediction for r at u after
+// finished of the requests there have finished.
+func (d *Dispatcher) evaluate(now time.Time, decision *Decision, u *upstream, r *Request, finished int) {
 	cached := d.cachedTokens(now, u, r)
-	f := u.predict(now, max(r.PromptTokens-cached, 0), r.Priority, ended)
+	predicted := u.predict(now, max(r.PromptTokens-cached, 0), r.Priority, finished)
 	if u.remote {
-		f.firstToken += 2 * d.options.RemoteDelay.Seconds()
+		predicted.firstTokenSeconds += 2 * d.options.RemoteDelay.Seconds()
 	}
 	candidate := Candidate{
 		Name:          u.view.Name,
 		Address:       u.view.Address,
-		FirstToken:    time.Duration(f.firstToken * float64(time.Second)),
-		TokenInterval: f.interval,
+		FirstToken:    time.Duration(predicted.firstTokenSeconds * float64(time.Second)),
+		TokenInterval: predicted.tokenInterval,
 		CachedTokens:  cached,
-		Cost:          r.Goal.cost(f),
+		Cost:          r.Goal.cost(predicted),
 		upstream:      u,
 	}
 	decision.add(&candidate)
@@ -190,35 +194,35 @@
 	if len(r.Blocks) == 0 {
 		return 0
 	}
-	blocks := d.prefixes.cached(r.Blocks, u.id)
-	return int(float64(blocks*BlockTokens) * u.trust(now))
+	blocks := d.prefixes.cachedBlocks(r.Blocks, u.id)
+	return int(float64(blocks*BlockTokens) * u.cacheConfidence(now))
 }
 
-func reasonOf(decision *Decision, holder *upstream, compared int) Reason {
+func choiceReason(decision *Decision, holder *upstream, evaluated int) Reason {
 	switch {
 	case holder != nil && decision.Chosen.upstream == holder && decision.Chosen.CachedTokens > 0:
 		return ReasonPrefixCached
-	case compared == 1 && holder == nil:
+	case evaluated == 1 && holder == nil:
 		return ReasonOnlyCandidate
 	default:
 		return ReasonLeastCost
 	}
 }
 
-// reach returns ReasonNoRoom if an upstream could run r, whether it has room or
-// not, and otherwise why none can.
-func (d *Dispatcher) reach(now time.Time, r *Request) Reason {
+// rejectReason returns ReasonNoRoom if any upstream could run r, with or without room now,
+// and otherwise the reason for which none can.
+func (d *Dispatcher) rejectReason(now time.Time, r *Request) Reason {
 	p := d.pools[r.Target]
 	if p == nil {
 		return ReasonNoCandidate
 	}
-	return d.whyNone(now, p, r)
+	return d.poolRejectReason(now, p, r)
 }
 
-// whyNone returns why no member of p was chosen.
-func (d *Dispatcher) whyNone(now time.Time, p *pool, r *Request) Reason {
+// poolRejectReason is rejectReason for the members of p.
+func (d *Dispatcher) poolRejectReason(now time.Time, p *pool, r *Request) Reason {
 	for _, u := range p.members {
-		if u.alive(now) && !r.tried(u.view.Name) {
+		if u.available(now) && !r.tried(u.view.Name) {
 			return ReasonNoRoom
 		}
 	}
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// maxRunnersUp is the number of other candidates that a Decision names.
+// maxRunnersUp is the maximum number of other candidates in a Decision.
 const maxRunnersUp = 3
 
-// Reason says why a Decision came out as it did.
+// Reason is the reason for a Decision.
 type Reason uint8
 
-// The reasons of a Decision. Those from ReasonNoCandidate on choose nothing.
+// The reasons of a Decision. From ReasonNoCandidate on, no upstream was chosen.
 const (
-	// ReasonLeastCost means that the chosen one is predicted to come closest to
-	// the goal, among those compared.
+	// ReasonLeastCost means that the chosen upstream had the least cost among the
+	// evaluated candidates.
 	ReasonLeastCost Reason = iota + 1
-	// ReasonPrefixCached means the same, and that a cached prefix decided it.
+	// ReasonPrefixCached means the same, for the upstream whose cache holds the prefix.
 	ReasonPrefixCached
-	// ReasonOnlyCandidate means that no other candidate was fit.
+	// ReasonOnlyCandidate means that only one sampled candidate was eligible.
 	ReasonOnlyCandidate
-	// ReasonNoCandidate means that no upstream holds the target.
+	// ReasonNoCandidate means that no upstream serves the target.
 	ReasonNoCandidate
-	// ReasonNoneFit means that all that hold the target are leaving, have run out
-	// of their lease or have failed this request before.
+	// ReasonNoneFit means that each upstream of the target is leaving, has an expired
+	// lease or has already failed this request.
 	ReasonNoneFit
-	// ReasonNoRoom means that all fit candidates have as many requests open as
-	// their limits allow. The request may wait.
+	// ReasonNoRoom means that the candidates have reached their limits. The request may
+	// wait.
 	ReasonNoRoom
 )
 
-// String returns the word for the log.
+// String returns the reason as written to the log.
 func (r Reason) String() string {
 	switch r {
 	case ReasonLeastCost:
@@ -47,7 +47,7 @@
 	}
 }
 
-// Candidate is one upstream with what is predicted for the request there.
+// Candidate is one upstream with the prediction for the request there.
 type Candidate struct {
 	Name    string
 	Address string
@@ -55,17 +55,18 @@
 	FirstToken time.Duration
 	// TokenInterval is the predicted time between tokens.
 	TokenInterval time.Duration
-	// CachedTokens is the expected number of prompt tokens that need no prefill.
+	// CachedTokens is the expected number of prompt tokens in the prefix cache, which need
+	// no prefill.
 	CachedTokens int
-	// Cost is the sum of FirstToken and TokenInterval, each as a share of its goal.
+	// Cost is the sum of FirstToken and TokenInterval, each divided by its goal.
 	Cost float64
 
 	upstream *upstream
 }
 
-// Decision answers Dispatcher.Choose. It holds no allocated memory of its own.
+// Decision is the result of Dispatcher.Choose. It needs no heap allocation.
 type Decision struct {
-	// Chosen is the upstream to use if OK returns true.
+	// Chosen is the chosen upstream. It is valid if OK returns true.
 	Chosen Candidate
 	Reason Reason
 
@@ -78,24 +79,24 @@
 	return d.Chosen.upstream != nil
 }
 
-// RunnersUp returns the candidates that were compared and not chosen, at most
-// three.
+// RunnersUp returns up to three of the candidates that were evaluated and not chosen.
 func (d *Decision) RunnersUp() []Candidate {
 	return d.runnersUp[:d.runnersUpSize]
 }
 
-// add takes c as the chosen one if it costs less, and as a runner-up if not.
+// add makes c the chosen candidate if it has the least cost so far, otherwise a
+// runner-up.
 func (d *Decision) add(c *Candidate) {
 	if !d.OK() {
 		d.Chosen = *c
 		return
 	}
-	other := *c
+	runnerUp := *c
 	if c.Cost < d.Chosen.Cost {
-		other, d.Chosen = d.Chosen, *c
+		runnerUp, d.Chosen = d.Chosen, *c
 	}
 	if d.runnersUpSize < maxRunnersUp {
-		d.runnersUp[d.runnersUpSize] = other
+		d.runnersUp[d.runnersUpSize] = runnerUp
 		d.runnersUpSize++
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,8 +1,9 @@
-// Package dispatch implements load balancing: the choice of the upstream for one
-// request, by the predicted times to the first token and between tokens.
+// Package dispatch is the load balancer of an instance: it chooses the upstream for a
+// request by the predicted time to the first token and the predicted time between
+// tokens.
 //
-// It decides only. It takes the present time as an argument, does no I/O and
-// starts no goroutine. docs/DISPATCH.md describes the method and its figures.
+// It takes the current time as an argument, does no I/O and starts no goroutine.
+// docs/DISPATCH.md describes the method and its measurements.
 package dispatch
 
 import (
@@ -18,59 +19,60 @@
 	defaultSamples       = 4
 	defaultPrefixEntries = 1 << 16
 	maxSamples           = 8
-	// limitSlack is how far the limits of all instances together may exceed what
-	// an upstream runs at once. The upstream's own queue covers the time that a
-	// freed place would otherwise stay empty until the next request gets there.
-	limitSlack = 1.25
-	// mostUnknown bounds the limit of an upstream that does not say how many it
-	// runs at once.
-	mostUnknown = 1024
+	// limitOvercommit is the ratio of an instance's maximum limit, and of the initial limits
+	// of all instances together, to the number of requests that the upstream runs at once.
+	// The excess waits in the upstream's own queue, so that a slot doesn't stay empty while
+	// the next request is on its way.
+	limitOvercommit = 1.25
+	// maxUnreportedLimit is the maximum limit for an upstream that doesn't report
+	// MaxRunning.
+	maxUnreportedLimit = 1024
 )
 
 // Options are the settings of a Dispatcher. The zero value is useful.
 type Options struct {
-	// FailureDomain is that of this instance.
+	// FailureDomain is the failure domain of this instance.
 	FailureDomain string
-	// RemoteDelay is the time one way to an upstream in another failure domain.
+	// RemoteDelay is the one-way network delay to an upstream in another failure domain.
 	RemoteDelay time.Duration
-	// Samples is the number of candidates compared for a request, besides the one
-	// whose cache holds its prefix: 4 if 0, at most 8.
+	// Samples is the number of randomly sampled candidates for a request, in addition to
+	// the one whose cache holds its prefix. The default is 4, the maximum 8.
 	Samples int
-	// Instances is the number of instances that share the upstreams, 1 if 0. An
-	// instance starts with its share of an upstream's places.
+	// Instances is the number of instances that share the upstreams. The default is 1.
+	// The initial limit for an upstream is an equal share of its slots.
 	Instances int
-	// PrefixEntries bounds the estimate of the prefix caches, 65536 if 0. An entry
-	// takes 24 bytes.
+	// PrefixEntries is the size of the index of cached prefixes. The default is 65536. An
+	// entry takes 24 bytes.
 	PrefixEntries int
-	// Seed makes the sampling repeatable. Instances must differ in it.
+	// Seed makes the sampling reproducible. It must differ between instances.
 	Seed uint64
 }
 
 // Dispatcher chooses upstreams.
 //
-// All candidates of a target stand in a list of their own, so that a choice
-// takes the same time whatever the number of upstreams and models. A choice
-// compares a few of them drawn at random: all instances see the same lagged
-// reports, and if each took the least loaded of all, they would all take the
-// same one until the next report.
+// Each target has its own pool of candidates, so that the time of a choice doesn't
+// depend on the number of upstreams and models. A choice compares a few candidates
+// sampled at random. All instances get the same delayed load reports: if each chose the
+// least loaded upstream of all, they would all choose the same one until the next
+// report.
 //
-// A Dispatcher is not safe for concurrent use. A choice takes about a
-// microsecond, so one mutex carries far more than an instance receives.
+// A Dispatcher is not safe for concurrent use. A choice takes about a microsecond, so
+// that a single mutex handles far more requests than an instance receives.
 type Dispatcher struct {
 	options   Options
 	random    *rand.Rand
 	upstreams map[string]*upstream
 	byID      map[uint32]*upstream
 	pools     map[Target]*pool
-	prefixes  *prefixes
+	prefixes  *prefixIndex
 	lastID    uint32
-	// inFlight and limits are the sums over upstreams.
-	inFlight int
-	limits   float64
-	scratch  []Target
+	// inFlight and limitTotal are sums over all upstreams.
+	inFlight     int
+	limitTotal   float64
+	targetBuffer []Target
 }
 
-// New returns a Dispatcher that knows no upstream.
+// New returns a Dispatcher without upstreams.
 func New(options Options) *Dispatcher {
 	if options.Samples <= 0 {
 		options.Samples = defaultSamples
@@ -86,44 +88,44 @@
 		upstreams: map[string]*upstream{},
 		byID:      map[uint32]*upstream{},
 		pools:     map[Target]*pool{},
-		prefixes:  newPrefixes(options.PrefixEntries),
+		prefixes:  newPrefixIndex(options.PrefixEntries),
 	}
 }
 
-// Update takes in a View. A View that was announced before the one that is
-// known is ignored, and Update returns false.
+// Update adds or replaces the View of an upstream. If view is older than the current
+// one, Update ignores it and returns false.
 func (d *Dispatcher) Update(view View) bool {
 	u := d.upstreams[view.Name]
 	if u != nil && view.olderThan(&u.view) {
 		return false
 	}
 	if u == nil || u.view.Incarnation != view.Incarnation {
-		// Requests that are open at the incarnation before died with it, and its
-		// cache is gone: nothing known of it holds for the new one.
+		// The open requests and the cache of the previous incarnation are lost, so its
+		// state doesn't apply to the new one.
 		d.Remove(view.Name)
-		u = d.add(view)
+		u = d.addUpstream(view)
 	}
-	fresh := view.LoadAt.After(u.view.LoadAt)
-	same := sameTargets(&u.view, &view)
-	before := u.view
+	newLoad := view.LoadAt.After(u.view.LoadAt)
+	targetsUnchanged := sameTargets(&u.view, &view)
+	previous := u.view
 	u.view = view
-	if fresh {
-		u.trail.forget(view.LoadAt)
+	if newLoad {
+		u.changes.dropUntil(view.LoadAt)
 	} else {
-		u.view.Load, u.view.LoadAt = before.Load, before.LoadAt
+		u.view.Load, u.view.LoadAt = previous.Load, previous.LoadAt
 	}
 	u.remote = view.FailureDomain != d.options.FailureDomain
-	if !same || len(u.pools) == 0 {
-		d.leavePools(u)
-		d.joinPools(u)
+	if !targetsUnchanged || len(u.pools) == 0 {
+		d.removeFromPools(u)
+		d.addToPools(u)
 	}
-	if places := view.Load.MaxRunning; places > 0 {
-		d.setLimit(u, u.limit.WithCeiling(int(float64(places)*limitSlack)))
+	if maxRunning := view.Load.MaxRunning; maxRunning > 0 {
+		d.setLimit(u, u.limit.WithCeiling(int(float64(maxRunning)*limitOvercommit)))
 	}
 	return true
 }
 
-// Incarnation returns that of an upstream, 0 if it is not known.
+// Incarnation returns the incarnation of an upstream, 0 if the upstream is unknown.
 func (d *Dispatcher) Incarnation(name string) uint64 {
 	u := d.upstreams[name]
 	if u == nil {
@@ -132,9 +134,9 @@
 	return u.view.Incarnation
 }
 
-// Leave takes in that the incarnation of an upstream will stop. It receives no
-// new work from then on, though an announcement sent before may still come.
-func (d *Dispatcher) Leave(name string, incarnation uint64) {
+// SetLeaving records that this incarnation of an upstream is shutting down. It receives
+// no more requests, even if an announcement sent earlier still arrives.
+func (d *Dispatcher) SetLeaving(name string, incarnation uint64) {
 	u := d.upstreams[name]
 	if u == nil || u.view.Incarnation != incarnation {
 		return
@@ -143,19 +145,19 @@
 	u.view.Sequence = ^uint64(0)
 }
 
-// Remove forgets an upstream.
+// Remove removes an upstream.
 func (d *Dispatcher) Remove(name string) {
 	u := d.upstreams[name]
 	if u == nil {
 		return
 	}
-	d.leavePools(u)
+	d.removeFromPools(u)
 	delete(d.upstreams, name)
 	delete(d.byID, u.id)
-	d.addUp()
+	d.recomputeTotals()
 }
 
-// Sweep forgets the upstreams whose lease has run out before the given time.
+// Sweep removes the upstreams whose lease expired before the given time.
 func (d *Dispatcher) Sweep(before time.Time) {
 	for name, u := range d.upstreams {
 		if u.view.LeaseUntil.Before(before) {
@@ -164,32 +166,32 @@
 	}
 }
 
-// Capacity returns how many requests for target this instance can start in a
-// second, from its limits and the time that requests stay open. It returns 0 if
-// no upstream holds the target. It walks all candidates and is for requests
-// that have to wait.
+// Capacity returns the number of requests for target that this instance can start per
+// second, computed from its limits and the mean time that requests are open. It returns
+// 0 if no upstream serves the target. It iterates over all candidates, so it is called
+// only for requests that have to wait.
 func (d *Dispatcher) Capacity(now time.Time, target Target) float64 {
 	p := d.pools[target]
 	if p == nil {
 		return 0
 	}
-	total := 0.0
+	perSecond := 0.0
 	for _, u := range p.members {
-		if u.alive(now) && !u.health.ejected(now) {
-			total += float64(u.limit.Value()) / u.openFor()
+		if u.available(now) && !u.health.ejected(now) {
+			perSecond += float64(u.limit.Value()) / u.expectedOpenSeconds()
 		}
 	}
-	return total
+	return perSecond
 }
 
-// Serves reports whether an upstream holds target, whether or not it may be given
-// new work.
+// Serves reports whether any upstream serves target, even one that accepts no new
+// requests.
 func (d *Dispatcher) Serves(target Target) bool {
 	return d.pools[target] != nil
 }
 
-// InFlight returns the number of requests that this instance has open at an
-// upstream, and its limit. If the upstream is not known, both are 0.
+// InFlight returns the number of open requests of this instance at an upstream, and
+// their limit. If the upstream is unknown, both are 0.
 func (d *Dispatcher) InFlight(name string) (open, limit int) {
 	u := d.upstreams[name]
 	if u == nil {
@@ -198,7 +200,8 @@
 	return u.inFlight, u.limit.Value()
 }
 
-// poolName returns the name of the queue for target.
+// poolName returns the name of the pool for target. The admission queue uses it as the
+// name of its pool.
 func (d *Dispatcher) poolName(target Target) string {
 	if p := d.pools[target]; p != nil {
 		return p.name
@@ -206,38 +209,39 @@
 	return target.String()
 }
 
-func (d *Dispatcher) add(view View) *upstream {
+func (d *Dispatcher) addUpstream(view View) *upstream {
 	d.lastID++
 	u := &upstream{
-		id: d.lastID, bias: 1, instances: d.options.Instances, limit: d.firstLimit(view.Load.MaxRunning),
+		id: d.lastID, bias: 1, instances: d.options.Instances, limit: d.initialLimit(view.Load.MaxRunning),
 	}
 	u.view.Incarnation = view.Incarnation
 	d.upstreams[view.Name] = u
 	d.byID[u.id] = u
-	d.addUp()
+	d.recomputeTotals()
 	return u
 }
 
-// firstLimit returns the limit of an upstream that runs places requests at once.
-// One that does not say how many is bounded by its answers alone.
-func (d *Dispatcher) firstLimit(places int) admission.Limit {
-	if places <= 0 {
-		return admission.NewLimit(assumedRunning, mostUnknown)
+// initialLimit returns the initial limit for an upstream that runs maxRunning requests at
+// once. If maxRunning is 0, which means unknown, the limit then adapts to the upstream's
+// answers up to maxUnreportedLimit.
+func (d *Dispatcher) initialLimit(maxRunning int) admission.Limit {
+	if maxRunning <= 0 {
+		return admission.NewLimit(assumedMaxRunning, maxUnreportedLimit)
 	}
-	ceiling := int(float64(places) * limitSlack)
+	ceiling := int(float64(maxRunning) * limitOvercommit)
 	share := (ceiling + d.options.Instances - 1) / d.options.Instances
 	return admission.NewLimit(share, ceiling)
 }
 
-func (d *Dispatcher) joinPools(u *upstream) {
-	d.scratch = u.view.targets(d.scratch[:0])
-	for _, target := range d.scratch {
+func (d *Dispatcher) addToPools(u *upstream) {
+	d.targetBuffer = u.view.targets(d.targetBuffer[:0])
+	for _, target := range d.targetBuffer {
 		p := d.pools[target]
 		if p == nil {
 			p = &pool{target: target, name: target.String()}
 			d.pools[target] = p
 		}
-		if !u.memberOf(p) {
+		if !u.inPool(p) {
 			p.members = append(p.members, u)
 			u.pools = append(u.pools, p)
 			u.poolNames = append(u.poolNames, p.name)
@@ -245,7 +249,7 @@
 	}
 }
 
-func (d *Dispatcher) leavePools(u *upstream) {
+func (d *Dispatcher) removeFromPools(u *upstream) {
 	for _, p := range u.pools {
 		p.remove(u)
 		if len(p.members) == 0 {
@@ -256,8 +260,8 @@
 	u.poolNames = u.poolNames[:0]
 }
 
-// sameTargets reports whether a and b can run the same, so that the lists of
-// candidates stay as they are.
+// sameTargets reports whether a and b serve the same targets, in which case the pools
+// don't change.
 func sameTargets(a, b *View) bool {
 	return slices.Equal(a.Services, b.Services) &&
 		slices.EqualFunc(a.Resident, b.Resident, func(x, y upstreamapi.Resident) bool {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -12,14 +12,14 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// viewOf returns a View of an idle engine with room for places requests, which
-// holds model "m".
-func viewOf(name string, sequence uint64, places int) dispatch.View {
+// viewOf returns the View of an idle engine that runs up to maxRunning requests at once and
+// serves model "m".
+func viewOf(name string, sequence uint64, maxRunning int) dispatch.View {
 	return dispatch.View{
 		Name: name, Address: name + ":1", FailureDomain: "kgn-a", Incarnation: 1, Sequence: sequence,
 		Kind:     upstreamapi.KindEngine,
 		Resident: []upstreamapi.Resident{{Model: "m", Adapters: []string{"a-" + name}}},
-		Load:     upstreamapi.Load{MaxRunning: places, PrefillTokensPerSecond: 1000, TokenInterval: 20 * time.Millisecond},
+		Load:     upstreamapi.Load{MaxRunning: maxRunning, PrefillTokensPerSecond: 1000, TokenInterval: 20 * time.Millisecond},
 		LoadAt:   start.Add(time.Duration(sequence) * time.Second), LeaseUntil: start.Add(time.Hour),
 	}
 }
@@ -39,26 +39,26 @@
 		decision := d.Choose(now, request)
 		return decision.Chosen.Name, decision.Reason
 	}
-	fly := func(now time.Time) dispatch.Flight {
+	send := func(now time.Time) dispatch.Flight {
 		decision := d.Choose(now, request)
 		ExpectWithOffset(1, decision.OK()).To(BeTrue())
 		return d.Sent(now, request, &decision)
 	}
 
-	It("takes the one that is predicted to answer first, and names the others", func() {
+	It("chooses the upstream with the shortest predicted time to the first token, and lists the others", func() {
 		slow := viewOf("slow", 1, 8)
 		slow.Load.WaitingPromptTokens = 300
 		d.Update(slow)
-		d.Update(viewOf("quick", 1, 8))
+		d.Update(viewOf("fast", 1, 8))
 		decision := d.Choose(start, request)
-		Expect(decision.Chosen.Name).To(Equal("quick"))
+		Expect(decision.Chosen.Name).To(Equal("fast"))
 		Expect(decision.Chosen.FirstToken).To(Equal(100 * time.Millisecond))
 		Expect(decision.Reason).To(Equal(dispatch.ReasonLeastCost))
 		Expect(decision.RunnersUp()).To(HaveLen(1))
 		Expect(decision.RunnersUp()[0].FirstToken).To(Equal(400 * time.Millisecond))
 	})
 
-	It("finds adapters, versions and plain services", func() {
+	It("chooses by adapter, by version and by plain service", func() {
 		view := viewOf("e", 1, 8)
 		view.Resident[0].Version = "v2"
 		d.Update(view)
@@ -83,30 +83,29 @@
 		d.Update(viewOf("b", 1, 8))
 		now := start.Add(1500 * time.Millisecond)
 		first, _ := choose(now)
-		fly(now)
+		send(now)
 		second := d.Choose(now, request)
 		Expect(second.Chosen.Name).NotTo(Equal(first))
 		Expect(second.RunnersUp()[0].FirstToken).To(Equal(200 * time.Millisecond))
 
 		next := viewOf(first, 2, 8)
-		next.Load.Running = 1 // its prompt is prefilled by now
+		next.Load.Running = 1 // the prefill has finished
 		d.Update(next)
 		decision := d.Choose(now, request)
 		Expect(decision.Chosen.FirstToken).To(Equal(100 * time.Millisecond))
 	})
 
 	It("gives nothing more to an upstream that is leaving, whatever comes late", func() {
-		// The engine says that it stops. An announcement that it had sent before
-		// arrives after that, from another instance. A request sent to it now would
-		// be cut off when it stops.
+		// The engine announces its shutdown. An announcement from before arrives later, through
+		// another instance. A request sent to the engine now would be aborted by the shutdown.
 		d.Update(viewOf("a", 1, 8))
-		d.Leave("a", 1)
+		d.SetLeaving("a", 1)
 		Expect(d.Update(viewOf("a", 2, 8))).To(BeFalse())
 		_, reason := choose(start)
 		Expect(reason).To(Equal(dispatch.ReasonNoneFit))
 	})
 
-	It("gives nothing more to an upstream whose lease has run out", func() {
+	It("sends no requests to an upstream with an expired lease", func() {
 		d.Update(viewOf("a", 1, 8))
 		_, reason := choose(start.Add(time.Hour))
 		Expect(reason).To(Equal(dispatch.ReasonNoneFit))
@@ -115,7 +114,7 @@
 		Expect(reason).To(Equal(dispatch.ReasonNoCandidate))
 	})
 
-	It("ignores a view that is older than the one it has", func() {
+	It("ignores a view that is older than the current one", func() {
 		d.Update(viewOf("a", 5, 8))
 		Expect(d.Update(viewOf("a", 4, 8))).To(BeFalse())
 		newer := viewOf("a", 1, 8)
@@ -127,11 +126,11 @@
 	})
 
 	It("counts nothing of a request that ends after its engine has restarted", func() {
-		// The engine restarts while a request is open. The end of the request comes
-		// afterwards: taken off the new incarnation, it would let the instance send
-		// one more than the limit, again and again.
+		// An engine restarts while a request is open, and the request ends afterwards. If
+		// that reduced the count of the new incarnation, the instance could exceed the limit
+		// by one more request with each restart.
 		d.Update(viewOf("a", 1, 8))
-		flight := fly(start)
+		flight := send(start)
 		newer := viewOf("a", 1, 8)
 		newer.Incarnation = 2
 		d.Update(newer)
@@ -142,11 +141,11 @@
 		Expect(open).To(Equal(0))
 	})
 
-	It("says that there is no room when all limits are reached", func() {
+	It("returns ReasonNoRoom if all limits are reached", func() {
 		now := start.Add(2 * time.Second)
 		d.Update(viewOf("a", 1, 2))
-		fly(now)
-		fly(now)
+		send(now)
+		send(now)
 		_, reason := choose(now)
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
 		request.Priority = 0
@@ -154,14 +153,14 @@
 		Expect(reason).To(Equal(dispatch.ReasonOnlyCandidate))
 	})
 
-	It("goes one over its share of an upstream only on a fresh report of free places", func() {
+	It("exceeds its share of an upstream by one only on a fresh report of free slots", func() {
 		d = dispatch.New(dispatch.Options{Instances: 7, Seed: 1})
 		view := viewOf("a", 1, 16)
 		view.Load.Running = 8
 		d.Update(view)
 		now := view.LoadAt.Add(100 * time.Millisecond)
 		for range 3 {
-			fly(now)
+			send(now)
 		}
 		_, reason := choose(now)
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
@@ -174,9 +173,9 @@
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
 	})
 
-	It("goes by its own requests when a report is old", func() {
-		// The report of a is from a busy time, seconds ago. All instances that
-		// still believed it would send everything to b.
+	It("relies on its own open requests if a report is old", func() {
+		// The report of a is seconds old and shows it busy. If all instances still relied on
+		// it, they would send every request to b.
 		busy := viewOf("a", 1, 64)
 		busy.Load.Running, busy.Load.TokenInterval = 8, 23*time.Millisecond
 		d.Update(busy)
@@ -192,10 +191,10 @@
 		Expect(name).To(Equal("a"))
 	})
 
-	It("keeps the limit of an upstream that is slow by itself", func() {
-		// A plain service always takes 200 ms, of a goal of 540 ms. That is its own
-		// time and no sign of too many requests: held to a fifth of the goal, its
-		// limit would shrink to one and its callers would be refused.
+	It("keeps the limit of an upstream that is slow even when idle", func() {
+		// A plain service always takes 200 ms, with a goal of 540 ms. This is its idle time
+		// and no sign of overload. With a budget of a fifth of the goal, its limit would
+		// shrink to one and requests would be refused.
 		d.Update(dispatch.View{
 			Name: "seats", Incarnation: 1, Services: []string{"seat-check"}, Kind: upstreamapi.KindService,
 			LeaseUntil: start.Add(time.Hour),
@@ -205,7 +204,7 @@
 		for range 20 {
 			var flights []dispatch.Flight
 			for range 10 {
-				flights = append(flights, fly(now))
+				flights = append(flights, send(now))
 			}
 			now = now.Add(200 * time.Millisecond)
 			for i := range flights {
@@ -217,7 +216,7 @@
 		Expect(limit).To(BeNumerically(">", 25))
 	})
 
-	It("goes over no more limits than are idle", func() {
+	It("exceeds no limit once 80 % of all its limits are in use", func() {
 		d = dispatch.New(dispatch.Options{Instances: 7, Seed: 1})
 		d.Update(viewOf("a", 1, 16))
 		d.Update(viewOf("b", 1, 16))
@@ -227,14 +226,14 @@
 			d.Sent(now, request, &decision)
 			open++
 		}
-		// Two limits of 3 are 6, of which 0.8 are 4.8.
+		// 80 % of two limits of 3 is 4.8.
 		Expect(open).To(Equal(5))
 	})
 
-	It("goes one over a limit while its others stand idle, unless it was cut just now", func() {
-		// All requests of this instance are for the model of one engine, by chance.
-		// Its share of that engine is full and its shares of the others are empty:
-		// refusing would waste places.
+	It("exceeds a limit by one while its other limits are unused, unless the limit was just reduced", func() {
+		// By chance, all requests of this instance are for the model of one engine. Its share
+		// of that engine is full and its shares of the others are empty: a refusal would leave
+		// slots unused.
 		d = dispatch.New(dispatch.Options{Instances: 7, Seed: 1})
 		other := viewOf("b", 1, 16)
 		other.Resident[0].Model = "other"
@@ -243,14 +242,14 @@
 		now := start.Add(10 * time.Second)
 		var flights []dispatch.Flight
 		for range 3 {
-			flights = append(flights, fly(now))
+			flights = append(flights, send(now))
 		}
 		_, reason := choose(now)
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
 		d.Finished(now, &flights[0])
-		flights[0] = fly(now)
+		flights[0] = send(now)
 
-		d.FirstByte(now.Add(time.Second), &flights[1]) // too late: the limit is cut to 2.7
+		d.FirstByte(now.Add(time.Second), &flights[1]) // over budget: reduces the limit to 2.7
 		d.Finished(now.Add(time.Second), &flights[1])
 		_, reason = choose(now.Add(time.Second))
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
@@ -258,7 +257,7 @@
 		Expect(reason).To(Equal(dispatch.ReasonOnlyCandidate))
 	})
 
-	It("does not choose again what has failed the request", func() {
+	It("does not choose an upstream that has already failed the request", func() {
 		d.Update(viewOf("a", 1, 8))
 		d.Update(viewOf("b", 1, 8))
 		request.Tried = []string{"a"}
@@ -290,12 +289,11 @@
 		})
 
 		It("takes out one that fails five times in a row, and lets it return slowly", func() {
-			// One engine accepts connections and breaks them. Its callers see errors
-			// until it is out; when it returns, only few requests find out whether it
-			// still breaks them.
+			// An engine accepts connections and then closes them. Requests fail until it is
+			// ejected. After the ejection, only few requests probe whether it still fails.
 			Expect(fail(start, "e0", 4)).To(BeFalse())
 			Expect(fail(start, "e0", 1)).To(BeTrue())
-			share := func(now time.Time) int {
+			timesChosen := func(now time.Time) int {
 				count := 0
 				for range 2000 {
 					if name, _ := choose(now); name == "e0" {
@@ -304,15 +302,15 @@
 				}
 				return count
 			}
-			Expect(share(start.Add(time.Second))).To(Equal(0))
-			early, late := share(start.Add(3*time.Second)), share(start.Add(30*time.Second))
+			Expect(timesChosen(start.Add(time.Second))).To(Equal(0))
+			early, late := timesChosen(start.Add(3*time.Second)), timesChosen(start.Add(30*time.Second))
 			Expect(early).To(BeNumerically(">", 0))
 			Expect(early).To(BeNumerically("<", late/3))
 		})
 
 		It("never takes out more than a third, nor the last one", func() {
-			// The network of this instance breaks, so that all engines seem to fail.
-			// Ejecting them all would turn a short fault into a long one.
+			// This instance's network fails, so that all engines seem to fail. Ejecting all of
+			// them would prolong a short outage.
 			Expect(fail(start, "e0", 5)).To(BeTrue())
 			Expect(fail(start, "e1", 5)).To(BeFalse())
 			request.Target.Adapter = "a-e0"
@@ -340,8 +338,8 @@
 			request.Blocks = dispatch.BlockHashes(nil, request.Target, prompt, 512)
 		})
 
-		It("prefers the one that has run the prefix", func() {
-			flight := fly(start)
+		It("prefers the upstream that has already run the prefix", func() {
+			flight := send(start)
 			d.FirstByte(start.Add(time.Second), &flight)
 			d.Finished(start.Add(2*time.Second), &flight)
 			first := d.Choose(start.Add(2*time.Second), request)
@@ -349,30 +347,30 @@
 			Expect(first.Chosen.CachedTokens).To(BeNumerically(">", 7*dispatch.BlockTokens))
 		})
 
-		It("counts on a cache less after a gap in its events", func() {
-			// An event got lost. It may have said that the prefix was dropped: the
-			// prefix still counts, but for less. The answer is right either way.
+		It("expects fewer cached tokens after a gap in the cache events", func() {
+			// An event was lost. It may have evicted the prefix, so the prefix counts for less
+			// from then on. A wrong estimate doesn't change the answer.
 			var events []upstreamapi.CacheEvent
 			for _, block := range request.Blocks {
 				events = append(events, upstreamapi.CacheEvent{Kind: upstreamapi.CacheStored, Prefix: dispatch.BlockName(block)})
 			}
 			batch := upstreamapi.CacheEvents{Name: "e3", Incarnation: 1, First: 1, Events: events}
 			Expect(d.Cached(start, batch)).To(BeTrue())
-			sure := d.Choose(start, request)
-			Expect(sure.Chosen.Name).To(Equal("e3"))
+			beforeGap := d.Choose(start, request)
+			Expect(beforeGap.Chosen.Name).To(Equal("e3"))
 			Expect(d.Cached(start, batch)).To(BeFalse())
 			batch.First += 100
 			d.Cached(start, batch)
-			doubtful := d.Choose(start, request)
-			Expect(doubtful.Chosen.CachedTokens).To(BeNumerically(">", 0))
-			Expect(doubtful.Chosen.CachedTokens).To(BeNumerically("<", sure.Chosen.CachedTokens/2))
+			afterGap := d.Choose(start, request)
+			Expect(afterGap.Chosen.CachedTokens).To(BeNumerically(">", 0))
+			Expect(afterGap.Chosen.CachedTokens).To(BeNumerically("<", beforeGap.Chosen.CachedTokens/2))
 			batch.First, batch.Events = batch.Next(), []upstreamapi.CacheEvent{{Kind: upstreamapi.CacheCleared}}
 			d.Cached(start, batch)
-			none := d.Choose(start, request)
-			Expect(none.Chosen.CachedTokens).To(Equal(0))
+			afterClear := d.Choose(start, request)
+			Expect(afterClear.Chosen.CachedTokens).To(Equal(0))
 		})
 
-		It("differs by adapter", func() {
+		It("has different block hashes for each adapter", func() {
 			other := dispatch.BlockHashes(nil, dispatch.Target{Model: "m", Adapter: "x"}, prompt, 512)
 			Expect(other).To(HaveLen(8))
 			Expect(other[7]).NotTo(Equal(request.Blocks[7]))
@@ -381,7 +379,7 @@
 })
 
 var _ = Describe("Gate", func() {
-	It("sends, queues, refuses, and sends what waits when a place is free", func() {
+	It("sends, queues and refuses requests, and sends a waiting one when a slot is free", func() {
 		d := dispatch.New(dispatch.Options{})
 		g := dispatch.NewGate(d, admission.New(admission.Options{}))
 		d.Update(viewOf("a", 1, 1))
@@ -408,10 +406,10 @@
 		Expect(arrive(5, 2, 0).Reason).To(Equal(dispatch.ReasonNoRoom))
 	})
 
-	It("neither queues nor waits behind what no free upstream can run", func() {
-		// The only engine is busy, others wait for it, and a request comes that it
-		// has failed before: it is told so, instead of waiting for nothing. With a
-		// second engine it waits for that one, and lets the others pass.
+	It("neither queues a request without a possible upstream nor lets it block those behind it", func() {
+		// The only engine is busy, and a request that it has already failed arrives while
+		// others wait. It is rejected immediately instead of waiting in vain. With a second
+		// engine, it waits for that one without blocking the others.
 		d := dispatch.New(dispatch.Options{})
 		g := dispatch.NewGate(d, admission.New(admission.Options{}))
 		d.Update(viewOf("a", 1, 1))
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -3,139 +3,139 @@
 import "time"
 
 const (
-	// learnRate is the weight of one observation in the moving means.
-	learnRate = 0.1
-	// The bounds of the bias. Beyond them the prediction is wrong for a reason
-	// that one factor does not mend, and the limit and the ejection act.
-	leastBias = 0.5
-	mostBias  = 4.0
-	// baseRate is the weight of a slower answer in the base.
-	baseRate = 0.002
-	// leastForecast is the shortest prediction in seconds that says anything of
-	// the bias.
-	leastForecast = 0.002
-	leastOpen     = 0.001
-	// budgetShare is the part of the slack to the goal that a request may spend at
-	// the upstream.
-	budgetShare = 0.2
+	// meanWeight is the weight of one observation in the moving means.
+	meanWeight = 0.1
+	// Bounds of the bias. Beyond them, a constant factor can't correct the prediction, and
+	// limits and ejection take effect.
+	minBias = 0.5
+	maxBias = 4.0
+	// overheadRiseWeight is the weight of a slower answer in the overhead.
+	overheadRiseWeight = 0.002
+	// minPredictionSeconds is the shortest prediction that updates the bias.
+	minPredictionSeconds = 0.002
+	minOpenSeconds       = 0.001
+	// budgetSlackShare is the share of the slack to the goal that a request may spend at the
+	// upstream.
+	budgetSlackShare = 0.2
 )
 
-// Flight is one request that this instance has open at an upstream. It is given
-// back to the Dispatcher with what comes of the request: FirstByte once or never,
-// then Finished or Failed once.
+// Flight is one open request of this instance at an upstream. The caller reports its
+// progress to the Dispatcher: FirstByte at most once, then either Finished or Failed once.
 type Flight struct {
-	upstream *upstream
-	sentAt   time.Time
-	firstAt  time.Time
-	// predicted is the forecast in seconds without the bias of the upstream.
-	predicted float64
-	// budget is the longest time to the first token that lets the limit be.
+	upstream     *upstream
+	sentAt       time.Time
+	firstTokenAt time.Time
+	// unbiasedSeconds is the predicted time to the first token divided by the bias of the
+	// upstream.
+	unbiasedSeconds float64
+	// budget is the longest time to the first token that doesn't reduce the limit. 0 means
+	// that the request has no goal.
 	budget       time.Duration
 	promptTokens int32
 	priority     uint8
 }
 
-// Sent takes in that r goes to the upstream that decision chose.
+// Sent records that r is sent to the chosen upstream of decision.
 func (d *Dispatcher) Sent(now time.Time, r *Request, decision *Decision) Flight {
 	chosen := &decision.Chosen
 	u := chosen.upstream
 	flight := Flight{
-		upstream:     u,
-		sentAt:       now,
-		predicted:    chosen.FirstToken.Seconds() / u.bias,
-		budget:       u.budget(r, chosen.CachedTokens),
-		promptTokens: int32(max(r.PromptTokens-chosen.CachedTokens, 0)),
-		priority:     r.Priority,
+		upstream:        u,
+		sentAt:          now,
+		unbiasedSeconds: chosen.FirstToken.Seconds() / u.bias,
+		budget:          u.firstTokenBudget(r, chosen.CachedTokens),
+		promptTokens:    int32(max(r.PromptTokens-chosen.CachedTokens, 0)),
+		priority:        r.Priority,
 	}
-	d.fly(u, r.Priority, 1)
-	u.unanswered += int(flight.promptTokens)
-	u.trail.add(step{at: now, requests: 1, promptTokens: flight.promptTokens})
-	// The cache will hold the prompt, and requests with the same prefix that come
-	// before the first token gain by waiting at the same upstream.
+	d.addInFlight(u, r.Priority, 1)
+	u.pendingPromptTokens += int(flight.promptTokens)
+	u.changes.add(loadChange{at: now, requests: 1, promptTokens: flight.promptTokens})
+	// The upstream's cache will hold the prompt. A request with the same prefix benefits
+	// from it even if it arrives before the first token and has to wait there.
 	for _, block := range r.Blocks {
 		d.prefixes.add(block, u.id)
 	}
 	return flight
 }
 
-// FirstByte takes in that the first token, or the answer of a plain service, has
-// come.
+// FirstByte records the arrival of the first token, or of the answer of a plain service.
 func (d *Dispatcher) FirstByte(now time.Time, flight *Flight) {
 	u := flight.upstream
-	flight.firstAt = now
+	flight.firstTokenAt = now
 	took := now.Sub(flight.sentAt)
-	u.trail.add(step{at: now, promptTokens: -flight.promptTokens})
-	u.unanswered -= int(flight.promptTokens)
-	u.answer = moved(u.answer, took.Seconds())
-	u.learnBase(took.Seconds() - u.prefillTime(int(flight.promptTokens)))
-	if flight.predicted >= leastForecast {
-		ratio := took.Seconds() / flight.predicted
-		u.bias = min(max(u.bias+learnRate*(ratio-u.bias), leastBias), mostBias)
+	u.changes.add(loadChange{at: now, promptTokens: -flight.promptTokens})
+	u.pendingPromptTokens -= int(flight.promptTokens)
+	u.firstTokenSeconds = movingMean(u.firstTokenSeconds, took.Seconds())
+	u.observeOverhead(took.Seconds() - u.prefillSeconds(int(flight.promptTokens)))
+	if flight.unbiasedSeconds >= minPredictionSeconds {
+		ratio := took.Seconds() / flight.unbiasedSeconds
+		u.bias = min(max(u.bias+meanWeight*(ratio-u.bias), minBias), maxBias)
 	}
 	d.setLimit(u, u.limit.WithFirstToken(now, flight.sentAt, took, flight.budget, u.inFlight))
 	u.health.succeeded()
 }
 
-// Finished takes in that the whole answer has come. If nothing is known of its
-// first token, the limit of the upstream goes by the queue that it reports.
+// Finished records the end of a complete answer. If the request has no goal, or FirstByte
+// was not called, the limit may grow while the upstream reports an empty queue.
 func (d *Dispatcher) Finished(now time.Time, flight *Flight) {
 	u := flight.upstream
-	if flight.firstAt.IsZero() {
+	if flight.firstTokenAt.IsZero() {
 		u.health.succeeded()
 	} else {
-		u.hold = moved(u.hold, now.Sub(flight.firstAt).Seconds())
+		u.decodeSeconds = movingMean(u.decodeSeconds, now.Sub(flight.firstTokenAt).Seconds())
 	}
-	if (flight.firstAt.IsZero() || flight.budget == 0) && u.view.Load.Waiting == 0 {
+	if (flight.firstTokenAt.IsZero() || flight.budget == 0) && u.view.Load.Waiting == 0 {
 		d.setLimit(u, u.limit.WithAnswer(u.inFlight))
 	}
-	d.end(now, flight)
+	d.release(now, flight)
 }
 
-// budget returns the longest time to the first token that is no sign of too many
-// requests at u: an idle engine's time and a part of what is left to the goal.
-// The rest is for the time that requests wait at the instance.
-func (u *upstream) budget(r *Request, cached int) time.Duration {
+// firstTokenBudget returns the longest time to the first token that doesn't indicate
+// overload of u: the time at an idle upstream plus budgetSlackShare of the slack to the
+// goal. The rest of the slack is for the wait at the instance.
+func (u *upstream) firstTokenBudget(r *Request, cachedTokens int) time.Duration {
 	if r.Goal.FirstToken <= 0 {
 		return 0
 	}
-	idle := u.idle(max(r.PromptTokens-cached, 0))
-	// An upstream that can't meet the goal even when idle is held to its own time.
-	left := max(r.Goal.FirstToken.Seconds()-idle, idle)
-	return time.Duration((idle + left*budgetShare) * float64(time.Second))
+	idle := u.idleFirstTokenSeconds(max(r.PromptTokens-cachedTokens, 0))
+	// For an upstream that can't meet the goal even when idle, the slack is based on its
+	// idle time.
+	slack := max(r.Goal.FirstToken.Seconds()-idle, idle)
+	return time.Duration((idle + slack*budgetSlackShare) * float64(time.Second))
 }
 
-// learnBase takes in the time of a first token without its prefill. The base
-// follows a faster answer at once and slower ones slowly, so that the time that
-// requests wait at a busy upstream is not taken for its own.
-func (u *upstream) learnBase(seconds float64) {
+// observeOverhead updates the overhead from a time to the first token minus its prefill.
+// The overhead drops to a lower value at once and rises slowly, so that queueing at a
+// busy upstream hardly counts as overhead.
+func (u *upstream) observeOverhead(seconds float64) {
 	seconds = max(seconds, 0)
-	if !u.answered || seconds < u.base {
-		u.base, u.answered = seconds, true
+	if !u.overheadKnown || seconds < u.overheadSeconds {
+		u.overheadSeconds, u.overheadKnown = seconds, true
 		return
 	}
-	u.base += baseRate * (seconds - u.base)
+	u.overheadSeconds += overheadRiseWeight * (seconds - u.overheadSeconds)
 }
 
-// Failure says what kept an answer from coming whole.
+// Failure is the reason for an incomplete answer.
 type Failure uint8
 
 // The kinds of failure.
 const (
-	// FailureRefused means that the upstream refused for want of room.
+	// FailureRefused means that the upstream rejected the request because it was full.
 	FailureRefused Failure = iota + 1
-	// FailureBroken means that it could not be reached, broke off, was silent for
-	// too long or answered with an error of its own.
+	// FailureBroken means that the upstream was unreachable, closed the connection early,
+	// timed out or answered with an error.
 	FailureBroken
-	// FailureCanceled means that the caller went away, which says nothing about
+	// FailureCanceled means that the caller disconnected. It doesn't affect the health of
 	// the upstream.
 	FailureCanceled
 )
 
-// Failed takes in that the answer will not come whole. It reports whether the
-// upstream was ejected for it.
+// Failed records that a request ended without a complete answer. It reports whether this
+// ejected the upstream.
 func (d *Dispatcher) Failed(now time.Time, flight *Flight, failure Failure) bool {
 	u := flight.upstream
-	d.end(now, flight)
+	d.release(now, flight)
 	switch failure {
 	case FailureRefused:
 		d.setLimit(u, u.limit.WithCut(now, flight.sentAt))
@@ -147,43 +147,43 @@
 	return false
 }
 
-// end gives the place of a flight back.
-func (d *Dispatcher) end(now time.Time, flight *Flight) {
+// release removes a request from the load of its upstream.
+func (d *Dispatcher) release(now time.Time, flight *Flight) {
 	u := flight.upstream
-	d.fly(u, flight.priority, -1)
-	s := step{at: now, requests: -1}
-	if flight.firstAt.IsZero() {
-		s.promptTokens = -flight.promptTokens
-		u.unanswered -= int(flight.promptTokens)
+	d.addInFlight(u, flight.priority, -1)
+	change := loadChange{at: now, requests: -1}
+	if flight.firstTokenAt.IsZero() {
+		change.promptTokens = -flight.promptTokens
+		u.pendingPromptTokens -= int(flight.promptTokens)
 	}
-	u.trail.add(s)
+	u.changes.add(change)
 }
 
-// maybeEject ejects u if it is bad, unless more than ejectedCap of one of its
-// pools would be out, or none would be left. A fault that is common to all of
-// them, or to this instance's network, would otherwise eject them all.
+// maybeEject ejects u if it is unhealthy, unless more than maxEjectedShare of one of its
+// pools would be ejected, or all of it. Without this bound, a fault that affects all
+// members, or this instance's network, would eject every upstream.
 //
-// Pools of one adapter or version don't count, as they are often of one member.
-// Their requests go to an ejected one if no other holds what they need.
+// Pools of an adapter or a version don't count, because they often have a single member.
+// Their requests go to an ejected upstream if there is no other.
 func (d *Dispatcher) maybeEject(now time.Time, u *upstream) bool {
-	if !u.health.bad() || u.health.ejected(now) {
+	if !u.health.unhealthy() || u.health.ejected(now) {
 		return false
 	}
 	for _, p := range u.pools {
 		if p.target.Adapter != "" || p.target.Version != "" {
 			continue
 		}
-		out, alive := 1, 0
+		ejected, available := 1, 0
 		for _, m := range p.members {
-			if !m.alive(now) {
+			if !m.available(now) {
 				continue
 			}
-			alive++
+			available++
 			if m != u && m.health.ejected(now) {
-				out++
+				ejected++
 			}
 		}
-		if out >= alive || float64(out) > max(1, float64(alive)*ejectedCap) {
+		if ejected >= available || float64(ejected) > max(1, float64(available)*maxEjectedShare) {
 			return false
 		}
 	}
@@ -191,17 +191,19 @@
 	return true
 }
 
-// openFor returns the expected seconds that a request is open at u.
-func (u *upstream) openFor() float64 {
-	if u.answer <= 0 {
-		return u.holding()
+// expectedOpenSeconds returns the expected time for which a request is open at u.
+func (u *upstream) expectedOpenSeconds() float64 {
+	if u.firstTokenSeconds <= 0 {
+		return u.expectedDecodeSeconds()
 	}
-	return max(u.answer+u.hold, leastOpen)
+	return max(u.firstTokenSeconds+u.decodeSeconds, minOpenSeconds)
 }
 
-func moved(mean, observed float64) float64 {
+// movingMean returns mean updated by an observation. A mean of 0 means that there was none
+// before.
+func movingMean(mean, observed float64) float64 {
 	if mean <= 0 {
 		return observed
 	}
-	return mean + learnRate*(observed-mean)
+	return mean + meanWeight*(observed-mean)
 }
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -6,60 +6,59 @@
 	"github.com/lovagelift/lovagelift/internal/admission"
 )
 
-// startMargin is the part of the predicted time to the first token that is kept
-// free besides, when a request waits: predictions miss by about as much.
-const startMargin = 0.25
+// predictionMargin is the share of the predicted time to the first token that is added to
+// it for a waiting request: predictions are off by about as much.
+const predictionMargin = 0.25
 
-// maxPassed is how many waiting requests that can't use a free place are passed
-// over at once.
-const maxPassed = 8
+// maxSkipped is the number of waiting requests that can't use a free slot at which a call
+// of Freed stops.
+const maxSkipped = 8
 
-// longestWait is how long a request without goal and deadline waits.
-const longestWait = 10 * time.Second
+// maxDefaultWait is the maximum wait of a request without goal and deadline.
+const maxDefaultWait = 10 * time.Second
 
-// Arrival is a request that asks for an upstream.
+// Arrival is a request that needs an upstream.
 type Arrival struct {
 	Request
 	// ID is unique among the open requests of this instance.
 	ID uint64
-	// Service is the one that the request belongs to, Weight its share among
-	// those of the same priority.
+	// Service is the service that the request belongs to, and Weight the fair-share weight
+	// of that service among those of the same priority.
 	Service string
 	Weight  float64
-	// At is when the request came in. Deadline is when its answer is of no use any
-	// more, never if zero.
+	// At is the time of arrival. Deadline is the time from which the answer is useless; the
+	// zero time means none.
 	At       time.Time
 	Deadline time.Time
 }
 
-// Start says that a request goes to an upstream now.
+// Start is a request to be sent to an upstream now.
 type Start struct {
 	Arrival  *Arrival
 	Decision Decision
 	Flight   Flight
 }
 
-// Answer says what becomes of an arrival.
+// Answer is the result of Gate.Arrive. If it has no Start, no Queued and no Refusal, no
+// upstream can run the request, and Reason is the cause.
 type Answer struct {
-	// Start is set if the request goes to an upstream now: Start.Arrival is not
-	// nil then.
+	// Start is set, with a non-nil Arrival, if the request is to be sent now.
 	Start Start
-	// Reason is that of the last decision.
+	// Reason is the reason of the decision.
 	Reason Reason
-	// Queued says that the request waits. It comes out of Freed or Expired, of the
-	// latter at StartBy at the latest.
+	// Queued is set if the request waits. Freed returns it later, or Expired does so by
+	// StartBy.
 	Queued  bool
 	StartBy time.Time
-	// Refusal is the final answer if its Cause is set.
+	// Refusal is set, with a Cause, if the request is rejected.
 	Refusal admission.Refusal
-	// Displaced is the final answer to another request, which gave its place in
-	// the queue up, if its Cause is set.
+	// Displaced is set, with a Cause, if another request was removed from the full queue
+	// and is rejected.
 	Displaced admission.Refusal
 }
 
-// Gate joins a Dispatcher and a Queue: a request goes to an upstream, waits for
-// one or is refused. The zero value of Answer without any of these means that no
-// upstream can run the request; Answer.Reason says why.
+// Gate is the admission control in front of a Dispatcher: it sends a request to an
+// upstream, queues it or rejects it.
 //
 // A Gate is not safe for concurrent use.
 type Gate struct {
@@ -68,18 +67,18 @@
 	waiting    map[uint64]*Arrival
 }
 
-// NewGate returns a Gate in which nothing waits. It uses dispatcher and queue
-// from then on; the driver gives feedback to dispatcher itself.
+// NewGate returns a Gate without waiting requests. The caller still reports the progress of
+// requests, and upstream updates, directly to dispatcher.
 func NewGate(dispatcher *Dispatcher, queue *admission.Queue) *Gate {
 	return &Gate{dispatcher: dispatcher, queue: queue, waiting: map[uint64]*Arrival{}}
 }
 
-// Arrive decides on a. The Gate keeps a while it waits.
+// Arrive starts, queues or rejects a. The Gate keeps a reference to a while it waits.
 func (g *Gate) Arrive(now time.Time, a *Arrival) Answer {
 	a.Waited = now.Sub(a.At)
 	pool := g.dispatcher.poolName(a.Target)
-	if reason := g.dispatcher.reach(now, &a.Request); reason != ReasonNoRoom {
-		// Nothing can run it, room or not: it must not wait for that.
+	if reason := g.dispatcher.rejectReason(now, &a.Request); reason != ReasonNoRoom {
+		// No upstream can run it, even with room, so waiting is pointless.
 		return Answer{Reason: reason}
 	}
 	if g.queue.Waiting(pool, a.Priority) == 0 {
@@ -105,46 +104,46 @@
 	}
 }
 
-// Freed appends the requests that go out now, because the named upstream may
-// have room, to dst. It is to be called after each Finished, Failed and Update
-// of the upstream.
+// Freed starts waiting requests for which the named upstream may have room, and appends
+// them to dst. Call it after each Finished, Failed and Update of the upstream.
 func (g *Gate) Freed(now time.Time, name string, dst []Start) []Start {
 	u := g.dispatcher.upstreams[name]
-	if u == nil || g.queue.Size() == 0 || !u.alive(now) {
+	if u == nil || g.queue.Size() == 0 || !u.available(now) {
 		return dst
 	}
-	var passed [maxPassed]admission.Ticket
-	count := 0
-	for count < maxPassed {
+	var skipped [maxSkipped]admission.Ticket
+	skippedCount := 0
+	for skippedCount < maxSkipped {
 		lowest, ok := g.dispatcher.lowestWithRoom(now, u)
 		if !ok {
 			break
 		}
-		t, ok := g.queue.Take(now, lowest, u.poolNames)
+		ticket, ok := g.queue.Take(now, lowest, u.poolNames)
 		if !ok {
 			break
 		}
-		a := g.waiting[t.ID]
+		a := g.waiting[ticket.ID]
 		a.Waited = now.Sub(a.At)
 		decision := g.dispatcher.Choose(now, &a.Request)
 		if !decision.OK() {
-			// The room is at an upstream that has failed this request before or is
-			// ejected. It waits for another one, and must not hold up those behind it.
-			passed[count] = t
-			count++
+			// The upstream with room has already failed this request or is ejected. The
+			// request returns to the queue after the loop, so that it doesn't block those
+			// behind it.
+			skipped[skippedCount] = ticket
+			skippedCount++
 			continue
 		}
-		delete(g.waiting, t.ID)
+		delete(g.waiting, ticket.ID)
 		dst = append(dst, g.start(now, a, decision))
 	}
-	for _, t := range passed[:count] {
-		g.queue.Return(now, t)
+	for _, ticket := range skipped[:skippedCount] {
+		g.queue.Return(now, ticket)
 	}
 	return dst
 }
 
-// Expired appends the refusals of waiting requests that can't start in time any
-// more to dst. Each is to be answered at once.
+// Expired removes the waiting requests that can no longer start in time, and appends their
+// refusals to dst. The caller answers each of them immediately.
 func (g *Gate) Expired(now time.Time, dst []admission.Refusal) []admission.Refusal {
 	if g.queue.Size() == 0 {
 		return dst
@@ -157,8 +156,8 @@
 	return dst
 }
 
-// Cancel takes the waiting request a out, because its caller has gone. It
-// reports whether a was still waiting.
+// Cancel removes the waiting request a after its caller disconnected. It reports whether a
+// was still waiting.
 func (g *Gate) Cancel(a *Arrival) bool {
 	if g.waiting[a.ID] != a {
 		return false
@@ -167,8 +166,8 @@
 	return g.queue.Cancel(a.Target.String(), a.ID)
 }
 
-// NextExpiry returns when Expired is to be called next. If nothing waits,
-// NextExpiry returns false.
+// NextExpiry returns the time at which to call Expired next. If no request waits, it
+// returns false.
 func (g *Gate) NextExpiry() (time.Time, bool) {
 	return g.queue.NextExpiry()
 }
@@ -178,10 +177,10 @@
 	return Start{Arrival: a, Decision: decision, Flight: flight}
 }
 
-// ticket returns the ticket of a. If even an idle upstream can't meet the goal,
-// refusing would help nobody: the deadline alone counts then.
+// ticket returns the ticket of a. If even an idle upstream can't meet the goal, a rejection
+// would not help, and StartBy follows from the deadline only.
 func (g *Gate) ticket(now time.Time, a *Arrival, pool string) admission.Ticket {
-	idle, loaded := g.dispatcher.forecast(now, &a.Request)
+	idle, loaded := g.dispatcher.predictFirstToken(now, &a.Request)
 	t := admission.Ticket{
 		ID:       a.ID,
 		Service:  a.Service,
@@ -190,14 +189,14 @@
 		Weight:   a.Weight,
 		Work:     float64(a.PromptTokens),
 	}
-	needed := time.Duration(float64(loaded) * (1 + startMargin))
+	needed := time.Duration(float64(loaded) * (1 + predictionMargin))
 	switch {
 	case a.Goal.FirstToken > idle:
 		t.StartBy = a.At.Add(a.Goal.FirstToken - needed)
 	case !a.Deadline.IsZero():
 		t.StartBy = a.Deadline.Add(-needed)
 	default:
-		t.StartBy = a.At.Add(longestWait)
+		t.StartBy = a.At.Add(maxDefaultWait)
 	}
 	return t
 }
--- a/internal/dispatch/goals_test.go
+++ b/internal/dispatch/goals_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	instances    = 7
-	engines      = 12
-	models       = 20
-	prefixTokens = 6 * dispatch.BlockTokens
-	networkDelay = 1500 * time.Microsecond
-	warmUp       = 10 * time.Second
-	measured     = 40 * time.Second
-	// capacity is about what the engines end in a second with full batches, in
-	// jobs of the mix below.
-	capacity = 64.0
+	instanceCount = 7
+	engineCount   = 12
+	modelCount    = 20
+	prefixTokens  = 6 * dispatch.BlockTokens
+	networkDelay  = 1500 * time.Microsecond
+	warmUpTime    = 10 * time.Second
+	measuredTime  = 40 * time.Second
+	// capacityJobsPerSecond is the approximate throughput of all engines with full batches,
+	// for the mix of jobs from newJob.
+	capacityJobsPerSecond = 64.0
 )
 
 var (
@@ -29,51 +29,55 @@
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// reports is how load reports reach the instances.
-type reports struct {
+// reportTiming defines when the instances receive load reports.
+type reportTiming struct {
 	name   string
-	every  time.Duration
-	lag    time.Duration
-	missed float64
+	period time.Duration
+	delay  time.Duration
+	// lossRate is the share of reports that an instance doesn't receive.
+	lossRate float64
 }
 
 var (
-	fresh  = reports{name: "fresh", every: 50 * time.Millisecond}
-	lagged = reports{name: "lagged 1 s", every: time.Second, lag: time.Second}
-	gapped = reports{name: "gapped", every: time.Second, lag: time.Second, missed: 0.5}
+	fresh  = reportTiming{name: "fresh", period: 50 * time.Millisecond}
+	lagged = reportTiming{name: "lagged 1 s", period: time.Second, delay: time.Second}
+	gapped = reportTiming{name: "gapped", period: time.Second, delay: time.Second, lossRate: 0.5}
 )
 
-// trial is one run of the model.
-type trial struct {
+// simulation is the configuration of one simulation run.
+type simulation struct {
 	policy string
-	load   float64
-	burst  bool
-	reports
+	// load is the arrival rate relative to capacityJobsPerSecond.
+	load  float64
+	burst bool
+	reportTiming
 	seed uint64
-	// samples is the number of candidates compared.
+	// samples is Options.Samples.
 	samples int
 }
 
-// result counts the jobs that met their goals, of all and of the urgent.
-type result struct {
+// goalCounts counts jobs by outcome. met and urgentMet are those that met their goals.
+type goalCounts struct {
 	jobs, met         int
 	urgent, urgentMet int
 	refused, late     int
 }
 
-func (r result) share() float64 { return float64(r.met) / float64(max(r.jobs, 1)) }
+func (c goalCounts) metShare() float64 { return float64(c.met) / float64(max(c.jobs, 1)) }
 
-func (r result) urgentShare() float64 { return float64(r.urgentMet) / float64(max(r.urgent, 1)) }
+func (c goalCounts) urgentMetShare() float64 { return float64(c.urgentMet) / float64(max(c.urgent, 1)) }
 
-// perSecond is the goodput of one engine.
-func (r result) perSecond() float64 { return float64(r.met) / measured.Seconds() / engines }
+// metPerEngineSecond returns the goodput per engine.
+func (c goalCounts) metPerEngineSecond() float64 {
+	return float64(c.met) / measuredTime.Seconds() / engineCount
+}
 
 func newEngines() []*engine {
 	var list []*engine
-	for i := range engines {
+	for i := range engineCount {
 		e := &engine{name: fmt.Sprintf("writing-%02d", i)}
-		for n := range models {
-			// The popular models stand at more engines.
+		for n := range modelCount {
+			// The popular models are loaded at more engines.
 			if n == 0 || n < 4 && (i+n)%2 == 0 || (i+n)%4 == 0 {
 				e.models = append(e.models, n)
 			}
@@ -83,163 +87,166 @@
 	return list
 }
 
-func (t trial) policies(m *model) []policy {
+func (s simulation) policies(sim *simulator) []policy {
 	var list []policy
-	for i := range instances {
-		options := dispatch.Options{Instances: instances, Samples: t.samples}
-		switch t.policy {
+	for i := range instanceCount {
+		options := dispatch.Options{Instances: instanceCount, Samples: s.samples}
+		switch s.policy {
 		case "ours":
-			list = append(list, newOurs(m, t.seed+uint64(i)+1, options))
+			list = append(list, newGatePolicy(sim, s.seed+uint64(i)+1, options))
 		case "ours, choice only":
-			o := newOurs(m, t.seed+uint64(i)+1, options)
-			o.ungated = true
-			list = append(list, o)
+			p := newGatePolicy(sim, s.seed+uint64(i)+1, options)
+			p.withoutGate = true
+			list = append(list, p)
 		default:
-			list = append(list, newPlain(m, t.policy))
+			list = append(list, newBaselinePolicy(sim, s.policy))
 		}
 	}
 	return list
 }
 
-func (t trial) run() result {
-	var r result
-	m := &model{random: rand.New(rand.NewPCG(t.seed, 1)), engines: newEngines()}
-	all := t.policies(m)
-	m.first = func(now time.Time, j *job) { all[j.instance].first(now, j) }
-	m.done = func(now time.Time, j *job) { all[j.instance].done(now, j) }
+func (s simulation) run() goalCounts {
+	var counts goalCounts
+	sim := &simulator{random: rand.New(rand.NewPCG(s.seed, 1)), engines: newEngines()}
+	instances := s.policies(sim)
+	sim.onFirstToken = func(now time.Time, j *job) { instances[j.instance].firstToken(now, j) }
+	sim.onDone = func(now time.Time, j *job) { instances[j.instance].done(now, j) }
 	var jobs []*job
-	t.scheduleReports(m, all)
+	s.scheduleReports(sim, instances)
 	var tick func(now time.Time)
 	tick = func(now time.Time) {
-		for _, p := range all {
+		for _, p := range instances {
 			p.tick(now)
 		}
-		m.after(now, 10*time.Millisecond, tick)
+		sim.after(now, 10*time.Millisecond, tick)
 	}
 	tick(start)
-	// The arrivals have a source of their own, so that all policies get the same.
-	arrivals := rand.New(rand.NewPCG(t.seed, 2))
+	// The arrivals have a random source of their own, so that they are the same for all
+	// policies.
+	arrivals := rand.New(rand.NewPCG(s.seed, 2))
 	var next func(now time.Time)
 	next = func(now time.Time) {
-		j := t.newJob(arrivals, now)
-		if since := now.Sub(start); since >= warmUp && since < warmUp+measured {
+		j := s.newJob(arrivals, now)
+		if since := now.Sub(start); since >= warmUpTime && since < warmUpTime+measuredTime {
 			jobs = append(jobs, j)
 		}
-		all[j.instance].arrive(now, j)
-		m.after(now, t.gap(arrivals), next)
+		instances[j.instance].arrive(now, j)
+		sim.after(now, s.interarrival(arrivals), next)
 	}
-	m.after(start, 0, next)
-	m.run(start.Add(warmUp + measured + 15*time.Second))
+	sim.after(start, 0, next)
+	sim.run(start.Add(warmUpTime + measuredTime + 15*time.Second))
 	for _, j := range jobs {
-		r.count(j)
+		counts.count(j)
 	}
-	return r
+	return counts
 }
 
-func (r *result) count(j *job) {
+func (c *goalCounts) count(j *job) {
 	met := j.met()
-	r.jobs++
+	c.jobs++
 	switch {
 	case met:
-		r.met++
+		c.met++
 	case j.engine == nil:
-		r.refused++
+		c.refused++
 	default:
-		r.late++
+		c.late++
 	}
 	if j.urgent {
-		r.urgent++
+		c.urgent++
 		if met {
-			r.urgentMet++
+			c.urgentMet++
 		}
 	}
 }
 
-func (t trial) scheduleReports(m *model, all []policy) {
-	for n, e := range m.engines {
-		for _, p := range all {
+func (s simulation) scheduleReports(sim *simulator, instances []policy) {
+	for n, e := range sim.engines {
+		for _, p := range instances {
 			p.report(start, e, e.load(), start)
 		}
 		var report func(now time.Time)
 		report = func(now time.Time) {
 			load := e.load()
-			for _, p := range all {
-				if m.random.Float64() >= t.missed {
-					m.after(now, t.lag, func(later time.Time) { p.report(later, e, load, now) })
+			for _, p := range instances {
+				if sim.random.Float64() >= s.lossRate {
+					sim.after(now, s.delay, func(later time.Time) { p.report(later, e, load, now) })
 				}
 			}
-			m.after(now, t.every, report)
+			sim.after(now, s.period, report)
 		}
-		m.after(start, t.every*time.Duration(n+1)/engines, report)
+		sim.after(start, s.period*time.Duration(n+1)/engineCount, report)
 	}
 }
 
-// burstShare of all requests go to one model in a burst, which otherwise has
-// about a twelfth: that is its tenfold.
+// burstShare is the share of requests for one model during a burst, about ten times its
+// usual share of about a twelfth.
 const burstShare = 0.8
 
-// gap returns the time to the next arrival.
-func (t trial) gap(random *rand.Rand) time.Duration {
-	return time.Duration(random.ExpFloat64() / (capacity * t.load) * float64(time.Second))
+// interarrival returns an exponentially distributed time to the next arrival.
+func (s simulation) interarrival(random *rand.Rand) time.Duration {
+	return time.Duration(random.ExpFloat64() / (capacityJobsPerSecond * s.load) * float64(time.Second))
 }
 
-func (t trial) newJob(random *rand.Rand, now time.Time) *job {
-	j := &job{at: now, deadline: now.Add(10 * time.Second), instance: random.IntN(instances)}
-	j.model = int(float64(models) * random.Float64() * random.Float64())
-	inBurst := t.burst && now.Sub(start)%(20*time.Second) >= 15*time.Second
+func (s simulation) newJob(random *rand.Rand, now time.Time) *job {
+	j := &job{at: now, deadline: now.Add(10 * time.Second), instance: random.IntN(instanceCount)}
+	j.model = int(float64(modelCount) * random.Float64() * random.Float64())
+	inBurst := s.burst && now.Sub(start)%(20*time.Second) >= 15*time.Second
 	if inBurst && random.Float64() < burstShare {
 		j.model = 5
 	}
 	if random.Float64() < 0.25 {
 		j.urgent = true
-		j.prompt = 100 + random.IntN(100)
-		j.tokens = 8 + random.IntN(16)
+		j.promptTokens = 100 + random.IntN(100)
+		j.answerTokens = 8 + random.IntN(16)
 		return j
 	}
-	j.prompt = prefixTokens + 100 + random.IntN(800)
-	j.tokens = 30 + random.IntN(90)
+	j.promptTokens = prefixTokens + 100 + random.IntN(800)
+	j.answerTokens = 30 + random.IntN(90)
 	j.prefix = 1 + random.IntN(12) + 100*j.model
 	return j
 }
 
-// A caller at three times the load that the engines carry sees a refusal at
-// once, or an answer in time. Were every request sent, they would wait before
-// the engines until none is in time: the baselines below show it. The reports
-// come a second late, so that this holds on stale figures.
+// TestGoodputStaysFlatUnderOverload guards against congestion collapse. At three times the
+// capacity, each request must be refused immediately or answered in time. If all were
+// sent, as by the baselines below, they would queue at the engines until none is answered
+// in time. The load reports are a second late, because the limits must also work with
+// stale reports.
 func TestGoodputStaysFlatUnderOverload(t *testing.T) {
-	run := func(policy string, load float64) result {
-		return trial{policy: policy, load: load, reports: lagged, seed: 3}.run()
+	run := func(policy string, load float64) goalCounts {
+		return simulation{policy: policy, load: load, reportTiming: lagged, seed: 3}.run()
 	}
-	full, over := run("ours", 1), run("ours", 3)
-	if over.met < full.met*95/100 {
-		t.Errorf("met %d of %d at 3x, %d of %d at 1x", over.met, over.jobs, full.met, full.jobs)
+	atCapacity, overloaded := run("ours", 1), run("ours", 3)
+	if overloaded.met < atCapacity.met*95/100 {
+		t.Errorf("met the goals of %d of %d jobs at 3x, of %d of %d at 1x", overloaded.met, overloaded.jobs, atCapacity.met, atCapacity.jobs)
 	}
-	if over.late > over.jobs/10 {
-		t.Errorf("%d of %d were late instead of refused", over.late, over.jobs)
+	if overloaded.late > overloaded.jobs/10 {
+		t.Errorf("%d of %d jobs were late instead of refused", overloaded.late, overloaded.jobs)
 	}
-	if share := over.urgentShare(); share < 0.85 {
-		t.Errorf("only %.2f of the urgent met their goal", share)
+	if share := overloaded.urgentMetShare(); share < 0.85 {
+		t.Errorf("only %.2f of the urgent jobs met their goals", share)
 	}
 	for _, policy := range []string{"round robin", "least reported"} {
-		if base := run(policy, 3); base.met >= over.met {
-			t.Errorf("%s met %d at 3x, ours %d", policy, base.met, over.met)
+		if base := run(policy, 3); base.met >= overloaded.met {
+			t.Errorf("at 3x, %s met the goals of %d jobs, the Gate of %d", policy, base.met, overloaded.met)
 		}
 	}
 }
 
-// All instances get the same reports, a second late. An engine that seems idle
-// gets the requests of all of them if each takes the least loaded one, and their
-// callers wait there while other engines stand idle.
+// TestInstancesDoNotHerdOnStaleReports guards against a thundering herd. All instances get
+// the same reports, a second late. If each chose the least loaded engine, an engine that
+// seems idle would receive the requests of all of them, which would queue there while
+// other engines are idle.
 func TestInstancesDoNotHerdOnStaleReports(t *testing.T) {
-	run := func(policy string) result {
-		return trial{policy: policy, load: 0.5, reports: lagged, seed: 5}.run()
+	run := func(policy string) goalCounts {
+		return simulation{policy: policy, load: 0.5, reportTiming: lagged, seed: 5}.run()
 	}
-	herding, ours := run("least reported"), run("ours")
-	if ours.share() < 0.95 {
-		t.Errorf("ours met %.3f at half load", ours.share())
+	baseline, gated := run("least reported"), run("ours")
+	if gated.metShare() < 0.95 {
+		t.Errorf("the Gate met the goals of a share of only %.3f at half load", gated.metShare())
 	}
-	if herding.share() > ours.share()-0.1 {
-		t.Errorf("the model shows no herd: %.3f against %.3f", herding.share(), ours.share())
+	if baseline.metShare() > gated.metShare()-0.1 {
+		t.Errorf("the baseline shows no herding: its share is %.3f, that of the Gate %.3f", baseline.metShare(), gated.metShare())
 	}
 }
 
@@ -250,20 +257,20 @@
 	if os.Getenv("LOVAGELIFT_TABLE") == "" {
 		t.Skip("set LOVAGELIFT_TABLE=1 to print the table")
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', tabwriter.Debug)
-	defer func() { _ = w.Flush() }()
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', tabwriter.Debug)
+	defer func() { _ = table.Flush() }()
 	for _, burst := range []bool{false, true} {
-		for _, rep := range []reports{fresh, lagged, gapped} {
-			fmt.Fprintf(w, "\n%s, burst %v\t0.5x\t0.8x\t1x\t1.5x\t2x\t3x\turgent 0.8x\turgent 3x\t\n", rep.name, burst)
-			for _, p := range []string{"round robin", "least outstanding", "least reported", "ours, choice only", "ours"} {
-				fmt.Fprintf(w, "%s", p)
+		for _, timing := range []reportTiming{fresh, lagged, gapped} {
+			fmt.Fprintf(table, "\n%s, burst %v\t0.5x\t0.8x\t1x\t1.5x\t2x\t3x\turgent 0.8x\turgent 3x\t\n", timing.name, burst)
+			for _, policy := range []string{"round robin", "least outstanding", "least reported", "ours, choice only", "ours"} {
+				fmt.Fprintf(table, "%s", policy)
 				var urgent []float64
 				for _, load := range []float64{0.5, 0.8, 1, 1.5, 2, 3} {
-					r := trial{policy: p, load: load, burst: burst, reports: rep, seed: 7}.run()
-					fmt.Fprintf(w, "\t%.2f (%.1f)", r.share(), r.perSecond())
-					urgent = append(urgent, r.urgentShare())
+					counts := simulation{policy: policy, load: load, burst: burst, reportTiming: timing, seed: 7}.run()
+					fmt.Fprintf(table, "\t%.2f (%.1f)", counts.metShare(), counts.metPerEngineSecond())
+					urgent = append(urgent, counts.urgentMetShare())
 				}
-				fmt.Fprintf(w, "\t%.2f\t%.2f\t\n", urgent[1], urgent[5])
+				fmt.Fprintf(table, "\t%.2f\t%.2f\t\n", urgent[1], urgent[5])
 			}
 		}
 	}
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -3,88 +3,90 @@
 import "time"
 
 const (
-	// ejectAfter is how many failures in a row eject an upstream.
-	ejectAfter = 5
-	// ejectShare is the share of failures that ejects one, after ejectLeast
-	// answers.
-	ejectShare = 0.5
-	ejectLeast = 10
-	// ejectFor is how long the first ejection lasts; each that follows within
-	// forgetAfter lasts twice as long as the one before, up to ejectLongest.
-	ejectFor     = 2 * time.Second
-	ejectLongest = 60 * time.Second
-	forgetAfter  = 5 * time.Minute
-	// returnOver is how long an upstream that comes back takes to get its full
-	// share of requests again.
-	returnOver   = 20 * time.Second
-	returnFloor  = 0.05
-	failureDecay = 0.9
-	// ejectedCap is the largest share of a pool that is ejected at once.
-	ejectedCap = 1.0 / 3
+	// maxConsecutiveFailures is the number of consecutive failures that ejects an upstream.
+	maxConsecutiveFailures = 5
+	// An upstream is also ejected if more than maxFailureShare of its requests fail, after
+	// at least minOutcomes requests.
+	maxFailureShare = 0.5
+	minOutcomes     = 10
+	// baseEjectionTime is the duration of the first ejection. Each one that follows within
+	// ejectionResetTime after the end of the last is twice as long, up to maxEjectionTime.
+	baseEjectionTime  = 2 * time.Second
+	maxEjectionTime   = 60 * time.Second
+	ejectionResetTime = 5 * time.Minute
+	// After an ejection, the share of requests that an upstream receives rises linearly to 1
+	// within slowStartTime, from at least slowStartMinShare.
+	slowStartTime     = 20 * time.Second
+	slowStartMinShare = 0.05
+	// outcomeDecay is the factor by which each outcome reduces the weight of the previous
+	// ones.
+	outcomeDecay = 0.9
+	// maxEjectedShare is the largest share of a pool that may be ejected at once.
+	maxEjectedShare = 1.0 / 3
 )
 
-// health is the record of one upstream's failures.
+// health tracks the failures of one upstream for outlier ejection.
 type health struct {
-	inRow int
-	// failures and answers are exponentially decaying counts.
+	consecutiveFailures int
+	// failures and outcomes are exponentially decaying counts. outcomes includes failures.
 	failures float64
-	answers  float64
-	// ejectedUntil is when the upstream is tried again. From then on it returns
-	// slowly.
+	outcomes float64
+	// ejectedUntil is the end of the last ejection and the start of the slow start.
 	ejectedUntil time.Time
 	ejections    int
 }
 
 func (h *health) succeeded() {
-	h.inRow = 0
-	h.failures *= failureDecay
-	h.answers = h.answers*failureDecay + 1
+	h.consecutiveFailures = 0
+	h.failures *= outcomeDecay
+	h.outcomes = h.outcomes*outcomeDecay + 1
 }
 
 func (h *health) failed() {
-	h.inRow++
-	h.failures = h.failures*failureDecay + 1
-	h.answers = h.answers*failureDecay + 1
+	h.consecutiveFailures++
+	h.failures = h.failures*outcomeDecay + 1
+	h.outcomes = h.outcomes*outcomeDecay + 1
 }
 
-func (h *health) bad() bool {
-	if h.inRow >= ejectAfter {
+func (h *health) unhealthy() bool {
+	if h.consecutiveFailures >= maxConsecutiveFailures {
 		return true
 	}
-	// answers converges to 1/(1-failureDecay) = 10.
-	enough := h.answers >= ejectLeast*0.65
-	return enough && h.failures > h.answers*ejectShare
+	// The decaying count converges to 1/(1-outcomeDecay) = 10. It exceeds 6.5 after
+	// minOutcomes outcomes.
+	enough := h.outcomes >= minOutcomes*0.65
+	return enough && h.failures > h.outcomes*maxFailureShare
 }
 
 func (h *health) ejected(now time.Time) bool {
 	return now.Before(h.ejectedUntil)
 }
 
-// eject takes the upstream out for a time, and forgets the failures that led to
-// it: what follows is judged afresh.
+// eject ejects the upstream for a time that grows with the number of recent ejections. It
+// resets the failure counts, so that only later outcomes can eject it again.
 func (h *health) eject(now time.Time) {
-	if now.Sub(h.ejectedUntil) > forgetAfter {
+	if now.Sub(h.ejectedUntil) > ejectionResetTime {
 		h.ejections = 0
 	}
-	lasting := ejectLongest
+	duration := maxEjectionTime
 	if h.ejections < 5 {
-		lasting = min(ejectFor<<h.ejections, ejectLongest)
+		duration = min(baseEjectionTime<<h.ejections, maxEjectionTime)
 	}
 	h.ejections++
-	h.ejectedUntil = now.Add(lasting)
-	h.inRow, h.failures, h.answers = 0, 0, 0
+	h.ejectedUntil = now.Add(duration)
+	h.consecutiveFailures, h.failures, h.outcomes = 0, 0, 0
 }
 
-// share returns the part of its requests that the upstream should get: 1 but for
-// returnOver after an ejection. Without the slow return, an upstream that is
-// still broken would get its full share at once, each time its ejection ends.
-func (h *health) share(now time.Time) float64 {
+// trafficShare returns the share of its usual requests that the upstream should receive. It
+// is below 1 during the slow start after an ejection. Without the slow start, an upstream
+// that still fails would receive its full share each time an ejection ends.
+func (h *health) trafficShare(now time.Time) float64 {
 	if h.ejections == 0 {
 		return 1
 	}
-	back := now.Sub(h.ejectedUntil)
-	if back >= returnOver {
+	sinceEjection := now.Sub(h.ejectedUntil)
+	if sinceEjection >= slowStartTime {
 		return 1
 	}
-	return max(returnFloor, back.Seconds()/returnOver.Seconds())
+	return max(slowStartMinShare, sinceEjection.Seconds()/slowStartTime.Seconds())
 }
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -9,82 +9,83 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// The figures of a modelled engine. At a full batch it ends about
-// places/(tokens*interval) requests a second.
+// Parameters of a simulated engine. With a full batch it finishes about
+// engineMaxRunning/(answerTokens*tokenInterval) requests a second.
 const (
-	enginePlaces   = 16
-	enginePrefill  = 6000.0
-	engineInterval = 25 * time.Millisecond // with an empty batch; twice that with a full one
-	engineCache    = 24                    // prefixes
+	engineMaxRunning             = 16
+	enginePrefillTokensPerSecond = 6000.0
+	engineTokenInterval          = 25 * time.Millisecond // with an empty batch; twice that with a full one
+	engineCachePrefixes          = 24
 )
 
-// job is one request in the model.
+// job is one simulated request.
 type job struct {
-	model    int
-	instance int
-	prompt   int
-	tokens   int
-	prefix   int
-	urgent   bool
-	at       time.Time
-	deadline time.Time
-	firstAt  time.Time
-	interval time.Duration
-	arrival  dispatch.Arrival
-	flight   dispatch.Flight
-	engine   *engine
+	model         int
+	instance      int
+	promptTokens  int
+	answerTokens  int
+	prefix        int
+	urgent        bool
+	at            time.Time
+	deadline      time.Time
+	firstTokenAt  time.Time
+	tokenInterval time.Duration
+	arrival       dispatch.Arrival
+	flight        dispatch.Flight
+	engine        *engine
 }
 
 // met reports whether the job met its goals.
 func (j *job) met() bool {
-	return !j.firstAt.IsZero() && j.firstAt.Sub(j.at) <= goal.FirstToken && j.interval <= goal.TokenInterval
+	return !j.firstTokenAt.IsZero() && j.firstTokenAt.Sub(j.at) <= goal.FirstToken && j.tokenInterval <= goal.TokenInterval
 }
 
-// engine is a queue model of an engine: a prompt is prefilled after those before
-// it, and a request stays in the batch for its tokens times the interval that
-// held when it began.
+// engine is a queueing model of an engine: it prefills prompts one after the other, and a
+// request stays in the batch for its number of answer tokens times the token interval at
+// its start.
 type engine struct {
-	name          string
-	models        []int
-	running       int
-	waiting       []*job
-	waitingTokens int
-	prefillFree   time.Time
-	cache         []int
-	sequence      uint64
+	name           string
+	models         []int
+	running        int
+	waiting        []*job
+	waitingTokens  int
+	prefillDoneAt  time.Time
+	cachedPrefixes []int
+	sequence       uint64
 }
 
-func (e *engine) interval() time.Duration {
-	return engineInterval + engineInterval*time.Duration(e.running)/enginePlaces
+func (e *engine) tokenInterval() time.Duration {
+	return engineTokenInterval + engineTokenInterval*time.Duration(e.running)/engineMaxRunning
 }
 
 func (e *engine) load() upstreamapi.Load {
 	return upstreamapi.Load{
-		Running: e.running, Waiting: len(e.waiting), MaxRunning: enginePlaces,
-		WaitingPromptTokens: e.waitingTokens, PrefillTokensPerSecond: enginePrefill, TokenInterval: e.interval(),
+		Running: e.running, Waiting: len(e.waiting), MaxRunning: engineMaxRunning,
+		WaitingPromptTokens: e.waitingTokens, PrefillTokensPerSecond: enginePrefillTokensPerSecond, TokenInterval: e.tokenInterval(),
 	}
 }
 
-// hit reports whether a prefix is cached, and caches it.
-func (e *engine) hit(prefix int) bool {
-	for i, p := range e.cache {
+// touchCache reports whether a prefix is cached, and makes it the most recently used one.
+func (e *engine) touchCache(prefix int) bool {
+	for i, p := range e.cachedPrefixes {
 		if p == prefix {
-			e.cache = append(append(e.cache[:i], e.cache[i+1:]...), p)
+			e.cachedPrefixes = append(append(e.cachedPrefixes[:i], e.cachedPrefixes[i+1:]...), p)
 			return true
 		}
 	}
-	e.cache = append(e.cache, prefix)
-	if len(e.cache) > engineCache {
-		e.cache = e.cache[1:]
+	e.cachedPrefixes = append(e.cachedPrefixes, prefix)
+	if len(e.cachedPrefixes) > engineCachePrefixes {
+		e.cachedPrefixes = e.cachedPrefixes[1:]
 	}
 	return false
 }
 
-// event is something that happens at a time of the model.
+// event is a function call at a simulated time. Events of the same time run in the order of
+// sequence.
 type event struct {
-	at  time.Time
-	seq int
-	do  func(now time.Time)
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
 type events []event
@@ -94,7 +95,7 @@
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].seq < q[j].seq
+	return q[i].sequence < q[j].sequence
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
@@ -104,82 +105,82 @@
 	return last
 }
 
-// model runs engines and jobs in the order of a modelled time.
-type model struct {
-	random  *rand.Rand
-	queue   events
-	seq     int
-	engines []*engine
-	// first and done tell the policy what came of a job.
-	first, done func(now time.Time, j *job)
+// simulator is a discrete event simulation of engines and jobs.
+type simulator struct {
+	random       *rand.Rand
+	queue        events
+	lastSequence int
+	engines      []*engine
+	// onFirstToken and onDone report the progress of a job to its policy.
+	onFirstToken, onDone func(now time.Time, j *job)
 }
 
-func (m *model) after(now time.Time, d time.Duration, do func(now time.Time)) {
-	m.seq++
-	heap.Push(&m.queue, event{at: now.Add(d), seq: m.seq, do: do})
+func (s *simulator) after(now time.Time, delay time.Duration, run func(now time.Time)) {
+	s.lastSequence++
+	heap.Push(&s.queue, event{at: now.Add(delay), sequence: s.lastSequence, run: run})
 }
 
-func (m *model) run(until time.Time) {
-	for m.queue.Len() > 0 && !m.queue[0].at.After(until) {
-		next := heap.Pop(&m.queue).(event)
-		next.do(next.at)
+func (s *simulator) run(until time.Time) {
+	for s.queue.Len() > 0 && !s.queue[0].at.After(until) {
+		next := heap.Pop(&s.queue).(event)
+		next.run(next.at)
 	}
 }
 
-// send brings j to e after the network's delay.
-func (m *model) send(now time.Time, e *engine, j *job) {
+// send delivers j to e after networkDelay.
+func (s *simulator) send(now time.Time, e *engine, j *job) {
 	j.engine = e
-	m.after(now, networkDelay, func(now time.Time) {
-		if e.running < enginePlaces {
-			m.begin(now, e, j)
+	s.after(now, networkDelay, func(now time.Time) {
+		if e.running < engineMaxRunning {
+			s.startJob(now, e, j)
 			return
 		}
-		e.waitingTokens += j.prompt
-		place := len(e.waiting)
-		for place > 0 && j.urgent && !e.waiting[place-1].urgent {
-			place--
+		e.waitingTokens += j.promptTokens
+		position := len(e.waiting)
+		for position > 0 && j.urgent && !e.waiting[position-1].urgent {
+			position--
 		}
 		e.waiting = append(e.waiting, nil)
-		copy(e.waiting[place+1:], e.waiting[place:])
-		e.waiting[place] = j
+		copy(e.waiting[position+1:], e.waiting[position:])
+		e.waiting[position] = j
 	})
 }
 
-func (m *model) begin(now time.Time, e *engine, j *job) {
+func (s *simulator) startJob(now time.Time, e *engine, j *job) {
 	e.running++
-	prompt := j.prompt
-	if j.prefix > 0 && e.hit(j.prefix) {
-		prompt -= prefixTokens
+	uncachedTokens := j.promptTokens
+	if j.prefix > 0 && e.touchCache(j.prefix) {
+		uncachedTokens -= prefixTokens
 	}
-	e.waitingTokens += prompt
-	if e.prefillFree.Before(now) {
-		e.prefillFree = now
+	e.waitingTokens += uncachedTokens
+	if e.prefillDoneAt.Before(now) {
+		e.prefillDoneAt = now
 	}
-	e.prefillFree = e.prefillFree.Add(time.Duration(float64(prompt) / enginePrefill * float64(time.Second)))
-	j.interval = e.interval()
-	m.after(e.prefillFree, networkDelay, func(now time.Time) {
-		e.waitingTokens -= prompt
-		j.firstAt = now
-		m.first(now, j)
+	e.prefillDoneAt = e.prefillDoneAt.Add(time.Duration(float64(uncachedTokens) / enginePrefillTokensPerSecond * float64(time.Second)))
+	j.tokenInterval = e.tokenInterval()
+	s.after(e.prefillDoneAt, networkDelay, func(now time.Time) {
+		e.waitingTokens -= uncachedTokens
+		j.firstTokenAt = now
+		s.onFirstToken(now, j)
 	})
-	m.after(e.prefillFree, networkDelay+j.interval*time.Duration(j.tokens), func(now time.Time) {
+	s.after(e.prefillDoneAt, networkDelay+j.tokenInterval*time.Duration(j.answerTokens), func(now time.Time) {
 		e.running--
-		m.done(now, j)
-		m.beginWaiting(now, e)
+		s.onDone(now, j)
+		s.startWaitingJobs(now, e)
 	})
 }
 
-// beginWaiting fills the free places of e. A job whose caller has gone at its
-// deadline is dropped.
-func (m *model) beginWaiting(now time.Time, e *engine) {
-	for e.running < enginePlaces && len(e.waiting) > 0 {
+// startWaitingJobs fills the free slots of e. It drops a job after its deadline, at which the
+// caller disconnects.
+func (s *simulator) startWaitingJobs(now time.Time, e *engine) {
+	for e.running < engineMaxRunning && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.waitingTokens -= j.prompt
+		e.waitingTokens -= j.promptTokens
 		if now.After(j.deadline) {
-			m.done(now, j)
+			s.onDone(now, j)
 			continue
 		}
-		m.begin(now, e, j)
+		s.startJob(now, e, j)
 	}
 }
--- a/internal/dispatch/policies_test.go
+++ b/internal/dispatch/policies_test.go
@@ -9,99 +9,101 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// policy is how one instance chooses an engine.
+// policy is the load balancing policy of one instance. It receives the events of the
+// simulation.
 type policy interface {
 	// arrive sends, queues or refuses a job.
 	arrive(now time.Time, j *job)
 	report(now time.Time, e *engine, load upstreamapi.Load, loadAt time.Time)
-	first(now time.Time, j *job)
+	firstToken(now time.Time, j *job)
 	done(now time.Time, j *job)
 	tick(now time.Time)
 }
 
-// plain is a policy that sends each job at once: round robin, least outstanding
-// by its own count, or least outstanding by reports and its own count since.
-type plain struct {
-	m        *model
-	byModel  [][]*engine
-	kind     string
-	turn     []int
-	open     map[*engine]int
-	reported map[*engine]int
+// baselinePolicy is a policy without admission control: round robin, least outstanding
+// jobs of this instance, or least reported load plus the jobs sent since the report.
+type baselinePolicy struct {
+	sim            *simulator
+	enginesByModel [][]*engine
+	kind           string
+	nextIndex      []int
+	inFlight       map[*engine]int
+	reported       map[*engine]int
 }
 
-func newPlain(m *model, kind string) *plain {
-	p := &plain{m: m, kind: kind, byModel: make([][]*engine, models), turn: make([]int, models)}
-	p.open, p.reported = map[*engine]int{}, map[*engine]int{}
-	for i := range p.turn {
-		p.turn[i] = m.random.IntN(64)
+func newBaselinePolicy(sim *simulator, kind string) *baselinePolicy {
+	p := &baselinePolicy{sim: sim, kind: kind, enginesByModel: make([][]*engine, modelCount), nextIndex: make([]int, modelCount)}
+	p.inFlight, p.reported = map[*engine]int{}, map[*engine]int{}
+	for i := range p.nextIndex {
+		p.nextIndex[i] = sim.random.IntN(64)
 	}
-	for _, e := range m.engines {
+	for _, e := range sim.engines {
 		for _, n := range e.models {
-			p.byModel[n] = append(p.byModel[n], e)
+			p.enginesByModel[n] = append(p.enginesByModel[n], e)
 		}
 	}
 	return p
 }
 
-func (p *plain) arrive(now time.Time, j *job) {
-	candidates := p.byModel[j.model]
-	p.turn[j.model]++
-	chosen := candidates[p.turn[j.model]%len(candidates)]
+func (p *baselinePolicy) arrive(now time.Time, j *job) {
+	candidates := p.enginesByModel[j.model]
+	p.nextIndex[j.model]++
+	chosen := candidates[p.nextIndex[j.model]%len(candidates)]
 	if p.kind != "round robin" {
 		for i := range candidates {
-			e := candidates[(p.turn[j.model]+i)%len(candidates)]
-			if p.open[e]+p.reported[e] < p.open[chosen]+p.reported[chosen] {
+			e := candidates[(p.nextIndex[j.model]+i)%len(candidates)]
+			if p.inFlight[e]+p.reported[e] < p.inFlight[chosen]+p.reported[chosen] {
 				chosen = e
 			}
 		}
 	}
-	p.open[chosen]++
-	p.m.send(now, chosen, j)
+	p.inFlight[chosen]++
+	p.sim.send(now, chosen, j)
 }
 
-func (p *plain) report(_ time.Time, e *engine, load upstreamapi.Load, _ time.Time) {
+func (p *baselinePolicy) report(_ time.Time, e *engine, load upstreamapi.Load, _ time.Time) {
 	if p.kind == "least reported" {
-		p.reported[e], p.open[e] = load.Running+load.Waiting, 0
+		p.reported[e], p.inFlight[e] = load.Running+load.Waiting, 0
 	}
 }
 
-func (p *plain) done(_ time.Time, j *job) {
-	if p.kind != "least reported" || p.open[j.engine] > 0 {
-		p.open[j.engine]--
+func (p *baselinePolicy) done(_ time.Time, j *job) {
+	if p.kind != "least reported" || p.inFlight[j.engine] > 0 {
+		p.inFlight[j.engine]--
 	}
 }
-func (p *plain) first(time.Time, *job) {}
-func (p *plain) tick(time.Time)        {}
+func (p *baselinePolicy) firstToken(time.Time, *job) {}
+func (p *baselinePolicy) tick(time.Time)             {}
 
-// ours is the Gate as the driver uses it.
-type ours struct {
-	m          *model
+// gatePolicy calls a Gate in the same way as an instance.
+type gatePolicy struct {
+	sim        *simulator
 	dispatcher *dispatch.Dispatcher
 	gate       *dispatch.Gate
 	engines    map[string]*engine
 	jobs       map[uint64]*job
 	lastID     uint64
-	refused    func(j *job, r admission.Refusal)
-	// ungated sends at once, whatever the limits say.
-	ungated bool
+	onRefused  func(j *job, r admission.Refusal)
+	// withoutGate means to call the Dispatcher directly: a job is sent or dropped, but never
+	// queued.
+	withoutGate bool
 }
 
-func newOurs(m *model, seed uint64, options dispatch.Options) *ours {
+func newGatePolicy(sim *simulator, seed uint64, options dispatch.Options) *gatePolicy {
 	options.Seed = seed
 	d := dispatch.New(options)
-	o := &ours{
-		m: m, dispatcher: d, gate: dispatch.NewGate(d, admission.New(admission.Options{})),
+	p := &gatePolicy{
+		sim: sim, dispatcher: d, gate: dispatch.NewGate(d, admission.New(admission.Options{})),
 		engines: map[string]*engine{}, jobs: map[uint64]*job{},
 	}
-	for _, e := range m.engines {
-		o.engines[e.name] = e
+	for _, e := range sim.engines {
+		p.engines[e.name] = e
 	}
-	return o
+	return p
 }
 
-func (o *ours) arrive(now time.Time, j *job) {
-	o.lastID++
+func (p *gatePolicy) arrive(now time.Time, j *job) {
+	p.lastID++
 	priority, service := uint8(4), "drafts"
 	if j.urgent {
 		priority, service = 0, "pings"
@@ -113,52 +115,52 @@
 		}
 	}
 	j.arrival = dispatch.Arrival{
-		ID: o.lastID, Service: service, At: now, Deadline: j.deadline,
+		ID: p.lastID, Service: service, At: now, Deadline: j.deadline,
 		Request: dispatch.Request{
 			Target: dispatch.Target{Model: "m" + strconv.Itoa(j.model)}, Goal: goal,
-			Priority: priority, PromptTokens: j.prompt, Blocks: blocks,
+			Priority: priority, PromptTokens: j.promptTokens, Blocks: blocks,
 		},
 	}
-	if o.ungated {
-		if d := o.dispatcher.Choose(now, &j.arrival.Request); d.OK() {
-			o.send(now, j, o.dispatcher.Sent(now, &j.arrival.Request, &d), d.Chosen.Name)
+	if p.withoutGate {
+		if d := p.dispatcher.Choose(now, &j.arrival.Request); d.OK() {
+			p.send(now, j, p.dispatcher.Sent(now, &j.arrival.Request, &d), d.Chosen.Name)
 		}
 		return
 	}
-	answer := o.gate.Arrive(now, &j.arrival)
+	answer := p.gate.Arrive(now, &j.arrival)
 	switch {
 	case answer.Start.Arrival != nil:
-		o.send(now, j, answer.Start.Flight, answer.Start.Decision.Chosen.Name)
+		p.send(now, j, answer.Start.Flight, answer.Start.Decision.Chosen.Name)
 	case answer.Queued:
-		o.jobs[j.arrival.ID] = j
+		p.jobs[j.arrival.ID] = j
 	default:
-		o.refuse(j, answer.Refusal)
+		p.refuse(j, answer.Refusal)
 	}
 	if answer.Displaced.Cause != 0 {
-		o.refuse(o.jobs[answer.Displaced.Ticket.ID], answer.Displaced)
+		p.refuse(p.jobs[answer.Displaced.Ticket.ID], answer.Displaced)
 	}
 }
 
-func (o *ours) refuse(j *job, r admission.Refusal) {
-	delete(o.jobs, j.arrival.ID)
-	if o.refused != nil {
-		o.refused(j, r)
+func (p *gatePolicy) refuse(j *job, r admission.Refusal) {
+	delete(p.jobs, j.arrival.ID)
+	if p.onRefused != nil {
+		p.onRefused(j, r)
 	}
 }
 
-func (o *ours) send(now time.Time, j *job, flight dispatch.Flight, name string) {
-	delete(o.jobs, j.arrival.ID)
+func (p *gatePolicy) send(now time.Time, j *job, flight dispatch.Flight, name string) {
+	delete(p.jobs, j.arrival.ID)
 	j.flight = flight
-	o.m.send(now, o.engines[name], j)
+	p.sim.send(now, p.engines[name], j)
 }
 
-func (o *ours) freed(now time.Time, name string) {
-	for _, s := range o.gate.Freed(now, name, nil) {
-		o.send(now, o.jobs[s.Arrival.ID], s.Flight, s.Decision.Chosen.Name)
+func (p *gatePolicy) startWaiting(now time.Time, name string) {
+	for _, s := range p.gate.Freed(now, name, nil) {
+		p.send(now, p.jobs[s.Arrival.ID], s.Flight, s.Decision.Chosen.Name)
 	}
 }
 
-func (o *ours) report(now time.Time, e *engine, load upstreamapi.Load, loadAt time.Time) {
+func (p *gatePolicy) report(now time.Time, e *engine, load upstreamapi.Load, loadAt time.Time) {
 	e.sequence++
 	view := dispatch.View{
 		Name: e.name, Incarnation: 1, Sequence: e.sequence, Kind: upstreamapi.KindEngine,
@@ -167,23 +169,23 @@
 	for _, n := range e.models {
 		view.Resident = append(view.Resident, upstreamapi.Resident{Model: "m" + strconv.Itoa(n)})
 	}
-	o.dispatcher.Update(view)
-	o.freed(now, e.name)
+	p.dispatcher.Update(view)
+	p.startWaiting(now, e.name)
 }
 
-func (o *ours) first(now time.Time, j *job) { o.dispatcher.FirstByte(now, &j.flight) }
+func (p *gatePolicy) firstToken(now time.Time, j *job) { p.dispatcher.FirstByte(now, &j.flight) }
 
-func (o *ours) done(now time.Time, j *job) {
-	if j.firstAt.IsZero() {
-		o.dispatcher.Failed(now, &j.flight, dispatch.FailureCanceled)
+func (p *gatePolicy) done(now time.Time, j *job) {
+	if j.firstTokenAt.IsZero() {
+		p.dispatcher.Failed(now, &j.flight, dispatch.FailureCanceled)
 	} else {
-		o.dispatcher.Finished(now, &j.flight)
+		p.dispatcher.Finished(now, &j.flight)
 	}
-	o.freed(now, j.engine.name)
+	p.startWaiting(now, j.engine.name)
 }
 
-func (o *ours) tick(now time.Time) {
-	for _, r := range o.gate.Expired(now, nil) {
-		o.refuse(o.jobs[r.Ticket.ID], r)
+func (p *gatePolicy) tick(now time.Time) {
+	for _, r := range p.gate.Expired(now, nil) {
+		p.refuse(p.jobs[r.Ticket.ID], r)
 	}
 }
--- a/internal/dispatch/predict.go
+++ b/internal/dispatch/predict.go
@@ -6,108 +6,107 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Assumptions for figures that an upstream does not report.
+// Assumed values of figures that an upstream doesn't report.
 const (
-	assumedPrefill  = 8000.0 // tokens per second
-	assumedRunning  = 32
-	assumedHold     = 4.0   // seconds
-	assumedAnswer   = 0.005 // seconds
-	assumedInterval = 20 * time.Millisecond
+	assumedPrefillTokensPerSecond = 8000.0
+	assumedMaxRunning             = 32
+	assumedDecodeSeconds          = 4.0
+	assumedServiceSeconds         = 0.005
+	assumedTokenInterval          = 20 * time.Millisecond
 )
 
-// forecast is what is predicted for one request at one upstream.
-type forecast struct {
-	// firstToken is in seconds.
-	firstToken float64
-	interval   time.Duration
+// prediction holds the predicted times of one request at one upstream.
+type prediction struct {
+	// firstTokenSeconds is the time to the first token.
+	firstTokenSeconds float64
+	tokenInterval     time.Duration
 }
 
-// predict returns the forecast of a request with prompt tokens yet to prefill.
+// predict returns the prediction for a request with promptTokens tokens to prefill, after
+// finished of the requests at u have finished.
 //
-// An engine with a free place starts a request after the prompts that wait
-// before it. One without must first end as many requests as exceed its places;
-// it ends running/hold of them a second.
-//
-// The forecast is for the time after ended of the outstanding requests have ended.
-func (u *upstream) predict(now time.Time, prompt int, priority uint8, ended int) forecast {
-	outstanding := max(u.outstanding(now)-ended, 0)
+// An engine with a free slot prefills the request after the prompts ahead of it. A full
+// engine must first finish as many requests as it has in excess of its slots. It finishes
+// maxRunning/expectedDecodeSeconds of them per second.
+func (u *upstream) predict(now time.Time, promptTokens int, priority uint8, finished int) prediction {
+	requests := max(u.estimatedRequests(now)-finished, 0)
 	if u.view.Kind == upstreamapi.KindService {
-		return u.predictService(outstanding)
+		return u.predictService(requests)
 	}
-	places := u.places()
-	share := u.notAfter(priority)
-	seconds := (u.waitingTokens(now)*share + float64(prompt)) / u.prefill()
-	if excess := outstanding + 1 - places; excess > 0 {
-		seconds += float64(excess) * share * u.holding() / float64(places)
+	maxRunning := u.maxRunning()
+	shareAhead := u.shareAtOrAbove(priority)
+	seconds := (u.estimatedWaitingTokens(now)*shareAhead + float64(promptTokens)) / u.prefillTokensPerSecond()
+	if excess := requests + 1 - maxRunning; excess > 0 {
+		seconds += float64(excess) * shareAhead * u.expectedDecodeSeconds() / float64(maxRunning)
 	}
-	return forecast{
-		firstToken: seconds * u.bias,
-		interval:   u.predictInterval(min(outstanding+1, places), places),
+	return prediction{
+		firstTokenSeconds: seconds * u.bias,
+		tokenInterval:     u.predictTokenInterval(min(requests+1, maxRunning), maxRunning),
 	}
 }
 
-// idle returns the seconds to the first token at u if nothing else ran there: the
-// prefill, and what the fastest answers took beside it.
-func (u *upstream) idle(prompt int) float64 {
-	return u.prefillTime(prompt) + u.base
+// idleFirstTokenSeconds returns the predicted time to the first token if u runs no other
+// request.
+func (u *upstream) idleFirstTokenSeconds(promptTokens int) float64 {
+	return u.prefillSeconds(promptTokens) + u.overheadSeconds
 }
 
-// prefillTime returns the seconds that a prompt takes, 0 at a plain service.
-func (u *upstream) prefillTime(prompt int) float64 {
+// prefillSeconds returns the predicted prefill time of a prompt, 0 at a plain service.
+func (u *upstream) prefillSeconds(promptTokens int) float64 {
 	if u.view.Kind == upstreamapi.KindService {
 		return 0
 	}
-	return float64(prompt) / u.prefill()
+	return float64(promptTokens) / u.prefillTokensPerSecond()
 }
 
-func (u *upstream) prefill() float64 {
+func (u *upstream) prefillTokensPerSecond() float64 {
 	if speed := u.view.Load.PrefillTokensPerSecond; speed > 0 {
 		return speed
 	}
-	return assumedPrefill
+	return assumedPrefillTokensPerSecond
 }
 
-// predictInterval returns the time between tokens with running requests in the
-// batch. It takes the time to grow with the batch from one half of that of the
-// full batch, which is on the careful side for engines whose decoding is bound
-// by memory.
-func (u *upstream) predictInterval(running, places int) time.Duration {
+// predictTokenInterval returns the predicted time between tokens for a batch of running
+// requests. It assumes linear growth with the batch size, from half the time of a full
+// batch. This overestimates for engines with memory-bound decoding.
+func (u *upstream) predictTokenInterval(running, maxRunning int) time.Duration {
 	load := &u.view.Load
 	interval := load.TokenInterval
 	if interval <= 0 {
-		interval = assumedInterval
+		interval = assumedTokenInterval
 	}
-	then := min(load.Running, places)
-	return time.Duration(float64(interval) * float64(places+running) / float64(places+then))
+	reportedRunning := min(load.Running, maxRunning)
+	return time.Duration(float64(interval) * float64(maxRunning+running) / float64(maxRunning+reportedRunning))
 }
 
-func (u *upstream) predictService(outstanding int) forecast {
-	answer := u.answer
-	if answer <= 0 {
-		answer = assumedAnswer
+func (u *upstream) predictService(requests int) prediction {
+	answerSeconds := u.firstTokenSeconds
+	if answerSeconds <= 0 {
+		answerSeconds = assumedServiceSeconds
 	}
-	places := max(u.view.Load.MaxRunning, 1)
-	rounds := 1 + float64(outstanding)/float64(places)
-	return forecast{firstToken: answer * rounds}
+	maxRunning := max(u.view.Load.MaxRunning, 1)
+	rounds := 1 + float64(requests)/float64(maxRunning)
+	return prediction{firstTokenSeconds: answerSeconds * rounds}
 }
 
-// holding returns the expected seconds of a request in the batch.
-func (u *upstream) holding() float64 {
-	if u.hold > 0 {
-		return u.hold
+// expectedDecodeSeconds returns the expected time from the first token to the last.
+func (u *upstream) expectedDecodeSeconds() float64 {
+	if u.decodeSeconds > 0 {
+		return u.decodeSeconds
 	}
-	return assumedHold
+	return assumedDecodeSeconds
 }
 
-// cost returns the sum of the predicted times as shares of their goals. For a request without goals it is the
-// predicted seconds to the first token.
-func (g Goal) cost(f forecast) float64 {
-	first := f.firstToken
+// cost returns the sum of the predicted times, each divided by its goal. Without a goal for
+// the first token, its time counts in seconds. Without a goal for the token interval, that
+// doesn't count.
+func (g Goal) cost(predicted prediction) float64 {
+	firstToken := predicted.firstTokenSeconds
 	if g.FirstToken > 0 {
-		first = f.firstToken / g.FirstToken.Seconds()
+		firstToken = predicted.firstTokenSeconds / g.FirstToken.Seconds()
 	}
 	if g.TokenInterval <= 0 {
-		return first
+		return firstToken
 	}
-	return first + float64(f.interval)/float64(g.TokenInterval)
+	return firstToken + float64(predicted.tokenInterval)/float64(g.TokenInterval)
 }
--- a/internal/dispatch/prefix.go
+++ b/internal/dispatch/prefix.go
@@ -3,6 +3,8 @@
 // BlockTokens is the number of prompt tokens in a block.
 const BlockTokens = 128
 
+// Each set of the prefix index has prefixWays entries, and each entry up to prefixHolders
+// upstreams.
 const (
 	prefixWays    = 4
 	prefixHolders = 3
@@ -14,12 +16,12 @@
 	fnvPrime  = 1099511628211
 )
 
-// BlockHashes appends the hashes of the whole blocks of a prompt to dst. Each
-// hash covers the blocks before it too, and the model and adapter, since the
-// KV cache depends on all of them. blockBytes is the length of a block in
-// bytes; a prompt of unknown tokens is cut at about four bytes per token.
+// BlockHashes appends the hashes of the complete blocks of a prompt to dst. Each hash
+// covers the model, the adapter and all previous blocks too, because the KV cache depends
+// on them. blockBytes is the length of a block in bytes, at about four bytes per token if
+// the tokens are unknown.
 //
-// The hash is FNV-1a, the same in all processes, so that upstreams can name
+// The hash function is FNV-1a, without a random seed, so that upstreams can name the same
 // blocks in their cache events.
 func BlockHashes(dst []uint64, target Target, prompt []byte, blockBytes int) []uint64 {
 	hash := uint64(fnvOffset)
@@ -35,7 +37,7 @@
 	return dst
 }
 
-// mixString takes s and a terminating 0 into hash.
+// mixString returns hash updated with s and a terminating zero byte.
 func mixString(hash uint64, s string) uint64 {
 	for i := range len(s) {
 		hash = (hash ^ uint64(s[i])) * fnvPrime
@@ -43,88 +45,90 @@
 	return hash * fnvPrime
 }
 
-// prefixEntry says which upstreams are thought to hold the KV cache of a block.
+// prefixEntry lists the upstreams that are estimated to hold the KV cache of a block.
 type prefixEntry struct {
 	hash uint64
-	// holders are ids of upstreams, the latest first, 0 for none.
+	// holders are the ids of upstreams, most recent first, 0 for none.
 	holders [prefixHolders]uint32
-	used    uint32
+	// lastUsed is the clock of the index at the last use, 0 for an empty entry.
+	lastUsed uint32
 }
 
-// prefixes estimates what the caches of all upstreams hold. It is a table of a
-// fixed size, in which the entry least recently used of a set gives way.
+// prefixIndex estimates the contents of the prefix caches of all upstreams. It is a
+// set-associative table of fixed size with LRU replacement in each set.
 //
-// An estimate can be wrong both ways. It moves the choice only: the upstream
-// itself checks its cache, so a wrong one costs time and never the answer.
-type prefixes struct {
-	sets  [][prefixWays]prefixEntry
+// The estimate can be wrong in both directions. It affects only the choice of the
+// upstream, which checks its own cache: an error costs time and never changes the answer.
+type prefixIndex struct {
+	sets [][prefixWays]prefixEntry
+	// clock is the number of calls of add.
 	clock uint32
 }
 
-// newPrefixes returns a table of at least entries entries.
-func newPrefixes(entries int) *prefixes {
+// newPrefixIndex returns an index with room for at least the given number of entries.
+func newPrefixIndex(entries int) *prefixIndex {
 	sets := 1
 	for sets*prefixWays < entries {
 		sets *= 2
 	}
-	return &prefixes{sets: make([][prefixWays]prefixEntry, sets)}
+	return &prefixIndex{sets: make([][prefixWays]prefixEntry, sets)}
 }
 
-func (p *prefixes) find(hash uint64) *prefixEntry {
+func (p *prefixIndex) find(hash uint64) *prefixEntry {
 	set := &p.sets[hash&uint64(len(p.sets)-1)]
 	for i := range set {
-		if set[i].hash == hash && set[i].used > 0 {
+		if set[i].hash == hash && set[i].lastUsed > 0 {
 			return &set[i]
 		}
 	}
 	return nil
 }
 
-func (p *prefixes) add(hash uint64, id uint32) {
+func (p *prefixIndex) add(hash uint64, id uint32) {
 	p.clock++
-	e := p.find(hash)
-	if e == nil {
+	entry := p.find(hash)
+	if entry == nil {
 		set := &p.sets[hash&uint64(len(p.sets)-1)]
-		e = &set[0]
+		entry = &set[0]
 		for i := range set {
-			if set[i].used < e.used {
-				e = &set[i]
+			if set[i].lastUsed < entry.lastUsed {
+				entry = &set[i]
 			}
 		}
-		*e = prefixEntry{hash: hash}
+		*entry = prefixEntry{hash: hash}
 	}
-	e.used = p.clock
-	place := prefixHolders - 1
-	for i, holder := range e.holders {
+	entry.lastUsed = p.clock
+	position := prefixHolders - 1
+	for i, holder := range entry.holders {
 		if holder == id {
-			place = i
+			position = i
 			break
 		}
 	}
-	copy(e.holders[1:place+1], e.holders[:place])
-	e.holders[0] = id
+	copy(entry.holders[1:position+1], entry.holders[:position])
+	entry.holders[0] = id
 }
 
-func (p *prefixes) remove(hash uint64, id uint32) {
-	e := p.find(hash)
-	if e == nil {
+func (p *prefixIndex) remove(hash uint64, id uint32) {
+	entry := p.find(hash)
+	if entry == nil {
 		return
 	}
-	for i, holder := range e.holders {
+	for i, holder := range entry.holders {
 		if holder == id {
-			copy(e.holders[i:], e.holders[i+1:])
-			e.holders[prefixHolders-1] = 0
+			copy(entry.holders[i:], entry.holders[i+1:])
+			entry.holders[prefixHolders-1] = 0
 			return
 		}
 	}
 }
 
-func (p *prefixes) holds(hash uint64, id uint32) bool {
-	e := p.find(hash)
-	if e == nil {
+func (p *prefixIndex) holds(hash uint64, id uint32) bool {
+	entry := p.find(hash)
+	if entry == nil {
 		return false
 	}
-	for _, holder := range e.holders {
+	for _, holder := range entry.holders {
 		if holder == id {
 			return true
 		}
@@ -132,9 +136,9 @@
 	return false
 }
 
-// cached returns how many of blocks id is thought to hold from the start. It
-// searches by halves: who holds a block holds those before it.
-func (p *prefixes) cached(blocks []uint64, id uint32) int {
+// cachedBlocks returns the number of leading blocks that the upstream id is estimated to
+// hold. It is a binary search: an upstream that holds a block holds all previous ones.
+func (p *prefixIndex) cachedBlocks(blocks []uint64, id uint32) int {
 	low, high := 0, len(blocks)
 	for low < high {
 		middle := (low + high) / 2
@@ -147,12 +151,13 @@
 	return low
 }
 
-// longest returns the holders of the longest known prefix of blocks.
-func (p *prefixes) longest(blocks []uint64) [prefixHolders]uint32 {
+// longestPrefixHolders returns the ids of the upstreams that hold the longest known prefix
+// of blocks.
+func (p *prefixIndex) longestPrefixHolders(blocks []uint64) [prefixHolders]uint32 {
 	low, high := 0, len(blocks)
 	for low < high {
 		middle := (low + high) / 2
-		if e := p.find(blocks[middle]); e != nil && e.holders[0] != 0 {
+		if entry := p.find(blocks[middle]); entry != nil && entry.holders[0] != 0 {
 			low = middle + 1
 		} else {
 			high = middle
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Goal is what a service promises its callers, for 95 in 100 requests.
+// Goal is the latency objective of a service, for 95 % of its requests.
 type Goal struct {
-	// FirstToken is the time to the first token, or to the answer of a plain
-	// service. 0 stands for no goal.
+	// FirstToken is the time to the first token, or to the answer of a plain service. 0
+	// means no goal.
 	FirstToken time.Duration
-	// TokenInterval is the time between tokens. 0 stands for no goal.
+	// TokenInterval is the time between tokens. 0 means no goal.
 	TokenInterval time.Duration
 }
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that the choice of an upstream depends on.
 type Request struct {
 	Target Target
 	Goal   Goal
-	// Waited is how much of Goal.FirstToken is spent already.
+	// Waited is the time since the arrival of the request, which counts against
+	// Goal.FirstToken.
 	Waited time.Duration
-	// Priority is that of the service, 0 being the highest.
-	Priority uint8
-	// PromptTokens is the length of the prompt.
+	// Priority is the priority of the service, where 0 is the highest.
+	Priority     uint8
 	PromptTokens int
-	// Blocks are the chained hashes of the prompt's blocks, from BlockHashes. They
-	// may be empty.
+	// Blocks are the hashes of the prompt's blocks from BlockHashes. It may be empty.
 	Blocks []uint64
-	// Tried names the upstreams that have failed this request before.
+	// Tried lists the names of the upstreams that have already failed this request.
 	Tried []string
 }
 
 func (r *Request) tried(name string) bool {
-	for _, t := range r.Tried {
-		if t == name {
+	for _, failed := range r.Tried {
+		if failed == name {
 			return true
 		}
 	}
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -7,48 +7,52 @@
 	"github.com/lovagelift/lovagelift/internal/admission"
 )
 
-// upstream is what the Dispatcher keeps of one incarnation of an upstream.
+// upstream is the Dispatcher's state of one incarnation of an upstream.
 type upstream struct {
 	view View
-	// id is never used again, so that what a cache held before a restart is not
-	// taken for what it holds now.
+	// id identifies the upstream in the prefix index. It is never reused, so that entries
+	// from before a restart or a clearing of the cache don't apply any more.
 	id uint32
-	// remote says that it is in another failure domain than this instance.
+	// remote is true if the upstream is in another failure domain than this instance.
 	remote bool
-	// pools are those it is a member of, in step with view.
+	// pools are the pools that contain the upstream.
 	pools []*pool
-	// poolNames are the names of pools.
+	// poolNames are the names of pools, in the same order.
 	poolNames []string
-	trail     trail
-	// inFlight counts this instance's open requests, by priority as well.
-	inFlight   int
-	byPriority [admission.Priorities]int
-	limit      admission.Limit
-	// unanswered is the number of prompt tokens of this instance's open requests
-	// that have no first token yet.
-	unanswered int
+	changes   changeLog
+	// inFlight counts the open requests of this instance.
+	inFlight           int
+	inFlightByPriority [admission.Priorities]int
+	limit              admission.Limit
+	// pendingPromptTokens is the number of prompt tokens of this instance's open requests
+	// without a first token so far.
+	pendingPromptTokens int
 	// instances is the number of instances that share the upstream.
 	instances int
 	health    health
-	// bias is the moving mean of observed to predicted time to the first token.
+	// bias is the moving mean of the ratio of the observed to the predicted time to the
+	// first token.
 	bias float64
-	// hold is the moving mean of a request's time from its first token to its end,
-	// in seconds, 0 before the first end.
-	hold float64
-	// base is about the least time to a first token beside the prefill, in seconds.
-	// It is 0 and answered is false before the first.
-	base     float64
-	answered bool
-	// answer is the moving mean of the time to first token, in seconds, 0 before
-	// the first answer. It predicts plain services, which report no speeds.
-	answer float64
-	// doubtUntil is when the cache events are trusted in full again.
-	doubtUntil time.Time
-	// nextEvent is the number of the next cache event, 0 before the first batch.
-	nextEvent uint64
+	// decodeSeconds is the moving mean of the time from the first token to the end of a
+	// request, 0 before the first one.
+	decodeSeconds float64
+	// overheadSeconds estimates the time to the first token at an idle upstream, apart from
+	// the prefill. It is valid if overheadKnown is true.
+	overheadSeconds float64
+	overheadKnown   bool
+	// firstTokenSeconds is the moving mean of the time to the first token, 0 before the
+	// first answer. It is the basis of predictions for plain services, which report no
+	// speed.
+	firstTokenSeconds float64
+	// cacheGapUntil is the end of the reduced cache confidence after a gap in the cache
+	// events.
+	cacheGapUntil time.Time
+	// nextCacheEvent is the expected number of the next cache event, 0 before the first
+	// batch.
+	nextCacheEvent uint64
 }
 
-// pool holds the upstreams that can run one target.
+// pool is the set of upstreams that serve one target.
 type pool struct {
 	target  Target
 	name    string
@@ -67,8 +71,8 @@
 	}
 }
 
-// memberOf reports whether u can run the target of p.
-func (u *upstream) memberOf(p *pool) bool {
+// inPool reports whether u is a member of p.
+func (u *upstream) inPool(p *pool) bool {
 	for _, own := range u.pools {
 		if own == p {
 			return true
@@ -77,61 +81,64 @@
 	return false
 }
 
-// alive reports whether u may be given new work at all.
-func (u *upstream) alive(now time.Time) bool {
+// available reports whether u accepts new requests: it is not shutting down and its lease
+// has not expired.
+func (u *upstream) available(now time.Time) bool {
 	return !u.view.Leaving && now.Before(u.view.LeaseUntil)
 }
 
-// reportDecay is about how long a report says much: within it, a batch and a queue
-// of prompts turn over in part.
-const reportDecay = 300 * time.Millisecond
+// reportTimeConstant is the time constant for the decay of a load report's weight. A batch
+// and a prompt queue turn over partly within it.
+const reportTimeConstant = 300 * time.Millisecond
 
-// trusted returns the weight of the last report, from 1 for a new one towards 0.
-func (u *upstream) trusted(now time.Time) float64 {
+// reportWeight returns the weight of the last load report. It decays exponentially with
+// age, from 1 for a new report.
+func (u *upstream) reportWeight(now time.Time) float64 {
 	age := max(now.Sub(u.view.LoadAt), 0)
-	return math.Exp(-float64(age) / float64(reportDecay))
+	return math.Exp(-float64(age) / float64(reportTimeConstant))
 }
 
-// outstanding returns the estimated number of requests at the upstream, whoever
-// sent them: the corrected report as far as it is trusted, and for the rest this
-// instance's own count taken for a fair sample of what all instances have there.
-func (u *upstream) outstanding(now time.Time) int {
-	trusted := u.trusted(now)
-	reported := u.view.Load.Running + u.view.Load.Waiting + u.trail.requests
-	sampled := min(u.inFlight*u.instances, u.places()+u.inFlight)
-	mixed := trusted*float64(reported) + (1-trusted)*float64(sampled)
-	return max(int(math.Round(mixed)), u.inFlight, 0)
+// estimatedRequests returns the estimated number of requests at the upstream from all
+// instances. It is the weighted mean of the report, corrected by this instance's changes
+// since, and an extrapolation of this instance's open requests to all instances.
+func (u *upstream) estimatedRequests(now time.Time) int {
+	weight := u.reportWeight(now)
+	reported := u.view.Load.Running + u.view.Load.Waiting + u.changes.requests
+	extrapolated := min(u.inFlight*u.instances, u.maxRunning()+u.inFlight)
+	mean := weight*float64(reported) + (1-weight)*float64(extrapolated)
+	return max(int(math.Round(mean)), u.inFlight, 0)
 }
 
-// waitingTokens returns the estimated number of prompt tokens that the upstream
-// has yet to prefill.
-func (u *upstream) waitingTokens(now time.Time) float64 {
-	trusted := u.trusted(now)
-	reported := u.view.Load.WaitingPromptTokens + u.trail.promptTokens
-	mixed := trusted*float64(reported) + (1-trusted)*float64(u.unanswered)
-	return max(mixed, float64(u.unanswered))
+// estimatedWaitingTokens returns the estimated number of prompt tokens that wait for
+// prefill at the upstream, at least those of this instance.
+func (u *upstream) estimatedWaitingTokens(now time.Time) float64 {
+	weight := u.reportWeight(now)
+	reported := u.view.Load.WaitingPromptTokens + u.changes.promptTokens
+	mean := weight*float64(reported) + (1-weight)*float64(u.pendingPromptTokens)
+	return max(mean, float64(u.pendingPromptTokens))
 }
 
-// places returns the most requests that the upstream runs at once.
-func (u *upstream) places() int {
-	if places := u.view.Load.MaxRunning; places > 0 {
-		return places
+// maxRunning returns the maximum number of requests that the upstream runs at once.
+func (u *upstream) maxRunning() int {
+	if reported := u.view.Load.MaxRunning; reported > 0 {
+		return reported
 	}
-	return assumedRunning
+	return assumedMaxRunning
 }
 
-// notAfter returns the share of this instance's open requests whose priority is
-// not lower than priority: engines let them go before. It is drawn towards 1 if
-// this instance has few open, which say little of what others have there.
-func (u *upstream) notAfter(priority uint8) float64 {
+// shareAtOrAbove returns the share of this instance's open requests with the same or a
+// higher priority, which engines run first. With few open requests, which say little about
+// those of other instances, a prior pulls the share towards 1.
+func (u *upstream) shareAtOrAbove(priority uint8) float64 {
 	const prior = 2
 	count := prior
-	for i := 0; i <= level(priority); i++ {
-		count += u.byPriority[i]
+	for i := 0; i <= priorityIndex(priority); i++ {
+		count += u.inFlightByPriority[i]
 	}
 	return float64(count) / float64(max(u.inFlight, 0)+prior)
 }
 
-func level(priority uint8) int {
+// priorityIndex returns the index of priority in inFlightByPriority.
+func priorityIndex(priority uint8) int {
 	return min(int(priority), admission.Priorities-1)
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -6,34 +6,34 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// View is what this instance knows of one upstream. It is complete: it replaces
-// the View before.
+// View is this instance's knowledge of one upstream. A new View replaces the previous one
+// completely.
 type View struct {
 	Name          string
 	Address       string
 	FailureDomain string
-	// Incarnation grows with every start of the upstream, Sequence with every
-	// announcement of an incarnation.
+	// Incarnation increases with each start of the upstream, and Sequence with each
+	// announcement of the same incarnation.
 	Incarnation uint64
 	Sequence    uint64
 	Kind        upstreamapi.Kind
-	// Resident is what an engine can run now.
+	// Resident lists the models and adapters that an engine has loaded.
 	Resident []upstreamapi.Resident
-	// Services are the plain services it answers for.
+	// Services lists the plain services that the upstream provides.
 	Services []string
 	Load     upstreamapi.Load
-	// LoadAt is when the figures of Load were taken, by this instance's clock.
+	// LoadAt is the time at which Load was measured, on this instance's clock.
 	LoadAt time.Time
-	// LeaseUntil is when the upstream stops receiving new work unless another
-	// View comes.
+	// LeaseUntil is the time from which the upstream receives no new requests, unless
+	// another View arrives before.
 	LeaseUntil time.Time
-	// Leaving says that the upstream has announced its stop. It receives no new
-	// work, from this View on.
+	// Leaving means that the upstream has announced its shutdown and receives no new
+	// requests.
 	Leaving bool
 }
 
-// FromAnnouncement returns the View that follows from an announcement that came
-// in at now, with a lease that starts then.
+// FromAnnouncement returns the View for an announcement received at now, with a lease that
+// starts then.
 func FromAnnouncement(now time.Time, a upstreamapi.Announcement, lease time.Duration) View {
 	return View{
 		Name:          a.Name,
@@ -58,34 +58,35 @@
 	return v.Sequence < other.Sequence
 }
 
-// Target names what has to be resident at an upstream to run a request.
+// Target identifies the model, adapter or plain service that a request needs at an
+// upstream.
 type Target struct {
-	// Model and Adapter name a model and an adapter beside it. One of them may be
-	// empty: an adapter is found without its model, too.
+	// Model and Adapter are the names of a model and of an adapter for it. Either may be
+	// empty: an adapter can be requested without its model.
 	Model   string
 	Adapter string
-	// Version is the version of Model, any if empty.
+	// Version is the version of Model. Empty means any.
 	Version string
-	// Service names a plain service. Model is empty then.
+	// Service is the name of a plain service. The other fields are empty then.
 	Service string
 }
 
-// String returns the target in one word, for logs and as a name of its queue.
+// String returns the target as a single word, for logs and as the name of its pool.
 func (t Target) String() string {
 	if t.Service != "" {
 		return "service:" + t.Service
 	}
-	word := "model:" + t.Model
+	text := "model:" + t.Model
 	if t.Version != "" {
-		word += "@" + t.Version
+		text += "@" + t.Version
 	}
 	if t.Adapter != "" {
-		word += "+" + t.Adapter
+		text += "+" + t.Adapter
 	}
-	return word
+	return text
 }
 
-// targets appends all that can be asked of v to dst.
+// targets appends all targets that v serves to dst.
 func (v *View) targets(dst []Target) []Target {
 	for _, service := range v.Services {
 		dst = append(dst, Target{Service: service})
