--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -35,10 +35,10 @@
 	return decision
 }
 
-// predictFirstToken predicts the time to the first token from a few candidates, whether
-// they have room or not. idle is the shortest time at an idle candidate. loaded is the
-// time at the candidate of least cost after one of its requests has finished; it doesn't
-// include the wait in the admission queue.
+// predictFirstToken predicts the time to the first token of r from a few candidates, with
+// or without room. idle is the shortest time if the candidate ran no other request. loaded
+// is the time at the candidate of least cost, after one of its requests has finished. It
+// doesn't include the wait in the admission queue.
 func (d *Dispatcher) predictFirstToken(now time.Time, r *Request) (idle, loaded time.Duration) {
 	p := d.pools[r.Target]
 	if p == nil {
@@ -155,8 +155,8 @@
 	return share >= 1 || d.random.Float64() < share
 }
 
-// prefixHolder returns an eligible member of p that has the longest known prefix of r in
-// its cache by estimate, or nil.
+// prefixHolder returns an eligible member of p whose cache holds the longest known prefix
+// of r according to the prefix index, or nil.
 func (d *Dispatcher) prefixHolder(now time.Time, p *pool, r *Request) *upstream {
 	if len(r.Blocks) == 0 {
 		return nil
@@ -170,11 +170,12 @@
 	return nil
 }
 
-// evaluate adds u to the decision as a candidate, with the prediction for r at u after
-// finished of the requests there have finished.
-func (d *Dispatcher) evaluate(now time.Time, decision *Decision, u *upstream, r *Request, finished int) {
+// evaluate predicts the times of r at u and adds u to the decision as a candidate. The
+// prediction is for the time when finishedRequests of the current requests at u have
+// finished.
+func (d *Dispatcher) evaluate(now time.Time, decision *Decision, u *upstream, r *Request, finishedRequests int) {
 	cached := d.cachedTokens(now, u, r)
-	predicted := u.predict(now, max(r.PromptTokens-cached, 0), r.Priority, finished)
+	predicted := u.predict(now, max(r.PromptTokens-cached, 0), r.Priority, finishedRequests)
 	if u.remote {
 		predicted.firstTokenSeconds += 2 * d.options.RemoteDelay.Seconds()
 	}
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -15,15 +15,15 @@
 	ReasonLeastCost Reason = iota + 1
 	// ReasonPrefixCached means the same, for the upstream whose cache holds the prefix.
 	ReasonPrefixCached
-	// ReasonOnlyCandidate means that only one sampled candidate was eligible.
+	// ReasonOnlyCandidate means that only one candidate was evaluated.
 	ReasonOnlyCandidate
 	// ReasonNoCandidate means that no upstream serves the target.
 	ReasonNoCandidate
 	// ReasonNoneFit means that each upstream of the target is leaving, has an expired
 	// lease or has already failed this request.
 	ReasonNoneFit
-	// ReasonNoRoom means that the candidates have reached their limits. The request may
-	// wait.
+	// ReasonNoRoom means that all upstreams that could run the request have reached their
+	// limits. The request may wait.
 	ReasonNoRoom
 )
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,8 +38,8 @@
 	// Samples is the number of randomly sampled candidates for a request, in addition to
 	// the one whose cache holds its prefix. The default is 4, the maximum 8.
 	Samples int
-	// Instances is the number of instances that share the upstreams. The default is 1.
-	// The initial limit for an upstream is an equal share of its slots.
+	// Instances is the number of instances that share the upstreams. The default is 1. Each
+	// instance starts with an equal share of an upstream's slots as its limit.
 	Instances int
 	// PrefixEntries is the size of the index of cached prefixes. The default is 65536. An
 	// entry takes 24 bytes.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -185,7 +185,7 @@
 			decision := d.Choose(now, request)
 			Expect(decision.Chosen.Name).To(Equal("b"))
 			flight := d.Sent(now, request, &decision)
-			d.FirstByte(now.Add(100*time.Millisecond), &flight) // as predicted
+			d.FirstByte(now.Add(100*time.Millisecond), &flight) // the predicted time
 		}
 		name, _ := choose(now.Add(5 * time.Second))
 		Expect(name).To(Equal("a"))
@@ -216,7 +216,7 @@
 		Expect(limit).To(BeNumerically(">", 25))
 	})
 
-	It("exceeds no limit once 80 % of all its limits are in use", func() {
+	It("exceeds a limit only while less than 80 % of the sum of its limits is in use", func() {
 		d = dispatch.New(dispatch.Options{Instances: 7, Seed: 1})
 		d.Update(viewOf("a", 1, 16))
 		d.Update(viewOf("b", 1, 16))
@@ -230,7 +230,7 @@
 		Expect(open).To(Equal(5))
 	})
 
-	It("exceeds a limit by one while its other limits are unused, unless the limit was just reduced", func() {
+	It("exceeds a limit by one while other limits are unused, unless it was just reduced", func() {
 		// By chance, all requests of this instance are for the model of one engine. Its share
 		// of that engine is full and its shares of the others are empty: a refusal would leave
 		// slots unused.
@@ -383,11 +383,11 @@
 		d := dispatch.New(dispatch.Options{})
 		g := dispatch.NewGate(d, admission.New(admission.Options{}))
 		d.Update(viewOf("a", 1, 1))
-		arrive := func(id uint64, priority uint8, patience time.Duration) dispatch.Answer {
+		arrive := func(id uint64, priority uint8, firstTokenGoal time.Duration) dispatch.Answer {
 			return g.Arrive(start, &dispatch.Arrival{
 				ID: id, At: start, Service: "s" + strconv.Itoa(int(priority)),
 				Request: dispatch.Request{
-					Target: dispatch.Target{Model: "m"}, Goal: dispatch.Goal{FirstToken: patience}, Priority: priority,
+					Target: dispatch.Target{Model: "m"}, Goal: dispatch.Goal{FirstToken: firstTokenGoal}, Priority: priority,
 				},
 			})
 		}
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -13,7 +13,8 @@
 	overheadRiseWeight = 0.002
 	// minPredictionSeconds is the shortest prediction that updates the bias.
 	minPredictionSeconds = 0.002
-	minOpenSeconds       = 0.001
+	// minOpenSeconds is the minimum of expectedOpenSeconds, by which Capacity divides.
+	minOpenSeconds = 0.001
 	// budgetSlackShare is the share of the slack to the goal that a request may spend at the
 	// upstream.
 	budgetSlackShare = 0.2
@@ -50,8 +51,8 @@
 	d.addInFlight(u, r.Priority, 1)
 	u.pendingPromptTokens += int(flight.promptTokens)
 	u.changes.add(loadChange{at: now, requests: 1, promptTokens: flight.promptTokens})
-	// The upstream's cache will hold the prompt. A request with the same prefix benefits
-	// from it even if it arrives before the first token and has to wait there.
+	// Record the prompt as cached before its prefill: a request with the same prefix that
+	// arrives before the first token is faster at the same upstream, even if it waits there.
 	for _, block := range r.Blocks {
 		d.prefixes.add(block, u.id)
 	}
@@ -62,21 +63,21 @@
 func (d *Dispatcher) FirstByte(now time.Time, flight *Flight) {
 	u := flight.upstream
 	flight.firstTokenAt = now
-	took := now.Sub(flight.sentAt)
+	elapsed := now.Sub(flight.sentAt)
 	u.changes.add(loadChange{at: now, promptTokens: -flight.promptTokens})
 	u.pendingPromptTokens -= int(flight.promptTokens)
-	u.firstTokenSeconds = movingMean(u.firstTokenSeconds, took.Seconds())
-	u.observeOverhead(took.Seconds() - u.prefillSeconds(int(flight.promptTokens)))
+	u.firstTokenSeconds = movingMean(u.firstTokenSeconds, elapsed.Seconds())
+	u.observeOverhead(elapsed.Seconds() - u.prefillSeconds(int(flight.promptTokens)))
 	if flight.unbiasedSeconds >= minPredictionSeconds {
-		ratio := took.Seconds() / flight.unbiasedSeconds
+		ratio := elapsed.Seconds() / flight.unbiasedSeconds
 		u.bias = min(max(u.bias+meanWeight*(ratio-u.bias), minBias), maxBias)
 	}
-	d.setLimit(u, u.limit.WithFirstToken(now, flight.sentAt, took, flight.budget, u.inFlight))
+	d.setLimit(u, u.limit.WithFirstToken(now, flight.sentAt, elapsed, flight.budget, u.inFlight))
 	u.health.succeeded()
 }
 
 // Finished records the end of a complete answer. If the request has no goal, or FirstByte
-// was not called, the limit may grow while the upstream reports an empty queue.
+// was not called, the limit may grow if the upstream reports an empty queue.
 func (d *Dispatcher) Finished(now time.Time, flight *Flight) {
 	u := flight.upstream
 	if flight.firstTokenAt.IsZero() {
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -6,12 +6,12 @@
 	"github.com/lovagelift/lovagelift/internal/admission"
 )
 
-// predictionMargin is the share of the predicted time to the first token that is added to
-// it for a waiting request: predictions are off by about as much.
+// predictionMargin is the safety margin of a waiting request, as a share of its predicted
+// time to the first token. Predictions are off by about as much.
 const predictionMargin = 0.25
 
-// maxSkipped is the number of waiting requests that can't use a free slot at which a call
-// of Freed stops.
+// maxSkipped is the maximum number of waiting requests that a call of Freed skips because
+// they can't use the free slot.
 const maxSkipped = 8
 
 // maxDefaultWait is the maximum wait of a request without goal and deadline.
@@ -39,8 +39,8 @@
 	Flight   Flight
 }
 
-// Answer is the result of Gate.Arrive. If it has no Start, no Queued and no Refusal, no
-// upstream can run the request, and Reason is the cause.
+// Answer is the result of Gate.Arrive. If Start, Queued and Refusal are all unset, no
+// upstream can run the request, for the given Reason.
 type Answer struct {
 	// Start is set, with a non-nil Arrival, if the request is to be sent now.
 	Start Start
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -33,7 +33,8 @@
 	outcomes float64
 	// ejectedUntil is the end of the last ejection and the start of the slow start.
 	ejectedUntil time.Time
-	ejections    int
+	// ejections is the number of ejections since the last reset after ejectionResetTime.
+	ejections int
 }
 
 func (h *health) succeeded() {
--- a/internal/dispatch/predict.go
+++ b/internal/dispatch/predict.go
@@ -22,14 +22,15 @@
 	tokenInterval     time.Duration
 }
 
-// predict returns the prediction for a request with promptTokens tokens to prefill, after
-// finished of the requests at u have finished.
+// predict returns the prediction for a request with promptTokens tokens to prefill. The
+// prediction is for the time when finishedRequests of the current requests at u have
+// finished.
 //
 // An engine with a free slot prefills the request after the prompts ahead of it. A full
-// engine must first finish as many requests as it has in excess of its slots. It finishes
-// maxRunning/expectedDecodeSeconds of them per second.
-func (u *upstream) predict(now time.Time, promptTokens int, priority uint8, finished int) prediction {
-	requests := max(u.estimatedRequests(now)-finished, 0)
+// engine first has to finish as many requests as exceed its slots. It finishes
+// maxRunning/expectedDecodeSeconds requests per second.
+func (u *upstream) predict(now time.Time, promptTokens int, priority uint8, finishedRequests int) prediction {
+	requests := max(u.estimatedRequests(now)-finishedRequests, 0)
 	if u.view.Kind == upstreamapi.KindService {
 		return u.predictService(requests)
 	}
@@ -98,8 +99,8 @@
 }
 
 // cost returns the sum of the predicted times, each divided by its goal. Without a goal for
-// the first token, its time counts in seconds. Without a goal for the token interval, that
-// doesn't count.
+// the first token, its time in seconds counts. Without a goal for the token interval, the
+// interval doesn't count.
 func (g Goal) cost(predicted prediction) float64 {
 	firstToken := predicted.firstTokenSeconds
 	if g.FirstToken > 0 {
--- a/internal/dispatch/prefix.go
+++ b/internal/dispatch/prefix.go
@@ -18,8 +18,8 @@
 
 // BlockHashes appends the hashes of the complete blocks of a prompt to dst. Each hash
 // covers the model, the adapter and all previous blocks too, because the KV cache depends
-// on them. blockBytes is the length of a block in bytes, at about four bytes per token if
-// the tokens are unknown.
+// on them. blockBytes is the length of a block in bytes: about four bytes per token if the
+// tokens of the prompt are unknown.
 //
 // The hash function is FNV-1a, without a random seed, so that upstreams can name the same
 // blocks in their cache events.
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -21,7 +21,8 @@
 	// priorDecodeStep is the duration of one decode step, which adds a token to each
 	// answer, with the batch half full: 5 to 12 ms with the same models.
 	priorDecodeStep = 10 * time.Millisecond
-	// priorRequestTime is the time that a request spends at an engine: about 150 tokens.
+	// priorRequestTime is the time that a request with an answer of about 150 tokens spends
+	// at an engine.
 	priorRequestTime = 1500 * time.Millisecond
 	// maxPriorRatio bounds the ratio of an estimate to its prior, in both directions. A
 	// value beyond it is a measurement error.
