--- a/internal/permit/encode.go
+++ b/internal/permit/encode.go
@@ -10,11 +10,11 @@
 	"github.com/lovagelift/lovagelift/internal/ratelimit"
 )
 
-// MaxBytes bounds an encoded message, so that it fits into one datagram of a network
-// whose packets have 1,500 bytes.
+// MaxBytes is the largest size of an encoded message. It fits into one datagram on a
+// network with an MTU of 1,500 bytes.
 const MaxBytes = 1400
 
-// The first byte of a message says its kind.
+// The first byte of an encoded message is its kind.
 const (
 	kindAsk byte = iota + 1
 	kindGranted
@@ -30,16 +30,17 @@
 )
 
 const (
-	// maxDuration is above any time that is told: a message with a longer one is damaged.
+	// maxDuration is above every duration that instances send. A message with a longer
+	// one is damaged.
 	maxDuration = time.Hour
-	// maxCount is above any number that is told.
+	// maxCount is above every count that instances send.
 	maxCount = 1 << 24
-	// maxTried is how many upstreams a request may have tried.
+	// maxTried is the largest number of upstreams that a request may have tried.
 	maxTried = 8
 )
 
-// ErrDamaged says that bytes are no message.
-var ErrDamaged = errors.New("permit: no message")
+// ErrDamaged is the error of Decode for bytes that are not a valid message.
+var ErrDamaged = errors.New("permit: message is damaged")
 
 // Append appends the encoding of a message to buffer.
 func Append(buffer []byte, message Message) []byte {
@@ -92,10 +93,11 @@
 	}
 }
 
-// limitUnits is how many units of an encoded limit are one request a second.
+// limitUnits is the factor of an encoded limit, which is in thousandths of a request a
+// second.
 const limitUnits = 1000
 
-// appendLimit appends a limit, which is valid.
+// appendLimit appends a limit, which must be valid.
 func appendLimit(buffer []byte, limit ratelimit.Limit) []byte {
 	return parcel.AppendUint(buffer, uint64(math.Round(float64(limit)*limitUnits)))
 }
@@ -133,12 +135,12 @@
 	return appendDuration(buffer, s.ReportAge)
 }
 
-// appendDuration appends a duration in microseconds. One below 0 is 0.
+// appendDuration appends a duration in microseconds, and 0 for a negative one.
 func appendDuration(buffer []byte, d time.Duration) []byte {
 	return parcel.AppendUint(buffer, uint64(max(d, 0).Microseconds()))
 }
 
-// Decode returns the message that encoded holds.
+// Decode decodes a message. If encoded is not a valid encoding, it returns ErrDamaged.
 func Decode(encoded []byte) (Message, error) {
 	if len(encoded) > MaxBytes {
 		return nil, ErrDamaged
@@ -151,7 +153,7 @@
 	return message, nil
 }
 
-// reader reads the fields of a message.
+// reader decodes the fields of a message.
 type reader struct {
 	*parcel.Reader
 }
--- a/internal/permit/encode_test.go
+++ b/internal/permit/encode_test.go
@@ -11,7 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// messages is one of each kind.
+// messages returns at least one message of each kind.
 func messages() []permit.Message {
 	return []permit.Message{
 		permit.Ask{
@@ -39,13 +39,13 @@
 }
 
 var _ = Describe("A message", func() {
-	It("comes as it was sent", func() {
+	It("is the same after encoding and decoding", func() {
 		for _, message := range messages() {
 			Expect(permit.Decode(permit.Append(nil, message))).To(Equal(message))
 		}
 	})
 
-	It("that is cut short or too long is none", func() {
+	It("that is truncated or too long is rejected", func() {
 		for _, message := range messages() {
 			encoded := permit.Append(nil, message)
 			for size := range encoded {
@@ -60,8 +60,8 @@
 	})
 })
 
-// FuzzDecode looks for bytes that stop an instance, or that are read as a message which
-// is told on as another.
+// FuzzDecode checks that damaged bytes cause no panic, and that a decoded message stays
+// the same after another encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	for _, message := range messages() {
 		f.Add(permit.Append(nil, message))
@@ -75,7 +75,7 @@
 		encoded := permit.Append(nil, message)
 		again, err := permit.Decode(encoded)
 		if err != nil || !bytes.Equal(permit.Append(nil, again), encoded) {
-			t.Fatalf("%v is told on as %v: %v", message, again, err)
+			t.Fatalf("%v becomes %v after encoding and decoding: %v", message, again, err)
 		}
 	})
 }
--- a/internal/permit/owners.go
+++ b/internal/permit/owners.go
@@ -7,10 +7,10 @@
 	"github.com/lovagelift/lovagelift/internal/rendezvous"
 )
 
-// Owners is the instances that may own models. It is immutable; the zero Owners has
-// none.
+// Owners are the instances that may own models. An Owners is immutable; the zero value
+// has no instances.
 type Owners struct {
-	// instances are in the order of their addresses, each once.
+	// instances are sorted by address, without duplicates.
 	instances []instance
 }
 
@@ -19,7 +19,7 @@
 	hash    uint64
 }
 
-// NewOwners returns the Owners of instances at some addresses.
+// NewOwners returns Owners of the instances at the given addresses.
 func NewOwners(addresses []netip.AddrPort) Owners {
 	sorted := slices.Clone(addresses)
 	slices.SortFunc(sorted, netip.AddrPort.Compare)
@@ -31,15 +31,15 @@
 	return o
 }
 
-// Len returns how many instances there are.
+// Len returns the number of instances.
 func (o Owners) Len() int {
 	return len(o.instances)
 }
 
-// Of returns the owner of a model of a service, among the instances that usable
-// accepts. It returns false if there is none. All who know the same instances agree;
-// when one comes or goes, only the models that it owns change their owner (rendezvous
-// hashing).
+// Of returns the owner of a model of a service among the instances that usable accepts,
+// and false if it accepts none. Callers that know the same instances get the same owner.
+// When an instance joins or leaves, only the models that it owns change owners
+// (rendezvous hashing).
 func (o Owners) Of(service, model string, usable func(netip.AddrPort) bool) (netip.AddrPort, bool) {
 	key := rendezvous.Hash(service + "\x00" + model)
 	var owner netip.AddrPort
@@ -56,7 +56,7 @@
 	return owner, owner.IsValid()
 }
 
-// All returns the addresses of all instances.
+// All returns the addresses of all instances, sorted.
 func (o Owners) All() []netip.AddrPort {
 	all := make([]netip.AddrPort, 0, len(o.instances))
 	for _, instance := range o.instances {
--- a/internal/permit/owners_test.go
+++ b/internal/permit/owners_test.go
@@ -12,38 +12,38 @@
 )
 
 func instances(count int) []netip.AddrPort {
-	var all []netip.AddrPort
+	var addresses []netip.AddrPort
 	for i := range count {
-		all = append(all, netip.MustParseAddrPort(fmt.Sprintf("10.%d.0.%d:7000", i/200, i%200+1)))
+		addresses = append(addresses, netip.MustParseAddrPort(fmt.Sprintf("10.%d.0.%d:7000", i/200, i%200+1)))
 	}
-	return all
+	return addresses
 }
 
-func all(netip.AddrPort) bool { return true }
+func anyUsable(netip.AddrPort) bool { return true }
 
 var _ = Describe("The owner of a model", func() {
 	const models = 1700
-	owned := func(among []netip.AddrPort, usable func(netip.AddrPort) bool) []netip.AddrPort {
-		owners := permit.NewOwners(among)
-		var all []netip.AddrPort
+	ownersOf := func(addresses []netip.AddrPort, usable func(netip.AddrPort) bool) []netip.AddrPort {
+		owners := permit.NewOwners(addresses)
+		var owned []netip.AddrPort
 		for i := range models {
-			owner, known := owners.Of("pool", fmt.Sprint("model-", i), usable)
-			Expect(known).To(BeTrue())
-			all = append(all, owner)
+			owner, found := owners.Of("pool", fmt.Sprint("model-", i), usable)
+			Expect(found).To(BeTrue())
+			owned = append(owned, owner)
 		}
-		return all
+		return owned
 	}
 
-	It("is the same for all who know the same instances, in whatever order", func() {
-		among := instances(330)
-		backwards := slices.Clone(among)
-		slices.Reverse(backwards)
-		Expect(owned(backwards, all)).To(Equal(owned(among, all)))
+	It("is the same for the same instances in any order", func() {
+		addresses := instances(330)
+		reversed := slices.Clone(addresses)
+		slices.Reverse(reversed)
+		Expect(ownersOf(reversed, anyUsable)).To(Equal(ownersOf(addresses, anyUsable)))
 	})
 
-	It("is each instance for about as many models", func() {
+	It("is each instance for about the same number of models", func() {
 		counts := map[netip.AddrPort]int{}
-		for _, owner := range owned(instances(30), all) {
+		for _, owner := range ownersOf(instances(30), anyUsable) {
 			counts[owner]++
 		}
 		Expect(counts).To(HaveLen(30))
@@ -52,23 +52,23 @@
 		}
 	})
 
-	// An instance is lost. If all models changed their owner, none of the new ones would
-	// know what engines have, and all engines would get too much at once.
+	// If the loss of an instance moved all models, no new owner would know the load of
+	// the engines, and all engines would be overloaded at once.
 	It("changes only for the models of an instance that is lost", func() {
-		among := instances(291)
-		before := owned(among, all)
-		after := owned(among[1:], all)
-		avoided := owned(among, func(address netip.AddrPort) bool { return address != among[0] })
-		Expect(avoided).To(Equal(after), "one that does not answer counts as lost")
+		addresses := instances(291)
+		before := ownersOf(addresses, anyUsable)
+		after := ownersOf(addresses[1:], anyUsable)
+		withoutFirst := ownersOf(addresses, func(address netip.AddrPort) bool { return address != addresses[0] })
+		Expect(withoutFirst).To(Equal(after), "an instance that does not reply is treated as lost")
 		for i := range models {
-			if before[i] != among[0] {
+			if before[i] != addresses[0] {
 				Expect(after[i]).To(Equal(before[i]))
 			}
 		}
 	})
 
-	It("is nobody where nobody can be", func() {
-		_, known := permit.Owners{}.Of("pool", "m", all)
-		Expect(known).To(BeFalse())
+	It("does not exist without instances", func() {
+		_, found := permit.Owners{}.Of("pool", "m", anyUsable)
+		Expect(found).To(BeFalse())
 	})
 })
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,18 +1,18 @@
-// Package permit is how entry instances share engines (distributed admission
-// control): which instance decides for a model, and the messages by which the
-// others ask it for a permit to send a request to an engine.
+// Package permit is the distributed admission control of entry instances. It determines
+// which instance owns a model, and defines the messages by which the other instances
+// acquire a permit from the owner before they send a request to an engine.
 //
-// An instance that decides by itself sees a small part of what an engine gets. Told
-// of every request of every other instance it sees all of it, at a cost that grows
-// with the square of their number. Here each model has one owner among the
-// instances, chosen by rendezvous hashing, which queues the requests for the model
-// and places them. A request costs a question, an answer and a note of its end,
-// however many instances there are.
+// An instance that decides alone sees only a fraction of an engine's load. If every
+// instance broadcast every request, each would see the whole load, but at a cost that
+// grows with the square of the number of instances. Here, rendezvous hashing gives each
+// model one owner among the instances, which queues the requests for the model and
+// assigns them to engines. A request costs three messages, however many instances there
+// are: a permit request, its reply and a release.
 //
-// Owners are a matter of load and never of safety: if two instances take themselves
-// for the owner, or none answers, engines get a little more than they should.
+// Ownership balances load; correctness does not depend on it. If two instances both act
+// as the owner, or none replies, engines receive slightly more requests than they should.
 //
-// It does no I/O.
+// The package does no I/O.
 package permit
 
 import (
@@ -21,129 +21,138 @@
 	"github.com/lovagelift/lovagelift/internal/ratelimit"
 )
 
-// ID tells the questions of one instance apart.
+// ID distinguishes the permit and rate limit requests of one instance.
 type ID uint64
 
-// Message is what instances tell each other: Ask, Granted, Queued, Refused, Moved,
-// Ended, Use, Limited, Claim, Allowed or Held.
+// Message is a message from one instance to another. The types that implement it are all
+// in this package.
 type Message interface {
 	message()
 }
 
-// Ask asks the owner of a model for a permit. It may be sent again: the owner answers
-// with what it has decided.
+// Ask requests a permit from the owner of a model. It may be sent again: the owner
+// repeats its decision.
 type Ask struct {
 	ID      ID
 	Service string
 	Model   string
-	// Adapter is empty for the model itself.
+	// Adapter is empty for a request to the base model.
 	Adapter      string
 	PromptTokens int
 	AnswerTokens int
-	// Priority is that of the route, 0 being the most urgent.
+	// Priority is that of the route; 0 is the most urgent.
 	Priority uint8
-	// Objective is the time to the first event within which an answer is on time, and Gap
-	// the longest pause between events. 0 means that there is none.
+	// Objective is the longest time to the first event, and Gap the longest pause between
+	// events, by which an answer is on time. 0 means that there is no such objective.
 	Objective time.Duration
 	Gap       time.Duration
-	// Age is how long ago the request came, and Left how long its caller waits still.
+	// Age is the time since the request arrived, and Left the time that its caller still
+	// waits.
 	Age  time.Duration
 	Left time.Duration
-	// Tried are the names of upstreams that have failed the request.
+	// Tried are the names of the upstreams at which earlier attempts failed.
 	Tried []string
 }
 
-// Granted answers Ask with the upstream to send to.
+// Granted replies to a permit request with the upstream to send to.
 type Granted struct {
 	ID       ID
 	Upstream string
-	// Address is where the upstream is: the asker may not have heard of it.
+	// Address is included because the requesting instance may not know the upstream yet.
 	Address string
-	// Unread is how long the engine reads what it has before this prompt.
+	// Unread is the time that the engine needs to prefill the prompts that it has before
+	// this one.
 	Unread time.Duration
 }
 
-// Queued answers Ask while no upstream has room. Granted follows.
+// Queued replies to a permit request while no upstream has room. A grant follows when one
+// has.
 type Queued struct {
 	ID ID
 }
 
-// Refused answers Ask if the request can't be served in time.
+// Refused replies to a permit request that can't be served in time.
 type Refused struct {
 	ID     ID
 	Reason Reason
-	// ComeBack is when the caller may come back, and Forecast how long the request
-	// would have waited.
+	// ComeBack is the time after which the caller may retry, and Forecast the estimated
+	// wait of the request in the queue.
 	ComeBack time.Duration
 	Forecast time.Duration
 	Survey   Survey
 }
 
-// Survey is why each upstream that holds what a request asks for did not get it.
+// Survey counts the upstreams that could run a request, by the reason why they did not
+// get it.
 type Survey struct {
-	// Holders is how many upstreams hold it and are alive.
+	// Holders is the number of live upstreams that hold the model and the adapter.
 	Holders int
-	// Full had all their places taken, Paced had too much to read, Yielding were left to
-	// other instances first, and Avoided had failed the request.
+	// Full are upstreams without a free slot, Paced those with too long a prefill queue,
+	// Yielding those that other instances may use first, and Avoided those at which
+	// earlier attempts failed.
 	Full, Paced, Yielding, Avoided int
-	// ReportAge is how old the oldest report of the holders is.
+	// ReportAge is the age of the oldest load report among the holders.
 	ReportAge time.Duration
 }
 
-// Moved answers Ask if the instance is about to stop: another one owns the model.
+// Moved replies to a permit request at an instance that is shutting down: another one
+// owns the model.
 type Moved struct {
 	ID ID
 }
 
-// Ended gives a permit back, or takes back a question.
+// Ended releases a permit, or withdraws a permit request.
 type Ended struct {
 	ID      ID
 	Outcome Outcome
-	// First is how long the engine took to the first event, less what it read before,
-	// Run how long it had the request, and Events how many came over Writing, after the
-	// first. They are 0 unless the whole answer came at the first attempt.
+	// First is the time to the first event without the prefill of earlier prompts, Run
+	// the time that the engine had the request, and Events the number of events after the
+	// first, which arrived over Writing. All are 0 unless the first attempt got the whole
+	// answer.
 	First   time.Duration
 	Run     time.Duration
 	Events  int
 	Writing time.Duration
 }
 
-// Use tells other owners what goes to an engine whose models they own.
+// Use reports a request at an engine to the owners of the engine's other models.
 type Use struct {
 	Upstream string
-	// Reading is how long the engine reads the prompt, and Open how many requests of the
-	// sender it has now, this one included.
+	// Reading is the prefill time of the prompt, and Open the number of requests that the
+	// sender has at the engine, including this one.
 	Reading time.Duration
 	Open    int
 }
 
-// Limited tells all instances what an answer of an upstream said of its limit.
+// Limited reports to all instances what an answer of an upstream says about its rate
+// limit.
 type Limited struct {
 	Upstream string
-	// Incarnation is that of the upstream: another process under its name has said nothing.
+	// Incarnation is that of the upstream. The limit doesn't apply to another process of
+	// the same name.
 	Incarnation uint64
-	// Named says that the answer named Limit, else it named none.
+	// Named is true if the answer names Limit, and false if it names no limit.
 	Named bool
 	Limit ratelimit.Limit
-	// Age is how long ago the request was sent that was answered.
+	// Age is the time since the request behind the answer was sent.
 	Age time.Duration
 }
 
-// Claim asks the owner of an upstream's limit whether a request may be sent there. It may be
-// sent again: the owner answers with what it has decided.
+// Claim asks the owner of an upstream's rate limit for permission to send one request. It
+// may be sent again: the owner repeats its decision.
 type Claim struct {
 	ID       ID
 	Upstream string
-	// Limit is what the asker knows: the owner may not have heard of it.
+	// Limit is the limit known to the requesting instance. The owner may not know it yet.
 	Limit ratelimit.Limit
 }
 
-// Allowed answers Claim: one request may be sent.
+// Allowed replies to a rate limit request: one request may be sent.
 type Allowed struct {
 	ID ID
 }
 
-// Held answers Claim: none may be sent for Wait.
+// Held replies to a rate limit request: no request may be sent before Wait has passed.
 type Held struct {
 	ID   ID
 	Wait time.Duration
@@ -161,34 +170,34 @@
 func (Allowed) message() {}
 func (Held) message()    {}
 
-// Reason is why a request is refused.
+// Reason is why a permit request is refused.
 type Reason uint8
 
-// The reasons.
+// Reasons of a refusal.
 const (
-	// Crowded means that too many requests wait.
+	// Crowded means that the request would wait too long in the queue.
 	Crowded Reason = iota + 1
-	// Missing means that no upstream holds the model, nor will in time.
+	// Missing means that no upstream holds the model or will hold it in time.
 	Missing
-	// Limits means that the upstreams take no more than they get.
+	// Limits means that the rate limits of the upstreams are exhausted.
 	Limits
 )
 
-// Outcome is what became of a permit.
+// Outcome is the result of a request for which a permit was granted.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	// Unused means that nothing was sent, or that the caller left.
+	// Unused means that nothing was sent, or that the caller disconnected.
 	Unused Outcome = iota
-	// Worked means that the upstream answered as it should.
+	// Worked means that the upstream answered properly.
 	Worked
-	// Full means that it had no room.
+	// Full means that the upstream had no room.
 	Full
-	// Absent means that it does not hold the model or the adapter.
+	// Absent means that the upstream doesn't hold the model or the adapter.
 	Absent
-	// Failed means that it could not be reached, or did not answer as it should.
+	// Failed means that the upstream was unreachable or didn't answer properly.
 	Failed
-	// Over means that it takes no more than it gets: nothing was sent.
+	// Over means that nothing was sent, because of the rate limit of the upstream.
 	Over
 )
