--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,13 +1,13 @@
-// Package ratelimit keeps the senders of an upstream within the limit that it names in its
-// answers: so many requests a second from all of them together, for as long as it says so
-// (distributed rate limiting).
+// Package ratelimit is the distributed rate limiting of requests to an upstream that
+// names a limit in its answers: a number of requests a second from all senders together,
+// in force until the upstream changes or ends it.
 //
-// One sender, the owner of the limit, paces all of them (Pace); the others ask it for each
-// request. A sender that reaches no owner sends what is safe even if all others do the same
-// (Share). What an upstream has said last is decided by when requests were sent and answers
-// came (Known).
+// One sender owns the limit and paces the requests of all (Pace); the others ask it for
+// each request. A sender that can't reach the owner sends a share that keeps to the limit
+// even if all others do the same (Share). Answers may arrive out of order, so the limit
+// in force depends on when their requests were sent and when the answers arrived (Known).
 //
-// It is pure: it takes the present time as an argument and does no I/O.
+// The package is pure: it takes the present time as an argument and does no I/O.
 package ratelimit
 
 import (
@@ -15,47 +15,48 @@
 	"time"
 )
 
-// Limit is the requests a second that an upstream takes. A valid one is finite and not
-// below 0.
+// Limit is the number of requests a second that an upstream accepts. A valid limit is
+// finite and not negative.
 type Limit float64
 
-// highest is above any limit that an upstream means.
-const highest Limit = 1e6
+// maxPlausible is above every plausible limit.
+const maxPlausible Limit = 1e6
 
-// Valid reports whether an upstream can have meant l.
+// Valid reports whether l is a plausible limit.
 func (l Limit) Valid() bool {
-	return l >= 0 && l <= highest
+	return l >= 0 && l <= maxPlausible
 }
 
-// What upstreams bear: in any window of Window at most Tolerance times what the limit
-// allows, and Slack requests more.
+// An upstream tolerates in any period of length Window at most Tolerance times the
+// requests that its limit allows, plus Slack requests.
 const (
 	Window    = 4 * time.Second
 	Tolerance = 1.5
 	Slack     = 5
 )
 
-// Allowed returns how many requests an upstream bears in a window.
+// Allowed returns the number of requests that an upstream tolerates within Window.
 func Allowed(l Limit) float64 {
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
-// Said is what an answer says of the limit of its upstream: Named, Unnamed or Unclear.
+// Said is what an answer says about the limit of its upstream: Named, Unnamed or Unclear.
 type Said interface {
 	said()
 }
 
-// Named is an answer that names a limit, which is valid.
+// Named means that the answer names a valid limit.
 type Named struct {
 	Limit Limit
 }
 
-// Unnamed is an answer that names none: the upstream is in no need.
+// Unnamed means that the answer names no limit: the upstream needs none.
 type Unnamed struct{}
 
-// Unclear is an answer that names what is no limit. It neither names one nor ends one.
+// Unclear means that the answer names an invalid limit. It leaves the limit in force
+// unchanged.
 type Unclear struct {
-	// Text is what it says.
+	// Text is the start of the invalid value.
 	Text string
 }
 
@@ -63,34 +64,34 @@
 func (Unnamed) said() {}
 func (Unclear) said() {}
 
-// Known is what is known of the limit of an upstream. It is immutable. The zero value knows
-// of none.
+// Known is the limit in force at an upstream, according to its answers. It is immutable;
+// the zero value has no limit in force.
 type Known struct {
 	limit Limit
-	// named is when the newest answer that names the limit came, zero if there is none in
-	// force.
-	named time.Time
+	// setAt is the arrival time of the newest answer that set the limit, and zero if no
+	// limit is in force.
+	setAt time.Time
 }
 
-// Limit returns the limit in force. It returns false if there is none.
+// Limit returns the limit in force, and false if there is none.
 func (k Known) Limit() (Limit, bool) {
-	return k.limit, !k.named.IsZero()
+	return k.limit, !k.setAt.IsZero()
 }
 
-// With returns what is known after an answer came at now to a request that was sent at a
-// time. Answers overtake each other: one that takes a limit back, or raises it, counts only
-// if its request was sent after the limit was last named; a lower limit counts at once.
+// With returns the state after an answer that arrived at now to a request sent at sent.
+// Answers may overtake each other: one that raises or ends the limit counts only if its
+// request was sent after the limit was last named. A lower limit counts at once.
 func (k Known) With(now, sent time.Time, said Said) Known {
-	limit, limited := k.Limit()
-	later := sent.After(k.named)
+	limit, inForce := k.Limit()
+	sentLater := sent.After(k.setAt)
 	switch s := said.(type) {
 	case Named:
-		if limited && s.Limit > limit && !later {
+		if inForce && s.Limit > limit && !sentLater {
 			return k
 		}
-		return Known{limit: s.Limit, named: now}
+		return Known{limit: s.Limit, setAt: now}
 	case Unnamed:
-		if limited && !later {
+		if inForce && !sentLater {
 			return k
 		}
 		return Known{}
@@ -99,28 +100,30 @@
 	}
 }
 
-// leastRate is the requests a second that are sent whatever the limit, so that the end of
-// the need is noticed. It is within what upstreams bear at a limit of 0.
-const leastRate = 0.5
+// minRate is the rate in requests a second at which all senders together send even at a
+// lower limit, so that they notice the end of the limit. Upstreams tolerate it at a limit
+// of 0.
+const minRate = 0.5
 
-// rate returns the requests a second that all senders may send.
+// rate returns the rate of all senders together, in requests a second.
 func (l Limit) rate() float64 {
-	return max(float64(l), leastRate)
+	return max(float64(l), minRate)
 }
 
-// Period returns the time between two requests of all senders.
+// Period returns the time between two requests of all senders together.
 func (l Limit) Period() time.Duration {
 	return time.Duration(math.Ceil(float64(time.Second) / l.rate()))
 }
 
-// Probes returns the requests a second that each of some senders may send whatever the limit,
-// so that the end of the need is noticed. Their paces should be phased (NewPhasedPace).
+// Probes returns the rate in requests a second at which each sender may send whatever the
+// limit, so that it notices the end of the limit. The senders should use NewPhasedPace,
+// so that they don't send at the same time.
 func Probes(senders int) float64 {
-	return leastRate / float64(max(senders, 1))
+	return minRate / float64(max(senders, 1))
 }
 
-// Share returns the requests a second that each of some senders may send without an owner.
-// It is 0 if one request of each is more than the upstream bears.
+// Share returns the rate in requests a second at which each sender may send without an
+// owner. It is 0 if one request from each sender is more than the upstream tolerates.
 func Share(l Limit, senders int) float64 {
 	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > Allowed(l) {
 		return 0
--- a/internal/ratelimit/pace.go
+++ b/internal/ratelimit/pace.go
@@ -6,54 +6,56 @@
 )
 
 const (
-	// takeover is how long a pace sends nothing after it was made: the owner before may have
-	// sent up to then.
-	takeover = time.Second
-	// burstTime is the time whose requests may be sent at once after a rest, one at the least.
-	burstTime = 250 * time.Millisecond
-	// never is a time to wait that stands for ever.
-	never = time.Duration(math.MaxInt64)
+	// startDelay is the time for which a new Pace allows no request, because the previous
+	// owner may have sent requests until the change of owner.
+	startDelay = time.Second
+	// burstDuration bounds the requests that may be sent at once after a pause to those of
+	// this time, but to no fewer than one.
+	burstDuration = 250 * time.Millisecond
+	// waitForever is the wait at a rate of 0.
+	waitForever = time.Duration(math.MaxInt64)
 )
 
-// Pace spreads requests over time (token bucket). It is not safe for concurrent use.
+// Pace is a token bucket. It is not safe for concurrent use.
 type Pace struct {
-	// tokens are the requests that may be sent at filled, which is when they were counted
-	// last. They are below 0 until the pace begins.
-	tokens float64
-	filled time.Time
+	// tokens are the requests that may be sent, as of filledAt. filledAt is in the future
+	// until startDelay has passed.
+	tokens   float64
+	filledAt time.Time
 }
 
-// NewPace returns a Pace that begins a moment after now.
+// NewPace returns an empty Pace that starts to fill one second after now.
 func NewPace(now time.Time) *Pace {
-	return &Pace{filled: now.Add(takeover)}
+	return &Pace{filledAt: now.Add(startDelay)}
 }
 
-// NewPhasedPace returns a Pace that begins a moment after now with a part of its first request,
-// 0 to 1: those of many senders that begin together come apart.
+// NewPhasedPace returns a Pace that holds phase tokens, from 0 to 1, and starts to fill
+// one second after now. With random phases, senders that start at the same time send
+// their first requests at different times.
 func NewPhasedPace(now time.Time, phase float64) *Pace {
-	return &Pace{tokens: phase, filled: now.Add(takeover)}
+	return &Pace{tokens: phase, filledAt: now.Add(startDelay)}
 }
 
-// Take takes a request at rate, in requests a second. If it may not be sent now, Take
-// returns after what time the next one may.
+// Take takes a token for one request, at a rate in requests a second. If there is none,
+// Take returns false and the time until the next one.
 func (p *Pace) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
 	if rate <= 0 {
-		return never, false
+		return waitForever, false
 	}
-	if passed := now.Sub(p.filled); passed > 0 {
-		burst := max(rate*burstTime.Seconds(), 1)
-		p.tokens = min(p.tokens+rate*passed.Seconds(), burst)
-		p.filled = now
+	if elapsed := now.Sub(p.filledAt); elapsed > 0 {
+		burst := max(rate*burstDuration.Seconds(), 1)
+		p.tokens = min(p.tokens+rate*elapsed.Seconds(), burst)
+		p.filledAt = now
 	}
 	if p.tokens >= 1 {
 		p.tokens--
 		return 0, true
 	}
 	missing := time.Duration(math.Ceil((1 - p.tokens) / rate * float64(time.Second)))
-	return max(p.filled.Sub(now), 0) + missing, false
+	return max(p.filledAt.Sub(now), 0) + missing, false
 }
 
-// TakeOwned is Take for the owner of a limit.
+// TakeOwned is Take at the rate of all senders together, for the owner of the limit.
 func (p *Pace) TakeOwned(now time.Time, l Limit) (wait time.Duration, ok bool) {
 	return p.Take(now, l.rate())
 }
--- a/internal/ratelimit/read.go
+++ b/internal/ratelimit/read.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// maxUnclear bounds what is kept of a header that can't be read, in bytes.
-const maxUnclear = 64
+// maxUnclearBytes is the largest number of bytes kept of an invalid value.
+const maxUnclearBytes = 64
 
-// Read returns what the values of the header in which upstreams name their limits say, one
-// for each time that it stands in an answer. A limit is a decimal number of requests a
-// second.
+// Read parses the values of the header by which upstreams name their limits. values has
+// one element for each occurrence of the header in the answer. A valid answer has one, a
+// decimal number of requests a second.
 func Read(values []string) Said {
 	if len(values) == 0 {
 		return Unnamed{}
@@ -20,5 +20,5 @@
 		return Named{Limit: limit}
 	}
 	text := strings.Join(values, ", ")
-	return Unclear{Text: text[:min(len(text), maxUnclear)]}
+	return Unclear{Text: text[:min(len(text), maxUnclearBytes)]}
 }
