--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,24 +1,25 @@
-// Package rendezvous ranks candidates for a key (rendezvous hashing). All who know the same
-// candidates agree on the first; when a candidate comes or goes, only the keys change theirs
-// that had it first.
+// Package rendezvous ranks candidates for a key (rendezvous hashing). Callers that know
+// the same candidates agree on the first one. Adding or removing a candidate affects only
+// the keys for which it ranks first.
 package rendezvous
 
 import "hash/fnv"
 
-// Hash returns the hash of a name, to be kept where many scores are taken.
+// Hash returns the hash of a name. Callers that compute many scores should keep it.
 func Hash(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
 	return mix(sum.Sum64())
 }
 
-// Score returns the score of a candidate for a key, by their hashes. The highest is first.
+// Score returns the score of a candidate for a key from their hashes. The candidate with
+// the highest score ranks first.
 func Score(key, candidate uint64) uint64 {
 	return mix(key ^ candidate)
 }
 
-// mix spreads the bits of a hash, so that the hashes of similar names are as good as
-// independent (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64. It spreads the bits of a hash, so that the hashes
+// of similar names are practically independent.
 func mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagelift/lovagelift/internal/rendezvous"
 )
 
-// first returns which of some candidates is first for a key.
-func first(key string, candidates []string) string {
+// firstCandidate returns the first candidate for a key.
+func firstCandidate(key string, candidates []string) string {
 	chosen, highest := "", uint64(0)
 	for _, candidate := range candidates {
 		if score := rendezvous.Score(rendezvous.Hash(key), rendezvous.Hash(candidate)); score >= highest {
@@ -18,14 +18,14 @@
 	return chosen
 }
 
-func TestKeysAreSharedEvenly(t *testing.T) {
+func TestKeysAreDistributedEvenly(t *testing.T) {
 	var candidates []string
 	for n := range 9 {
 		candidates = append(candidates, fmt.Sprintf("10.1.0.%d:7120", n+1))
 	}
 	count := map[string]int{}
 	for n := range 9000 {
-		count[first(fmt.Sprintf("10.2.0.%d:7120", n), candidates)]++
+		count[firstCandidate(fmt.Sprintf("10.2.0.%d:7120", n), candidates)]++
 	}
 	for candidate, keys := range count {
 		if keys < 850 || keys > 1150 {
@@ -34,12 +34,12 @@
 	}
 }
 
-func TestOnlyKeysOfALostCandidateMove(t *testing.T) {
+func TestOnlyKeysOfRemovedCandidateMove(t *testing.T) {
 	candidates := []string{"a", "b", "c", "d"}
 	for n := range 1000 {
 		key := fmt.Sprint(n)
-		before := first(key, candidates)
-		after := first(key, candidates[:3])
+		before := firstCandidate(key, candidates)
+		after := firstCandidate(key, candidates[:3])
 		if before != "d" && after != before {
 			t.Fatalf("key %s moved from %s to %s", key, before, after)
 		}
