--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -1,79 +1,81 @@
-// Package aging finds what is asked for again and again and not served (starvation), so
-// that it can be given a turn whatever goes before it otherwise.
+// Package aging detects starvation: keys that are requested again and again and never
+// served, so that a scheduler can serve them out of turn.
 //
-// It is pure: it takes the present time as an argument and does no I/O.
+// The package is pure: it takes the present time as an argument and does no I/O.
 package aging
 
 import "time"
 
 // Options configures Ages. All fields must be above 0.
 type Options struct {
-	// After is how long a key is asked for without being served until it starves.
+	// After is the time without service after which a requested key starves.
 	After time.Duration
-	// Forget is how long a key is not asked for until it is forgotten. It is above After.
+	// Forget is the time without a request after which a key is forgotten. It must be
+	// longer than After.
 	Forget time.Duration
-	// Keys bounds the keys that are known. Those that come after are left out.
+	// Keys is the largest number of keys that are tracked. Further keys are ignored.
 	Keys int
 }
 
-// Ages is how long each key has been asked for without being served. It is not safe for
-// concurrent use.
+// Ages tracks how long each key has been requested without being served. It is not safe
+// for concurrent use.
 type Ages[K comparable] struct {
 	options Options
-	// unserved holds keys that were asked for since they were served last, len(unserved) is
-	// at most options.Keys.
-	unserved map[K]age
+	// unserved holds the keys that were requested since they were last served, at most
+	// options.Keys of them.
+	unserved map[K]requestTimes
 }
 
-// age is when a key was first and last asked for since it was served. first is not after
-// last.
-type age struct {
+// requestTimes holds the times of the first and the last request for a key since it was
+// last served.
+type requestTimes struct {
 	first, last time.Time
 }
 
-// New returns Ages without keys.
+// New returns Ages that track no keys.
 func New[K comparable](options Options) *Ages[K] {
-	return &Ages[K]{options: options, unserved: map[K]age{}}
+	return &Ages[K]{options: options, unserved: map[K]requestTimes{}}
 }
 
-// Asked notes that a key is asked for.
+// Asked records a request for a key.
 func (a *Ages[K]) Asked(now time.Time, key K) {
-	known, found := a.unserved[key]
+	times, found := a.unserved[key]
 	switch {
-	case found && now.Sub(known.last) <= a.options.Forget:
-		known.last = now
-	case !found && len(a.unserved) >= a.options.Keys && !a.makeRoom(now):
+	case found && now.Sub(times.last) <= a.options.Forget:
+		times.last = now
+	case !found && len(a.unserved) >= a.options.Keys && !a.removeExpired(now):
 		return
 	default:
-		known = age{first: now, last: now}
+		times = requestTimes{first: now, last: now}
 	}
-	a.unserved[key] = known
+	a.unserved[key] = times
 }
 
-// makeRoom forgets the keys that are not asked for any more, and reports whether there
+// removeExpired forgets the keys that are no longer requested, and reports whether there
 // were any.
-func (a *Ages[K]) makeRoom(now time.Time) bool {
-	before := len(a.unserved)
-	for key, known := range a.unserved {
-		if now.Sub(known.last) > a.options.Forget {
+func (a *Ages[K]) removeExpired(now time.Time) bool {
+	count := len(a.unserved)
+	for key, times := range a.unserved {
+		if now.Sub(times.last) > a.options.Forget {
 			delete(a.unserved, key)
 		}
 	}
-	return len(a.unserved) < before
+	return len(a.unserved) < count
 }
 
-// Served notes that a key is served.
+// Served records that a key was served.
 func (a *Ages[K]) Served(key K) {
 	delete(a.unserved, key)
 }
 
-// Starved returns for how long a key has been asked for without being served. If that is
-// not long enough for a turn of its own, Starved returns false.
+// Starved returns the time for which a key has been requested without being served, and
+// whether that is long enough for starvation. A key that is no longer requested doesn't
+// starve.
 func (a *Ages[K]) Starved(now time.Time, key K) (time.Duration, bool) {
-	known, found := a.unserved[key]
-	if !found || now.Sub(known.last) > a.options.Forget {
+	times, found := a.unserved[key]
+	if !found || now.Sub(times.last) > a.options.Forget {
 		return 0, false
 	}
-	since := now.Sub(known.first)
-	return since, since >= a.options.After
+	unservedFor := now.Sub(times.first)
+	return unservedFor, unservedFor >= a.options.After
 }
--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -28,7 +28,7 @@
 		ages = aging.New[string](aging.Options{After: 3 * time.Second, Forget: 10 * time.Second, Keys: 2})
 	})
 
-	It("counts from the first time that a key was asked for since it was served", func() {
+	It("measures the time from the first request for a key since it was last served", func() {
 		ages.Asked(at(0), "a")
 		ages.Asked(at(2), "a")
 		Expect(starved(2, "a")).To(BeFalse())
@@ -36,24 +36,24 @@
 		ages.Served("a")
 		Expect(starved(3, "a")).To(BeFalse())
 		ages.Asked(at(9), "a")
-		Expect(starved(9, "a")).To(BeFalse(), "it was served whenever it was asked for")
+		Expect(starved(9, "a")).To(BeFalse(), "it was served after every earlier request")
 	})
 
-	It("forgets a key that nobody asks for any more", func() {
+	It("forgets a key that is no longer requested", func() {
 		ages.Asked(at(0), "a")
 		Expect(starved(11, "a")).To(BeFalse())
 		ages.Asked(at(11), "a")
 		Expect(starved(13, "a")).To(BeFalse())
 	})
 
-	// Callers may name any model: memory must not grow with it.
-	It("keeps a bounded number of keys, those that were asked for first", func() {
+	// Callers may name any model, so the memory must not grow with the number of names.
+	It("tracks a bounded number of keys, those that were requested first", func() {
 		ages.Asked(at(0), "a")
 		ages.Asked(at(0), "b")
 		ages.Asked(at(0), "c")
 		Expect(starved(5, "b")).To(BeTrue())
 		Expect(starved(5, "c")).To(BeFalse())
 		ages.Asked(at(11), "c")
-		Expect(starved(14, "c")).To(BeTrue(), "the others were not asked for any more")
+		Expect(starved(14, "c")).To(BeTrue(), "the other keys are no longer requested")
 	})
 })
