--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -99,14 +99,14 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.watch.Holds(now, digest)
+	return c.watch.IsQuarantined(now, digest)
 }
 
 // Held returns how many requests are in quarantine, and how many are suspected.
 func (c *Coroner) Held() (quarantined, suspected int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.watch.Held()
+	return c.watch.Counts()
 }
 
 // Mark returns the mark of the news that were followed last, 0 if there were none.
@@ -121,7 +121,7 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watch.Follow(now, news)
+	c.watch.ApplyNews(now, news)
 	c.wakeReporter()
 }
 
@@ -152,7 +152,7 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watch.Left(now, place, suspect)
+	c.watch.Abandoned(now, place, suspect)
 }
 
 // Broke notes that the answer of an upstream to a request broke off, or did not come.
@@ -160,7 +160,7 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.watch.Broke(now, place, suspect) {
+	if c.watch.Interrupted(now, place, suspect) {
 		select {
 		case c.looks <- place:
 		default:
@@ -181,7 +181,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watch.Learn(place.Lifetime, contact)
+	c.watch.Observe(place.Lifetime, contact)
 	c.wakeReporter()
 }
 
@@ -252,7 +252,7 @@
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	update = c.watch.Due(now)
+	update = c.watch.TakeDue(now)
 	return update, c.watch.IsPending()
 }
 
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,9 +9,8 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// BenchmarkRequest measures what the watch costs a request that nobody suspects, by the
-// size of its body: the digest, the question whether it is in quarantine, and the note
-// that it ended well.
+// BenchmarkRequest measures the cost of the watch for a request that is not suspected, by
+// body size: computing the digest, checking for quarantine and recording the success.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
@@ -22,7 +21,7 @@
 			for n := 0; b.Loop(); n++ {
 				now = now.Add(time.Millisecond)
 				digest := identity.Digest()
-				if !watch.Holds(now, digest) {
+				if !watch.IsQuarantined(now, digest) {
 					digest[0], digest[1] = byte(n), byte(n>>8)
 					watch.Succeeded(now, digest)
 				}
@@ -31,8 +30,8 @@
 	}
 }
 
-// BenchmarkJudge measures what a control instance spends on new reports, with as many
-// cases as are kept at the most.
+// BenchmarkJudge measures the cost of new reports at a control instance that keeps the
+// largest number of cases.
 func BenchmarkJudge(b *testing.B) {
 	var records quarantine.Records
 	now := time.Unix(1_000_000, 0)
--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/bulletin.go
@@ -9,79 +9,82 @@
 	"time"
 )
 
-// News is what a control instance tells others of requests in quarantine.
+// News is the state of the quarantine that a control instance sends to other instances.
 type News struct {
-	// Revision counts the updates that the news rest on.
+	// Revision is that of the records from which the news was made.
 	Revision uint64
-	// Mark tells news apart: those that name the same requests have the same, which is never 0.
+	// Mark identifies the contents: news of the same requests has the same mark, which is
+	// never 0.
 	Mark        uint64
 	Quarantined []Entry
-	// Suspected are the requests that one more crash brings into quarantine. Whoever knows
-	// of a whole answer to one says so.
+	// Suspected are the requests that one more crash may bring into quarantine. An
+	// instance that knows of a whole answer to one reports it.
 	Suspected []Digest
 }
 
-// Entry is a request that is not to be sent from a time on.
+// Entry is a request that is in quarantine or about to enter it.
 type Entry struct {
 	Digest Digest
-	// In is how long it may still be sent.
+	// In is the time for which the request may still be sent.
 	In time.Duration
 }
 
 // Bulletin makes the news at one control instance. It is not safe for concurrent use.
 type Bulletin struct {
 	limits Limits
-	// since is when each request was first told of.
-	since map[Digest]time.Time
-	// made are the news that were made last, at madeAt.
-	made   News
-	madeAt time.Time
-	// changes are those that nobody has taken yet.
+	// announcedAt is when each request was first announced, as suspected or quarantined.
+	announcedAt map[Digest]time.Time
+	// current is the latest news, and computedAt the time when it was made.
+	current    News
+	computedAt time.Time
+	// changes are those that Changes has not returned yet.
 	changes []Change
 }
 
-// Change is a request that has come into quarantine, or out of it.
+// Change is a request that entered or left quarantine.
 type Change struct {
 	Digest Digest
-	// Crashes are the ones that brought it there. There are none if it comes out.
+	// Crashes are those that brought the request into quarantine. There are none if it
+	// left.
 	Crashes []Crash
 }
 
 const (
-	// objectionTime is how long others have to say that a request ended with a whole
-	// answer, from the first news of it. Several upstreams may end at one moment, under
-	// requests of which each is well known elsewhere. Entry instances ask for news once a
-	// second at the least.
-	objectionTime = 1500 * time.Millisecond
-	// settledTime is how long after its last crash all know of a request. It leaves room
-	// for clocks that differ.
-	settledTime = 2 * objectionTime
-	// newsEvery is how often the news are made anew without an update, as retention ends.
-	newsEvery = time.Second
+	// clearanceTime is the time between the first news of a request and its quarantine,
+	// in which other instances can report a whole answer to it. It matters if several
+	// upstreams end at once with requests that have succeeded elsewhere. Entry instances
+	// poll the news at least once a second.
+	clearanceTime = 1500 * time.Millisecond
+	// propagationTime is the time after its last crash within which all instances have
+	// news of a request. It leaves room for clock differences.
+	propagationTime = 2 * clearanceTime
+	// refreshInterval is the time after which the news is made again without an update,
+	// because the retention of a request may have ended.
+	refreshInterval = time.Second
 )
 
-// NewBulletin returns a Bulletin that tells of requests by limits.
+// NewBulletin returns a Bulletin that decides by limits.
 func NewBulletin(limits Limits) *Bulletin {
-	return &Bulletin{limits: limits, since: map[Digest]time.Time{}}
+	return &Bulletin{limits: limits, announcedAt: map[Digest]time.Time{}}
 }
 
-// News returns the news as of now. They must not be changed.
+// News returns the news as of now. The caller must not change it.
 func (b *Bulletin) News(now time.Time, records Records) News {
-	fresh := now.Sub(b.madeAt) < newsEvery && !b.madeAt.IsZero()
-	if !fresh || records.Revision() != b.made.Revision {
-		b.make(now, records)
+	fresh := now.Sub(b.computedAt) < refreshInterval && !b.computedAt.IsZero()
+	if !fresh || records.Revision() != b.current.Revision {
+		b.recompute(now, records)
 	}
-	return b.made.Aged(now.Sub(b.madeAt))
+	return b.current.Aged(now.Sub(b.computedAt))
 }
 
-// Changes returns what has changed since it was called last.
+// Changes returns the changes since the last call.
 func (b *Bulletin) Changes() []Change {
 	changes := b.changes
 	b.changes = nil
 	return changes
 }
 
-// Aged returns the news as of a later time.
+// Aged returns the news as of a time that is later by age.
 func (n News) Aged(age time.Duration) News {
 	n.Quarantined = slices.Clone(n.Quarantined)
 	for i := range n.Quarantined {
@@ -90,54 +93,55 @@
 	return n
 }
 
-func (b *Bulletin) make(now time.Time, records Records) {
-	verdicts := records.told(now, b.limits)
-	maps.DeleteFunc(b.since, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
-	before := b.made.Quarantined
-	b.made, b.madeAt = News{Revision: records.Revision()}, now
+func (b *Bulletin) recompute(now time.Time, records Records) {
+	verdicts := records.announcedVerdicts(now, b.limits)
+	maps.DeleteFunc(b.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
+	previous := b.current.Quarantined
+	b.current, b.computedAt = News{Revision: records.Revision()}, now
 	for _, digest := range slices.SortedFunc(maps.Keys(verdicts), compareDigests) {
-		if _, known := b.since[digest]; !known {
-			b.since[digest] = b.firstTold(now, records.cases[digest])
+		if _, found := b.announcedAt[digest]; !found {
+			b.announcedAt[digest] = b.announcementTime(now, records.cases[digest])
 		}
 		if verdicts[digest] == verdictQuarantined {
-			in := max(0, b.since[digest].Add(objectionTime).Sub(now))
-			b.made.Quarantined = append(b.made.Quarantined, Entry{Digest: digest, In: in})
+			in := max(0, b.announcedAt[digest].Add(clearanceTime).Sub(now))
+			b.current.Quarantined = append(b.current.Quarantined, Entry{Digest: digest, In: in})
 		} else {
-			b.made.Suspected = append(b.made.Suspected, digest)
+			b.current.Suspected = append(b.current.Suspected, digest)
 		}
 	}
-	b.made.Mark = b.made.mark()
-	b.note(records, before)
+	b.current.Mark = b.current.hash()
+	b.recordChanges(records, previous)
 }
 
-// firstTold returns when a request was told of first that is new here. An instance that
-// has started anew finds requests that others have long had the time to object to.
-func (b *Bulletin) firstTold(now time.Time, c Case) time.Time {
-	if now.Sub(c.last()) > settledTime {
-		return now.Add(-objectionTime)
+// announcementTime returns when a request that is new to this Bulletin was first
+// announced. If its last crash is older than propagationTime, as after a restart of the
+// control instance, the other instances have already had the time to clear it.
+func (b *Bulletin) announcementTime(now time.Time, c Case) time.Time {
+	if now.Sub(c.last()) > propagationTime {
+		return now.Add(-clearanceTime)
 	}
 	return now
 }
 
-// note notes what has changed since the news before.
-func (b *Bulletin) note(records Records, before []Entry) {
-	held := func(list []Entry, digest Digest) bool {
-		return slices.ContainsFunc(list, func(s Entry) bool { return s.Digest == digest })
+// recordChanges records the differences to the previous news.
+func (b *Bulletin) recordChanges(records Records, previous []Entry) {
+	contains := func(list []Entry, digest Digest) bool {
+		return slices.ContainsFunc(list, func(e Entry) bool { return e.Digest == digest })
 	}
-	for _, entry := range b.made.Quarantined {
-		if !held(before, entry.Digest) {
+	for _, entry := range b.current.Quarantined {
+		if !contains(previous, entry.Digest) {
 			b.changes = append(b.changes, Change{Digest: entry.Digest, Crashes: records.cases[entry.Digest].Crashes})
 		}
 	}
-	for _, entry := range before {
-		if !held(b.made.Quarantined, entry.Digest) {
+	for _, entry := range previous {
+		if !contains(b.current.Quarantined, entry.Digest) {
 			b.changes = append(b.changes, Change{Digest: entry.Digest})
 		}
 	}
 }
 
-// mark returns a hash of what the news say.
-func (n News) mark() uint64 {
+// hash returns a hash of the requests in the news.
+func (n News) hash() uint64 {
 	sum := fnv.New64a()
 	for _, entry := range n.Quarantined {
 		_, _ = sum.Write(entry.Digest[:])
@@ -149,25 +153,25 @@
 	return max(sum.Sum64(), 1)
 }
 
-// maxTold bounds the requests of each verdict that instances are told of: each of hundreds
-// of them gets the whole list.
-const maxTold = 256
+// maxAnnounced bounds the requests of each verdict in the news, because hundreds of
+// instances each receive the whole list.
+const maxAnnounced = 256
 
-// told returns the verdicts that instances are told of. Of too many, those on requests
-// with the most crashes are kept.
-func (r Records) told(now time.Time, limits Limits) map[Digest]verdict {
+// announcedVerdicts returns the verdicts for the news. If there are too many of one kind,
+// it keeps those on the requests whose crashes have the most weight.
+func (r Records) announcedVerdicts(now time.Time, limits Limits) map[Digest]verdict {
 	verdicts := r.judge(now, limits)
 	for _, v := range []verdict{verdictSuspected, verdictQuarantined} {
-		var among []Digest
-		for digest, given := range verdicts {
-			if given == v {
-				among = append(among, digest)
+		var digests []Digest
+		for digest, assigned := range verdicts {
+			if assigned == v {
+				digests = append(digests, digest)
 			}
 		}
-		slices.SortFunc(among, func(a, b Digest) int {
+		slices.SortFunc(digests, func(a, b Digest) int {
 			return cmp.Or(-cmp.Compare(r.cases[a].weight(), r.cases[b].weight()), compareDigests(a, b))
 		})
-		for _, digest := range among[min(len(among), maxTold):] {
+		for _, digest := range digests[min(len(digests), maxAnnounced):] {
 			delete(verdicts, digest)
 		}
 	}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -9,17 +9,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest names a request: two attempts with the same digest are the same request. No
-// caller can make two requests with one digest on purpose.
+// Digest identifies a request: all attempts at a request have the same digest. It is a
+// cryptographic hash, so that no caller can construct two requests with the same digest.
 type Digest [sha256.Size]byte
 
-// Identity is what two attempts at the same request have in common.
+// Identity is what all attempts at a request have in common.
 type Identity struct {
-	// Caller is who sends it, as far as that is known.
+	// Caller is empty if the caller is unknown.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path and query.
+	// Target is the path and the query.
 	Target string
 	Body   []byte
 }
@@ -28,7 +28,8 @@
 func (i Identity) Digest() Digest {
 	hash := sha256.New()
 	for _, field := range []string{i.Caller, i.Method, i.Host, i.Target} {
-		// The lengths keep the end of one field from passing for the start of the next.
+		// The length marks the end of the field. Without it, text could move from one
+		// field to the next without a change of the digest.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		hash.Write(length[:])
@@ -38,10 +39,10 @@
 	return Digest(hash.Sum(nil))
 }
 
-// shortBytes is how much of a digest tells requests apart in logs.
+// shortBytes is the number of bytes of a digest in a log line.
 const shortBytes = 8
 
-// Short returns the beginning of the digest for logs, in hexadecimal.
+// Short returns the first bytes of the digest in hexadecimal, for logs.
 func (d Digest) Short() string {
 	return hex.EncodeToString(d[:shortBytes])
 }
@@ -56,8 +57,7 @@
 	return []byte(d.String()), nil
 }
 
-// UnmarshalText takes over the digest that text is the hexadecimal form of. If text is
-// no digest, it returns an error.
+// UnmarshalText decodes a digest in hexadecimal.
 func (d *Digest) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(d) {
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -20,7 +20,7 @@
 		Expect(again.Digest()).To(Equal(request.Digest()))
 	})
 
-	DescribeTable("tells requests apart by", func(change func(*quarantine.Identity)) {
+	DescribeTable("differs by", func(change func(*quarantine.Identity)) {
 		other := request
 		change(&other)
 		Expect(other.Digest()).NotTo(Equal(request.Digest()))
@@ -31,19 +31,20 @@
 		Entry("path", func(i *quarantine.Identity) { i.Target = "/write/y?page=1" }),
 		Entry("query", func(i *quarantine.Identity) { i.Target = "/write/x?page=2" }),
 		Entry("body", func(i *quarantine.Identity) { i.Body = nil }),
-		// Without the lengths of the fields a caller could give two requests one digest.
-		Entry("where one field ends and the next begins", func(i *quarantine.Identity) {
+		// Without the lengths of the fields, a caller could construct two requests with
+		// the same digest.
+		Entry("boundary between two fields", func(i *quarantine.Identity) {
 			i.Target, i.Body = "/write/x?page=1b", []byte("ody")
 		}),
 	)
 
-	It("comes back from its text", func() {
+	It("is the same after it is formatted and parsed", func() {
 		text, err := request.Digest().MarshalText()
 		Expect(err).NotTo(HaveOccurred())
-		var read quarantine.Digest
-		Expect(read.UnmarshalText(text)).To(Succeed())
-		Expect(read).To(Equal(request.Digest()))
-		Expect(read.UnmarshalText(text[1:])).NotTo(Succeed())
-		Expect(string(text)).To(HavePrefix(read.Short()))
+		var parsed quarantine.Digest
+		Expect(parsed.UnmarshalText(text)).To(Succeed())
+		Expect(parsed).To(Equal(request.Digest()))
+		Expect(parsed.UnmarshalText(text[1:])).NotTo(Succeed())
+		Expect(string(text)).To(HavePrefix(parsed.Short()))
 	})
 })
--- a/internal/quarantine/follow.go
+++ b/internal/quarantine/follow.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// Holds reports whether a request is in quarantine: it must not be sent.
-func (w *Watch) Holds(now time.Time, digest Digest) bool {
-	from, held := w.from[digest]
-	return held && !now.Before(from)
+// IsQuarantined reports whether a request is in quarantine and must not be sent.
+func (w *Watch) IsQuarantined(now time.Time, digest Digest) bool {
+	start, found := w.quarantinedFrom[digest]
+	return found && !now.Before(start)
 }
 
-// Mark returns that of the news that the instance has, 0 if it has none.
+// Mark returns the mark of the latest news, and 0 if there is none.
 func (w *Watch) Mark() uint64 {
 	return w.mark
 }
 
-// Follow takes in news. Older ones than those before, of a control instance that lags,
-// are left out.
-func (w *Watch) Follow(now time.Time, news News) {
-	if w.isBehind(now, news) {
+// ApplyNews replaces the state of the quarantine. It ignores news that is older than the
+// latest, because it comes from a control instance that lags.
+func (w *Watch) ApplyNews(now time.Time, news News) {
+	if w.isStale(now, news) {
 		return
 	}
 	w.revision, w.mark = news.Revision, news.Mark
-	before := w.from
-	w.from = make(map[Digest]time.Time, len(news.Quarantined))
+	previous := w.quarantinedFrom
+	w.quarantinedFrom = make(map[Digest]time.Time, len(news.Quarantined))
 	for _, entry := range news.Quarantined {
-		from := now.Add(entry.In)
-		if known, held := before[entry.Digest]; held && known.Before(from) {
-			from = known
+		start := now.Add(entry.In)
+		if earlier, found := previous[entry.Digest]; found && earlier.Before(start) {
+			start = earlier
 		}
-		w.from[entry.Digest] = from
-		w.object(now, entry.Digest)
+		w.quarantinedFrom[entry.Digest] = start
+		w.clearIfSucceeded(now, entry.Digest)
 	}
 	clear(w.suspected)
 	for _, digest := range news.Suspected {
 		w.suspected[digest] = true
-		w.object(now, digest)
+		w.clearIfSucceeded(now, digest)
 	}
 }
 
-// behindTime is how long news may be behind those before. A cluster that was founded anew
-// counts from the beginning, and what it says holds.
-const behindTime = 10 * time.Second
+// maxStaleTime is the time for which older news is ignored. After that it is accepted,
+// because a newly bootstrapped cluster counts its revisions from the start.
+const maxStaleTime = 10 * time.Second
 
-// isBehind reports whether news are those of a control instance that lags.
-func (w *Watch) isBehind(now time.Time, news News) bool {
+// isStale reports whether news comes from a control instance that lags.
+func (w *Watch) isStale(now time.Time, news News) bool {
 	if news.Revision >= w.revision {
-		w.behindSince = time.Time{}
+		w.staleSince = time.Time{}
 		return false
 	}
-	if w.behindSince.IsZero() {
-		w.behindSince = now
+	if w.staleSince.IsZero() {
+		w.staleSince = now
 	}
-	if now.Sub(w.behindSince) < behindTime {
+	if now.Sub(w.staleSince) < maxStaleTime {
 		return true
 	}
-	w.behindSince = time.Time{}
+	w.staleSince = time.Time{}
 	return false
 }
 
-// object has a request be cleared that is known here to have ended with a whole answer.
-func (w *Watch) object(now time.Time, digest Digest) {
-	if w.successes.has(now, digest) {
+// clearIfSucceeded clears a request that ended with a whole answer at this instance.
+func (w *Watch) clearIfSucceeded(now time.Time, digest Digest) {
+	if w.successes.contains(now, digest) {
 		w.cleared[digest] = true
 	}
 }
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// FuzzRestore reads damaged snapshots: they are refused, or give records whose snapshot
-// can be read again.
+// FuzzRestore checks that damaged snapshots are either rejected, or restored to records
+// whose snapshot can be restored again.
 func FuzzRestore(f *testing.F) {
 	records := quarantine.Records{}.With(quarantine.Update{
 		Now: time.Unix(1_000_000, 0),
@@ -27,7 +27,7 @@
 		}
 		again, err := quarantine.Restore(restored.Snapshot())
 		if err != nil || !bytes.Equal(again.Snapshot(), restored.Snapshot()) {
-			t.Fatalf("snapshot of what was restored can't be read again: %v", err)
+			t.Fatalf("snapshot of the restored records can't be restored: %v", err)
 		}
 		quarantine.NewBulletin(quarantine.Limits{}).News(time.Unix(1_000_000, 0), restored)
 	})
--- a/internal/quarantine/listing.go
+++ b/internal/quarantine/listing.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// State is where a request stands, for operators.
+// State is the state of a request for operators.
 type State string
 
-// The states.
+// States of a request.
 const (
 	StateQuarantined State = "quarantined"
 	StateSuspected   State = "suspected"
 )
 
-// Listing is a request that is in quarantine, or that one more crash brings there.
+// Listing is a request that is suspected or in quarantine.
 type Listing struct {
 	Case
 	State State `json:"state"`
 }
 
-// List returns the requests in quarantine and then those that are suspected, those with
-// the newest crash first.
+// List returns the requests in quarantine, followed by the suspected ones. In each group,
+// those with the newest crash come first.
 func (r Records) List(now time.Time, limits Limits) []Listing {
 	list := []Listing{}
-	for digest, given := range r.judge(now, limits) {
+	for digest, current := range r.judge(now, limits) {
 		state := StateSuspected
-		if given == verdictQuarantined {
+		if current == verdictQuarantined {
 			state = StateQuarantined
 		}
 		list = append(list, Listing{Case: r.cases[digest], State: state})
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,15 +1,16 @@
-// Package quarantine decides which requests are not sent on any more, since the
-// upstreams that run them crash (query of death, poison message).
+// Package quarantine decides which requests are no longer sent, because the upstreams
+// that run them crash (query of death, poison message).
 //
-// A request is known by its Digest, whatever id an attempt of it bears. Each instance
-// keeps a Watch: which requests were at an upstream that ended, and which ended with a
-// whole answer. What they report is gathered in Records, a replicated state machine, so
-// that the count is one over all instances and outlives them. A Bulletin tells instances
-// what follows from it.
+// A request is identified by its Digest, independent of the ids of its attempts. Each
+// instance keeps a Watch, which records the requests that an upstream had when it ended,
+// and those that ended with a whole answer. The reports of all instances are collected in
+// Records, a replicated state machine, so that crashes are counted across all instances
+// and the counts survive restarts. A Bulletin turns the records into the news that
+// informs the instances of the decisions.
 //
-// An upstream that ends takes down everything that it runs. A crash counts against a
-// request only if no other request that was there has more crashes to its name, and one
-// whole answer anywhere clears a request.
+// An upstream that ends interrupts all of its requests. A crash counts against a request
+// only if no other request at that upstream was at more crashes. One whole answer at any
+// instance clears a request.
 package quarantine
 
 import (
@@ -17,16 +18,17 @@
 	"time"
 )
 
-// Limits says when a request is quarantined, and for how long. The zero value stands
-// for the defaults.
+// Limits sets when a request is quarantined, and for how long. The zero value selects the
+// defaults.
 type Limits struct {
-	// Crashes is how many upstreams must have ended under a request, at least one.
+	// Crashes is the number of upstreams, at least one, that must end while they have the
+	// request.
 	Crashes int
-	// Retention is how long a request stays in quarantine after the last of them.
+	// Retention is the time that a request stays in quarantine after its last crash.
 	Retention time.Duration
 }
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultCrashes   = 3
 	DefaultRetention = 30 * time.Minute
@@ -42,16 +44,16 @@
 	return l
 }
 
-// Lifetime is one process of an upstream, from its start to its end.
+// Lifetime identifies one process of an upstream.
 type Lifetime struct {
 	Upstream string `json:"upstream"`
-	// Incarnation tells the processes of one name apart. It is 0 where upstreams take a
+	// Incarnation distinguishes the processes of an upstream. It is 0 if upstreams take a
 	// new name at each start.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
 
-// ReasonHeader is the response header by which a caller's program knows why it was
-// refused, and Reason the word for a request in quarantine.
+// ReasonHeader is the response header that gives callers the reason of a refusal in
+// machine-readable form, and Reason its value for a request in quarantine.
 const (
 	ReasonHeader = "Lovagelift-Reason"
 	Reason       = "quarantined"
@@ -61,16 +63,16 @@
 	return cmp.Or(cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// Suspect is a request that was at an upstream as that ended.
+// Suspect is a request that an upstream had when it ended.
 type Suspect struct {
 	Digest Digest `json:"digest"`
 	// Request is the id of the attempt.
 	Request string `json:"request"`
-	// Answering says that some of its answer had come.
+	// Answering is true if a part of the answer had arrived.
 	Answering bool `json:"answering,omitempty"`
 }
 
-// Report says that an upstream has ended, and which requests of one instance it had.
+// Report states that an upstream has ended, and which requests of one instance it had.
 type Report struct {
 	Lifetime
 	Suspects []Suspect `json:"suspects"`
--- a/internal/quarantine/recall.go
+++ b/internal/quarantine/recall.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// Recall finds upstreams that were reported as ended and are heard of later all the
-// same, as behind a link that refuses. It is not safe for concurrent use. The zero value
-// is ready for use.
+// Recall finds upstreams that were reported as ended but are still alive, for example
+// behind a link that refuses connections. It is not safe for concurrent use. The zero
+// value is ready for use.
 type Recall struct {
-	// seen is when each crash was first seen here.
-	seen     map[Lifetime]time.Time
-	revision uint64
+	// firstSeen is when this instance first saw each crash in the records.
+	firstSeen map[Lifetime]time.Time
+	revision  uint64
 }
 
 const (
-	// lateTime is how late a liveness report that an upstream sent before its end may
-	// arrive.
-	lateTime = time.Second
-	// recallTime is how long after a crash its upstream is listened for.
-	recallTime = 15 * time.Second
+	// maxReportDelay is the largest delay of a liveness report that an upstream sent
+	// before its end.
+	maxReportDelay = time.Second
+	// retractionWindow is the time after a crash in which it may be retracted.
+	retractionWindow = 15 * time.Second
 )
 
-// Alive returns the upstreams that have not ended. heard returns when a lifetime was
-// heard of last, and false if it was not.
-func (r *Recall) Alive(now time.Time, records Records, heard func(Lifetime) (time.Time, bool)) []Lifetime {
+// Alive returns the upstreams that have not ended. lastHeard returns the time of the
+// newest liveness report of a lifetime, and false if there is none.
+func (r *Recall) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
 	if records.Revision() != r.revision {
 		r.revision = records.Revision()
-		r.look(now, records)
+		r.refresh(now, records)
 	}
 	var alive []Lifetime
-	for lifetime, at := range r.seen {
-		if now.Sub(at) > recallTime {
+	for lifetime, at := range r.firstSeen {
+		if now.Sub(at) > retractionWindow {
 			continue
 		}
-		if last, known := heard(lifetime); known && last.Sub(at) > lateTime {
+		if heardAt, known := lastHeard(lifetime); known && heardAt.Sub(at) > maxReportDelay {
 			alive = append(alive, lifetime)
 		}
 	}
 	return slices.SortedFunc(slices.Values(alive), compareLifetimes)
 }
 
-// look takes in the crashes of the records.
-func (r *Recall) look(now time.Time, records Records) {
-	before := r.seen
-	r.seen = map[Lifetime]time.Time{}
+// refresh takes the crashes from the records.
+func (r *Recall) refresh(now time.Time, records Records) {
+	previous := r.firstSeen
+	r.firstSeen = map[Lifetime]time.Time{}
 	for _, c := range records.cases {
 		for _, crash := range c.Crashes {
-			at, known := before[crash.Lifetime]
+			at, known := previous[crash.Lifetime]
 			if !known {
 				at = now
 			}
-			r.seen[crash.Lifetime] = at
+			r.firstSeen[crash.Lifetime] = at
 		}
 	}
 }
--- a/internal/quarantine/records.go
+++ b/internal/quarantine/records.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Crash is an upstream that ended under a request.
+// Crash is the end of an upstream while it had a request.
 type Crash struct {
 	Lifetime
 	At time.Time `json:"at"`
-	// Request is the id of the attempt that was there.
+	// Request is the id of the attempt at that upstream.
 	Request string `json:"request"`
-	// Answering says that some of its answer had come.
+	// Answering is true if a part of the answer had arrived.
 	Answering bool `json:"answering,omitempty"`
 }
 
-// Case is what is known of one request that was at an upstream as that ended.
+// Case is the record of a request that an upstream had when it ended.
 type Case struct {
 	Digest Digest `json:"digest"`
-	// Crashes are the latest ones by lifetime, oldest first, each upstream once. There is
-	// one at least.
+	// Crashes holds the latest crashes, oldest first, with each lifetime once. It has at
+	// least one.
 	Crashes []Crash `json:"crashes"`
 }
 
@@ -30,26 +30,26 @@
 	return c.Crashes[len(c.Crashes)-1].At
 }
 
-// Records is what all instances together know of requests that were at an upstream as
-// that ended. It is immutable, and replicas that apply the same updates in the same
-// order hold the same. The zero value is empty.
+// Records is the replicated record of the requests that upstreams had when they ended. It
+// is immutable, and replicas that apply the same updates in the same order are equal. The
+// zero value is empty.
 type Records struct {
-	// revision counts the updates.
+	// revision is the number of updates applied.
 	revision uint64
 	cases    map[Digest]Case
 }
 
 const (
-	// maxCases bounds the requests that are kept. An upstream that ends brings as many as
-	// it runs at once, most of which never come again.
+	// maxCases bounds the requests that are kept. An upstream that ends adds all of its
+	// concurrent requests, most of which are never repeated.
 	maxCases = 2048
-	// maxCrashes bounds the crashes that are kept of one request.
+	// maxCrashes bounds the crashes that are kept for a request.
 	maxCrashes = 12
-	// maxRequestBytes bounds what is kept of the id of an attempt.
+	// maxRequestBytes bounds the bytes that are kept of the id of an attempt.
 	maxRequestBytes = 64
-	// keepTime is how long a request is kept after its last crash: one whose time in
-	// quarantine is over goes back at its next crash.
-	keepTime = 24 * time.Hour
+	// caseRetention is how long a request is kept after its last crash. A request whose
+	// quarantine is over returns to it at the next crash.
+	caseRetention = 24 * time.Hour
 )
 
 // With returns the records after an update.
@@ -69,43 +69,42 @@
 	for _, digest := range slices.Concat(update.Succeeded, update.Lifted) {
 		delete(next.cases, digest)
 	}
-	next.trim(update.Now)
+	next.evict(update.Now)
 	return next
 }
 
-// add adds a crash to the case of a request, unless it is known.
+// add adds a crash to the case of a request, unless the case already has it.
 func (r Records) add(now time.Time, lifetime Lifetime, suspect Suspect) {
-	known := r.cases[suspect.Digest]
-	if slices.ContainsFunc(known.Crashes, func(c Crash) bool { return c.Lifetime == lifetime }) {
+	existing := r.cases[suspect.Digest]
+	if slices.ContainsFunc(existing.Crashes, func(c Crash) bool { return c.Lifetime == lifetime }) {
 		return
 	}
 	crash := Crash{
 		Lifetime: lifetime, At: now, Answering: suspect.Answering,
 		Request: suspect.Request[:min(len(suspect.Request), maxRequestBytes)],
 	}
-	older := known.Crashes[max(0, len(known.Crashes)-maxCrashes+1):]
+	older := existing.Crashes[max(0, len(existing.Crashes)-maxCrashes+1):]
 	r.cases[suspect.Digest] = Case{Digest: suspect.Digest, Crashes: append(slices.Clone(older), crash)}
 }
 
-// retract takes a crash back.
+// retract removes a crash from all cases.
 func (r Records) retract(lifetime Lifetime) {
-	for digest, known := range r.cases {
-		rest := slices.DeleteFunc(slices.Clone(known.Crashes), func(c Crash) bool { return c.Lifetime == lifetime })
-		switch len(rest) {
-		case len(known.Crashes):
+	for digest, existing := range r.cases {
+		remaining := slices.DeleteFunc(slices.Clone(existing.Crashes), func(c Crash) bool { return c.Lifetime == lifetime })
+		switch len(remaining) {
+		case len(existing.Crashes):
 		case 0:
 			delete(r.cases, digest)
 		default:
-			r.cases[digest] = Case{Digest: digest, Crashes: rest}
+			r.cases[digest] = Case{Digest: digest, Crashes: remaining}
 		}
 	}
 }
 
-// trim forgets what is old, and of too many cases those with the fewest crashes first.
-// Flooding upstreams with requests that are all different can't so push out one that
-// comes again.
-func (r Records) trim(now time.Time) {
-	maps.DeleteFunc(r.cases, func(_ Digest, c Case) bool { return now.Sub(c.last()) > keepTime })
+// evict removes old cases, and then, if there are too many, those with the fewest crashes
+// first. Requests that are all different therefore can't displace one that is repeated.
+func (r Records) evict(now time.Time) {
+	maps.DeleteFunc(r.cases, func(_ Digest, c Case) bool { return now.Sub(c.last()) > caseRetention })
 	if len(r.cases) <= maxCases {
 		return
 	}
@@ -120,12 +119,12 @@
 	}
 }
 
-// Revision counts the updates that were applied.
+// Revision returns the number of updates applied.
 func (r Records) Revision() uint64 {
 	return r.revision
 }
 
-// Cases returns all cases, by digest. They must not be changed.
+// Cases returns all cases, sorted by digest. They must not be changed.
 func (r Records) Cases() []Case {
 	return slices.SortedFunc(maps.Values(r.cases), func(a, b Case) int { return compareDigests(a.Digest, b.Digest) })
 }
--- a/internal/quarantine/size_test.go
+++ b/internal/quarantine/size_test.go
@@ -11,8 +11,8 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// BenchmarkSize reports the bytes of what is told of crashes: of a report, of a case in a
-// snapshot, and of the news of a request in quarantine.
+// BenchmarkSize reports the encoded sizes of a report, of a case in a snapshot, and of
+// the news of one request in quarantine.
 func BenchmarkSize(b *testing.B) {
 	for _, requests := range []int{12, 64} {
 		b.Run(fmt.Sprintf("requests=%d", requests), func(b *testing.B) {
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -8,12 +8,12 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Empty reports whether no update was ever applied.
+// Empty reports whether no update has been applied.
 func (r Records) Empty() bool {
 	return r.revision == 0
 }
 
-// Snapshot returns the encoding of the records. Equal records give equal bytes.
+// Snapshot returns an encoding of the records. Equal records have equal encodings.
 func (r Records) Snapshot() []byte {
 	buffer := parcel.AppendUint(nil, r.revision)
 	buffer = parcel.AppendUint(buffer, uint64(len(r.cases)))
@@ -39,8 +39,7 @@
 	return parcel.AppendUint(buffer, answering)
 }
 
-// Restore returns the records whose Snapshot is data. If data is damaged, Restore
-// returns an error.
+// Restore decodes a snapshot. If data is damaged, Restore returns an error.
 func Restore(data []byte) (Records, error) {
 	reader := parcel.NewReader(data)
 	r := Records{revision: reader.Uint(), cases: map[Digest]Case{}}
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// successes remembers which requests ended with a whole answer of late. It takes bounded
-// memory: what was remembered first goes first. The zero value is empty.
+// successes is a bounded set of the requests that recently ended with a whole answer. The
+// oldest are removed first. The zero value is empty.
 type successes struct {
-	// older is what was remembered before newer was begun, at begun.
+	// newer holds the requests since startedAt, and older those of the period before.
 	newer, older map[Digest]struct{}
-	begun        time.Time
+	startedAt    time.Time
 }
 
 const (
-	// successTime is how long a whole answer is remembered at the least, unless there are
-	// more than maxSuccesses of them.
-	successTime  = time.Minute
-	maxSuccesses = 4096
+	// successRetention is the least time that a request is kept, unless maxSuccesses
+	// newer ones are added before.
+	successRetention = time.Minute
+	maxSuccesses     = 4096
 )
 
 func (s *successes) add(now time.Time, digest Digest) {
-	s.turn(now)
+	s.rotate(now)
 	s.newer[digest] = struct{}{}
 }
 
-func (s *successes) turn(now time.Time) {
-	if s.newer != nil && len(s.newer) < maxSuccesses && now.Sub(s.begun) < successTime {
+func (s *successes) rotate(now time.Time) {
+	if s.newer != nil && len(s.newer) < maxSuccesses && now.Sub(s.startedAt) < successRetention {
 		return
 	}
-	s.newer, s.older, s.begun = map[Digest]struct{}{}, s.newer, now
+	s.newer, s.older, s.startedAt = map[Digest]struct{}{}, s.newer, now
 }
 
-func (s *successes) has(now time.Time, digest Digest) bool {
-	s.turn(now)
+func (s *successes) contains(now time.Time, digest Digest) bool {
+	s.rotate(now)
 	_, newer := s.newer[digest]
 	_, older := s.older[digest]
 	return newer || older
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Update is what instances report, as one command of the replicated log. It may be
-// carried out more than once.
+// Update is a command of the replicated log with the reports of one or more instances.
+// Applying it more than once is safe.
 type Update struct {
-	// Now is the time at the instance that proposes it.
+	// Now is the time at the instance that proposes the update.
 	Now     time.Time `json:"now"`
 	Reports []Report  `json:"reports,omitempty"`
 	// Succeeded are requests that ended with a whole answer.
 	Succeeded []Digest `json:"succeeded,omitempty"`
-	// Alive are upstreams that had not ended after all.
+	// Alive are upstreams that were reported as ended by mistake.
 	Alive []Lifetime `json:"alive,omitempty"`
-	// Lifted are requests that an operator clears.
+	// Lifted are requests that an operator has cleared.
 	Lifted []Digest `json:"lifted,omitempty"`
 }
 
-// Empty reports whether the update changes nothing.
+// Empty reports whether the update contains nothing.
 func (u Update) Empty() bool {
 	return len(u.Reports)+len(u.Succeeded)+len(u.Alive)+len(u.Lifted) == 0
 }
 
-// Newest returns the update with no more than limit of each kind, the newest.
+// Newest returns the update with only the newest limit reports and the newest limit
+// successes.
 func (u Update) Newest(limit int) Update {
 	u.Reports = u.Reports[max(0, len(u.Reports)-limit):]
 	u.Succeeded = u.Succeeded[max(0, len(u.Succeeded)-limit):]
 	return u
 }
 
-// With returns the update that says what both say, as of the later of their times.
+// With returns the update that contains both, with the later of their times.
 func (u Update) With(other Update) Update {
 	now := u.Now
 	if other.Now.After(now) {
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -4,78 +4,83 @@
 	"time"
 )
 
-// Watch is what one instance sees of requests and upstreams, and what it was told of
-// requests in quarantine. It is not safe for concurrent use.
+// Watch holds what one instance knows of requests: those whose answers were interrupted,
+// those that succeeded, and those in quarantine according to the news. It is not safe for
+// concurrent use.
 type Watch struct {
-	losses    losses
-	successes successes
-	// revision is that of the newest news, and mark theirs.
+	investigations investigations
+	successes      successes
+	// revision and mark are those of the latest news.
 	revision uint64
 	mark     uint64
-	// behindSince is since when news are behind the newest, zero while they are not.
-	behindSince time.Time
-	// from is from when each request in quarantine is not sent.
-	from map[Digest]time.Time
-	// suspected are the requests that one more crash brings into quarantine.
+	// staleSince is when stale news began to arrive, and zero if the last news was
+	// current.
+	staleSince time.Time
+	// quarantinedFrom is the time from which each request in quarantine is not sent.
+	quarantinedFrom map[Digest]time.Time
+	// suspected are the requests that one more crash may bring into quarantine.
 	suspected map[Digest]bool
-	// cleared are suspected requests that ended with a whole answer here.
+	// cleared are requests in the news that ended with a whole answer here. They are not
+	// reported yet.
 	cleared map[Digest]bool
 }
 
-// NewWatch returns a Watch that knows of nothing.
+// NewWatch returns an empty Watch.
 func NewWatch() *Watch {
-	return &Watch{from: map[Digest]time.Time{}, suspected: map[Digest]bool{}, cleared: map[Digest]bool{}}
+	return &Watch{quarantinedFrom: map[Digest]time.Time{}, suspected: map[Digest]bool{}, cleared: map[Digest]bool{}}
 }
 
-// Held returns how many requests are in quarantine, and how many are suspected.
-func (w *Watch) Held() (quarantined, suspected int) {
-	return len(w.from), len(w.suspected)
+// Counts returns the number of requests in quarantine and the number of suspected
+// requests.
+func (w *Watch) Counts() (quarantined, suspected int) {
+	return len(w.quarantinedFrom), len(w.suspected)
 }
 
-// Succeeded notes that a request ended with a whole answer of success. A failure may have been
-// answered without running it.
+// Succeeded records that a request ended with a whole, successful answer. Failures don't
+// count, because an upstream may answer with one without running the request.
 func (w *Watch) Succeeded(now time.Time, digest Digest) {
 	w.successes.add(now, digest)
-	if _, held := w.from[digest]; held || w.suspected[digest] {
+	if _, found := w.quarantinedFrom[digest]; found || w.suspected[digest] {
 		w.cleared[digest] = true
 	}
 }
 
-// Broke notes that the answer to a request broke off at an upstream, and reports whether
-// the upstream is to be looked at: it may have ended.
-func (w *Watch) Broke(now time.Time, place Place, suspect Suspect) bool {
-	return w.losses.broke(now, place, suspect)
+// Interrupted records that the answer to a request was interrupted, and reports whether
+// the upstream should be probed, because it may have ended.
+func (w *Watch) Interrupted(now time.Time, place Place, suspect Suspect) bool {
+	return w.investigations.interrupted(now, place, suspect)
 }
 
-// Left notes that a caller has left its request, which was at an upstream.
-func (w *Watch) Left(now time.Time, place Place, suspect Suspect) {
-	w.losses.leave(now, place, suspect)
+// Abandoned records that a caller abandoned a request while an upstream had it.
+func (w *Watch) Abandoned(now time.Time, place Place, suspect Suspect) {
+	w.investigations.abandoned(now, place, suspect)
 }
 
-// Learn takes in what is known of an upstream.
-func (w *Watch) Learn(lifetime Lifetime, contact Contact) {
-	w.losses.learn(lifetime, contact)
+// Observe records what is known about an upstream.
+func (w *Watch) Observe(lifetime Lifetime, contact Contact) {
+	w.investigations.observe(lifetime, contact)
 }
 
-// Review asks what is known of each upstream whose answers broke off.
+// Review updates what is known about the upstreams under investigation, by calling
+// contact for each.
 func (w *Watch) Review(now time.Time, contact func(Place) Contact) {
-	w.losses.sweep(now)
-	for lifetime, known := range w.losses.open {
-		if !known.ended {
-			w.losses.learn(lifetime, contact(known.place))
+	w.investigations.removeExpired(now)
+	for lifetime, inv := range w.investigations.byLifetime {
+		if !inv.crashed {
+			w.investigations.observe(lifetime, contact(inv.endpoint))
 		}
 	}
 }
 
-// IsPending reports whether there is something to report, now or in a moment.
+// IsPending reports whether there is something to report, now or soon.
 func (w *Watch) IsPending() bool {
-	return len(w.cleared) > 0 || w.losses.isPending()
+	return len(w.cleared) > 0 || w.investigations.hasUnreported()
 }
 
-// Due returns what is to be reported now. A report that fails has to be made again by
-// whoever makes it.
-func (w *Watch) Due(now time.Time) Update {
-	update := Update{Now: now, Reports: w.losses.due(now)}
+// TakeDue returns what is to be reported now, and removes it from the Watch. If the
+// report fails, the caller must repeat it.
+func (w *Watch) TakeDue(now time.Time) Update {
+	update := Update{Now: now, Reports: w.investigations.takeReports(now)}
 	for digest := range w.cleared {
 		update.Succeeded = append(update.Succeeded, digest)
 	}
