--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -1,6 +1,6 @@
-// Package coroner finds out for one instance which upstreams ended under which requests,
-// and has it recorded (crash attribution). What follows from it is decided by package
-// quarantine; this package looks, reports and keeps the decisions at hand.
+// Package coroner is the crash attribution of one instance: it finds out which upstreams
+// ended while they had requests, reports them for the replicated records, and keeps the
+// latest news of the quarantine. Package quarantine makes the decisions.
 package coroner
 
 import (
@@ -21,22 +21,23 @@
 
 // Options configures a Coroner.
 type Options struct {
-	// Contact returns what the instance knows of an upstream now.
-	Contact func(place quarantine.Place) quarantine.Contact
-	// Report has an update recorded, and returns whether it certainly is. It may be
-	// recorded more than once.
+	// Contact returns what the instance currently knows about an upstream.
+	Contact func(endpoint quarantine.Place) quarantine.Contact
+	// Report records an update, and reports whether it is certain that the update is
+	// recorded. Recording it more than once is safe.
 	Report func(ctx context.Context, update quarantine.Update) bool
-	// Line begins a log line of a kind, or returns nil if there were too many.
+	// Line starts a log line of a kind. It returns nil if there were too many of that
+	// kind.
 	Line func(kind string) *zerolog.Event
-	// Dial connects to an upstream. Nil stands for TCP.
+	// Dial connects to an upstream. If nil, TCP is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Now  func() time.Time
-	// Metrics is where crashes are counted; nowhere if nil.
+	// Metrics gets the count of crashes. If nil, crashes are not counted.
 	Metrics tally.Scope
 }
 
-// Coroner is the part of an instance that looks at upstreams that have ended. It is safe
-// for concurrent use. It calls Contact and Report with no lock of its own held.
+// Coroner detects the upstreams that ended while they had requests, and reports them. It
+// is safe for concurrent use. It calls Contact and Report without holding its lock.
 type Coroner struct {
 	options Options
 	crashes tally.Counter
@@ -44,29 +45,31 @@
 	mu    sync.Mutex
 	watch *quarantine.Watch
 
-	// looks are upstreams to look at, since answers broke off there, and reportNow holds a
-	// token if there may be something to report.
-	looks     chan quarantine.Place
-	reportNow chan struct{}
-	stop      context.CancelFunc
-	done      sync.WaitGroup
+	// probes holds the upstreams to probe, because their answers were interrupted.
+	// reportSignal holds a token if there may be something to report.
+	probes       chan quarantine.Place
+	reportSignal chan struct{}
+	stop         context.CancelFunc
+	goroutines   sync.WaitGroup
 }
 
 const (
-	// maxLooks bounds the upstreams that wait to be looked at.
-	maxLooks = 64
-	// lookTimeout bounds connecting to one of them. One that has ended refuses at once.
-	lookTimeout = 250 * time.Millisecond
-	// reportEvery is the time between two tries of a report.
-	reportEvery = 100 * time.Millisecond
-	// reportTimeout bounds one try. The voters need some ms, or an election.
+	// maxProbes bounds the upstreams that wait for a probe.
+	maxProbes = 64
+	// probeTimeout bounds the connection attempt of a probe. The address of an upstream
+	// that has ended refuses at once.
+	probeTimeout = 250 * time.Millisecond
+	// reportInterval is the time between two attempts to report.
+	reportInterval = 100 * time.Millisecond
+	// reportTimeout bounds one attempt. The voters take some milliseconds to record a
+	// report, or longer during an election.
 	reportTimeout = 1500 * time.Millisecond
-	// maxUnsent bounds the reports of upstreams, and of requests that succeeded, that
-	// wait to be recorded.
+	// maxUnsent bounds the reports of ended upstreams, and the successes, that wait to be
+	// recorded.
 	maxUnsent = 256
 )
 
-// New returns a Coroner.
+// New returns a Coroner and starts its goroutines.
 func New(options Options) *Coroner {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -76,25 +79,25 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coroner{
-		options:   options,
-		crashes:   options.Metrics.Counter("upstreams_ended"),
-		watch:     quarantine.NewWatch(),
-		looks:     make(chan quarantine.Place, maxLooks),
-		reportNow: make(chan struct{}, 1),
-		stop:      cancel,
+		options:      options,
+		crashes:      options.Metrics.Counter("upstreams_ended"),
+		watch:        quarantine.NewWatch(),
+		probes:       make(chan quarantine.Place, maxProbes),
+		reportSignal: make(chan struct{}, 1),
+		stop:         cancel,
 	}
-	c.done.Go(func() { c.look(ctx) })
-	c.done.Go(func() { c.report(ctx) })
+	c.goroutines.Go(func() { c.runProbes(ctx) })
+	c.goroutines.Go(func() { c.runReporter(ctx) })
 	return c
 }
 
-// Close ends all looking and reporting.
+// Close stops all probes and reports, and waits until they have stopped.
 func (c *Coroner) Close() {
 	c.stop()
-	c.done.Wait()
+	c.goroutines.Wait()
 }
 
-// Holds reports whether a request is in quarantine: it must not be sent.
+// Holds reports whether a request is in quarantine and must not be sent.
 func (c *Coroner) Holds(digest quarantine.Digest) bool {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -102,21 +105,21 @@
 	return c.watch.IsQuarantined(now, digest)
 }
 
-// Held returns how many requests are in quarantine, and how many are suspected.
+// Held returns the number of requests in quarantine and the number of suspected requests.
 func (c *Coroner) Held() (quarantined, suspected int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watch.Counts()
 }
 
-// Mark returns the mark of the news that were followed last, 0 if there were none.
+// Mark returns the mark of the latest news, and 0 if there is none.
 func (c *Coroner) Mark() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watch.Mark()
 }
 
-// Follow takes in news of requests in quarantine.
+// Follow applies news of the quarantine.
 func (c *Coroner) Follow(news quarantine.News) {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -125,8 +128,8 @@
 	c.wakeReporter()
 }
 
-// Review looks at what is known now of upstreams where answers broke off. contact is as
-// in Options, and is called with the lock of the Coroner held.
+// Review updates what is known about the upstreams whose answers were interrupted. It
+// calls contact, which is like Options.Contact, with the lock of the Coroner held.
 func (c *Coroner) Review(contact func(quarantine.Place) quarantine.Contact) {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -135,7 +138,8 @@
 	c.wakeReporter()
 }
 
-// Succeeded notes that an upstream answered a request whole. A status of failure is left out.
+// Succeeded records that an upstream gave a whole answer to a request. It ignores answers
+// with an error status.
 func (c *Coroner) Succeeded(digest quarantine.Digest, status int) {
 	if status >= http.StatusBadRequest {
 		return
@@ -147,83 +151,86 @@
 	c.wakeReporter()
 }
 
-// Left notes that a caller has left its request, which was at an upstream.
-func (c *Coroner) Left(place quarantine.Place, suspect quarantine.Suspect) {
+// Left records that a caller abandoned a request while an upstream had it.
+func (c *Coroner) Left(endpoint quarantine.Place, suspect quarantine.Suspect) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watch.Abandoned(now, place, suspect)
+	c.watch.Abandoned(now, endpoint, suspect)
 }
 
-// Broke notes that the answer of an upstream to a request broke off, or did not come.
-func (c *Coroner) Broke(place quarantine.Place, suspect quarantine.Suspect) {
+// Broke records that the answer of an upstream to a request was interrupted, or did not
+// arrive.
+func (c *Coroner) Broke(endpoint quarantine.Place, suspect quarantine.Suspect) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.watch.Interrupted(now, place, suspect) {
+	if c.watch.Interrupted(now, endpoint, suspect) {
 		select {
-		case c.looks <- place:
+		case c.probes <- endpoint:
 		default:
-			// What is heard of the upstream later will tell.
+			// The queue of probes is full. A later observation may still show that the
+			// upstream has ended.
 		}
 	}
 	c.wakeReporter()
 }
 
-// Failed notes why a connection to an upstream failed.
-func (c *Coroner) Failed(place quarantine.Place, cause error) {
+// Failed records why a connection to an upstream failed. Only a refused connection
+// counts.
+func (c *Coroner) Failed(endpoint quarantine.Place, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := c.options.Contact(place)
+	contact := c.options.Contact(endpoint)
 	if contact != quarantine.ContactLeaving {
 		contact = quarantine.ContactRefused
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watch.Observe(place.Lifetime, contact)
+	c.watch.Observe(endpoint.Lifetime, contact)
 	c.wakeReporter()
 }
 
-// wakeReporter has what there is to report be reported. c.mu is held.
+// wakeReporter signals the reporter if there is something to report. c.mu must be held.
 func (c *Coroner) wakeReporter() {
 	if !c.watch.IsPending() {
 		return
 	}
 	select {
-	case c.reportNow <- struct{}{}:
+	case c.reportSignal <- struct{}{}:
 	default:
 	}
 }
 
-// look connects to each upstream where answers broke off, until ctx ends.
-func (c *Coroner) look(ctx context.Context) {
+// runProbes starts a probe for each upstream in the queue, until ctx ends.
+func (c *Coroner) runProbes(ctx context.Context) {
 	for {
 		select {
-		case place := <-c.looks:
-			c.done.Go(func() { c.lookAt(ctx, place) })
+		case endpoint := <-c.probes:
+			c.goroutines.Go(func() { c.probe(ctx, endpoint) })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Coroner) lookAt(ctx context.Context, place quarantine.Place) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+func (c *Coroner) probe(ctx context.Context, endpoint quarantine.Place) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := c.options.Dial(ctx, "tcp", place.Address)
+	conn, err := c.options.Dial(ctx, "tcp", endpoint.Address)
 	if err == nil {
 		conn.Close()
 		return
 	}
-	c.Failed(place, err)
+	c.Failed(endpoint, err)
 }
 
-// report reports upstreams that ended under requests, until ctx ends.
-func (c *Coroner) report(ctx context.Context) {
+// runReporter reports what is pending after each signal, until ctx ends.
+func (c *Coroner) runReporter(ctx context.Context) {
 	for {
 		select {
-		case <-c.reportNow:
+		case <-c.reportSignal:
 			c.reportPending(ctx)
 		case <-ctx.Done():
 			return
@@ -234,9 +241,9 @@
 // reportPending reports until nothing is left to report, or ctx ends.
 func (c *Coroner) reportPending(ctx context.Context) {
 	var unsent quarantine.Update
-	for pause.For(ctx, reportEvery) {
-		update, more := c.due()
-		c.tell(update)
+	for pause.For(ctx, reportInterval) {
+		update, more := c.takeDue()
+		c.logReports(update)
 		unsent = unsent.With(update).Newest(maxUnsent)
 		if unsent.Empty() || c.send(ctx, unsent) {
 			unsent = quarantine.Update{}
@@ -247,8 +254,8 @@
 	}
 }
 
-// due returns what is to be reported now, and whether there will be more in a moment.
-func (c *Coroner) due() (update quarantine.Update, more bool) {
+// takeDue returns what is to be reported now, and whether there will be more soon.
+func (c *Coroner) takeDue() (update quarantine.Update, more bool) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,8 +269,8 @@
 	return c.options.Report(ctx, update)
 }
 
-// tell logs each request that an upstream had as it ended.
-func (c *Coroner) tell(update quarantine.Update) {
+// logReports logs each request that an upstream had when it ended.
+func (c *Coroner) logReports(update quarantine.Update) {
 	for _, report := range update.Reports {
 		c.crashes.Inc(1)
 		for _, suspect := range report.Suspects {
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -47,13 +47,13 @@
 
 // Interrupted records that the answer to a request was interrupted, and reports whether
 // the upstream should be probed, because it may have ended.
-func (w *Watch) Interrupted(now time.Time, place Place, suspect Suspect) bool {
-	return w.investigations.interrupted(now, place, suspect)
+func (w *Watch) Interrupted(now time.Time, endpoint Place, suspect Suspect) bool {
+	return w.investigations.interrupted(now, endpoint, suspect)
 }
 
 // Abandoned records that a caller abandoned a request while an upstream had it.
-func (w *Watch) Abandoned(now time.Time, place Place, suspect Suspect) {
-	w.investigations.abandoned(now, place, suspect)
+func (w *Watch) Abandoned(now time.Time, endpoint Place, suspect Suspect) {
+	w.investigations.abandoned(now, endpoint, suspect)
 }
 
 // Observe records what is known about an upstream.
