--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/bulletin.go
@@ -72,7 +72,7 @@
 func (b *Bulletin) News(now time.Time, records Records) News {
 	fresh := now.Sub(b.computedAt) < refreshInterval && !b.computedAt.IsZero()
 	if !fresh || records.Revision() != b.current.Revision {
-		b.recompute(now, records)
+		b.make(now, records)
 	}
 	return b.current.Aged(now.Sub(b.computedAt))
 }
@@ -93,7 +93,8 @@
 	return n
 }
 
-func (b *Bulletin) recompute(now time.Time, records Records) {
+// make computes the news as of now, and the changes since the previous news.
+func (b *Bulletin) make(now time.Time, records Records) {
 	verdicts := records.announcedVerdicts(now, b.limits)
 	maps.DeleteFunc(b.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
 	previous := b.current.Quarantined
