--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -128,8 +128,9 @@
 	c.wakeReporter()
 }
 
-// Review updates what is known about the upstreams whose answers were interrupted. It
-// calls contact, which is like Options.Contact, with the lock of the Coroner held.
+// Review calls contact for each upstream whose answers were interrupted, and records the
+// result. contact is like Options.Contact, and is called with the lock of the Coroner
+// held.
 func (c *Coroner) Review(contact func(quarantine.Place) quarantine.Contact) {
 	now := c.options.Now()
 	c.mu.Lock()
--- a/internal/permit/encode_test.go
+++ b/internal/permit/encode_test.go
@@ -60,7 +60,7 @@
 	})
 })
 
-// FuzzDecode checks that damaged bytes cause no panic, and that a decoded message stays
+// FuzzDecode checks that arbitrary bytes cause no panic, and that a decoded message stays
 // the same after another encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	for _, message := range messages() {
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -43,7 +43,7 @@
 	// Priority is that of the route; 0 is the most urgent.
 	Priority uint8
 	// Objective is the longest time to the first event, and Gap the longest pause between
-	// events, by which an answer is on time. 0 means that there is no such objective.
+	// events, within which an answer is on time. 0 means that there is no such objective.
 	Objective time.Duration
 	Gap       time.Duration
 	// Age is the time since the request arrived, and Left the time that its caller still
--- a/internal/quarantine/recall.go
+++ b/internal/quarantine/recall.go
@@ -22,8 +22,9 @@
 	retractionWindow = 15 * time.Second
 )
 
-// Alive returns the upstreams that have not ended. lastHeard returns the time of the
-// newest liveness report of a lifetime, and false if there is none.
+// Alive returns the upstreams that are alive although the records hold a crash of them.
+// lastHeard returns the time of the newest liveness report of a lifetime, and false if
+// there is none.
 func (r *Recall) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
 	if records.Revision() != r.revision {
 		r.revision = records.Revision()
--- a/internal/quarantine/records.go
+++ b/internal/quarantine/records.go
@@ -47,8 +47,8 @@
 	maxCrashes = 12
 	// maxRequestBytes bounds the bytes that are kept of the id of an attempt.
 	maxRequestBytes = 64
-	// caseRetention is how long a request is kept after its last crash. A request whose
-	// quarantine is over returns to it at the next crash.
+	// caseRetention is how long a request is kept after its last crash, so that a request
+	// whose quarantine is over returns to it at the next crash.
 	caseRetention = 24 * time.Hour
 )
 
--- a/internal/quarantine/records_test.go
+++ b/internal/quarantine/records_test.go
@@ -80,8 +80,8 @@
 		Expect(c.quarantined("bad")).To(BeEmpty())
 	})
 
-	// A harmless request that is repeated after each crash may be at the same upstream as
-	// the request that causes the crashes several times.
+	// A harmless request that is repeated after each crash may meet the harmful one at
+	// several upstreams.
 	It("hold responsible who was at more of the crashes, and nobody else", func() {
 		c.crash("e1", suspect("bad"), suspect("unlucky"))
 		c.crash("e2", suspect("bad"))
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -61,8 +61,8 @@
 	w.investigations.observe(lifetime, contact)
 }
 
-// Review updates what is known about the upstreams under investigation, by calling
-// contact for each.
+// Review calls contact for each upstream under investigation that is not known to have
+// ended, and records the result.
 func (w *Watch) Review(now time.Time, contact func(Place) Contact) {
 	w.investigations.removeExpired(now)
 	for lifetime, inv := range w.investigations.byLifetime {
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -78,9 +78,10 @@
 	return k.limit, !k.setAt.IsZero()
 }
 
-// With returns the state after an answer that arrived at now to a request sent at sent.
-// Answers may overtake each other: one that raises or ends the limit counts only if its
-// request was sent after the limit was last named. A lower limit counts at once.
+// With returns the state after an answer that arrived at now to a request that was sent
+// at sent. Answers may arrive out of order, so one that raises or ends the limit counts
+// only if its request was sent after the limit was last set. A lower limit counts at
+// once.
 func (k Known) With(now, sent time.Time, said Said) Known {
 	limit, inForce := k.Limit()
 	sentLater := sent.After(k.setAt)
@@ -123,7 +124,8 @@
 }
 
 // Share returns the rate in requests a second at which each sender may send without an
-// owner. It is 0 if one request from each sender is more than the upstream tolerates.
+// owner. It is 0 if the upstream does not tolerate one more request from each sender at
+// once.
 func Share(l Limit, senders int) float64 {
 	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > Allowed(l) {
 		return 0
