--- a/internal/demand/report.go
+++ b/internal/demand/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Target is what requests ask for: a model, or an adapter beside one. Requests
+// Target is a model, or an adapter of a model, that requests ask for. Requests
 // for an adapter do not count for the model alone.
 type Target struct {
 	Model   string
@@ -17,34 +17,34 @@
 	return cmp.Or(cmp.Compare(t.Model, other.Model), cmp.Compare(t.Adapter, other.Adapter))
 }
 
-// Count is what an instance saw of one target in one interval.
+// Count is what an instance counted for one target since its last report.
 type Count struct {
 	Target Target
-	// Offered is how many requests arrived, those that were refused included.
+	// Offered is how many requests arrived, including rejected ones.
 	Offered int64
-	// Ended is how many answers ended, and Held how long upstreams held those
-	// requests, in sum.
-	Ended int64
-	Held  time.Duration
+	// Ended is how many answers ended, and HoldTime the total time that
+	// upstreams held these requests.
+	Ended    int64
+	HoldTime time.Duration
 }
 
-// Report is what one instance saw since its last report. Only targets with
-// something to count stand in it, so an instance that serves 40 targets sends 40
+// Report is the counts of one instance since its last report. It contains only
+// targets with a nonzero count, so an instance that serves 40 targets sends 40
 // counts, however many are declared.
 type Report struct {
-	// Instance and Incarnation name the sender.
+	// Instance and Incarnation identify the sender.
 	Instance    string
 	Incarnation uint64
-	// Sequence grows with every report of an incarnation. A report that does not
-	// grow it is a copy, and is ignored.
+	// Sequence increases with every report of an incarnation. A report that
+	// does not increase it is a duplicate and is ignored.
 	Sequence uint64
-	// Counts are sorted by target, each of which stands there once.
+	// Counts are sorted by target, without duplicates.
 	Counts []Count
 }
 
-// Merged returns the counts of several reports as one, under the name of the
-// instance that merges. The order of the reports does not matter.
-func Merged(instance string, incarnation, sequence uint64, reports ...Report) Report {
+// Merge returns one report with the sums of the counts of several reports, as a
+// report of the given instance. The order of the reports does not matter.
+func Merge(instance string, incarnation, sequence uint64, reports ...Report) Report {
 	var all []Count
 	for _, r := range reports {
 		all = append(all, r.Counts...)
@@ -59,7 +59,7 @@
 		}
 		merged.Counts[last].Offered += c.Offered
 		merged.Counts[last].Ended += c.Ended
-		merged.Counts[last].Held += c.Held
+		merged.Counts[last].HoldTime += c.HoldTime
 	}
 	return merged
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -12,16 +12,18 @@
 	"github.com/lovagelift/lovagelift/internal/placement"
 )
 
-// size is a size of a deployment.
-type size struct {
+// deploymentSize is the size of a deployment.
+type deploymentSize struct {
 	models, engines, accelerators int
 }
 
-// sizes are a tenth, a third and the whole of the size in two years.
-var sizes = []size{{170, 110, 230}, {567, 367, 767}, {1700, 1100, 2300}}
+// deploymentSizes are a tenth, a third and all of the size that is expected in
+// two years.
+var deploymentSizes = []deploymentSize{{170, 110, 230}, {567, 367, 767}, {1700, 1100, 2300}}
 
-// deployment returns a deployment of that size with a seeded demand.
-func deployment(s size) *world {
+// deployment returns a deployment of the size, with a random demand by a fixed
+// seed.
+func deployment(s deploymentSize) *cluster {
 	random := rand.New(rand.NewPCG(7, uint64(s.models)))
 	var text strings.Builder
 	text.WriteString("[[preset]]\nname = \"ordinary\"\nfirst = true\nreserve-percent = 10\ntolerate-engines = 1\ntolerate-failure-domains = 1\nweight-of-moves = 1\n")
@@ -41,32 +43,32 @@
 	if err != nil {
 		panic(err)
 	}
-	var engines []*engine
-	more := s.accelerators - 2*s.engines
+	var engines []*fakeEngine
+	withThree := s.accelerators - 2*s.engines
 	for i := range s.engines {
-		names := []string{"a0", "a1", "a2"}
-		if i >= more {
-			names = names[:2]
+		accelerators := []string{"a0", "a1", "a2"}
+		if i >= withThree {
+			accelerators = accelerators[:2]
 		}
-		engines = append(engines, newEngine(fmt.Sprintf("e%04d", i), fmt.Sprintf("d%d", i%10), 80<<30, names...))
+		engines = append(engines, newEngine(fmt.Sprintf("e%04d", i), fmt.Sprintf("d%d", i%10), 80<<30, accelerators...))
 	}
-	w := newWorld(set, engines...)
+	c := newCluster(set, engines...)
 	for i := range s.models {
-		w.in.Demand = append(w.in.Demand, load(fmt.Sprintf("m%04d", i), 24*random.ExpFloat64()*float64(s.accelerators)/float64(s.models)/3))
+		c.input.Demand = append(c.input.Demand, steadyLoad(fmt.Sprintf("m%04d", i), 24*random.ExpFloat64()*float64(s.accelerators)/float64(s.models)/3))
 	}
-	return w
+	return c
 }
 
-// BenchmarkPlanEmpty plans a deployment of which nothing is loaded.
+// BenchmarkPlanEmpty plans a deployment whose engines are empty.
 func BenchmarkPlanEmpty(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range deploymentSizes {
 		b.Run(fmt.Sprintf("models=%d", s.models), func(b *testing.B) {
-			w := deployment(s)
-			w.now = w.now.Add(1)
-			w.observe()
+			c := deployment(s)
+			c.now = c.now.Add(1)
+			c.observe()
 			b.ReportAllocs()
 			for b.Loop() {
-				if plan := w.planner.Plan(w.now, w.in); len(plan.Moves) == 0 {
+				if plan := c.planner.Plan(c.now, c.input); len(plan.Moves) == 0 {
 					b.Fatal(plan.Problems)
 				}
 			}
@@ -74,48 +76,50 @@
 	}
 }
 
-// BenchmarkPlanChange plans a deployment that rests, after one change.
+// BenchmarkPlanChange plans a deployment that has settled, without and with one
+// change.
 func BenchmarkPlanChange(b *testing.B) {
-	for _, s := range sizes {
-		w := deployment(s)
+	for _, s := range deploymentSizes {
+		c := deployment(s)
 		for range 60 {
-			w.step()
+			c.step()
 		}
-		if w.wrong != nil {
-			b.Fatal(w.wrong)
+		if c.violation != nil {
+			b.Fatal(c.violation)
 		}
-		w.in.Previous = placement.State{}
-		w.observe()
-		b.Run(fmt.Sprintf("nothing/models=%d", s.models), func(b *testing.B) { plans(b, w) })
-		w.engines[0].alive = false
-		w.observe()
-		b.Run(fmt.Sprintf("engine-lost/models=%d", s.models), func(b *testing.B) { plans(b, w) })
-		w.engines[0].alive = true
-		w.observe()
-		w.in.Demand[3] = demand.Estimate{Target: w.in.Demand[3].Target, Fast: 200, Middle: 200, Slow: 200}
-		b.Run(fmt.Sprintf("demand/models=%d", s.models), func(b *testing.B) { plans(b, w) })
+		c.input.Previous = placement.State{}
+		c.observe()
+		b.Run(fmt.Sprintf("nothing/models=%d", s.models), func(b *testing.B) { benchmarkPlan(b, c) })
+		c.engines[0].alive = false
+		c.observe()
+		b.Run(fmt.Sprintf("engine-lost/models=%d", s.models), func(b *testing.B) { benchmarkPlan(b, c) })
+		c.engines[0].alive = true
+		c.observe()
+		c.input.Demand[3] = demand.Estimate{Target: c.input.Demand[3].Target, Fast: 200, Middle: 200, Slow: 200}
+		b.Run(fmt.Sprintf("demand/models=%d", s.models), func(b *testing.B) { benchmarkPlan(b, c) })
 	}
 }
 
-func plans(b *testing.B, w *world) {
+func benchmarkPlan(b *testing.B, c *cluster) {
 	b.ReportAllocs()
 	moves, waiting := 0, 0
 	for b.Loop() {
-		plan := w.planner.Plan(w.now, w.in)
+		plan := c.planner.Plan(c.now, c.input)
 		moves, waiting = len(plan.Moves), len(plan.Waiting)
 	}
 	b.ReportMetric(float64(moves), "moves")
 	b.ReportMetric(float64(waiting), "waiting")
 }
 
-// BenchmarkNewEngine reads one engine again, after its announcement has changed.
+// BenchmarkNewEngine reads one engine again, as after a change of its
+// announcement.
 func BenchmarkNewEngine(b *testing.B) {
-	w := deployment(sizes[0])
+	c := deployment(deploymentSizes[0])
 	for range 60 {
-		w.step()
+		c.step()
 	}
-	e := w.engines[0]
-	a, l := e.announcement(), w.ledgers[e.name]
+	e := c.engines[0]
+	a, l := e.announcement(), c.ledgers[e.name]
 	b.ReportAllocs()
 	for b.Loop() {
 		placement.NewEngine(a, l, placement.Serving)
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -9,155 +9,171 @@
 	"github.com/lovagelift/lovagelift/internal/declaration"
 )
 
-// draft is a plan in the making. It belongs to one call of Planner.Plan.
+// draft is a plan under construction. It belongs to one call of Planner.Plan.
 type draft struct {
 	now     time.Time
 	options Options
 	in      Input
 	models  []model
-	index   map[string]int
-	sites   []site
-	// domains is how many failure domains have a site that takes orders.
-	domains int
-	// free and later are the memory of all sites that take orders, as in room.
-	free, later int64
-	// reserve is what needs of tierLosses and later must leave free, together.
-	reserve int64
-	// weight is the weight of moves.
-	weight float64
-	wants  []want
-	// servedNow is the load that what is there now serves.
-	servedNow float64
-	problems  []Problem
-	since     map[need]time.Time
-	// avoided are the loads of Input.Avoid.
+	// modelIndex is the index in models by name.
+	modelIndex map[string]int
+	engines    []engineState
+	// domainCount is the number of failure domains with an engine that accepts
+	// orders.
+	domainCount int
+	// freeBytes and laterFreeBytes are the sums of free and laterFree over the
+	// accelerators of all engines that accept orders.
+	freeBytes, laterFreeBytes int64
+	// reserveBytes is the total memory that needs of tierRedundancy and later
+	// must leave free.
+	reserveBytes  int64
+	weightOfMoves float64
+	moves         []rankedMove
+	// currentlyServed is the load that the present copies serve within its
+	// goals.
+	currentlyServed float64
+	problems        []Problem
+	unmetSince      map[need]time.Time
+	// avoided is Input.Avoid as a set.
 	avoided map[Avoided]bool
 }
 
-// want is a move with its urgency. The least of tier, priority and rank is the
-// most urgent.
-type want struct {
+// rankedMove is a move with its urgency. Moves are ordered by tier, priority
+// and rank, the lowest first.
+type rankedMove struct {
 	move     Move
 	tier     tier
 	priority int
-	rank     float64
+	// rank is lower for models with a higher weighted load.
+	rank float64
 }
 
-// site is an engine in a draft.
-type site struct {
+// engineState is an engine in a draft.
+type engineState struct {
 	*Engine
-	// accelerators are a copy of the engine's, which the draft takes from.
-	accelerators []room
-	domain       int
-	// load is the part of the demand that is taken to go there, in requests held
-	// at once.
+	// accelerators is a copy of the engine's list, from which the draft
+	// allocates.
+	accelerators []acceleratorMemory
+	// domain numbers the failure domains of the draft, from 0.
+	domain int
+	// load is the part of the demand that is assigned to the engine, in
+	// concurrent requests.
 	load float64
-	// held is how many copies are there, or will be.
-	held int
+	// copyCount is how many copies the engine holds, loads or will load by this
+	// draft.
+	copyCount int
 }
 
-// limit returns the load up to which requests meet their goals.
-func (s *site) limit(o Options) float64 {
-	return s.slots * o.Utilization
+// goalCapacity returns the load up to which requests are assumed to meet their
+// goals.
+func (s *engineState) goalCapacity(o Options) float64 {
+	return s.slots * o.TargetUtilization
 }
 
 // model is a declared model in a draft.
 type model struct {
 	declared declaration.Model
 	adapters []adapter
-	// adapterBytes is what all adapters take of each accelerator of a copy.
+	// adapterBytes is what all adapters together take of each accelerator of a
+	// copy.
 	adapterBytes int64
-	floor        requirement
-	wanted       requirement
-	// share is the greatest weight, and priority the first priority, of the
-	// services that use the model.
+	// floor is the minimum coverage in the preset, and redundant the coverage
+	// that also survives the losses that the preset tolerates.
+	floor     coverage
+	redundant coverage
+	// share is the highest weight of the services that use the model, and
+	// priority is their most urgent priority.
 	share    float64
 	priority int
-	// rising and keeping are the loads of the model with its adapters.
-	rising, keeping float64
-	places          []place
-	// troubled means that a need of the model cannot be met.
-	troubled bool
+	// scaleUpLoad and retainedLoad are the loads of the model including its
+	// adapters, see demand.Estimate.
+	scaleUpLoad, retainedLoad float64
+	copies                    []placedCopy
+	// problemReported means that draft.problems has an entry for the model.
+	problemReported bool
 }
 
 // adapter is a declared adapter in a draft.
 type adapter struct {
-	name            string
-	bytes           int64
-	rising, keeping float64
+	name                      string
+	bytes                     int64
+	scaleUpLoad, retainedLoad float64
 }
 
-// requirement is a number of copies, in so many failure domains.
-type requirement struct {
+// coverage is a number of engines with a copy, and how many failure domains
+// they are in.
+type coverage struct {
 	copies, domains int
 }
 
-// place is a copy of a model at a site.
-type place struct {
-	copied
-	site int
-	// load is the part of the site's load that this copy brings.
+// placedCopy is a copy of a model in a draft, present or planned.
+type placedCopy struct {
+	modelCopy
+	// engine is an index of draft.engines.
+	engine int
+	// load is the part of the engine's load that this copy serves.
 	load float64
-	// promised is the memory that is kept for adapters beside the copy, on each
-	// of its accelerators. It counts as taken.
-	promised int64
+	// adapterReserve is the memory that is reserved for adapters that are not
+	// loaded beside the copy yet, on each of its accelerators. It counts as
+	// allocated.
+	adapterReserve int64
 }
 
-// newDraft gathers what is.
+// newDraft returns a draft of the input without any moves.
 func newDraft(now time.Time, options Options, in Input) *draft {
 	d := &draft{
-		now:     now,
-		options: options,
-		in:      in,
-		index:   map[string]int{},
-		weight:  in.Preset.WeightOfMoves,
-		since:   map[need]time.Time{},
-		avoided: make(map[Avoided]bool, len(in.Avoid)),
+		now:           now,
+		options:       options,
+		in:            in,
+		modelIndex:    map[string]int{},
+		weightOfMoves: in.Preset.WeightOfMoves,
+		unmetSince:    map[need]time.Time{},
+		avoided:       make(map[Avoided]bool, len(in.Avoid)),
 	}
 	for _, a := range in.Avoid {
 		d.avoided[a] = true
 	}
-	if d.weight < 0 {
-		d.weight = in.WeightOfMoves
+	if d.weightOfMoves < 0 {
+		d.weightOfMoves = in.WeightOfMoves
 	}
 	d.readEngines()
 	d.readModels()
 	d.readServices()
 	d.readDemand()
 	d.readCopies()
-	d.spread(func(p *place) bool {
-		return d.sites[p.site].standing == Serving && serves(p.phase)
+	d.distributeLoad(func(p *placedCopy) bool {
+		return d.engines[p.engine].status == Serving && serves(p.phase)
 	})
-	d.servedNow = d.served()
-	d.spread(d.usable)
+	d.currentlyServed = d.servedLoad()
+	d.distributeLoad(d.servesOrLoads)
 	return d
 }
 
 func (d *draft) readEngines() {
-	domains := map[string]int{}
-	used := map[int]bool{}
-	d.sites = make([]site, len(d.in.Engines))
-	var total int64
+	domainIndexes := map[string]int{}
+	usableDomains := map[int]bool{}
+	d.engines = make([]engineState, len(d.in.Engines))
+	var totalBytes int64
 	for i := range d.in.Engines {
 		e := &d.in.Engines[i]
-		domain, known := domains[e.failureDomain]
+		domain, known := domainIndexes[e.failureDomain]
 		if !known {
-			domain = len(domains)
-			domains[e.failureDomain] = domain
+			domain = len(domainIndexes)
+			domainIndexes[e.failureDomain] = domain
 		}
-		d.sites[i] = site{Engine: e, accelerators: slices.Clone(e.accelerators), domain: domain}
-		if !e.ordered {
+		d.engines[i] = engineState{Engine: e, accelerators: slices.Clone(e.accelerators), domain: domain}
+		if !e.acceptsOrders {
 			continue
 		}
-		used[domain] = true
+		usableDomains[domain] = true
 		for _, a := range e.accelerators {
-			total += a.memory
-			d.free += a.free
-			d.later += a.later
+			totalBytes += a.total
+			d.freeBytes += a.free
+			d.laterFreeBytes += a.laterFree
 		}
 	}
-	d.domains = len(used)
-	d.reserve = total / 100 * int64(d.in.Preset.ReservePercent)
+	d.domainCount = len(usableDomains)
+	d.reserveBytes = totalBytes / 100 * int64(d.in.Preset.ReservePercent)
 }
 
 func (d *draft) readModels() {
@@ -167,26 +183,27 @@
 		floor := d.in.Preset.Floor(m.Name)
 		d.models[i] = model{
 			declared: m,
-			floor:    requirement{copies: floor.Copies, domains: min(floor.FailureDomains, d.domains)},
+			floor:    coverage{copies: floor.Copies, domains: min(floor.FailureDomains, d.domainCount)},
 			share:    1,
 			priority: math.MaxInt,
 		}
-		d.models[i].wanted = d.withLosses(d.models[i].floor)
-		d.index[m.Name] = i
+		d.models[i].redundant = d.withRedundancy(d.models[i].floor)
+		d.modelIndex[m.Name] = i
 	}
 	for _, a := range d.in.Declarations.Adapters() {
-		if i, known := d.index[a.Model]; known {
+		if i, known := d.modelIndex[a.Model]; known {
 			d.models[i].adapters = append(d.models[i].adapters, adapter{name: a.Name, bytes: int64(a.Memory)})
 			d.models[i].adapterBytes += int64(a.Memory)
 		}
 	}
 }
 
-// withLosses returns what is left of the floor or more after the losses that the
-// preset tolerates: one copy at least.
-func (d *draft) withLosses(floor requirement) requirement {
-	domains := min(max(floor.domains, 1+d.in.Preset.TolerateFailureDomains), max(d.domains, 1))
-	return requirement{
+// withRedundancy raises the floor so that at least one copy is left after the
+// losses that the preset tolerates. It requires no more failure domains than
+// there are.
+func (d *draft) withRedundancy(floor coverage) coverage {
+	domains := min(max(floor.domains, 1+d.in.Preset.TolerateFailureDomains), max(d.domainCount, 1))
+	return coverage{
 		copies:  max(floor.copies, 1+d.in.Preset.TolerateEngines, domains),
 		domains: domains,
 	}
@@ -196,7 +213,7 @@
 	for _, s := range d.in.Declarations.Services() {
 		share := d.in.Preset.Share(s.Name)
 		for _, name := range s.Models {
-			i, known := d.index[name]
+			i, known := d.modelIndex[name]
 			if !known {
 				continue
 			}
@@ -212,67 +229,67 @@
 
 func (d *draft) readDemand() {
 	for _, e := range d.in.Demand {
-		i, known := d.index[e.Target.Model]
+		i, known := d.modelIndex[e.Target.Model]
 		if !known {
 			continue
 		}
 		m := &d.models[i]
-		m.rising += e.Rising(d.weight)
-		m.keeping += e.Keeping()
-		at, found := slices.BinarySearchFunc(m.adapters, e.Target.Adapter, func(a adapter, name string) int {
+		m.scaleUpLoad += e.ScaleUpLoad(d.weightOfMoves)
+		m.retainedLoad += e.RetainedLoad()
+		j, found := slices.BinarySearchFunc(m.adapters, e.Target.Adapter, func(a adapter, name string) int {
 			return strings.Compare(a.name, name)
 		})
 		if found {
-			m.adapters[at].rising += e.Rising(d.weight)
-			m.adapters[at].keeping += e.Keeping()
+			m.adapters[j].scaleUpLoad += e.ScaleUpLoad(d.weightOfMoves)
+			m.adapters[j].retainedLoad += e.RetainedLoad()
 		}
 	}
 }
 
 func (d *draft) readCopies() {
-	for i := range d.sites {
-		s := &d.sites[i]
-		if s.standing == Lost {
+	for i := range d.engines {
+		s := &d.engines[i]
+		if s.status == Lost {
 			continue
 		}
 		for _, c := range s.copies {
-			at, known := d.index[c.model]
+			j, known := d.modelIndex[c.model]
 			if !known {
 				continue
 			}
 			c.adapters = slices.Clone(c.adapters)
-			s.held++
-			m := &d.models[at]
-			m.places = append(m.places, place{copied: c, site: i})
-			d.promise(m, &m.places[len(m.places)-1])
+			s.copyCount++
+			m := &d.models[j]
+			m.copies = append(m.copies, placedCopy{modelCopy: c, engine: i})
+			d.reserveForAdapters(m, &m.copies[len(m.copies)-1])
 		}
 	}
 }
 
-// promise keeps memory for the adapters that are not beside the copy yet, so that
-// no other copy takes it before they can be loaded. If less is free, it keeps
-// that.
-func (d *draft) promise(m *model, p *place) {
-	s := &d.sites[p.site]
-	if !s.ordered || !s.adapters || p.version != m.declared.Version || p.phase == PhaseGoing || m.adapterBytes == 0 {
+// reserveForAdapters reserves memory for the adapters that are not loaded
+// beside the copy yet, so that no other copy takes it first. If less memory is
+// free, it reserves that.
+func (d *draft) reserveForAdapters(m *model, p *placedCopy) {
+	s := &d.engines[p.engine]
+	if !s.acceptsOrders || !s.supportsAdapters || p.version != m.declared.Version || p.phase == PhaseUnloading || m.adapterBytes == 0 {
 		return
 	}
 	missing := m.adapterBytes
 	for _, a := range p.adapters {
 		missing -= m.bytesOf(a.name)
 	}
-	picked := s.indices(p.accelerators)
-	for _, a := range picked {
-		missing = min(missing, s.accelerators[a].roomFor(false))
+	indexes := s.acceleratorIndexes(p.accelerators)
+	for _, a := range indexes {
+		missing = min(missing, s.accelerators[a].freeFor(false))
 	}
 	if missing <= 0 {
 		return
 	}
-	p.promised = missing
-	d.take(p.site, picked, missing)
+	p.adapterReserve = missing
+	d.allocate(p.engine, indexes, missing)
 }
 
-// bytesOf returns the declared size of an adapter, or 0.
+// bytesOf returns the declared size of an adapter, or 0 if it is not declared.
 func (m *model) bytesOf(adapterName string) int64 {
 	i, found := slices.BinarySearchFunc(m.adapters, adapterName, func(a adapter, name string) int {
 		return strings.Compare(a.name, name)
@@ -283,58 +300,59 @@
 	return m.adapters[i].bytes
 }
 
-// indices returns the accelerators of those names.
-func (s *site) indices(names []string) []int {
-	picked := make([]int, 0, len(names))
+// acceleratorIndexes returns the indexes of the accelerators with these names.
+func (s *engineState) acceleratorIndexes(names []string) []int {
+	indexes := make([]int, 0, len(names))
 	for a := range s.accelerators {
 		if slices.Contains(names, s.accelerators[a].name) {
-			picked = append(picked, a)
+			indexes = append(indexes, a)
 		}
 	}
-	return picked
+	return indexes
 }
 
-// avoids tells whether a load failed at the site lately. An engine that fails a
-// load every time would otherwise be asked for it every second, while another
-// engine could do it.
-func (d *draft) avoids(site int, model, adapterName string) bool {
-	return len(d.avoided) > 0 && d.avoided[Avoided{Engine: d.sites[site].name, Model: model, Adapter: adapterName}]
+// isAvoided reports whether Input.Avoid lists the load. Without that list, an
+// engine on which a load always fails would be ordered to repeat it every
+// second, while another engine could do it.
+func (d *draft) isAvoided(engine int, model, adapterName string) bool {
+	return len(d.avoided) > 0 && d.avoided[Avoided{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
 }
 
-// settled tells whether a need has lasted long enough to be met, and keeps since
-// when it has.
-func (d *draft) settled(n need) bool {
-	since, known := d.in.Previous.since[n]
+// isDue reports whether a need has persisted long enough to be met, and records
+// since when it has. In the first plan of a leader, every need is due.
+func (d *draft) isDue(n need) bool {
+	firstSeen, known := d.in.Previous.unmetSince[n]
 	if !known {
-		since = d.now
+		firstSeen = d.now
 	}
-	d.since[n] = since
-	patience := d.options.Patience
+	d.unmetSince[n] = firstSeen
+	window := d.options.StabilizationWindow
 	switch n.tier {
 	case tierUnreachable:
 		return true
 	case tierDemand:
-		patience = time.Duration(float64(patience) * min(d.weight, mostPatience))
+		window = time.Duration(float64(window) * min(d.weightOfMoves, maxWindowFactor))
 	default:
 	}
-	return d.in.Previous.at.IsZero() || d.now.Sub(since) >= patience
+	return d.in.Previous.plannedAt.IsZero() || d.now.Sub(firstSeen) >= window
 }
 
-// mostPatience is how many times the patience a need of tierDemand waits at most.
-// Below that, it waits as many times as moves weigh.
-const mostPatience = 3
+// maxWindowFactor limits how many stabilization windows a need of tierDemand
+// must persist. Below the limit, the number of windows is the weight of moves.
+const maxWindowFactor = 3
 
-// counts tells whether a place counts for a tier. What is in doubt or unproved
-// is enough in one direction only: a doubtful load must not keep a model
-// unreachable, and must not be ordered a second time for a mere floor.
-func (d *draft) counts(p *place, t tier) bool {
-	if d.sites[p.site].standing != Serving {
+// countsFor reports whether a copy counts for a tier. A load whose answer was
+// lost does not make a model reachable, but counts for later tiers, so that it
+// is not ordered a second time for them. A copy on an inconsistent engine
+// counts for tierUnreachable only.
+func (d *draft) countsFor(p *placedCopy, t tier) bool {
+	if d.engines[p.engine].status != Serving {
 		return false
 	}
 	switch p.phase {
-	case PhaseReady, PhaseComing, PhasePlanned:
+	case PhaseReady, PhaseLoading, PhasePlanned:
 		return true
-	case PhaseUnproved:
+	case PhaseUnverified:
 		return t == tierUnreachable
 	case PhaseDoubtful:
 		return t != tierUnreachable
@@ -343,60 +361,62 @@
 	}
 }
 
-// have returns in how many sites and failure domains the model has places that
-// count for the tier.
-func (d *draft) have(m *model, t tier) requirement {
-	return d.tally(m, func(p *place) bool { return d.counts(p, t) })
+// coverageFor returns the coverage of the model by copies that count for the
+// tier.
+func (d *draft) coverageFor(m *model, t tier) coverage {
+	return d.coverageOf(m, func(p *placedCopy) bool { return d.countsFor(p, t) })
 }
 
-// proved returns in how many other sites and failure domains than at the site
-// the model can be reached for certain, whatever open orders do.
-func (d *draft) proved(m *model, except int) requirement {
-	return d.tally(m, func(p *place) bool { return p.site != except && d.certain(p) })
+// stableCoverageExcept returns the coverage of the model by stable copies on
+// other engines.
+func (d *draft) stableCoverageExcept(m *model, exceptEngine int) coverage {
+	return d.coverageOf(m, func(p *placedCopy) bool { return p.engine != exceptEngine && d.isStable(p) })
 }
 
-// certain tells whether the place serves now, and goes on whatever open orders
-// do.
-func (d *draft) certain(p *place) bool {
-	s := &d.sites[p.site]
-	return s.standing == Serving && s.proved && p.phase == PhaseReady && !p.versionChanging
+// isStable reports whether the copy serves now and goes on serving whatever
+// becomes of the open orders.
+func (d *draft) isStable(p *placedCopy) bool {
+	s := &d.engines[p.engine]
+	return s.status == Serving && s.consistent && p.phase == PhaseReady && !p.changingVersion
 }
 
-// tally counts the sites and failure domains of the places that pass.
-func (d *draft) tally(m *model, passes func(p *place) bool) requirement {
-	var sites, domains [32]int
-	seenSites, seenDomains := sites[:0], domains[:0]
-	for i := range m.places {
-		p := &m.places[i]
-		if !passes(p) || slices.Contains(seenSites, p.site) {
+// coverageOf returns the coverage by the copies that pass.
+func (d *draft) coverageOf(m *model, passes func(p *placedCopy) bool) coverage {
+	var engineSpace, domainSpace [32]int
+	seenEngines, seenDomains := engineSpace[:0], domainSpace[:0]
+	for i := range m.copies {
+		p := &m.copies[i]
+		if !passes(p) || slices.Contains(seenEngines, p.engine) {
 			continue
 		}
-		seenSites = append(seenSites, p.site)
-		if domain := d.sites[p.site].domain; !slices.Contains(seenDomains, domain) {
+		seenEngines = append(seenEngines, p.engine)
+		if domain := d.engines[p.engine].domain; !slices.Contains(seenDomains, domain) {
 			seenDomains = append(seenDomains, domain)
 		}
 	}
-	return requirement{copies: len(seenSites), domains: len(seenDomains)}
+	return coverage{copies: len(seenEngines), domains: len(seenDomains)}
 }
 
-// requirementOf returns what the tier asks for the model.
-func (m *model) requirementOf(t tier) requirement {
+// requiredCoverage returns the coverage that the tier requires for the model.
+func (m *model) requiredCoverage(t tier) coverage {
 	switch t {
 	case tierUnreachable:
-		return requirement{copies: 1, domains: 1}
+		return coverage{copies: 1, domains: 1}
 	case tierFloor:
 		return m.floor
 	default:
-		return m.wanted
+		return m.redundant
 	}
 }
 
-// moveCost returns what one load costs: all slots of its accelerators for as long
-// as it lasts. It stands for the requests that it slows down, the memory that
-// serves nobody meanwhile, and a prefix cache that begins cold.
-func (d *draft) moveCost(accelerators int) float64 {
+// loadCost returns the cost of loading a model, in slot-seconds: all slots of
+// its accelerators for the duration of the load. This accounts for the requests
+// that the load slows down, the memory that serves nothing meanwhile, and the
+// prefix cache that starts cold.
+func (d *draft) loadCost(accelerators int) float64 {
 	return d.options.LoadTime.Seconds() * DefaultSlots * float64(accelerators)
 }
 
-// unloadPart is the cost of an unload as a part of a load's.
-const unloadPart = 0.25
+// unloadCostFactor is the cost of an unload as a fraction of the cost of a
+// load.
+const unloadCostFactor = 0.25
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -7,93 +7,99 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Standing says whether an engine serves requests.
-type Standing int
+// Status is whether an engine serves requests.
+type Status int
 
-// The standings.
+// Statuses of engines.
 const (
-	// Serving means that its announcement lease holds.
-	Serving Standing = iota
-	// Leaving means that it has announced its stop: what it holds goes with it.
-	Leaving
-	// Lost means that its lease has run out.
+	// Serving means that the announcement lease is valid.
+	Serving Status = iota
+	// Stopping means that the engine has announced its shutdown. What it holds
+	// will be gone then.
+	Stopping
+	// Lost means that the announcement lease has expired.
 	Lost
 )
 
-// DefaultSlots is how many requests one accelerator runs at once, if its engine
-// does not say.
+// DefaultSlots is how many requests one accelerator runs concurrently if its
+// engine does not announce a limit.
 const DefaultSlots = 16
 
-// Engine is what a plan knows of one engine. It is an immutable value and is
-// costly to make, so keep it until the announcement or the ledger changes.
+// Engine is the state of one engine in the input of a plan. It is immutable.
+// NewEngine is costly, so keep the value until the announcement or the ledger
+// changes.
 type Engine struct {
 	name          string
 	failureDomain string
-	standing      Standing
-	// ordered means that it takes orders, and that its reports do not contradict
-	// its ledger.
-	ordered bool
-	// proved means that its reports do not contradict its ledger. What it holds
-	// otherwise serves as long as it does, but proves nothing.
-	proved bool
-	// takesOrders means that it has announced that it takes any.
-	takesOrders bool
-	// adapters and versions are whether it takes orders for them.
-	adapters, versions bool
-	// slots is how many requests it runs at once.
+	status        Status
+	// acceptsOrders means that the engine is serving, supports orders and is
+	// consistent.
+	acceptsOrders bool
+	// consistent means that the engine has reported, and that its reports do
+	// not contradict its ledger. The copies on an inconsistent engine may serve
+	// requests, but no other copy is removed because of them.
+	consistent bool
+	// supportsOrders means that the engine announces that it takes orders at
+	// all.
+	supportsOrders bool
+	// supportsAdapters and supportsVersionChanges are the same for orders that
+	// load adapters and that change versions.
+	supportsAdapters, supportsVersionChanges bool
+	// slots is how many requests the engine runs concurrently.
 	slots        float64
-	accelerators []room
-	copies       []copied
-	// loading is how many open orders load something.
-	loading int
+	accelerators []acceleratorMemory
+	copies       []modelCopy
+	// openLoads is how many open orders load something.
+	openLoads int
 }
 
-// room is the memory of one accelerator.
-type room struct {
-	name   string
-	memory int64
-	// free is what the ledger lets an order take now.
+// acceleratorMemory is the memory of one accelerator, in bytes.
+type acceleratorMemory struct {
+	name  string
+	total int64
+	// free is how much a new order may take now, according to the ledger.
 	free int64
-	// later is free, with what open unloads will give back.
-	later int64
+	// laterFree is free plus the memory that open orders will release.
+	laterFree int64
 }
 
-// copied is one copy of a version of a model.
-type copied struct {
+// modelCopy is a copy of one version of a model on an engine. It takes bytes of
+// each of its accelerators.
+type modelCopy struct {
 	model, version string
 	accelerators   []string
 	bytes          int64
 	phase          Phase
-	// versionChanging means that an open order replaces the version. One of the
-	// two serves at any time.
-	versionChanging bool
-	adapters        []loaded
+	// changingVersion means that an open order replaces the version. Either the
+	// old or the new version serves at any time.
+	changingVersion bool
+	adapters        []adapterCopy
 }
 
-// loaded is an adapter beside a copy.
-type loaded struct {
+// adapterCopy is an adapter that is loaded beside a copy of its model.
+type adapterCopy struct {
 	name  string
 	phase Phase
 	bytes int64
 }
 
-// NewEngine returns the engine that announces itself so and has that ledger.
-func NewEngine(a upstreamapi.Announcement, l ledger.Ledger, standing Standing) Engine {
+// NewEngine returns the state of the engine with this announcement and ledger.
+func NewEngine(a upstreamapi.Announcement, l ledger.Ledger, standing Status) Engine {
 	e := Engine{
-		name:          a.Name,
-		failureDomain: a.FailureDomain,
-		standing:      standing,
-		proved:        len(l.Contradictions()) == 0 && l.Incarnation() != 0,
-		takesOrders:   a.Has(upstreamapi.CapabilityOrders),
-		adapters:      a.Has(upstreamapi.CapabilityAdapters),
-		versions:      a.Has(upstreamapi.CapabilityVersions),
-		slots:         float64(a.Load.MaxRunning),
+		name:                   a.Name,
+		failureDomain:          a.FailureDomain,
+		status:                 standing,
+		consistent:             len(l.Contradictions()) == 0 && l.Incarnation() != 0,
+		supportsOrders:         a.Has(upstreamapi.CapabilityOrders),
+		supportsAdapters:       a.Has(upstreamapi.CapabilityAdapters),
+		supportsVersionChanges: a.Has(upstreamapi.CapabilityVersions),
+		slots:                  float64(a.Load.MaxRunning),
 	}
-	e.ordered = e.proved && e.takesOrders && standing == Serving
+	e.acceptsOrders = e.consistent && e.supportsOrders && standing == Serving
 	for _, name := range l.Accelerators() {
 		account, _ := l.Account(name)
 		free := max(account.Free(), 0)
-		e.accelerators = append(e.accelerators, room{name: name, memory: account.Memory, free: free, later: free})
+		e.accelerators = append(e.accelerators, acceleratorMemory{name: name, total: account.Memory, free: free, laterFree: free})
 	}
 	if e.slots == 0 {
 		e.slots = float64(DefaultSlots * len(e.accelerators))
@@ -103,24 +109,24 @@
 	return e
 }
 
-// WithStanding returns the engine with another standing.
-func (e Engine) WithStanding(standing Standing) Engine {
-	e.standing = standing
-	e.ordered = e.proved && e.takesOrders && standing == Serving
+// WithStatus returns a copy of the engine with another status.
+func (e Engine) WithStatus(standing Status) Engine {
+	e.status = standing
+	e.acceptsOrders = e.consistent && e.supportsOrders && standing == Serving
 	return e
 }
 
 // Name returns the engine's name.
 func (e Engine) Name() string { return e.name }
 
-// readCopies takes what the engine holds. If its reports contradict the ledger,
-// it is what it announces, as PhaseUnproved.
+// readCopies reads what the engine holds: from its ledger, or from its
+// announcement as PhaseUnverified if the engine is not consistent.
 func (e *Engine) readCopies(a upstreamapi.Announcement, l ledger.Ledger) {
-	if !e.proved {
+	if !e.consistent {
 		for _, r := range a.Resident {
-			c := copied{model: r.Model, version: r.Version, accelerators: r.Accelerators, bytes: r.MemoryBytes, phase: PhaseUnproved}
+			c := modelCopy{model: r.Model, version: r.Version, accelerators: r.Accelerators, bytes: r.MemoryBytes, phase: PhaseUnverified}
 			for _, name := range r.Adapters {
-				c.adapters = append(c.adapters, loaded{name: name, phase: PhaseUnproved})
+				c.adapters = append(c.adapters, adapterCopy{name: name, phase: PhaseUnverified})
 			}
 			e.copies = append(e.copies, c)
 		}
@@ -130,43 +136,44 @@
 	holdings := l.Holdings()
 	for _, h := range holdings {
 		if h.Adapter == "" {
-			e.copies = append(e.copies, e.copyOf(h, open, l))
+			e.copies = append(e.copies, e.heldCopy(h, open, l))
 		}
 	}
 	for _, h := range holdings {
-		c := e.find(h.Model, h.Version)
+		c := e.findCopy(h.Model, h.Version)
 		if h.Adapter == "" || c == nil {
 			continue
 		}
 		phase := PhaseReady
-		if order := removedBy(h, open); order != nil {
-			phase = PhaseGoing
-			e.giveBack(h, l.Doubtful(order.ID))
+		if order := removingOrder(h, open); order != nil {
+			phase = PhaseUnloading
+			e.addLaterFree(h, l.Doubtful(order.ID))
 		}
-		c.adapters = append(c.adapters, loaded{name: h.Adapter, phase: phase, bytes: h.Bytes})
+		c.adapters = append(c.adapters, adapterCopy{name: h.Adapter, phase: phase, bytes: h.Bytes})
 	}
 }
 
-// copyOf returns a model that the engine holds.
-func (e *Engine) copyOf(h ledger.Holding, open []upstreamapi.Order, l ledger.Ledger) copied {
-	c := copied{model: h.Model, version: h.Version, accelerators: h.Accelerators, bytes: h.Bytes, phase: PhaseReady}
-	order := removedBy(h, open)
+// heldCopy returns the copy of a model that the ledger says is held, with the
+// effect of open orders.
+func (e *Engine) heldCopy(h ledger.Holding, open []upstreamapi.Order, l ledger.Ledger) modelCopy {
+	c := modelCopy{model: h.Model, version: h.Version, accelerators: h.Accelerators, bytes: h.Bytes, phase: PhaseReady}
+	order := removingOrder(h, open)
 	if order == nil {
 		return c
 	}
-	e.giveBack(h, l.Doubtful(order.ID))
+	e.addLaterFree(h, l.Doubtful(order.ID))
 	if order.Kind == upstreamapi.OrderChangeVersion {
-		c.versionChanging = true
+		c.changingVersion = true
 	} else {
-		c.phase = PhaseGoing
+		c.phase = PhaseUnloading
 	}
 	return c
 }
 
-// removedBy returns the first open order that may remove the holding, or nil. An
-// unload that may still take effect counts as one that does: what it removes
-// must not be the last copy.
-func removedBy(h ledger.Holding, open []upstreamapi.Order) *upstreamapi.Order {
+// removingOrder returns the first open order that may remove the holding, or
+// nil. Even an unload that may never take effect counts, because the planner
+// must not rely on the copy as the last one.
+func removingOrder(h ledger.Holding, open []upstreamapi.Order) *upstreamapi.Order {
 	i := slices.IndexFunc(open, h.RemovedBy)
 	if i < 0 {
 		return nil
@@ -174,53 +181,54 @@
 	return &open[i]
 }
 
-// giveBack counts memory that an open order will free. One whose answer was lost
-// may never do so, and nobody waits for it.
-func (e *Engine) giveBack(h ledger.Holding, doubtful bool) {
+// addLaterFree adds the memory that an open order will release. Memory of an
+// order whose answer was lost is left out: the order may never take effect, so
+// no move may wait for it.
+func (e *Engine) addLaterFree(h ledger.Holding, doubtful bool) {
 	if doubtful {
 		return
 	}
 	for i := range e.accelerators {
 		if slices.Contains(h.Accelerators, e.accelerators[i].name) {
-			e.accelerators[i].later += h.Bytes
+			e.accelerators[i].laterFree += h.Bytes
 		}
 	}
 }
 
-// readLoads takes what open orders load.
+// readLoads adds what open orders are loading.
 func (e *Engine) readLoads(l ledger.Ledger) {
 	for _, order := range l.Open() {
 		h, loads := ledger.Loads(order)
 		if !loads {
 			continue
 		}
-		e.loading++
-		phase := PhaseComing
+		e.openLoads++
+		phase := PhaseLoading
 		if l.Doubtful(order.ID) {
 			phase = PhaseDoubtful
 		}
-		c := e.find(h.Model, h.Version)
+		c := e.findCopy(h.Model, h.Version)
 		switch {
 		case h.Adapter == "" && c == nil:
-			e.copies = append(e.copies, copied{
+			e.copies = append(e.copies, modelCopy{
 				model: h.Model, version: h.Version, accelerators: h.Accelerators, bytes: h.Bytes, phase: phase,
 			})
-		case h.Adapter != "" && c != nil && c.adapter(h.Adapter) == nil:
-			c.adapters = append(c.adapters, loaded{name: h.Adapter, phase: phase, bytes: h.Bytes})
+		case h.Adapter != "" && c != nil && c.findAdapter(h.Adapter) == nil:
+			c.adapters = append(c.adapters, adapterCopy{name: h.Adapter, phase: phase, bytes: h.Bytes})
 		}
 	}
 }
 
-func (e *Engine) find(model, version string) *copied {
-	i := slices.IndexFunc(e.copies, func(c copied) bool { return c.model == model && c.version == version })
+func (e *Engine) findCopy(model, version string) *modelCopy {
+	i := slices.IndexFunc(e.copies, func(c modelCopy) bool { return c.model == model && c.version == version })
 	if i < 0 {
 		return nil
 	}
 	return &e.copies[i]
 }
 
-func (c *copied) adapter(name string) *loaded {
-	i := slices.IndexFunc(c.adapters, func(a loaded) bool { return a.name == name })
+func (c *modelCopy) findAdapter(name string) *adapterCopy {
+	i := slices.IndexFunc(c.adapters, func(a adapterCopy) bool { return a.name == name })
 	if i < 0 {
 		return nil
 	}
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -7,95 +7,98 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// victim is a copy that can be unloaded.
+// victim is a copy that can be unloaded to make room.
 type victim struct {
 	// model is an index of draft.models, or -1 if the model is not declared.
-	model int
-	place *place
-	// loss is how much less load is served without it.
-	loss float64
+	model  int
+	placed *placedCopy
+	// lostLoad is how much less load is served without the copy, weighted by
+	// the share of the model.
+	lostLoad float64
 }
 
-// removable returns the copies at the site that a need of the tier may take
-// memory from.
+// victimsAt returns the copies on the engine that a need of the tier may evict,
+// in the order of their lost load.
 //
-// A copy may go only if the model, and each adapter beside it, can be reached
-// elsewhere for certain: what an open order may still remove does not count, and
-// neither does what is being loaded. So no model is without a reachable copy
-// because of a move, even if every answer is lost.
-func (d *draft) removable(i int, t tier) []victim {
-	s := &d.sites[i]
+// A copy may be evicted only if stable copies on other engines serve the model
+// and each adapter beside it. Copies that an open order may remove or is still
+// loading do not count, so no move makes a model unreachable, even if every
+// answer to an order is lost.
+func (d *draft) victimsAt(i int, t tier) []victim {
+	s := &d.engines[i]
 	var victims []victim
 	for c := range s.copies {
-		at, known := d.index[s.copies[c].model]
+		j, known := d.modelIndex[s.copies[c].model]
 		if !known {
-			if s.copies[c].phase == PhaseReady && !d.planned(s.name, &s.copies[c]) {
-				victims = append(victims, victim{model: -1, place: &place{copied: s.copies[c], site: i}})
+			if s.copies[c].phase == PhaseReady && !d.unloadPlanned(s.name, &s.copies[c]) {
+				victims = append(victims, victim{model: -1, placed: &placedCopy{modelCopy: s.copies[c], engine: i}})
 			}
 			continue
 		}
-		m := &d.models[at]
-		p := m.find(i, s.copies[c].version)
-		if p == nil || !d.mayGo(m, p, t) {
+		m := &d.models[j]
+		p := m.copyAt(i, s.copies[c].version)
+		if p == nil || !d.canRemove(m, p, t) {
 			continue
 		}
-		victims = append(victims, victim{model: at, place: p, loss: d.lossOf(m, p)})
+		victims = append(victims, victim{model: j, placed: p, lostLoad: d.lossWithout(m, p)})
 	}
 	slices.SortStableFunc(victims, func(a, b victim) int {
-		return cmp.Or(a.compare(b), cmp.Compare(b.place.bytes, a.place.bytes))
+		return cmp.Or(a.compare(b), cmp.Compare(b.placed.bytes, a.placed.bytes))
 	})
 	return victims
 }
 
-// compare orders victims by their loss. Of equal ones, those that nobody declares
-// go first.
+// compare orders victims by their lost load, and those with the same lost load
+// with undeclared models first.
 func (v victim) compare(other victim) int {
-	return cmp.Or(cmp.Compare(v.loss, other.loss), cmp.Compare(v.declared(), other.declared()))
+	return cmp.Or(cmp.Compare(v.lostLoad, other.lostLoad), cmp.Compare(v.declaredCount(), other.declaredCount()))
 }
 
-// declared returns 1 if the model is declared, otherwise 0.
-func (v victim) declared() int {
+// declaredCount returns 1 if the model is declared, otherwise 0.
+func (v victim) declaredCount() int {
 	if v.model < 0 {
 		return 0
 	}
 	return 1
 }
 
-// planned tells whether an unload of the copy is in the draft already.
-func (d *draft) planned(engine string, c *copied) bool {
-	return slices.ContainsFunc(d.wants, func(w want) bool {
-		return w.move.Engine == engine && w.move.Order.Kind == upstreamapi.OrderUnloadModel &&
-			w.move.Order.Model == c.model && w.move.Order.Version == c.version
+// unloadPlanned reports whether the draft already has an unload of the copy.
+func (d *draft) unloadPlanned(engine string, c *modelCopy) bool {
+	return slices.ContainsFunc(d.moves, func(ranked rankedMove) bool {
+		return ranked.move.Engine == engine && ranked.move.Order.Kind == upstreamapi.OrderUnloadModel &&
+			ranked.move.Order.Model == c.model && ranked.move.Order.Version == c.version
 	})
 }
 
-func (m *model) find(site int, version string) *place {
-	for i := range m.places {
-		if m.places[i].site == site && m.places[i].version == version {
-			return &m.places[i]
+func (m *model) copyAt(engine int, version string) *placedCopy {
+	for i := range m.copies {
+		if m.copies[i].engine == engine && m.copies[i].version == version {
+			return &m.copies[i]
 		}
 	}
 	return nil
 }
 
-// mayGo tells whether a copy may go for a need of the tier.
-func (d *draft) mayGo(m *model, p *place, t tier) bool {
-	if p.phase != PhaseReady || p.versionChanging || !d.sites[p.site].ordered {
+// canRemove reports whether a need of the tier may remove the copy: stable
+// copies on other engines must leave the coverage that the tier protects, and
+// serve each adapter of the copy.
+func (d *draft) canRemove(m *model, p *placedCopy, t tier) bool {
+	if p.phase != PhaseReady || p.changingVersion || !d.engines[p.engine].acceptsOrders {
 		return false
 	}
-	left := d.proved(m, p.site)
-	keep := requirement{copies: 1, domains: 1}
+	remaining := d.stableCoverageExcept(m, p.engine)
+	required := coverage{copies: 1, domains: 1}
 	switch {
 	case t == tierFloor:
-		keep = m.floor
-	case t >= tierLosses:
-		keep = m.wanted
+		required = m.floor
+	case t >= tierRedundancy:
+		required = m.redundant
 	}
-	if left.copies < max(keep.copies, 1) || left.domains < max(keep.domains, 1) {
+	if remaining.copies < max(required.copies, 1) || remaining.domains < max(required.domains, 1) {
 		return false
 	}
 	for _, a := range p.adapters {
-		if a.phase == PhaseReady && m.declares(a.name) && !d.adapterElsewhere(m, a.name, p.site) {
+		if a.phase == PhaseReady && m.declares(a.name) && !d.servesAdapterElsewhere(m, a.name, p.engine) {
 			return false
 		}
 	}
@@ -106,98 +109,99 @@
 	return slices.ContainsFunc(m.adapters, func(a adapter) bool { return a.name == adapterName })
 }
 
-// adapterElsewhere tells whether the adapter can be reached at another site for
-// certain.
-func (d *draft) adapterElsewhere(m *model, name string, except int) bool {
-	for i := range m.places {
-		p := &m.places[i]
-		if p.site == except || !d.certain(p) {
+// servesAdapterElsewhere reports whether a stable copy on another engine has
+// the adapter beside it.
+func (d *draft) servesAdapterElsewhere(m *model, name string, exceptEngine int) bool {
+	for i := range m.copies {
+		p := &m.copies[i]
+		if p.engine == exceptEngine || !d.isStable(p) {
 			continue
 		}
-		if a := p.adapter(name); a != nil && a.phase == PhaseReady {
+		if a := p.findAdapter(name); a != nil && a.phase == PhaseReady {
 			return true
 		}
 	}
 	return false
 }
 
-// lossOf returns how much of the copy's load the model's other copies could not
-// serve.
-func (d *draft) lossOf(m *model, p *place) float64 {
+// lossWithout returns how much of the copy's load the model's other copies
+// could not serve, weighted by the share of the model.
+func (d *draft) lossWithout(m *model, p *placedCopy) float64 {
 	load := p.load
-	if m.rising > 0 {
-		load *= max(m.keeping/m.rising, 1)
+	if m.scaleUpLoad > 0 {
+		load *= max(m.retainedLoad/m.scaleUpLoad, 1)
 	} else {
-		load = max(load, m.keeping/float64(max(len(m.places), 1)))
+		load = max(load, m.retainedLoad/float64(max(len(m.copies), 1)))
 	}
-	for i := range m.places {
-		other := &m.places[i]
-		if other.site != p.site && d.certain(other) {
-			s := &d.sites[other.site]
-			load -= max(s.limit(d.options)-s.load, 0)
+	for i := range m.copies {
+		other := &m.copies[i]
+		if other.engine != p.engine && d.isStable(other) {
+			s := &d.engines[other.engine]
+			load -= max(s.goalCapacity(d.options)-s.load, 0)
 		}
 	}
 	return max(load, 0) * m.share
 }
 
-// eviction is a way to make room.
+// eviction is a candidate for a copy, with the victims to unload for it.
 type eviction struct {
-	option  option
-	victims []victim
-	loss    float64
-	// value is the load that is served more, or less if it is below 0.
-	value float64
+	candidate candidate
+	victims   []victim
+	lostLoad  float64
+	// netGain is the load that is served more after the eviction, negative if
+	// it is less, weighted by the shares of the models.
+	netGain float64
 }
 
-// better tells whether e gains more than other, or as much with fewer unloads of
-// what is declared, or with fewer unloads at all.
+// better reports whether e has a higher net gain than other, or the same with
+// fewer unloads of declared models, or the same again with fewer unloads.
 func (e eviction) better(other eviction) bool {
-	declared, others := 0, 0
+	declaredHere, declaredOther := 0, 0
 	for _, v := range e.victims {
-		declared += v.declared()
+		declaredHere += v.declaredCount()
 	}
 	for _, v := range other.victims {
-		others += v.declared()
+		declaredOther += v.declaredCount()
 	}
 	return cmp.Or(
-		cmp.Compare(e.value, other.value), cmp.Compare(others, declared), cmp.Compare(len(other.victims), len(e.victims)),
+		cmp.Compare(e.netGain, other.netGain), cmp.Compare(declaredOther, declaredHere), cmp.Compare(len(other.victims), len(e.victims)),
 	) > 0
 }
 
-// makeRoom plans the unloads with the least loss that make room for a copy, and
-// the copy to follow. If there are none, makeRoom returns false.
+// makeRoom plans the best eviction for a copy, and the load that follows it. It
+// returns false if there is none.
 func (d *draft) makeRoom(q search) bool {
 	found, ok := d.bestEviction(q)
 	if !ok {
 		return false
 	}
-	d.evict(q.model, found, q.tier, 0)
+	d.planEviction(q.model, found, q.tier, 0)
 	return true
 }
 
-// evict plans an eviction, and the copy to follow.
-func (d *draft) evict(m *model, e eviction, t tier, gain float64) {
+// planEviction plans the unloads of an eviction and the load that follows them.
+func (d *draft) planEviction(m *model, e eviction, t tier, gain float64) {
 	for _, v := range e.victims {
-		d.unload(v, t, m.declared.Name, m)
+		d.planUnload(v, t, m.declared.Name, m)
 	}
-	d.load(m, e.option, t, gain, nil)
+	d.planLoad(m, e.candidate, t, gain, nil)
 }
 
 func (d *draft) bestEviction(q search) (eviction, bool) {
 	var found eviction
 	ok := false
-	for i := range d.sites {
-		s := &d.sites[i]
-		if d.closed(q, i) || q.newDomain && d.inDomain(q, s.domain) {
+	for i := range d.engines {
+		s := &d.engines[i]
+		if d.isExcluded(q, i) || q.requireNewDomain && d.coversDomain(q, s.domain) {
 			continue
 		}
-		victims := d.removable(i, q.tier)
+		victims := d.victimsAt(i, q.tier)
 		if len(victims) == 0 {
 			continue
 		}
-		for _, sh := range q.model.shapes(false) {
-			e, fits := d.evictionAt(i, sh, victims, q.tier)
-			e.value = min(q.relief, max(s.limit(d.options)-s.load, 0))*q.model.share - e.loss
+		for _, f := range q.model.footprints(false) {
+			e, fits := d.evictionAt(i, f, victims, q.tier)
+			e.netGain = min(q.excessLoad, max(s.goalCapacity(d.options)-s.load, 0))*q.model.share - e.lostLoad
 			if fits && (!ok || e.better(found)) {
 				found, ok = e, true
 			}
@@ -206,20 +210,21 @@
 	return found, ok
 }
 
-// evictionAt takes victims, those with the least loss first, until enough
-// accelerators have room.
-func (d *draft) evictionAt(i int, sh shape, victims []victim, t tier) (eviction, bool) {
-	s := &d.sites[i]
-	later := make([]int64, len(s.accelerators))
+// evictionAt selects victims in the given order until enough accelerators of
+// the engine have room. It returns false if they never do, or if the reserve
+// would be used up.
+func (d *draft) evictionAt(i int, f footprint, victims []victim, t tier) (eviction, bool) {
+	s := &d.engines[i]
+	laterFree := make([]int64, len(s.accelerators))
 	for a := range s.accelerators {
-		later[a] = s.accelerators[a].later
+		laterFree[a] = s.accelerators[a].laterFree
 	}
-	e := eviction{option: option{site: i, layout: sh.layout, bytes: sh.bytes, waits: true}}
+	e := eviction{candidate: candidate{engine: i, layout: f.layout, bytes: f.bytes, needsUnloads: true}}
 	freed := int64(0)
 	for _, v := range victims {
 		useful := false
 		for a := range s.accelerators {
-			if slices.Contains(v.place.accelerators, s.accelerators[a].name) && later[a] < sh.bytes {
+			if slices.Contains(v.placed.accelerators, s.accelerators[a].name) && laterFree[a] < f.bytes {
 				useful = true
 			}
 		}
@@ -227,76 +232,78 @@
 			continue
 		}
 		for a := range s.accelerators {
-			if slices.Contains(v.place.accelerators, s.accelerators[a].name) {
-				later[a] += v.place.bytes + v.place.promised
-				freed += v.place.bytes + v.place.promised
+			if slices.Contains(v.placed.accelerators, s.accelerators[a].name) {
+				laterFree[a] += v.placed.bytes + v.placed.adapterReserve
+				freed += v.placed.bytes + v.placed.adapterReserve
 			}
 		}
 		e.victims = append(e.victims, v)
-		e.loss += v.loss
-		e.option.picked = suffice(later, sh.bytes, sh.layout.Accelerators)
-		if len(e.option.picked) == sh.layout.Accelerators {
-			e = d.trimmed(i, sh, e)
-			total := sh.bytes * int64(sh.layout.Accelerators)
-			return e, t < tierLosses || d.later+freed-total >= d.reserve
+		e.lostLoad += v.lostLoad
+		e.candidate.accelerators = acceleratorsWithRoom(laterFree, f.bytes, f.layout.Accelerators)
+		if len(e.candidate.accelerators) == f.layout.Accelerators {
+			e = d.withoutUselessVictims(i, f, e)
+			totalBytes := f.bytes * int64(f.layout.Accelerators)
+			return e, t < tierRedundancy || d.laterFreeBytes+freed-totalBytes >= d.reserveBytes
 		}
 	}
 	return eviction{}, false
 }
 
-// trimmed leaves out the victims that free nothing on the accelerators that were
-// picked.
-func (d *draft) trimmed(i int, sh shape, e eviction) eviction {
-	s := &d.sites[i]
+// withoutUselessVictims drops the victims that free nothing the copy needs on
+// the selected accelerators.
+func (d *draft) withoutUselessVictims(i int, f footprint, e eviction) eviction {
+	s := &d.engines[i]
 	kept := e.victims[:0:0]
-	loss := 0.0
+	lostLoad := 0.0
 	for _, v := range e.victims {
-		helps := slices.ContainsFunc(e.option.picked, func(a int) bool {
-			return slices.Contains(v.place.accelerators, s.accelerators[a].name) && s.accelerators[a].later < sh.bytes
+		helps := slices.ContainsFunc(e.candidate.accelerators, func(a int) bool {
+			return slices.Contains(v.placed.accelerators, s.accelerators[a].name) && s.accelerators[a].laterFree < f.bytes
 		})
 		if helps {
 			kept = append(kept, v)
-			loss += v.loss
+			lostLoad += v.lostLoad
 		}
 	}
-	e.victims, e.loss = kept, loss
+	e.victims, e.lostLoad = kept, lostLoad
 	return e
 }
 
-// suffice returns count accelerators with enough room, or fewer.
-func suffice(later []int64, bytes int64, count int) []int {
-	var picked []int
-	for a := range later {
-		if later[a] >= bytes && len(picked) < count {
-			picked = append(picked, a)
+// acceleratorsWithRoom returns the first count accelerators with enough room,
+// or fewer if there are not that many.
+func acceleratorsWithRoom(laterFree []int64, bytes int64, count int) []int {
+	var indexes []int
+	for a := range laterFree {
+		if laterFree[a] >= bytes && len(indexes) < count {
+			indexes = append(indexes, a)
 		}
 	}
-	return picked
+	return indexes
 }
 
-// unload plans that a copy goes.
-func (d *draft) unload(v victim, t tier, reasonFor string, whose *model) {
-	p := v.place
-	s := &d.sites[p.site]
+// planUnload plans the unload of a copy. It makes room for the model m, whose
+// name is forModel, or refills the reserve if they are nil and empty.
+func (d *draft) planUnload(v victim, t tier, forModel string, m *model) {
+	p := v.placed
+	s := &d.engines[p.engine]
 	move := Move{
 		Engine: s.name,
 		Order: upstreamapi.Order{
 			Kind: upstreamapi.OrderUnloadModel, Model: p.model, Version: p.version,
 		},
-		Reason: t.reason(), For: reasonFor, Gain: -v.loss * d.options.Horizon.Seconds(),
-		Cost: d.moveCost(len(p.accelerators)) * unloadPart, Weight: d.weight,
+		Reason: t.reason(), For: forModel, Gain: -v.lostLoad * d.options.Horizon.Seconds(),
+		Cost: d.loadCost(len(p.accelerators)) * unloadCostFactor, Weight: d.weightOfMoves,
 	}
-	if reasonFor == "" {
+	if forModel == "" {
 		move.Reason = ReasonReserve
 	}
-	w := want{move: move, tier: t}
-	if whose != nil {
-		w.priority, w.rank = whose.priority, -whose.share*whose.rising
+	ranked := rankedMove{move: move, tier: t}
+	if m != nil {
+		ranked.priority, ranked.rank = m.priority, -m.share*m.scaleUpLoad
 	}
-	d.wants = append(d.wants, w)
-	bytes := p.bytes + p.promised
-	p.promised = 0
-	s.held--
+	d.moves = append(d.moves, ranked)
+	bytes := p.bytes + p.adapterReserve
+	p.adapterReserve = 0
+	s.copyCount--
 	for _, a := range p.adapters {
 		if a.phase == PhaseReady {
 			bytes += a.bytes
@@ -304,38 +311,38 @@
 	}
 	for a := range s.accelerators {
 		if slices.Contains(p.accelerators, s.accelerators[a].name) {
-			s.accelerators[a].later += bytes
-			d.later += bytes
+			s.accelerators[a].laterFree += bytes
+			d.laterFreeBytes += bytes
 		}
 	}
 	if v.model >= 0 {
-		p.phase = PhaseGoing
+		p.phase = PhaseUnloading
 		d.balance(&d.models[v.model])
 	}
 }
 
-// refillReserve plans unloads of copies that nothing asks for, those with the
-// least loss first, until the preset's reserve is free.
+// refillReserve plans unloads of copies that no tier requires, those with the
+// least lost load first, until the reserve of the preset is free.
 func (d *draft) refillReserve() {
-	if d.later >= d.reserve {
+	if d.laterFreeBytes >= d.reserveBytes {
 		return
 	}
-	if !d.settled(need{"", tierLosses}) {
+	if !d.isDue(need{"", tierRedundancy}) {
 		return
 	}
-	for d.later < d.reserve {
+	for d.laterFreeBytes < d.reserveBytes {
 		var found *victim
-		for i := range d.sites {
-			if !d.sites[i].ordered {
+		for i := range d.engines {
+			if !d.engines[i].acceptsOrders {
 				continue
 			}
-			if victims := d.removable(i, tierDemand); len(victims) > 0 && (found == nil || victims[0].compare(*found) < 0) {
+			if victims := d.victimsAt(i, tierDemand); len(victims) > 0 && (found == nil || victims[0].compare(*found) < 0) {
 				found = &victims[0]
 			}
 		}
 		if found == nil {
 			return
 		}
-		d.unload(*found, tierDemand, "", nil)
+		d.planUnload(*found, tierDemand, "", nil)
 	}
 }
--- a/internal/placement/finish.go
+++ b/internal/placement/finish.go
@@ -7,23 +7,23 @@
 	"github.com/lovagelift/lovagelift/internal/demand"
 )
 
-// finish puts the wanted moves in the order of their urgency and lets those go
-// that the weight store allows.
+// finish returns the plan with its moves sorted by urgency. Loads beyond the
+// limits of the weight store become waiting moves.
 func (d *draft) finish() Plan {
 	plan := Plan{
 		Unreachable: d.unreachable(),
 		Problems:    d.problems,
-		Offered:     d.offered(),
+		Offered:     d.offeredLoad(),
 		models:      d.models,
-		sites:       d.sites,
+		engines:     d.engines,
 	}
-	slices.SortStableFunc(d.wants, func(a, b want) int {
+	slices.SortStableFunc(d.moves, func(a, b rankedMove) int {
 		return cmp.Or(cmp.Compare(a.tier, b.tier), cmp.Compare(a.priority, b.priority), cmp.Compare(a.rank, b.rank))
 	})
-	tokens, slots := d.allowance()
-	for _, w := range d.wants {
-		m := w.move
-		if m.loads() && m.Waits == "" {
+	tokens, slots := d.loadAllowance()
+	for _, ranked := range d.moves {
+		m := ranked.move
+		if m.isLoad() && m.Waits == "" {
 			if tokens < 1 || slots < 1 {
 				m.Waits = WaitWeightStore
 			} else {
@@ -37,39 +37,39 @@
 			plan.Waiting = append(plan.Waiting, m)
 		}
 	}
-	plan.Served = d.servedNow
-	plan.Next = State{at: d.now, tokens: tokens, since: d.since}
+	plan.Served = d.currentlyServed
+	plan.Next = State{plannedAt: d.now, loadTokens: tokens, unmetSince: d.unmetSince}
 	return plan
 }
 
-// unlimited stands for no limit.
+// unlimited is the allowance without a limit, in loads.
 const unlimited = 1 << 30
 
-// allowance returns how many loads may start now by the rate of the weight store
-// (token bucket), and how many by the loads that are under way.
-func (d *draft) allowance() (tokens float64, slots int) {
+// loadAllowance returns how many loads may start now: by the rate of the weight
+// store (token bucket), and by its limit on concurrent loads.
+func (d *draft) loadAllowance() (tokens float64, slots int) {
 	tokens, slots = unlimited, unlimited
 	if rate := d.in.WeightStore.LoadsPerSecond; rate > 0 {
-		// The bucket holds a second's loads and the fraction of one that plans a
-		// second apart leave over.
-		full := rate + 1
-		tokens = full
-		if last := d.in.Previous; !last.at.IsZero() {
-			tokens = min(last.tokens+rate*max(d.now.Sub(last.at).Seconds(), 0), full)
+		// The bucket holds the loads of one second, plus one for the fraction
+		// of a load that is left over between plans one second apart.
+		capacity := rate + 1
+		tokens = capacity
+		if last := d.in.Previous; !last.plannedAt.IsZero() {
+			tokens = min(last.loadTokens+rate*max(d.now.Sub(last.plannedAt).Seconds(), 0), capacity)
 		}
 	}
-	if most := d.in.WeightStore.Concurrent; most > 0 {
-		slots = most
-		for i := range d.sites {
-			if d.sites[i].standing != Lost {
-				slots -= d.sites[i].loading
+	if maxConcurrent := d.in.WeightStore.Concurrent; maxConcurrent > 0 {
+		slots = maxConcurrent
+		for i := range d.engines {
+			if d.engines[i].status != Lost {
+				slots -= d.engines[i].openLoads
 			}
 		}
 	}
 	return tokens, slots
 }
 
-// unreachable returns what no engine can serve now.
+// unreachable returns the models and adapters that no engine serves now.
 func (d *draft) unreachable() []demand.Target {
 	var list []demand.Target
 	for i := range d.models {
@@ -86,23 +86,24 @@
 	return list
 }
 
-// reachable tells whether a request for the model, or for an adapter beside it,
-// can be served now. What a move of this plan will remove still can.
+// reachable reports whether an engine can serve a request for the model, or for
+// an adapter beside it, now. Copies that only moves of this plan remove still
+// count.
 func (d *draft) reachable(m *model, adapterName string) bool {
-	return slices.ContainsFunc(m.places, func(p place) bool {
-		s := &d.sites[p.site]
-		c := s.find(p.model, p.version)
-		if s.standing != Serving || c == nil || !serves(c.phase) {
+	return slices.ContainsFunc(m.copies, func(p placedCopy) bool {
+		s := &d.engines[p.engine]
+		c := s.findCopy(p.model, p.version)
+		if s.status != Serving || c == nil || !serves(c.phase) {
 			return false
 		}
 		if adapterName == "" {
 			return true
 		}
-		a := c.adapter(adapterName)
+		a := c.findAdapter(adapterName)
 		return a != nil && serves(a.phase)
 	})
 }
 
 func serves(p Phase) bool {
-	return p == PhaseReady || p == PhaseUnproved || p == PhaseGoing
+	return p == PhaseReady || p == PhaseUnverified || p == PhaseUnloading
 }
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -8,14 +8,14 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// Fits tells whether the floors of a preset, and all adapters, fit on the engines
-// that are there, if they were empty. It places the largest first, so it may
-// refuse what a search through all placements would find a way for; it never
-// accepts what does not fit. What package declaration refuses already, by sums
-// over the declared accelerators, need not come here.
+// Fits checks whether the floors of a preset, and all adapters, would fit on
+// the engines if these were empty. It places the largest models first and does
+// not search all placements, so it may refuse a preset that fits, but never
+// accepts one that does not. Package declaration already refuses presets that
+// exceed the sums over the declared accelerators.
 //
-// The findings have the arithmetic. Fits of no engines finds nothing: before the
-// engines have announced themselves, nobody knows what they have.
+// The findings state the memory figures. Without engines there are no findings,
+// because their memory is not known before they announce themselves.
 func (p Planner) Fits(set declaration.Set, preset declaration.Preset, engines []Engine) finding.List {
 	var list finding.List
 	if len(engines) == 0 {
@@ -23,46 +23,47 @@
 	}
 	empty := make([]Engine, 0, len(engines))
 	for _, e := range engines {
-		if e.proved && e.takesOrders {
+		if e.consistent && e.supportsOrders {
 			empty = append(empty, e.emptied())
 		}
 	}
 	d := newDraft(time.Time{}, p.options, Input{Declarations: set, Preset: preset, Engines: empty})
-	d.meet(tierUnreachable)
-	d.meet(tierFloor)
-	place := finding.Place{File: fmt.Sprintf("preset %q", preset.Name)}
+	d.meetCoverage(tierUnreachable)
+	d.meetCoverage(tierFloor)
+	source := finding.Place{File: fmt.Sprintf("preset %q", preset.Name)}
 	for _, problem := range d.problems {
-		list.Add(place, problem.Text, "lower its floors, declare fewer models, or start more engines")
+		list.Add(source, problem.Text, "lower its floors, declare fewer models, or start more engines")
 	}
 	for i := range d.models {
-		d.adapterRoom(&d.models[i], place, &list)
+		d.checkAdapterRoom(&d.models[i], source, &list)
 	}
 	return list
 }
 
-// adapterRoom finds adapters for which no copy of their model has room.
-func (d *draft) adapterRoom(m *model, place finding.Place, list *finding.List) {
-	if m.adapterBytes == 0 || len(m.places) == 0 {
+// checkAdapterRoom adds a finding if no copy of the model has enough memory
+// beside it for all adapters.
+func (d *draft) checkAdapterRoom(m *model, source finding.Place, list *finding.List) {
+	if m.adapterBytes == 0 || len(m.copies) == 0 {
 		return
 	}
-	most := int64(0)
-	for i := range m.places {
-		most = max(most, m.places[i].promised)
+	largestReserve := int64(0)
+	for i := range m.copies {
+		largestReserve = max(largestReserve, m.copies[i].adapterReserve)
 	}
-	if most < m.adapterBytes {
-		list.Add(place, fmt.Sprintf("the adapters of %q take %s beside a copy, and at most %s are free there",
-			m.declared.Name, declaration.Bytes(m.adapterBytes), declaration.Bytes(most)),
+	if largestReserve < m.adapterBytes {
+		list.Add(source, fmt.Sprintf("the adapters of %q take %s beside a copy, and at most %s are free there",
+			m.declared.Name, declaration.Bytes(m.adapterBytes), declaration.Bytes(largestReserve)),
 			"declare fewer adapters, or start more engines")
 	}
 }
 
-// emptied returns the engine with nothing in memory, and serving.
+// emptied returns the engine as serving, with nothing in memory.
 func (e Engine) emptied() Engine {
-	accelerators := make([]room, len(e.accelerators))
+	accelerators := make([]acceleratorMemory, len(e.accelerators))
 	for i, a := range e.accelerators {
-		accelerators[i] = room{name: a.name, memory: a.memory, free: a.memory, later: a.memory}
+		accelerators[i] = acceleratorMemory{name: a.name, total: a.total, free: a.total, laterFree: a.total}
 	}
-	e.accelerators, e.copies, e.loading = accelerators, nil, 0
-	e.standing, e.ordered = Serving, true
+	e.accelerators, e.copies, e.openLoads = accelerators, nil, 0
+	e.status, e.acceptsOrders = Serving, true
 	return e
 }
--- a/internal/placement/small_test.go
+++ b/internal/placement/helpers_test.go
@@ -12,10 +12,10 @@
 
 const gib = int64(1) << 30
 
-// small returns declarations of models of so many GiB, of one preset, and of the
-// services s0 and s1, of priority 0 and 1. Each model is of s1 unless urgent
-// names it.
-func small(preset string, sizes map[string]int, urgent ...string) declaration.Set {
+// smallDeclarations returns declarations of models with the given sizes in GiB,
+// one preset, and the services s0 and s1 with priority 0 and 1. Models belong
+// to s1, and those in urgent also to s0.
+func smallDeclarations(preset string, sizes map[string]int, urgent ...string) declaration.Set {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[preset]]\nname = \"ordinary\"\nfirst = true\n%s\n", preset)
 	fmt.Fprintf(&text, "[[service]]\nname = \"s0\"\nkind = \"model-backed\"\nmodels = [\"m\", ")
@@ -34,7 +34,8 @@
 	for name, size := range sizes {
 		model(name, size)
 	}
-	// Services need a model; m is small and stands on engines of its own.
+	// Every service needs a model. The test clusters hold m on engines of its
+	// own.
 	model("m", 2)
 	set, err := declaration.Read(fstest.MapFS{"all.toml": {Data: []byte(text.String())}}, "test")
 	if err != nil {
@@ -43,7 +44,7 @@
 	return set
 }
 
-// withAdapters returns the declarations with adapters of 1 GiB beside a model.
+// withAdapters returns the declarations with adapters of 1 GiB for a model.
 func withAdapters(set declaration.Set, model string, names ...string) declaration.Set {
 	var list []string
 	for _, name := range names {
@@ -58,35 +59,36 @@
 	return changed
 }
 
-// bench is a world whose engines hold what a test says, beside engines for m.
-func bench(set declaration.Set, engines ...*engine) *world {
+// newTestCluster returns a cluster of the given engines and of three more that
+// hold m.
+func newTestCluster(set declaration.Set, engines ...*fakeEngine) *cluster {
 	for _, name := range []string{"own-1", "own-2", "own-3"} {
-		engines = append(engines, newEngine(name, "d-"+name, 2*gib, "a0").holds("m", 2))
+		engines = append(engines, newEngine(name, "d-"+name, 2*gib, "a0").withModel("m", 2))
 	}
-	return newWorld(set, engines...)
+	return newCluster(set, engines...)
 }
 
-// of returns an engine with so many GiB.
-func of(name, domain string, size int64) *engine {
+// smallEngine returns an engine with one accelerator of size GiB.
+func smallEngine(name, domain string, size int64) *fakeEngine {
 	return newEngine(name, domain, size*gib, "a0")
 }
 
-// holds puts a model of so many GiB in memory, with adapters of 1 GiB.
-func (e *engine) holds(model string, size int64, adapters ...string) *engine {
-	h := &held{model, "1", []string{"a0"}, size * gib, map[string]int64{}}
+// withModel puts a model of size GiB in memory, with adapters of 1 GiB.
+func (e *fakeEngine) withModel(model string, size int64, adapters ...string) *fakeEngine {
+	resident := &residentModel{model, "1", []string{"a0"}, size * gib, map[string]int64{}}
 	for _, a := range adapters {
-		h.adapters[a] = gib
+		resident.adapters[a] = gib
 	}
-	e.models[model+"@1"] = h
+	e.models[model+"@1"] = resident
 	return e
 }
 
-// open records an order at the engine's ledger that is never sent.
-func (w *world) open(name string, order upstreamapi.Order, lost bool) {
-	e := w.engine(name)
-	l := w.ledgers[name].WithReport(e.announcement())
-	w.number++
-	order.ID, order.Number, order.Fencing, order.Incarnation = fmt.Sprintf("x%d", w.number), w.number, w.fencing, e.incarnation
+// recordOpenOrder records an order in the engine's ledger without sending it.
+func (c *cluster) recordOpenOrder(name string, order upstreamapi.Order, lost bool) {
+	e := c.engine(name)
+	l := c.ledgers[name].WithReport(e.announcement())
+	c.lastOrderNumber++
+	order.ID, order.Number, order.Fencing, order.Incarnation = fmt.Sprintf("x%d", c.lastOrderNumber), c.lastOrderNumber, c.fencing, e.incarnation
 	l, err := l.WithOrder(order)
 	if err != nil {
 		panic(err)
@@ -94,18 +96,18 @@
 	if lost {
 		l = l.WithLost(order.ID)
 	}
-	w.ledgers[name] = l
+	c.ledgers[name] = l
 }
 
-// planned returns the moves of one plan, those that wait included, as
-// "load-model e1 a" and so on.
-func (w *world) planned() []string {
-	w.observe()
-	w.plan = w.planner.Plan(w.now, w.in)
-	return append(texts(w.plan.Moves), texts(w.plan.Waiting)...)
+// plannedMoves returns the moves of one plan, including the waiting ones, in
+// the form "load-model e1 a".
+func (c *cluster) plannedMoves() []string {
+	c.observe()
+	c.plan = c.planner.Plan(c.now, c.input)
+	return append(moveTexts(c.plan.Moves), moveTexts(c.plan.Waiting)...)
 }
 
-func texts(moves []placement.Move) []string {
+func moveTexts(moves []placement.Move) []string {
 	list := []string{}
 	for _, m := range moves {
 		text := fmt.Sprintf("%s %s %s", m.Order.Kind, m.Engine, m.Order.Model)
@@ -120,24 +122,25 @@
 	return list
 }
 
-func unloadOf(model string) upstreamapi.Order {
+func unloadOrder(model string) upstreamapi.Order {
 	return upstreamapi.Order{Kind: upstreamapi.OrderUnloadModel, Model: model, Version: "1"}
 }
 
-func loadOf(model string, size int64) upstreamapi.Order {
+func loadOrder(model string, size int64) upstreamapi.Order {
 	return upstreamapi.Order{
 		Kind: upstreamapi.OrderLoadModel, Model: model, Version: "1", Accelerators: []string{"a0"}, MemoryBytes: size * gib,
 	}
 }
 
-// contradict makes the ledger of an engine doubt its reports.
-func (w *world) contradict(name string) {
-	e := w.engine(name)
-	l := w.ledgers[name].WithReport(e.announcement())
+// makeContradictory makes the engine report something that contradicts its
+// ledger.
+func (c *cluster) makeContradictory(name string) {
+	e := c.engine(name)
+	l := c.ledgers[name].WithReport(e.announcement())
 	e.revision++
-	e.models["stranger@1"] = &held{"stranger", "1", []string{"a0"}, gib, map[string]int64{}}
-	w.ledgers[name] = l.WithReport(e.announcement())
-	if len(w.ledgers[name].Contradictions()) == 0 {
+	e.models["stranger@1"] = &residentModel{"stranger", "1", []string{"a0"}, gib, map[string]int64{}}
+	c.ledgers[name] = l.WithReport(e.announcement())
+	if len(c.ledgers[name].Contradictions()) == 0 {
 		panic("no contradiction")
 	}
 }
--- a/internal/placement/move.go
+++ b/internal/placement/move.go
@@ -4,26 +4,26 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Reason says what a move is for.
+// Reason is the kind of need that a move meets.
 type Reason string
 
-// The reasons.
+// Kinds of needs.
 const (
 	ReasonUnreachable Reason = "unreachable"
 	ReasonFloor       Reason = "floor"
-	ReasonLosses      Reason = "losses"
+	ReasonRedundancy  Reason = "losses"
 	ReasonDemand      Reason = "demand"
 	ReasonReserve     Reason = "reserve"
 	ReasonVersion     Reason = "version"
 )
 
-// tier orders needs by their urgency.
+// tier is the urgency of a need. Lower tiers are met first.
 type tier int
 
 const (
 	tierUnreachable tier = iota
 	tierFloor
-	tierLosses
+	tierRedundancy
 	tierDemand
 )
 
@@ -33,53 +33,55 @@
 		return ReasonUnreachable
 	case tierFloor:
 		return ReasonFloor
-	case tierLosses:
-		return ReasonLosses
+	case tierRedundancy:
+		return ReasonRedundancy
 	default:
 		return ReasonDemand
 	}
 }
 
-// Move is one order that should be given, without what only the leader knows:
-// id, number, fencing number, incarnation and time limit.
+// Move is one order to an engine: a load, an unload or a change of a version.
+// The caller adds the fields of the order that only the leader knows: id,
+// number, fencing number, incarnation and time limit.
 type Move struct {
 	Engine string
 	// Order has Kind, Model, Version, FromVersion, Adapter, Accelerators and
-	// MemoryBytes.
+	// MemoryBytes set.
 	Order  upstreamapi.Order
 	Reason Reason
-	// For is the model that the move makes room for, if it is an unload.
+	// For is the model for which an unload makes room.
 	For string
-	// Gain and Cost are requests times seconds within their goals. The cost is
-	// that of one move, not yet multiplied by the weight of moves. Moves that the
-	// preset requires have no gain stated: they do not depend on it.
+	// Gain and Cost are in request-seconds within the goals. Cost is not
+	// multiplied by Weight. Moves that the preset requires state no gain,
+	// because they are made regardless of it.
 	Gain, Cost float64
-	// Weight is the weight of moves by which Cost was multiplied.
+	// Weight is the weight of moves by which Cost is multiplied to compare it
+	// with Gain.
 	Weight float64
-	// Alternatives are the next best engines that were weighed, at most two.
+	// Alternatives are the engines with the next best scores, at most two.
 	Alternatives []Alternative
-	// Waits says why the move is in Plan.Waiting. It is empty in Plan.Moves.
-	Waits Wait
+	// Waits is why the move is in Plan.Waiting. It is empty in Plan.Moves.
+	Waits WaitReason
 }
 
-// Alternative is an engine that was weighed and not taken.
+// Alternative is an engine that was considered for a move and not chosen.
 type Alternative struct {
 	Engine string
-	// Score is its score, and Taken that of the engine that was taken.
+	// Score is the score of this engine, and Taken that of the chosen one.
 	Score, Taken float64
 }
 
-// Wait says what a move waits for.
-type Wait string
+// WaitReason is what a move waits for.
+type WaitReason string
 
-// What a move waits for.
+// Reasons to wait.
 const (
-	WaitMemory      Wait = "memory"
-	WaitWeightStore Wait = "weight-store"
+	WaitMemory      WaitReason = "memory"
+	WaitWeightStore WaitReason = "weight-store"
 )
 
-// loads tells whether the move takes something from the weight store.
-func (m Move) loads() bool {
+// isLoad reports whether the move loads weights from the weight store.
+func (m Move) isLoad() bool {
 	switch m.Order.Kind {
 	case upstreamapi.OrderLoadModel, upstreamapi.OrderLoadAdapter, upstreamapi.OrderChangeVersion:
 		return true
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,25 +1,26 @@
-// Package placement decides which engine holds which models and adapters
-// (placement scheduling).
+// Package placement is the scheduler that places models and adapters on
+// engines.
 //
-// Every plan begins with what is: what engines hold, which orders are open, how
-// much is asked for. It names what is missing and moves as little as that
-// needs. There is no intended placement that could drift from the world, so a
-// new leader, a lost order or a second fault during a repair change nothing but
-// the input.
+// Each plan is computed from the current state alone: what engines hold, which
+// orders are open, and the estimated demand. The planner determines what is
+// missing and plans as few moves as that needs. No target placement is stored
+// that could drift from the actual state, so a new leader, a lost order or a
+// second fault during a repair changes only the input of the next plan.
 //
 // Needs are met in tiers, the most urgent first:
 //
-//  1. a model or adapter that nobody can reach;
-//  2. the floors of the preset;
-//  3. copies that let the preset's losses of engines and failure domains pass;
-//  4. copies that let more of the demand meet its goals, where the gain exceeds
-//     the cost of the moves by the weight of moves.
+//  1. models and adapters that no engine serves;
+//  2. the minimum numbers of copies in the preset (floors);
+//  3. further copies, so that each model survives the losses of engines and
+//     failure domains that the preset tolerates;
+//  4. further copies that let more of the demand meet its goals, if the gain
+//     exceeds the cost of the moves times the weight of moves.
 //
-// A need may take memory from what only later tiers asked for, never from its own
-// tier or an earlier one, so no two needs can take memory from each other in
-// turn.
+// A need may evict copies that only later tiers require, but none that its own
+// tier or an earlier one requires, so that no two needs evict each other's
+// copies in turn.
 //
-// The package is pure: the present time and the facts go in, and a Plan comes
+// The package is pure: the current time and the state go in, and a Plan comes
 // out.
 package placement
 
@@ -33,58 +34,60 @@
 // Options are the settings of a Planner. A field that is 0 stands for its
 // default.
 type Options struct {
-	// Patience is how long a need other than an unreachable model must have
-	// lasted before it is met. An engine that is lost for less, as when the
-	// network drops a few announcements, causes no moves.
-	Patience time.Duration
-	// Horizon is for how long a gain is taken to last.
+	// StabilizationWindow is how long a need must persist before it is met, so
+	// that an engine that is lost for a shorter time, for example because the
+	// network drops a few announcements, causes no moves. Models and adapters
+	// that no engine serves are loaded without delay.
+	StabilizationWindow time.Duration
+	// Horizon is how long the gain of a copy is assumed to last.
 	Horizon time.Duration
-	// LoadTime is how long a load is taken to last.
+	// LoadTime is how long loading a model is assumed to take.
 	LoadTime time.Duration
-	// Utilization is the part of an engine's slots up to which its requests are
-	// taken to meet their goals.
-	Utilization float64
+	// TargetUtilization is the fraction of an engine's slots up to which its
+	// requests are assumed to meet their goals.
+	TargetUtilization float64
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
-	DefaultPatience    = 20 * time.Second
-	DefaultHorizon     = 10 * time.Minute
-	DefaultLoadTime    = 30 * time.Second
-	DefaultUtilization = 0.8
+	DefaultPatience          = 20 * time.Second
+	DefaultHorizon           = 10 * time.Minute
+	DefaultLoadTime          = 30 * time.Second
+	DefaultTargetUtilization = 0.8
 )
 
-// WeightStore is what the weight store allows.
+// WeightStore is the limits on loads from the weight store.
 type WeightStore struct {
 	// LoadsPerSecond is the rate at which loads may start. 0 means no limit.
 	LoadsPerSecond float64
-	// Concurrent is how many loads run at once. 0 means no limit.
+	// Concurrent is how many loads may run at once. 0 means no limit.
 	Concurrent int
 }
 
-// Input is what a plan rests on.
+// Input is the state that a plan is computed from.
 type Input struct {
-	// Declarations and Preset are those in force, from one revision.
+	// Declarations and Preset are those in force, from the same revision.
 	Declarations declaration.Set
 	Preset       declaration.Preset
-	// Engines are all engines known, sorted by name, each once. A leader must have
-	// waited for a whole announcement lease before its first plan: an engine that
-	// has merely not announced itself to it yet would count as lost.
+	// Engines are all known engines, sorted by name, without duplicates. A new
+	// leader must wait for one announcement lease before its first plan: an
+	// engine that has not announced itself to this leader yet would count as
+	// lost.
 	Engines []Engine
 	// Demand is sorted by target, as demand.Estimator returns it.
 	Demand      []demand.Estimate
 	WeightStore WeightStore
-	// WeightOfMoves is used if Preset names none.
+	// WeightOfMoves is used if Preset does not set it.
 	WeightOfMoves float64
-	// Avoid are loads that should not be tried again yet, because the last ones of
-	// the kind failed. Who gives the orders decides for how long.
+	// Avoid lists loads that must not be planned yet because a recent one
+	// failed. The caller decides for how long.
 	Avoid []Avoided
-	// Previous is the State of the last plan. The zero State is that of a leader
-	// that has planned nothing yet.
+	// Previous is the Next of the previous plan. A leader that has not planned
+	// yet passes the zero State.
 	Previous State
 }
 
-// Avoided is a load that failed at an engine.
+// Avoided is a load that failed on an engine.
 type Avoided struct {
 	Engine string
 	Model  string
@@ -92,51 +95,58 @@
 	Adapter string
 }
 
-// State is what one plan hands to the next. It is an immutable value. To lose it
-// does no harm beyond a load or two sooner than the patience allows.
+// State carries over from one plan to the next. It is immutable. If it is lost,
+// some loads may start earlier than the stabilization window or the rate of the
+// weight store allows, with no other harm.
 type State struct {
-	// at is when the plan was made. It is zero in the zero State.
-	at time.Time
-	// tokens is how many loads may start at at, by the rate of the weight store.
-	tokens float64
-	// since is from when each need that is not met has lasted.
-	since map[need]time.Time
+	// plannedAt is the time of the plan. It is zero in the zero State.
+	plannedAt time.Time
+	// loadTokens is the content of the weight store's token bucket at
+	// plannedAt.
+	loadTokens float64
+	// unmetSince is when each unmet need was first seen.
+	unmetSince map[need]time.Time
 }
 
-// need names what a model lacks.
+// need identifies something that is missing.
 type need struct {
-	model string
-	tier  tier
+	// subject is a model, a model and an adapter joined by a slash, or empty
+	// for the reserve.
+	subject string
+	tier    tier
 }
 
-// Plan is what should be done, and why.
+// Plan is the moves that are due, and the needs that cannot be met.
 type Plan struct {
-	// Moves can be ordered now, the first first. Each holds whatever becomes of
-	// the others and of the orders that are open.
+	// Moves can be ordered now, the most urgent first. Each is valid whatever
+	// becomes of the others and of the orders that are already open.
 	Moves []Move
-	// Waiting are moves that a later plan will make: memory is not free yet, or
-	// the weight store allows no more loads now.
+	// Waiting are moves that cannot be ordered yet: they need memory that is
+	// not free yet, or the weight store allows no more loads now. Later plans
+	// decide on them again.
 	Waiting []Move
-	// Unreachable are what no engine can serve now, sorted.
+	// Unreachable are the models and adapters that no engine serves now,
+	// sorted.
 	Unreachable []demand.Target
-	// Problems are needs that cannot be met, the most urgent one of each model,
-	// with the arithmetic.
+	// Problems are needs that cannot be met now, the most urgent one of each
+	// model.
 	Problems []Problem
-	// Served is the load that the present copies serve within the goals, and
-	// Offered the load in all, by the planner's model of engines.
+	// Served is the load that the present copies serve within its goals, and
+	// Offered the total load. Both are estimates by the planner's load model,
+	// in concurrent requests.
 	Served, Offered float64
 	// Next is the Previous of the next plan.
 	Next State
-	// models and sites are the draft's, for Target.
-	models []model
-	sites  []site
+	// models and engines are those of the draft, for Target.
+	models  []model
+	engines []engineState
 }
 
 // Problem is a need that cannot be met now.
 type Problem struct {
 	Model  string
 	Reason Reason
-	// Text is the arithmetic, for people.
+	// Text describes the shortfall with its memory figures, for operators.
 	Text string
 }
 
@@ -145,10 +155,10 @@
 	options Options
 }
 
-// New returns a Planner.
+// New returns a Planner with the given options.
 func New(options Options) Planner {
-	if options.Patience == 0 {
-		options.Patience = DefaultPatience
+	if options.StabilizationWindow == 0 {
+		options.StabilizationWindow = DefaultPatience
 	}
 	if options.Horizon == 0 {
 		options.Horizon = DefaultHorizon
@@ -156,26 +166,26 @@
 	if options.LoadTime == 0 {
 		options.LoadTime = DefaultLoadTime
 	}
-	if options.Utilization == 0 {
-		options.Utilization = DefaultUtilization
+	if options.TargetUtilization == 0 {
+		options.TargetUtilization = DefaultTargetUtilization
 	}
 	return Planner{options: options}
 }
 
-// Plan returns what should be done at now. If nothing is declared, as before the
-// first configuration has arrived, Plan moves nothing.
+// Plan returns the moves that are due at now. Before anything is declared, as
+// when the first configuration has not arrived yet, there are none.
 func (p Planner) Plan(now time.Time, in Input) Plan {
 	d := newDraft(now, p.options, in)
 	if len(d.models) == 0 {
 		return d.finish()
 	}
 	d.changeVersions()
-	d.meet(tierUnreachable)
-	d.adapters(tierUnreachable)
-	d.meet(tierFloor)
-	d.meet(tierLosses)
-	d.adapters(tierLosses)
+	d.meetCoverage(tierUnreachable)
+	d.meetAdapters(tierUnreachable)
+	d.meetCoverage(tierFloor)
+	d.meetCoverage(tierRedundancy)
+	d.meetAdapters(tierRedundancy)
 	d.refillReserve()
-	d.attain()
+	d.meetDemand()
 	return d.finish()
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Placed is one copy of a model, or an adapter beside one, in Plan.Target.
+// Placed is an entry of Plan.Target: a copy of a model, or an adapter beside
+// one.
 type Placed struct {
 	Engine  string
 	Model   string
@@ -15,38 +16,42 @@
 	Phase   Phase
 }
 
-// Phase says how far a copy is.
+// Phase is how far a copy has been loaded or unloaded.
 type Phase string
 
-// The phases.
+// Phases of a copy.
 const (
-	// PhaseReady is reported by the engine, and no open order may remove it.
+	// PhaseReady means that the engine has reported the copy, and that no open
+	// order may remove it.
 	PhaseReady Phase = "ready"
-	// PhaseComing is being loaded by an open order.
-	PhaseComing Phase = "coming"
-	// PhaseDoubtful is loaded by an open order whose answer was lost.
+	// PhaseLoading means that an open order loads the copy.
+	PhaseLoading Phase = "loading"
+	// PhaseDoubtful means that an open order loads the copy, and the answer to
+	// the order was lost.
 	PhaseDoubtful Phase = "doubtful"
-	// PhaseUnproved is announced by an engine whose reports contradict its ledger.
-	// It serves, and proves nothing.
-	PhaseUnproved Phase = "unproved"
-	// PhaseGoing may be removed by an open order or by a move of the plan.
-	PhaseGoing Phase = "going"
-	// PhasePlanned is loaded by a move of the plan.
+	// PhaseUnverified means that the copy is announced by an engine whose
+	// reports contradict its ledger. It may serve requests, but nothing relies
+	// on it.
+	PhaseUnverified Phase = "unverified"
+	// PhaseUnloading means that an open order or a move of the plan may remove
+	// the copy.
+	PhaseUnloading Phase = "unloading"
+	// PhasePlanned means that a move of the plan loads the copy.
 	PhasePlanned Phase = "planned"
 )
 
-// Target returns what engines would hold if all of Moves and Waiting were done,
-// sorted by engine, model, version and adapter. It is worked out anew by each
-// call.
+// Target returns all copies of declared models and their adapters, present and
+// planned, sorted by engine, model, version and adapter. Each call computes the
+// list again.
 func (p Plan) Target() []Placed {
 	var list []Placed
 	for i := range p.models {
-		for _, at := range p.models[i].places {
-			engine := p.sites[at.site].name
-			list = append(list, Placed{Engine: engine, Model: at.model, Version: at.version, Phase: at.phase})
-			for _, a := range at.adapters {
+		for _, c := range p.models[i].copies {
+			engine := p.engines[c.engine].name
+			list = append(list, Placed{Engine: engine, Model: c.model, Version: c.version, Phase: c.phase})
+			for _, a := range c.adapters {
 				list = append(list, Placed{
-					Engine: engine, Model: at.model, Version: at.version, Adapter: a.name, Phase: a.phase,
+					Engine: engine, Model: c.model, Version: c.version, Adapter: a.name, Phase: a.phase,
 				})
 			}
 		}
--- a/internal/placement/version.go
+++ b/internal/placement/version.go
@@ -6,105 +6,111 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// changeVersions brings copies of other versions to the declared one, one copy of
-// a model after the other.
+// changeVersions replaces copies of other versions by copies of the declared
+// one, one copy of each model at a time.
 func (d *draft) changeVersions() {
 	for i := range d.models {
 		m := &d.models[i]
-		old := d.oldCopy(m)
-		if old == nil || d.inChange(m) {
+		old := d.outdatedCopy(m)
+		if old == nil || d.versionChangeOpen(m) {
 			continue
 		}
 		if d.changeInPlace(m, old) {
 			continue
 		}
-		d.changeBeside(m, old)
+		d.changeByNewCopy(m, old)
 	}
 }
 
-// oldCopy returns a copy of another version than the declared one, or nil.
-func (d *draft) oldCopy(m *model) *place {
-	i := slices.IndexFunc(m.places, func(p place) bool {
-		return p.version != m.declared.Version && d.certain(&p) && d.sites[p.site].ordered
+// outdatedCopy returns a stable copy of another version than the declared one,
+// or nil.
+func (d *draft) outdatedCopy(m *model) *placedCopy {
+	i := slices.IndexFunc(m.copies, func(p placedCopy) bool {
+		return p.version != m.declared.Version && d.isStable(&p) && d.engines[p.engine].acceptsOrders
 	})
 	if i < 0 {
 		return nil
 	}
-	return &m.places[i]
+	return &m.copies[i]
 }
 
-// inChange tells whether an order that is open changes a copy already.
-func (d *draft) inChange(m *model) bool {
-	return slices.ContainsFunc(m.places, func(p place) bool {
-		return d.sites[p.site].standing == Serving && p.phase != PhaseUnproved && (p.phase != PhaseReady || p.versionChanging)
+// versionChangeOpen reports whether an open order already changes a copy of the
+// model.
+func (d *draft) versionChangeOpen(m *model) bool {
+	return slices.ContainsFunc(m.copies, func(p placedCopy) bool {
+		return d.engines[p.engine].status == Serving && p.phase != PhaseUnverified && (p.phase != PhaseReady || p.changingVersion)
 	})
 }
 
-// changeInPlace plans a change at an engine that loads the new version beside the
-// old and then switches. Adapters do not come along, so the copy must not be the
-// only one that has them.
-func (d *draft) changeInPlace(m *model, old *place) bool {
-	s := &d.sites[old.site]
-	layout := slices.IndexFunc(m.shapes(false), func(sh shape) bool { return sh.layout.Accelerators == len(old.accelerators) })
-	if !s.versions || layout < 0 {
+// changeInPlace plans a version change on an engine that loads the new version
+// beside the old one and then switches over. The new version starts without
+// adapters, so each of them must be served by another engine too.
+func (d *draft) changeInPlace(m *model, old *placedCopy) bool {
+	s := &d.engines[old.engine]
+	layout := slices.IndexFunc(m.footprints(false), func(f footprint) bool { return f.layout.Accelerators == len(old.accelerators) })
+	if !s.supportsVersionChanges || layout < 0 {
 		return false
 	}
-	bytes := m.shapes(false)[layout].bytes
-	if !d.hasRoom(old, bytes) || !d.adaptersElsewhere(m, old) {
+	bytes := m.footprints(false)[layout].bytes
+	if !d.hasFreeMemory(old, bytes) || !d.servesAdaptersElsewhere(m, old) {
 		return false
 	}
-	picked := s.indices(old.accelerators)
-	d.take(old.site, picked, bytes)
-	d.want(m, tierLosses, Move{
+	indexes := s.acceleratorIndexes(old.accelerators)
+	d.allocate(old.engine, indexes, bytes)
+	d.addMove(m, tierRedundancy, Move{
 		Engine: s.name,
 		Order: upstreamapi.Order{
 			Kind: upstreamapi.OrderChangeVersion, Model: m.declared.Name, Version: m.declared.Version,
 			FromVersion: old.version, Accelerators: old.accelerators, MemoryBytes: bytes,
 		},
-		Reason: ReasonVersion, Cost: d.moveCost(len(picked)), Weight: d.weight,
+		Reason: ReasonVersion, Cost: d.loadCost(len(indexes)), Weight: d.weightOfMoves,
 	})
-	old.versionChanging = true
+	old.changingVersion = true
 	return true
 }
 
-func (d *draft) adaptersElsewhere(m *model, p *place) bool {
-	return !slices.ContainsFunc(p.adapters, func(a loaded) bool {
-		return a.phase == PhaseReady && m.declares(a.name) && !d.adapterElsewhere(m, a.name, p.site)
+// servesAdaptersElsewhere reports whether other engines serve all adapters of
+// the copy.
+func (d *draft) servesAdaptersElsewhere(m *model, p *placedCopy) bool {
+	return !slices.ContainsFunc(p.adapters, func(a adapterCopy) bool {
+		return a.phase == PhaseReady && m.declares(a.name) && !d.servesAdapterElsewhere(m, a.name, p.engine)
 	})
 }
 
-// changeBeside plans a new copy of the declared version, or, if there is one that
-// serves, that the old copy goes. Later plans load what is missing then.
-func (d *draft) changeBeside(m *model, old *place) {
-	served := slices.ContainsFunc(m.places, func(p place) bool {
-		return p.version == m.declared.Version && d.certain(&p)
+// changeByNewCopy plans a new copy of the declared version. If there already is
+// a stable one, it plans to unload the old copy, and later plans load what is
+// missing then.
+func (d *draft) changeByNewCopy(m *model, old *placedCopy) {
+	replaced := slices.ContainsFunc(m.copies, func(p placedCopy) bool {
+		return p.version == m.declared.Version && d.isStable(&p)
 	})
-	if served {
-		if d.mayGo(m, old, tierUnreachable) || d.mayGoBeside(m, old) {
-			d.unload(victim{model: d.index[m.declared.Name], place: old}, tierLosses, m.declared.Name, m)
-			d.wants[len(d.wants)-1].move.Reason = ReasonVersion
+	if replaced {
+		if d.canRemove(m, old, tierUnreachable) || d.isReplacedAtEngine(m, old) {
+			d.planUnload(victim{model: d.modelIndex[m.declared.Name], placed: old}, tierRedundancy, m.declared.Name, m)
+			d.moves[len(d.moves)-1].move.Reason = ReasonVersion
 		}
 		return
 	}
-	q := search{model: m, tier: tierFloor, beside: true}
-	if o, others, ok := d.best(q); ok {
-		d.load(m, o, tierFloor, 0, others)
-		d.wants[len(d.wants)-1].move.Reason = ReasonVersion
+	q := search{model: m, tier: tierFloor, allowOtherVersion: true}
+	if found, alternatives, ok := d.bestCandidate(q); ok {
+		d.planLoad(m, found, tierFloor, 0, alternatives)
+		d.moves[len(d.moves)-1].move.Reason = ReasonVersion
 		return
 	}
 	d.makeRoom(q)
 }
 
-// mayGoBeside tells whether the declared version, and all adapters of the old
-// copy, can be reached at the same engine for certain.
-func (d *draft) mayGoBeside(m *model, old *place) bool {
-	p := m.find(old.site, m.declared.Version)
-	if p == nil || !d.certain(p) || old.phase != PhaseReady {
+// isReplacedAtEngine reports whether the same engine has a stable copy of the
+// declared version, and every adapter of the old copy is served beside it or
+// elsewhere.
+func (d *draft) isReplacedAtEngine(m *model, old *placedCopy) bool {
+	p := m.copyAt(old.engine, m.declared.Version)
+	if p == nil || !d.isStable(p) || old.phase != PhaseReady {
 		return false
 	}
-	return !slices.ContainsFunc(old.adapters, func(a loaded) bool {
-		beside := p.adapter(a.name)
+	return !slices.ContainsFunc(old.adapters, func(a adapterCopy) bool {
+		beside := p.findAdapter(a.name)
 		there := beside != nil && beside.phase == PhaseReady
-		return m.declares(a.name) && !there && !d.adapterElsewhere(m, a.name, old.site)
+		return m.declares(a.name) && !there && !d.servesAdapterElsewhere(m, a.name, old.engine)
 	})
 }
