--- a/internal/demand/estimator.go
+++ b/internal/demand/estimator.go
@@ -24,8 +24,8 @@
 const DefaultHoldTime = 5 * time.Second
 
 // negligible is the arrival rate, in requests per second, below which a target
-// is dropped. It is also the decayed number of ended requests below which their
-// hold time is not used.
+// is dropped. It is also the decayed number of ended responses below which
+// DefaultHoldTime is used instead of their hold time.
 const negligible = 1e-6
 
 var scales = [...]time.Duration{FastScale, MiddleScale, SlowScale}
@@ -48,7 +48,7 @@
 
 // RetainedLoad returns the load for which copies are worth keeping. It is never
 // less than ScaleUpLoad, so the same estimate never causes both a load and an
-// unload.
+// unload of a model.
 func (e Estimate) RetainedLoad() float64 {
 	return max(e.Fast, e.Middle, e.Slow)
 }
@@ -73,8 +73,8 @@
 	updatedAt time.Time
 	// rates are the decayed arrivals per second at each of scales.
 	rates [len(scales)]float64
-	// ended counts requests whose answer has ended, and heldSeconds sums the
-	// time that upstreams held them. Both decay at SlowScale.
+	// ended counts responses that have ended, and heldSeconds sums the time
+	// that upstreams held their requests. Both decay at SlowScale.
 	ended, heldSeconds float64
 }
 
--- a/internal/demand/report.go
+++ b/internal/demand/report.go
@@ -22,8 +22,8 @@
 	Target Target
 	// Offered is how many requests arrived, including rejected ones.
 	Offered int64
-	// Ended is how many answers ended, and HoldTime the total time that
-	// upstreams held these requests.
+	// Ended is how many responses ended, and HoldTime the total time that
+	// upstreams held their requests.
 	Ended    int64
 	HoldTime time.Duration
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -50,7 +50,7 @@
 		if i >= withThree {
 			accelerators = accelerators[:2]
 		}
-		engines = append(engines, newEngine(fmt.Sprintf("e%04d", i), fmt.Sprintf("d%d", i%10), 80<<30, accelerators...))
+		engines = append(engines, newFakeEngine(fmt.Sprintf("e%04d", i), fmt.Sprintf("d%d", i%10), 80<<30, accelerators...))
 	}
 	c := newCluster(set, engines...)
 	for i := range s.models {
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -25,8 +25,9 @@
 	layout declaration.Layout
 	// accelerators are indexes of the engine's accelerators.
 	accelerators []int
-	bytes        int64
-	score        float64
+	// bytes is the memory taken on each of accelerators.
+	bytes int64
+	score float64
 	// needsUnloads means that some of the memory is only free after open
 	// unloads.
 	needsUnloads bool
@@ -55,7 +56,7 @@
 	return list
 }
 
-// search is a search for an engine that takes another copy of a model.
+// search is the criteria for an engine that takes another copy of a model.
 type search struct {
 	model *model
 	tier  tier
@@ -98,6 +99,8 @@
 	return candidate{}, nil, false
 }
 
+// bestCandidateOf is bestCandidate for the given footprints. With needsUnloads,
+// memory that open unloads will release counts as free.
 func (d *draft) bestCandidateOf(q search, footprints []footprint, needsUnloads bool) (candidate, []Alternative, bool) {
 	var found candidate
 	var runnersUp topTwo
@@ -138,6 +141,8 @@
 	return found, runnersUp.alternatives(found.score), ok
 }
 
+// coversDomain reports whether the failure domain has a copy of the model that
+// counts for the tier, or for floors if the tier is more urgent.
 func (d *draft) coversDomain(q search, domain int) bool {
 	for i := range q.model.copies {
 		p := &q.model.copies[i]
@@ -187,8 +192,8 @@
 	return min(r.free, r.laterFree)
 }
 
-// pickAccelerators returns the accelerators with the least free memory that
-// suffices.
+// pickAccelerators returns count accelerators with enough free memory,
+// preferring those with the least.
 func (d *draft) pickAccelerators(i int, bytes int64, count int, afterUnloads bool) []int {
 	s := &d.engines[i]
 	var indexes []int
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -277,7 +277,7 @@
 	var engines []*fakeEngine
 	for _, class := range set.AcceleratorClasses() {
 		for i := range class.Count {
-			engines = append(engines, newEngine(fmt.Sprintf("%s-%02d", class.Name, i), domains[i%len(domains)].Name, int64(class.Memory), "a0"))
+			engines = append(engines, newFakeEngine(fmt.Sprintf("%s-%02d", class.Name, i), domains[i%len(domains)].Name, int64(class.Memory), "a0"))
 		}
 	}
 	return set, engines
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -37,6 +37,7 @@
 	d.balanceOver(m, d.servesOrLoads)
 }
 
+// balanceOver distributes the demand of one model over its copies that pass.
 func (d *draft) balanceOver(m *model, passes func(p *placedCopy) bool) {
 	if m.scaleUpLoad == 0 {
 		return
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -13,9 +13,9 @@
 type draft struct {
 	now     time.Time
 	options Options
-	in      Input
+	input   Input
 	models  []model
-	// modelIndex is the index in models by name.
+	// modelIndex maps the name of a model to its index in models.
 	modelIndex map[string]int
 	engines    []engineState
 	// domainCount is the number of failure domains with an engine that accepts
@@ -124,7 +124,7 @@
 	d := &draft{
 		now:           now,
 		options:       options,
-		in:            in,
+		input:         in,
 		modelIndex:    map[string]int{},
 		weightOfMoves: in.Preset.WeightOfMoves,
 		unmetSince:    map[need]time.Time{},
@@ -152,10 +152,10 @@
 func (d *draft) readEngines() {
 	domainIndexes := map[string]int{}
 	usableDomains := map[int]bool{}
-	d.engines = make([]engineState, len(d.in.Engines))
+	d.engines = make([]engineState, len(d.input.Engines))
 	var totalBytes int64
-	for i := range d.in.Engines {
-		e := &d.in.Engines[i]
+	for i := range d.input.Engines {
+		e := &d.input.Engines[i]
 		domain, known := domainIndexes[e.failureDomain]
 		if !known {
 			domain = len(domainIndexes)
@@ -173,14 +173,14 @@
 		}
 	}
 	d.domainCount = len(usableDomains)
-	d.reserveBytes = totalBytes / 100 * int64(d.in.Preset.ReservePercent)
+	d.reserveBytes = totalBytes / 100 * int64(d.input.Preset.ReservePercent)
 }
 
 func (d *draft) readModels() {
-	declared := d.in.Declarations.Models()
+	declared := d.input.Declarations.Models()
 	d.models = make([]model, len(declared))
 	for i, m := range declared {
-		floor := d.in.Preset.Floor(m.Name)
+		floor := d.input.Preset.Floor(m.Name)
 		d.models[i] = model{
 			declared: m,
 			floor:    coverage{copies: floor.Copies, domains: min(floor.FailureDomains, d.domainCount)},
@@ -190,7 +190,7 @@
 		d.models[i].redundant = d.withRedundancy(d.models[i].floor)
 		d.modelIndex[m.Name] = i
 	}
-	for _, a := range d.in.Declarations.Adapters() {
+	for _, a := range d.input.Declarations.Adapters() {
 		if i, known := d.modelIndex[a.Model]; known {
 			d.models[i].adapters = append(d.models[i].adapters, adapter{name: a.Name, bytes: int64(a.Memory)})
 			d.models[i].adapterBytes += int64(a.Memory)
@@ -202,16 +202,16 @@
 // losses that the preset tolerates. It requires no more failure domains than
 // there are.
 func (d *draft) withRedundancy(floor coverage) coverage {
-	domains := min(max(floor.domains, 1+d.in.Preset.TolerateFailureDomains), max(d.domainCount, 1))
+	domains := min(max(floor.domains, 1+d.input.Preset.TolerateFailureDomains), max(d.domainCount, 1))
 	return coverage{
-		copies:  max(floor.copies, 1+d.in.Preset.TolerateEngines, domains),
+		copies:  max(floor.copies, 1+d.input.Preset.TolerateEngines, domains),
 		domains: domains,
 	}
 }
 
 func (d *draft) readServices() {
-	for _, s := range d.in.Declarations.Services() {
-		share := d.in.Preset.Share(s.Name)
+	for _, s := range d.input.Declarations.Services() {
+		share := d.input.Preset.Share(s.Name)
 		for _, name := range s.Models {
 			i, known := d.modelIndex[name]
 			if !known {
@@ -228,7 +228,7 @@
 }
 
 func (d *draft) readDemand() {
-	for _, e := range d.in.Demand {
+	for _, e := range d.input.Demand {
 		i, known := d.modelIndex[e.Target.Model]
 		if !known {
 			continue
@@ -321,7 +321,7 @@
 // isDue reports whether a need has persisted long enough to be met, and records
 // since when it has. In the first plan of a leader, every need is due.
 func (d *draft) isDue(n need) bool {
-	firstSeen, known := d.in.Previous.unmetSince[n]
+	firstSeen, known := d.input.Previous.unmetSince[n]
 	if !known {
 		firstSeen = d.now
 	}
@@ -334,7 +334,7 @@
 		window = time.Duration(float64(window) * min(d.weightOfMoves, maxWindowFactor))
 	default:
 	}
-	return d.in.Previous.plannedAt.IsZero() || d.now.Sub(firstSeen) >= window
+	return d.input.Previous.plannedAt.IsZero() || d.now.Sub(firstSeen) >= window
 }
 
 // maxWindowFactor limits how many stabilization windows a need of tierDemand
@@ -373,8 +373,8 @@
 	return d.coverageOf(m, func(p *placedCopy) bool { return p.engine != exceptEngine && d.isStable(p) })
 }
 
-// isStable reports whether the copy serves now and goes on serving whatever
-// becomes of the open orders.
+// isStable reports whether the copy serves now, its engine is consistent, and
+// no open order may remove or replace it.
 func (d *draft) isStable(p *placedCopy) bool {
 	s := &d.engines[p.engine]
 	return s.status == Serving && s.consistent && p.phase == PhaseReady && !p.changingVersion
@@ -411,8 +411,8 @@
 
 // loadCost returns the cost of loading a model, in slot-seconds: all slots of
 // its accelerators for the duration of the load. This accounts for the requests
-// that the load slows down, the memory that serves nothing meanwhile, and the
-// prefix cache that starts cold.
+// that the load slows down, the memory that is unused until the load is done,
+// and the prefix cache that starts cold.
 func (d *draft) loadCost(accelerators int) float64 {
 	return d.options.LoadTime.Seconds() * DefaultSlots * float64(accelerators)
 }
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -14,8 +14,8 @@
 const (
 	// Serving means that the announcement lease is valid.
 	Serving Status = iota
-	// Stopping means that the engine has announced its shutdown. What it holds
-	// will be gone then.
+	// Stopping means that the engine has announced its shutdown. Its copies
+	// will be gone with it.
 	Stopping
 	// Lost means that the announcement lease has expired.
 	Lost
@@ -37,12 +37,12 @@
 	acceptsOrders bool
 	// consistent means that the engine has reported, and that its reports do
 	// not contradict its ledger. The copies on an inconsistent engine may serve
-	// requests, but no other copy is removed because of them.
+	// requests, but the planner does not rely on them when it removes other
+	// copies.
 	consistent bool
-	// supportsOrders means that the engine announces that it takes orders at
-	// all.
+	// supportsOrders means that the engine announces that it takes orders.
 	supportsOrders bool
-	// supportsAdapters and supportsVersionChanges are the same for orders that
+	// supportsAdapters and supportsVersionChanges mean the same for orders that
 	// load adapters and that change versions.
 	supportsAdapters, supportsVersionChanges bool
 	// slots is how many requests the engine runs concurrently.
@@ -63,13 +63,13 @@
 	laterFree int64
 }
 
-// modelCopy is a copy of one version of a model on an engine. It takes bytes of
-// each of its accelerators.
+// modelCopy is a copy of one version of a model on an engine.
 type modelCopy struct {
 	model, version string
 	accelerators   []string
-	bytes          int64
-	phase          Phase
+	// bytes is the memory taken on each of accelerators.
+	bytes int64
+	phase Phase
 	// changingVersion means that an open order replaces the version. Either the
 	// old or the new version serves at any time.
 	changingVersion bool
@@ -84,18 +84,18 @@
 }
 
 // NewEngine returns the state of the engine with this announcement and ledger.
-func NewEngine(a upstreamapi.Announcement, l ledger.Ledger, standing Status) Engine {
+func NewEngine(a upstreamapi.Announcement, l ledger.Ledger, status Status) Engine {
 	e := Engine{
 		name:                   a.Name,
 		failureDomain:          a.FailureDomain,
-		status:                 standing,
+		status:                 status,
 		consistent:             len(l.Contradictions()) == 0 && l.Incarnation() != 0,
 		supportsOrders:         a.Has(upstreamapi.CapabilityOrders),
 		supportsAdapters:       a.Has(upstreamapi.CapabilityAdapters),
 		supportsVersionChanges: a.Has(upstreamapi.CapabilityVersions),
 		slots:                  float64(a.Load.MaxRunning),
 	}
-	e.acceptsOrders = e.consistent && e.supportsOrders && standing == Serving
+	e.acceptsOrders = e.consistent && e.supportsOrders && status == Serving
 	for _, name := range l.Accelerators() {
 		account, _ := l.Account(name)
 		free := max(account.Free(), 0)
@@ -110,9 +110,9 @@
 }
 
 // WithStatus returns a copy of the engine with another status.
-func (e Engine) WithStatus(standing Status) Engine {
-	e.status = standing
-	e.acceptsOrders = e.consistent && e.supportsOrders && standing == Serving
+func (e Engine) WithStatus(status Status) Engine {
+	e.status = status
+	e.acceptsOrders = e.consistent && e.supportsOrders && status == Serving
 	return e
 }
 
@@ -153,8 +153,8 @@
 	}
 }
 
-// heldCopy returns the copy of a model that the ledger says is held, with the
-// effect of open orders.
+// heldCopy returns the copy for a holding of a model. Open orders that may
+// remove the holding determine its phase.
 func (e *Engine) heldCopy(h ledger.Holding, open []upstreamapi.Order, l ledger.Ledger) modelCopy {
 	c := modelCopy{model: h.Model, version: h.Version, accelerators: h.Accelerators, bytes: h.Bytes, phase: PhaseReady}
 	order := removingOrder(h, open)
@@ -171,8 +171,8 @@
 }
 
 // removingOrder returns the first open order that may remove the holding, or
-// nil. Even an unload that may never take effect counts, because the planner
-// must not rely on the copy as the last one.
+// nil. It includes unloads that may never take effect, so that the planner does
+// not rely on the copy as the last one.
 func removingOrder(h ledger.Holding, open []upstreamapi.Order) *upstreamapi.Order {
 	i := slices.IndexFunc(open, h.RemovedBy)
 	if i < 0 {
@@ -181,9 +181,9 @@
 	return &open[i]
 }
 
-// addLaterFree adds the memory that an open order will release. Memory of an
-// order whose answer was lost is left out: the order may never take effect, so
-// no move may wait for it.
+// addLaterFree adds the memory that an open order will release. It ignores
+// orders whose answer was lost: they may never take effect, so no move may wait
+// for them.
 func (e *Engine) addLaterFree(h ledger.Holding, doubtful bool) {
 	if doubtful {
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-// readLoads adds what open orders are loading.
+// readLoads adds the copies and adapters that open orders load.
 func (e *Engine) readLoads(l ledger.Ledger) {
 	for _, order := range l.Open() {
 		h, loads := ledger.Loads(order)
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -187,6 +187,8 @@
 	d.planLoad(m, e.candidate, t, gain, nil)
 }
 
+// bestEviction returns the best eviction for another copy, or false if there is
+// none.
 func (d *draft) bestEviction(q search) (eviction, bool) {
 	var found eviction
 	ok := false
@@ -280,8 +282,8 @@
 	return indexes
 }
 
-// planUnload plans the unload of a copy. It makes room for the model m, whose
-// name is forModel, or refills the reserve if they are nil and empty.
+// planUnload plans the unload of a copy. It makes room for the model m, named
+// forModel, or refills the reserve if m is nil and forModel is empty.
 func (d *draft) planUnload(v victim, t tier, forModel string, m *model) {
 	p := v.placed
 	s := &d.engines[p.engine]
--- a/internal/placement/fake_engine_test.go
+++ b/internal/placement/fake_engine_test.go
@@ -49,7 +49,7 @@
 	return total
 }
 
-func newEngine(name, domain string, memory int64, accelerators ...string) *fakeEngine {
+func newFakeEngine(name, domain string, memory int64, accelerators ...string) *fakeEngine {
 	e := &fakeEngine{
 		name: name, domain: domain, incarnation: 1, revision: 1, slots: 16 * len(accelerators), alive: true,
 		models: map[string]*residentModel{}, stepsLeft: map[string]int{}, orderStates: map[string]upstreamapi.OrderState{},
--- a/internal/placement/finish.go
+++ b/internal/placement/finish.go
@@ -49,16 +49,16 @@
 // store (token bucket), and by its limit on concurrent loads.
 func (d *draft) loadAllowance() (tokens float64, slots int) {
 	tokens, slots = unlimited, unlimited
-	if rate := d.in.WeightStore.LoadsPerSecond; rate > 0 {
+	if rate := d.input.WeightStore.LoadsPerSecond; rate > 0 {
 		// The bucket holds the loads of one second, plus one for the fraction
 		// of a load that is left over between plans one second apart.
 		capacity := rate + 1
 		tokens = capacity
-		if last := d.in.Previous; !last.plannedAt.IsZero() {
+		if last := d.input.Previous; !last.plannedAt.IsZero() {
 			tokens = min(last.loadTokens+rate*max(d.now.Sub(last.plannedAt).Seconds(), 0), capacity)
 		}
 	}
-	if maxConcurrent := d.in.WeightStore.Concurrent; maxConcurrent > 0 {
+	if maxConcurrent := d.input.WeightStore.Concurrent; maxConcurrent > 0 {
 		slots = maxConcurrent
 		for i := range d.engines {
 			if d.engines[i].status != Lost {
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -63,14 +63,14 @@
 // hold m.
 func newTestCluster(set declaration.Set, engines ...*fakeEngine) *cluster {
 	for _, name := range []string{"own-1", "own-2", "own-3"} {
-		engines = append(engines, newEngine(name, "d-"+name, 2*gib, "a0").withModel("m", 2))
+		engines = append(engines, newFakeEngine(name, "d-"+name, 2*gib, "a0").withModel("m", 2))
 	}
 	return newCluster(set, engines...)
 }
 
 // smallEngine returns an engine with one accelerator of size GiB.
 func smallEngine(name, domain string, size int64) *fakeEngine {
-	return newEngine(name, domain, size*gib, "a0")
+	return newFakeEngine(name, domain, size*gib, "a0")
 }
 
 // withModel puts a model of size GiB in memory, with adapters of 1 GiB.
@@ -84,7 +84,7 @@
 }
 
 // recordOpenOrder records an order in the engine's ledger without sending it.
-func (c *cluster) recordOpenOrder(name string, order upstreamapi.Order, lost bool) {
+func (c *cluster) recordOpenOrder(name string, order upstreamapi.Order, answerLost bool) {
 	e := c.engine(name)
 	l := c.ledgers[name].WithReport(e.announcement())
 	c.lastOrderNumber++
@@ -93,7 +93,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if lost {
+	if answerLost {
 		l = l.WithLost(order.ID)
 	}
 	c.ledgers[name] = l
--- a/internal/placement/move.go
+++ b/internal/placement/move.go
@@ -20,6 +20,7 @@
 // tier is the urgency of a need. Lower tiers are met first.
 type tier int
 
+// Tiers, the most urgent first. The package comment describes them.
 const (
 	tierUnreachable tier = iota
 	tierFloor
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -3,9 +3,9 @@
 //
 // Each plan is computed from the current state alone: what engines hold, which
 // orders are open, and the estimated demand. The planner determines what is
-// missing and plans as few moves as that needs. No target placement is stored
-// that could drift from the actual state, so a new leader, a lost order or a
-// second fault during a repair changes only the input of the next plan.
+// missing and plans only the moves that provide it. No target placement is
+// stored that could drift from the actual state, so a new leader, a lost order
+// or a second fault during a repair changes only the input of the next plan.
 //
 // Needs are met in tiers, the most urgent first:
 //
@@ -56,7 +56,7 @@
 	DefaultTargetUtilization = 0.8
 )
 
-// WeightStore is the limits on loads from the weight store.
+// WeightStore limits the loads from the weight store.
 type WeightStore struct {
 	// LoadsPerSecond is the rate at which loads may start. 0 means no limit.
 	LoadsPerSecond float64
--- a/internal/placement/version.go
+++ b/internal/placement/version.go
@@ -44,7 +44,8 @@
 
 // changeInPlace plans a version change on an engine that loads the new version
 // beside the old one and then switches over. The new version starts without
-// adapters, so each of them must be served by another engine too.
+// adapters, so other engines must serve all adapters of the copy. It returns
+// false if no such change is possible.
 func (d *draft) changeInPlace(m *model, old *placedCopy) bool {
 	s := &d.engines[old.engine]
 	layout := slices.IndexFunc(m.footprints(false), func(f footprint) bool { return f.layout.Accelerators == len(old.accelerators) })
@@ -78,7 +79,8 @@
 }
 
 // changeByNewCopy plans a new copy of the declared version. If there already is
-// a stable one, it plans to unload the old copy, and later plans load what is
+// a stable one, it instead plans to unload the old copy, unless that would make
+// the model or an adapter unreachable. Later plans load the copies that are
 // missing then.
 func (d *draft) changeByNewCopy(m *model, old *placedCopy) {
 	replaced := slices.ContainsFunc(m.copies, func(p placedCopy) bool {
