--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -155,8 +155,8 @@
 
 // evaluate returns the candidate with its score, or false if the engine has not
 // enough memory.
-func (d *draft) evaluate(i int, f footprint, needsUnloads bool, t tier) (candidate, bool) {
-	s := &d.engines[i]
+func (d *draft) evaluate(engine int, f footprint, needsUnloads bool, t tier) (candidate, bool) {
+	s := &d.engines[engine]
 	totalBytes := f.bytes * int64(f.layout.Accelerators)
 	if t >= tierRedundancy && d.laterFreeBytes-totalBytes < d.reserveBytes {
 		return candidate{}, false
@@ -179,7 +179,7 @@
 	idleness := 1 - min((s.load+presumedLoadPerCopy*float64(s.copyCount))/max(s.goalCapacity(d.options), 1), 1)
 	tightness := 1 - float64(leastLeft)/float64(max(s.accelerators[0].total, 1))
 	return candidate{
-		engine: i, layout: f.layout, bytes: f.bytes, needsUnloads: needsUnloads,
+		engine: engine, layout: f.layout, bytes: f.bytes, needsUnloads: needsUnloads,
 		score: scoreIdleness*idleness + scoreTightness*tightness/float64(f.layout.Accelerators),
 	}, true
 }
@@ -194,8 +194,8 @@
 
 // pickAccelerators returns count accelerators with enough free memory,
 // preferring those with the least.
-func (d *draft) pickAccelerators(i int, bytes int64, count int, afterUnloads bool) []int {
-	s := &d.engines[i]
+func (d *draft) pickAccelerators(engine int, bytes int64, count int, afterUnloads bool) []int {
+	s := &d.engines[engine]
 	var indexes []int
 	for a := range s.accelerators {
 		if s.accelerators[a].freeFor(afterUnloads) >= bytes {
@@ -220,8 +220,8 @@
 }
 
 // allocate takes memory from each of the accelerators.
-func (d *draft) allocate(i int, indexes []int, bytes int64) {
-	s := &d.engines[i]
+func (d *draft) allocate(engine int, indexes []int, bytes int64) {
+	s := &d.engines[engine]
 	for _, a := range indexes {
 		s.accelerators[a].free -= bytes
 		s.accelerators[a].laterFree -= bytes
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -24,19 +24,19 @@
 // and each adapter beside it. Copies that an open order may remove or is still
 // loading do not count, so no move makes a model unreachable, even if every
 // answer to an order is lost.
-func (d *draft) victimsAt(i int, t tier) []victim {
-	s := &d.engines[i]
+func (d *draft) victimsAt(engine int, t tier) []victim {
+	s := &d.engines[engine]
 	var victims []victim
 	for c := range s.copies {
 		j, known := d.modelIndex[s.copies[c].model]
 		if !known {
 			if s.copies[c].phase == PhaseReady && !d.unloadPlanned(s.name, &s.copies[c]) {
-				victims = append(victims, victim{model: -1, placed: &placedCopy{modelCopy: s.copies[c], engine: i}})
+				victims = append(victims, victim{model: -1, placed: &placedCopy{modelCopy: s.copies[c], engine: engine}})
 			}
 			continue
 		}
 		m := &d.models[j]
-		p := m.copyAt(i, s.copies[c].version)
+		p := m.copyAt(engine, s.copies[c].version)
 		if p == nil || !d.canRemove(m, p, t) {
 			continue
 		}
@@ -215,13 +215,13 @@
 // evictionAt selects victims in the given order until enough accelerators of
 // the engine have room. It returns false if they never do, or if the reserve
 // would be used up.
-func (d *draft) evictionAt(i int, f footprint, victims []victim, t tier) (eviction, bool) {
-	s := &d.engines[i]
+func (d *draft) evictionAt(engine int, f footprint, victims []victim, t tier) (eviction, bool) {
+	s := &d.engines[engine]
 	laterFree := make([]int64, len(s.accelerators))
 	for a := range s.accelerators {
 		laterFree[a] = s.accelerators[a].laterFree
 	}
-	e := eviction{candidate: candidate{engine: i, layout: f.layout, bytes: f.bytes, needsUnloads: true}}
+	e := eviction{candidate: candidate{engine: engine, layout: f.layout, bytes: f.bytes, needsUnloads: true}}
 	freed := int64(0)
 	for _, v := range victims {
 		useful := false
@@ -243,7 +243,7 @@
 		e.lostLoad += v.lostLoad
 		e.candidate.accelerators = acceleratorsWithRoom(laterFree, f.bytes, f.layout.Accelerators)
 		if len(e.candidate.accelerators) == f.layout.Accelerators {
-			e = d.withoutUselessVictims(i, f, e)
+			e = d.withoutUselessVictims(engine, f, e)
 			totalBytes := f.bytes * int64(f.layout.Accelerators)
 			return e, t < tierRedundancy || d.laterFreeBytes+freed-totalBytes >= d.reserveBytes
 		}
@@ -253,8 +253,8 @@
 
 // withoutUselessVictims drops the victims that free nothing the copy needs on
 // the selected accelerators.
-func (d *draft) withoutUselessVictims(i int, f footprint, e eviction) eviction {
-	s := &d.engines[i]
+func (d *draft) withoutUselessVictims(engine int, f footprint, e eviction) eviction {
+	s := &d.engines[engine]
 	kept := e.victims[:0:0]
 	lostLoad := 0.0
 	for _, v := range e.victims {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -17,8 +17,10 @@
 //     exceeds the cost of the moves times the weight of moves.
 //
 // A need may evict copies that only later tiers require, but none that its own
-// tier or an earlier one requires, so that no two needs evict each other's
-// copies in turn.
+// tier or an earlier one requires. Demand may also evict copies that serve
+// other demand, if the gain exceeds the loss. The loss is based on a load that
+// is never below the one for which copies are added. So no two needs evict each
+// other's copies in turn.
 //
 // The package is pure: the current time and the state go in, and a Plan comes
 // out.
