--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,13 +1,13 @@
-// Package lease keeps which instance may give orders to which upstream, one lease
-// for each upstream.
+// Package lease is the lock service for orders to upstreams: it records which
+// instance last took the lease of each upstream.
 //
-// An instance takes the lease in the replicated log before each order. Whoever
-// leads next finds there which upstreams were ordered of late, and waits with
-// these alone: a wait of a new leader with all of them left every model where it
-// was for 4 s after each loss of a leader.
+// An instance takes the lease through the replicated log before each order. A new
+// leader reads from the log which upstreams were ordered recently, and holds back
+// orders to these only: holding back all orders stopped every model move for 4 s
+// after each loss of a leader.
 //
-// Leases is replicated and deterministic. Sightings is what one replica has seen
-// of them, by its own clock.
+// Leases is replicated and deterministic. Sightings holds the times at which one
+// replica saw leases being taken, by its own clock.
 package lease
 
 import (
@@ -21,20 +21,21 @@
 
 // Take is the command by which an instance takes the leases of upstreams.
 type Take struct {
-	// Holder is the name of the instance.
+	// Holder is the name of the instance that takes the leases.
 	Holder    string   `json:"holder"`
 	Upstreams []string `json:"upstreams"`
-	// Forget are upstreams that are gone. Nobody gives them orders any more.
+	// Forget lists upstreams that no longer exist; their leases are deleted.
 	Forget []string `json:"forget,omitempty"`
 }
 
-// Leases is the instance that took the lease of each upstream last. It is
-// immutable. The zero value is none.
+// Leases maps each upstream to the instance that last took its lease. It is
+// immutable. The zero value holds no leases.
 type Leases struct {
+	// holders is keyed by the name of the upstream.
 	holders map[string]string
 }
 
-// With returns the leases after take.
+// With returns the leases after take is applied.
 func (l Leases) With(take Take) Leases {
 	holders := make(map[string]string, len(l.holders)+len(take.Upstreams))
 	maps.Copy(holders, l.holders)
@@ -47,17 +48,18 @@
 	return Leases{holders: holders}
 }
 
-// Holder returns the instance that took the lease of upstream last, or nothing.
+// Holder returns the instance that last took the lease of upstream, or an empty
+// string if none did.
 func (l Leases) Holder(upstream string) string {
 	return l.holders[upstream]
 }
 
-// Upstreams returns the upstreams whose leases were taken, in order.
+// Upstreams returns the upstreams whose leases were taken, sorted by name.
 func (l Leases) Upstreams() []string {
 	return slices.Sorted(maps.Keys(l.holders))
 }
 
-// Snapshot returns the encoding of the leases. Equal leases give equal bytes.
+// Snapshot encodes the leases. Equal leases have equal encodings.
 func (l Leases) Snapshot() []byte {
 	upstreams := l.Upstreams()
 	buffer := parcel.AppendUint(nil, uint64(len(upstreams)))
@@ -68,8 +70,8 @@
 	return buffer
 }
 
-// Restore returns the leases whose Snapshot is data. If data is damaged, Restore
-// returns an error.
+// Restore decodes the leases from the output of Snapshot. If data is malformed,
+// Restore returns an error.
 func Restore(data []byte) (Leases, error) {
 	reader := parcel.NewReader(data)
 	holders := map[string]string{}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,13 +12,13 @@
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
 var _ = Describe("Leases", func() {
-	It("name who took each last, also after a snapshot", func() {
+	It("name the last holder of each upstream, also after a snapshot is restored", func() {
 		leases := lease.Leases{}.
 			With(lease.Take{Holder: "a", Upstreams: []string{"e1", "e2", "e3"}}).
 			With(lease.Take{Holder: "b", Upstreams: []string{"e2"}, Forget: []string{"e3"}})
-		again, err := lease.Restore(leases.Snapshot())
+		restored, err := lease.Restore(leases.Snapshot())
 		Expect(err).NotTo(HaveOccurred())
-		for _, l := range []lease.Leases{leases, again} {
+		for _, l := range []lease.Leases{leases, restored} {
 			Expect(l.Upstreams()).To(Equal([]string{"e1", "e2"}))
 			Expect(l.Holder("e1")).To(Equal("a"))
 			Expect(l.Holder("e2")).To(Equal("b"))
@@ -26,7 +26,7 @@
 		}
 	})
 
-	It("refuse a snapshot that is cut short", func() {
+	It("reject a truncated snapshot", func() {
 		snapshot := lease.Leases{}.With(lease.Take{Holder: "a", Upstreams: []string{"e1"}}).Snapshot()
 		_, err := lease.Restore(snapshot[:len(snapshot)-1])
 		Expect(err).To(HaveOccurred())
@@ -36,7 +36,7 @@
 var _ = Describe("Sightings", func() {
 	const wait = 4 * time.Second
 
-	It("make an instance wait for what another took, and for that alone", func() {
+	It("make an instance wait only for upstreams whose leases another instance took", func() {
 		s := lease.NewSightings("b")
 		s.Saw(start, lease.Take{Holder: "a", Upstreams: []string{"e1"}})
 		s.Saw(start, lease.Take{Holder: "b", Upstreams: []string{"e2"}})
@@ -47,10 +47,10 @@
 		Expect(s.Free(start.Add(wait), "e1", wait)).To(BeTrue())
 	})
 
-	// An instance takes a lease that another has just taken, restarts and reads from
-	// its snapshot that it holds the lease. The other may have sent its order a moment
-	// ago: two holders would order one upstream in turns.
-	It("make an instance that restarts wait for everything", func() {
+	// An instance takes a lease right after another instance, restarts and restores a
+	// snapshot that names itself as the holder. The other instance may have sent an
+	// order just before, so without a wait both would be ordering the upstream.
+	It("make an instance wait for all upstreams after a restart", func() {
 		leases := lease.Leases{}.
 			With(lease.Take{Holder: "a", Upstreams: []string{"e1"}}).
 			With(lease.Take{Holder: "b", Upstreams: []string{"e1"}})
--- a/internal/lease/sightings.go
+++ b/internal/lease/sightings.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// Sightings is when a replica saw other instances take leases last, by its own
-// clock. A lease was taken before it is seen, so that whoever waits from a sighting
-// on waits long enough. It is not safe for concurrent use.
+// Sightings holds the times at which a replica last saw other instances take
+// leases, by its own clock. A replica sees a lease only after it was taken, so a
+// wait that starts at the sighting is never too short. It is not safe for
+// concurrent use.
 type Sightings struct {
-	self  string
-	taken map[string]time.Time
+	self string
+	// seenAt is keyed by the name of the upstream.
+	seenAt map[string]time.Time
 }
 
-// NewSightings returns the sightings of the replica of an instance.
+// NewSightings returns empty Sightings for the replica of the instance self.
 func NewSightings(self string) *Sightings {
-	return &Sightings{self: self, taken: map[string]time.Time{}}
+	return &Sightings{self: self, seenAt: map[string]time.Time{}}
 }
 
-// Saw notes that take was applied at now.
+// Saw records that this replica applied take at now.
 func (s *Sightings) Saw(now time.Time, take Take) {
 	for _, upstream := range take.Forget {
-		delete(s.taken, upstream)
+		delete(s.seenAt, upstream)
 	}
 	if take.Holder == s.self {
 		return
 	}
 	for _, upstream := range take.Upstreams {
-		s.taken[upstream] = now
+		s.seenAt[upstream] = now
 	}
 }
 
-// SawAll notes leases that came as a whole. Who took them when is not known, so
-// that each may have been taken just now.
+// SawAll replaces the sightings after leases were restored from a snapshot. The
+// snapshot does not say when each lease was taken, so each is treated as taken at
+// now.
 func (s *Sightings) SawAll(now time.Time, leases Leases) {
-	clear(s.taken)
+	clear(s.seenAt)
 	for _, upstream := range leases.Upstreams() {
-		s.taken[upstream] = now
+		s.seenAt[upstream] = now
 	}
 }
 
-// Free reports whether no other instance took the lease of upstream within the last
-// wait.
+// Free reports whether this replica saw no other instance take the lease of
+// upstream within the duration wait before now.
 func (s *Sightings) Free(now time.Time, upstream string, wait time.Duration) bool {
-	at, seen := s.taken[upstream]
+	at, seen := s.seenAt[upstream]
 	return !seen || now.Sub(at) >= wait
 }
