--- a/internal/backoffice/adapters.go
+++ b/internal/backoffice/adapters.go
@@ -2,86 +2,88 @@
 
 import "time"
 
-// hasPlace reports whether an adapter of model can be loaded at e, perhaps after
-// one that is not in use was unloaded.
-func (o *orders) hasPlace(now time.Time, e *engine, model string) bool {
+// canLoadAdapter reports whether e can load an adapter of model, perhaps after it
+// unloads one that is not in use. o.mu is held.
+func (o *orchestrator) canLoadAdapter(now time.Time, e *engine, model string) bool {
 	if e.fitsAdapter(now, model) {
 		return true
 	}
-	return o.leastRecent(now, e).Name != "" && !e.report.Busy && !now.Before(e.adaptersFullUntil)
+	return o.evictableAdapter(now, e).Name != "" && !e.report.Busy && !now.Before(e.adapterLoadsBlockedUntil)
 }
 
-// leastRecent returns the adapter of e that was not asked for for the longest time and
-// that no request under way uses, or nothing.
-func (o *orders) leastRecent(now time.Time, e *engine) Adapter {
+// evictableAdapter returns the least recently requested adapter of e that may be
+// unloaded: no open request uses it, and its last request was at least
+// minAdapterResidence ago. It returns the zero Adapter if there is none. o.mu is held.
+func (o *orchestrator) evictableAdapter(now time.Time, e *engine) Adapter {
 	var chosen Adapter
 	var oldest time.Time
 	for _, held := range e.report.Models {
 		for _, name := range held.Adapters {
 			adapter := Adapter{Model: held.Name, Name: name}
-			at := o.asked[adapter]
-			fresh := now.Sub(at) < keepAdapter || o.inUse(adapter)
-			if fresh || chosen.Name != "" && !at.Before(oldest) {
+			requestedAt := o.adapterRequestedAt[adapter]
+			keep := now.Sub(requestedAt) < minAdapterResidence || o.adapterInUse(adapter)
+			if keep || chosen.Name != "" && !requestedAt.Before(oldest) {
 				continue
 			}
-			chosen, oldest = adapter, at
+			chosen, oldest = adapter, requestedAt
 		}
 	}
 	return chosen
 }
 
-// adapterUses is the adapters of the requests that are under way at one entry
-// instance, as of at.
+// adapterUses holds the adapters that the open requests of one entry instance use, as
+// reported at reportedAt.
 type adapterUses struct {
-	at   time.Time
-	open []Adapter
+	reportedAt time.Time
+	adapters   []Adapter
 }
 
-// setUses notes the adapters of the requests that are under way at an entry instance.
+// setAdapterUses replaces the adapters in use at an entry instance. o.mu is held.
 //
-// How many instances use an adapter is counted as they tell: looking at each instance for
-// each adapter of each engine took 49 of the 87 us of a call for an adapter (profile with
-// 86 instances and 140 engines).
-func (o *orders) setUses(entry string, uses adapterUses) {
-	o.dropUses(entry)
-	o.uses[entry] = uses
-	for _, adapter := range uses.open {
-		o.users[adapter]++
+// It keeps a count of entry instances per adapter: a scan of all instances for each
+// adapter of each engine took 49 of the 87 µs of a call for an adapter (profile with 86
+// instances and 140 engines).
+func (o *orchestrator) setAdapterUses(entry string, uses adapterUses) {
+	o.dropAdapterUses(entry)
+	o.usesByEntry[entry] = uses
+	for _, adapter := range uses.adapters {
+		o.adapterUsers[adapter]++
 	}
 }
 
-// dropUses forgets the requests that are under way at an entry instance.
-func (o *orders) dropUses(entry string) {
-	for _, adapter := range o.uses[entry].open {
-		o.users[adapter]--
-		if o.users[adapter] == 0 {
-			delete(o.users, adapter)
+// dropAdapterUses removes the adapters in use at an entry instance. o.mu is held.
+func (o *orchestrator) dropAdapterUses(entry string) {
+	for _, adapter := range o.usesByEntry[entry].adapters {
+		o.adapterUsers[adapter]--
+		if o.adapterUsers[adapter] == 0 {
+			delete(o.adapterUsers, adapter)
 		}
 	}
-	delete(o.uses, entry)
+	delete(o.usesByEntry, entry)
 }
 
-// inUse reports whether requests with an adapter are under way.
-func (o *orders) inUse(adapter Adapter) bool {
-	return o.users[adapter] > 0
+// adapterInUse reports whether open requests use an adapter. o.mu is held.
+func (o *orchestrator) adapterInUse(adapter Adapter) bool {
+	return o.adapterUsers[adapter] > 0
 }
 
-// expire forgets what instances told that are not heard of any more, and models and
-// adapters that nobody has asked for in a while: callers may name any.
-func (o *orders) expire(now time.Time) {
+// expire removes the reports of entry instances that have fallen silent, and models and
+// adapters that were not requested for demandTTL. Callers may name any model or
+// adapter, so the maps would grow without bound. o.mu is held.
+func (o *orchestrator) expire(now time.Time) {
 	o.expireLimits(now)
-	for entry, uses := range o.uses {
-		if now.Sub(uses.at) >= usesKept {
-			o.dropUses(entry)
+	for entry, uses := range o.usesByEntry {
+		if now.Sub(uses.reportedAt) >= adapterUsesTTL {
+			o.dropAdapterUses(entry)
 		}
 	}
-	for adapter, at := range o.asked {
-		if now.Sub(at) >= askedKept {
-			delete(o.asked, adapter)
+	for adapter, at := range o.adapterRequestedAt {
+		if now.Sub(at) >= demandTTL {
+			delete(o.adapterRequestedAt, adapter)
 		}
 	}
-	for key, asked := range o.demand {
-		if now.Sub(asked.last) >= askedKept && asked.waitingAt(now) == 0 {
+	for key, demand := range o.demand {
+		if now.Sub(demand.lastRequested) >= demandTTL && demand.totalWaiting(now) == 0 {
 			delete(o.demand, key)
 		}
 	}
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -18,29 +18,33 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Backoffice is one control instance. It is safe for concurrent use.
+// Backoffice is one control plane instance. It is safe for concurrent use.
 type Backoffice struct {
-	options Options
-	voter   *chamber.Voter
-	inner   *courier.Server
-	calls   *courier.Pool
-	urgent  *courier.Pool
-	bulk    *courier.Pool
-	orders  *orders
-	relay   *relay
-	crashes *crashes
+	options     Options
+	voter       *chamber.Voter
+	innerServer *courier.Server
+	// callPool carries calls to other instances. Heartbeats and log entries of the
+	// consensus protocol have pools of their own.
+	callPool      *courier.Pool
+	heartbeatPool *courier.Pool
+	logEntryPool  *courier.Pool
+	orchestrator  *orchestrator
+	relay         *relay
+	crashRecorder *crashRecorder
 
 	mu     sync.Mutex
 	roster *roster.Roster
-	// known is who was alive of late.
-	known members
-	// packedEdition is the edition that was told last, nil before.
+	// cachedMembership is the result of the last call of membership that computed one.
+	cachedMembership membership
+	// packedEdition is the edition that was last sent to an entry instance, with its
+	// content packed. It is nil before the first.
 	packedEdition *edition.Edition
-	// peers are the other control instances by address.
+	// peers are the other control plane instances by address.
 	peers map[string]*peer
-	// leadsSince is when this instance began to lead, zero while it does not.
-	leadsSince time.Time
-	// caughtUp is true once the replica was known to hold all that is committed.
+	// leaderSince is the time since which this instance leads, zero while it does not.
+	leaderSince time.Time
+	// caughtUp is set once the replica has applied all committed log entries after the
+	// start.
 	caughtUp bool
 
 	failed chan struct{}
@@ -48,45 +52,45 @@
 	done   sync.WaitGroup
 }
 
-// New starts a control instance. If its data folder can't be used, New returns
-// an error and has closed the listener.
+// New starts a control plane instance. If the data folder can't be used, New closes the
+// listener and returns an error.
 func New(options Options) (*Backoffice, error) {
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Backoffice{
-		options: options,
-		calls:   courier.NewPool(options.Dial, callTimeout),
-		urgent:  courier.NewPool(options.Dial, callTimeout),
-		bulk:    courier.NewPool(options.Dial, callTimeout),
-		peers:   map[string]*peer{},
-		failed:  make(chan struct{}),
-		stop:    cancel,
+		options:       options,
+		callPool:      courier.NewPool(options.Dial, callTimeout),
+		heartbeatPool: courier.NewPool(options.Dial, callTimeout),
+		logEntryPool:  courier.NewPool(options.Dial, callTimeout),
+		peers:         map[string]*peer{},
+		failed:        make(chan struct{}),
+		stop:          cancel,
 	}
 	for _, seed := range options.Seeds {
 		if seed != options.Address {
 			b.peers[seed] = &peer{address: seed, seed: true}
 		}
 	}
-	// Entry instances may ask as soon as the listener is served, and are answered from
-	// the orders.
-	b.orders = newOrders(ctx, b)
-	b.relay = &relay{office: b, told: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
-	b.crashes = newCrashes(b)
+	// The orchestrator must exist before the listener is served, because it answers calls
+	// of entry instances.
+	b.orchestrator = newOrchestrator(ctx, b)
+	b.relay = &relay{backoffice: b, demand: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
+	b.crashRecorder = newCrashRecorder(b)
 	if err := b.start(); err != nil {
 		cancel()
 		options.Inner.Close()
 		b.closePools()
 		return nil, err
 	}
-	b.done.Go(func() { b.found(ctx) })
-	b.done.Go(func() { b.pull(ctx) })
-	b.done.Go(func() { b.elect(ctx) })
-	b.done.Go(func() { b.orders.run(ctx) })
+	b.done.Go(func() { b.bootstrap(ctx) })
+	b.done.Go(func() { b.runPulls(ctx) })
+	b.done.Go(func() { b.maintainVoters(ctx) })
+	b.done.Go(func() { b.orchestrator.run(ctx) })
 	b.done.Go(func() { b.relay.run(ctx) })
-	b.done.Go(func() { b.crashes.run(ctx) })
-	b.done.Go(func() { b.crashes.listen(ctx) })
+	b.done.Go(func() { b.crashRecorder.run(ctx) })
+	b.done.Go(func() { b.crashRecorder.runRecall(ctx) })
 	return b, nil
 }
 
@@ -98,18 +102,18 @@
 	}
 	b.voter = voter
 	b.startRoster()
-	b.inner, err = courier.NewServer(b.options.Inner, courier.Services{
-		Roster: courier.NewRosterService(b.answerPull),
+	b.innerServer, err = courier.NewServer(b.options.Inner, courier.Services{
+		Roster: courier.NewRosterService(b.handlePull),
 		Others: map[string]any{
 			"Control": courier.NewControlService(voter.Control()),
-			"Feed":    courier.NewFeedService(feed{b}),
+			"Feed":    courier.NewFeedService(feedServer{b}),
 		},
 	})
 	return errors.Wrap(err, "backoffice: inner listener")
 }
 
-// startRoster makes the roster, which needs the replica's identity. The replica runs
-// already, and asks for the identities of the others.
+// startRoster creates the roster, which needs the replica's identity. The replica
+// already runs at this point and may call peerIdentities concurrently.
 func (b *Backoffice) startRoster() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,8 +135,8 @@
 func (b *Backoffice) voterOptions() chamber.VoterOptions {
 	options := chamber.Options{
 		Self:  b.options.Address,
-		Calls: b.calls,
-		// The name of an instance is its address.
+		Calls: b.callPool,
+		// An instance's name is its address.
 		Address:    func(instance string) (string, bool) { return instance, true },
 		RenewEvery: electionTimeout,
 		Lease:      electionTimeout,
@@ -146,27 +150,28 @@
 		}
 	}
 	limits := docket.DefaultLimits()
-	// No request is recorded here, so that the records need no clock.
-	limits.MaxStep = idleDocketStep
+	// This replica records no requests, so its idempotency records don't have to be aged.
+	limits.MaxStep = docketAgingInterval
 	return chamber.VoterOptions{
 		Options:         options,
 		Folder:          b.options.Folder,
-		Heartbeats:      b.urgent,
-		Entries:         b.bulk,
-		Heartbeat:       heartbeat,
+		Heartbeats:      b.heartbeatPool,
+		Entries:         b.logEntryPool,
+		Heartbeat:       heartbeatInterval,
 		ElectionTimeout: electionTimeout,
-		ClockDrift:      clockDrift,
-		Identities:      b.identities,
+		ClockDrift:      maxClockDrift,
+		Identities:      b.peerIdentities,
 		Docket:          limits,
 		Quarantine:      b.options.Quarantine,
 	}
 }
 
-// idleDocketStep is how seldom idempotency records are aged where none are made.
-const idleDocketStep = 24 * time.Hour
+// docketAgingInterval is the interval between two agings of the idempotency records, of
+// which this replica has none.
+const docketAgingInterval = 24 * time.Hour
 
-// identities returns the identities of the other replicas that are known.
-func (b *Backoffice) identities() []jury.Identity {
+// peerIdentities returns the known identities of the other replicas.
+func (b *Backoffice) peerIdentities() []jury.Identity {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.roster == nil {
@@ -181,7 +186,7 @@
 	return identities
 }
 
-// Announce takes an announcement that an upstream made to this instance.
+// Announce records an announcement that an upstream sent to this instance.
 func (b *Backoffice) Announce(now time.Time, announcement upstreamapi.Announcement) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -196,30 +201,30 @@
 	return nil
 }
 
-// Leave takes an upstream's word that it goes. It is told on also if this instance
-// has not heard of the upstream yet: another one may have a moment ago, and would
-// go on sending it work after the upstream was told that it gets none. Incarnation 0
-// stands for whichever there is.
+// Leave records that an upstream is leaving. It also spreads the leave of an upstream
+// that this instance does not know yet: another control plane instance may know it
+// already, and the upstream would still receive work after its leave was acknowledged.
+// Incarnation 0 matches any incarnation.
 func (b *Backoffice) Leave(now time.Time, leave upstreamapi.Leave) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	unheard := upstreamapi.Announcement{Name: leave.Name, Incarnation: leave.Incarnation}
+	placeholder := upstreamapi.Announcement{Name: leave.Name, Incarnation: leave.Incarnation}
 	if leave.Incarnation == 0 {
-		// An upstream that starts again after a crash has not said that it goes, so that
-		// this hides none that comes.
-		unheard.Incarnation = anyIncarnation
+		// An upstream that restarts after a crash has sent no leave, so this does not hide
+		// a restarted upstream.
+		placeholder.Incarnation = maxIncarnation
 	}
-	if err := b.roster.Announce(now, unheard); err != nil && !errors.Is(err, roster.ErrNameTaken) {
-		b.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("upstream that leaves is not known")
+	if err := b.roster.Announce(now, placeholder); err != nil && !errors.Is(err, roster.ErrNameTaken) {
+		b.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("announcement of an unknown leaving upstream rejected")
 	}
 	b.roster.Leave(now, leave)
 }
 
-// anyIncarnation is above that of any process.
-const anyIncarnation = math.MaxUint64
+// maxIncarnation is higher than the incarnation of any process.
+const maxIncarnation = math.MaxUint64
 
-// Put has the routes of a version come into force. If it returns an error, they
-// may come into force yet.
+// Put proposes a new version of the routes. If it returns an error, the version may
+// still come into force.
 func (b *Backoffice) Put(ctx context.Context, put edition.Put) (edition.Result, error) {
 	result, err := b.voter.Propose(ctx, put)
 	if err != nil {
@@ -228,19 +233,20 @@
 	return *result.Edition, nil
 }
 
-// Edition returns the routes in force as of now or later. If that can't be
-// confirmed before ctx ends, Edition returns false.
+// Edition returns the routes in force, confirmed by the voters after the call began. If
+// they can't be confirmed before ctx ends, Edition returns false.
 func (b *Backoffice) Edition(ctx context.Context) (edition.Edition, bool) {
 	return b.voter.FreshEdition(ctx)
 }
 
-// InTouch reports whether the instance knows a leader: what it is told spreads.
+// InTouch reports whether the instance knows a leader, so that announcements made to it
+// reach the other instances.
 func (b *Backoffice) InTouch() bool {
 	leader, _ := b.voter.Leader()
 	return leader != ""
 }
 
-// Seed replaces the control instances to look for.
+// Seed replaces the addresses of the seed control plane instances.
 func (b *Backoffice) Seed(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -258,13 +264,13 @@
 	}
 }
 
-// Entry is an entry instance that callers may use.
+// Entry is an entry instance that is open to callers.
 type Entry struct {
 	Address       string
 	FailureDomain string
 }
 
-// Entries returns the entry instances that take requests now.
+// Entries returns the entry instances that accept requests at now.
 func (b *Backoffice) Entries(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -277,23 +283,24 @@
 	return entries
 }
 
-// Failed is closed when the replica can take no further part, as its disk
-// failed. The process must be started anew.
+// Failed returns a channel that is closed when the replica has stopped for good after a
+// disk failure. The process must then be restarted.
 func (b *Backoffice) Failed() <-chan struct{} {
 	return b.failed
 }
 
-// Close stops the instance, handing over a leadership before ctx ends.
+// Close stops the instance. If it leads, it hands over the leadership, for which it has
+// until ctx ends.
 func (b *Backoffice) Close(ctx context.Context) {
 	b.stop()
 	b.voter.Close(ctx)
-	b.inner.Close()
+	b.innerServer.Close()
 	b.closePools()
 	b.done.Wait()
 }
 
 func (b *Backoffice) closePools() {
-	for _, pool := range []*courier.Pool{b.calls, b.urgent, b.bulk} {
+	for _, pool := range []*courier.Pool{b.callPool, b.heartbeatPool, b.logEntryPool} {
 		pool.Close()
 	}
 }
--- a/internal/backoffice/backoffice_test.go
+++ b/internal/backoffice/backoffice_test.go
@@ -27,30 +27,31 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// specTimeout bounds what a spec waits for: elections and the wait of a new
-// leader before its first order take some seconds.
+// specTimeout bounds each spec. Elections, and the wait of a new leader before its
+// first order to an engine, take some seconds.
 const specTimeout = time.Minute
 
-// fakeEngines are engines that check what they are ordered.
+// fakeEngines is a client for fake engines, which check the sequence number of orders.
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	// orders are those that came, in order.
-	orders []givenOrder
-	// lose has an order be carried out without an answer.
-	lose bool
+	// orders are the received orders, oldest first.
+	orders []receivedOrder
+	// loseAnswer makes the next accepted order return an error after it was carried out.
+	loseAnswer bool
 }
 
-// givenOrder is who ordered which engine.
-type givenOrder struct {
+// receivedOrder is an engine and the instance that sent it an order.
+type receivedOrder struct {
 	engine, holder string
 }
 
+// fakeEngine is the state of one engine. models maps each held model to its adapters.
 type fakeEngine struct {
 	sequence uint64
 	models   map[string][]string
-	// gone says that another process has its address.
-	gone bool
+	// replaced is set if another process has the engine's address.
+	replaced bool
 }
 
 func newFakeEngines() *fakeEngines {
@@ -78,16 +79,16 @@
 	return report, nil
 }
 
-var errLost = errors.New("the answer was lost")
+var errAnswerLost = errors.New("answer to the order lost")
 
 func (f *fakeEngines) Order(
 	_ context.Context, engine backoffice.EngineAddress, order backoffice.Order,
 ) (backoffice.OrderAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, givenOrder{engine.Name, order.Holder})
+	f.orders = append(f.orders, receivedOrder{engine.Name, order.Holder})
 	e := f.engines[engine.Name]
-	if e.gone {
+	if e.replaced {
 		return backoffice.Gone, nil
 	}
 	if order.Expected != e.sequence {
@@ -102,14 +103,14 @@
 	case order.Kind == backoffice.Load:
 		e.models[order.Model] = append(e.models[order.Model], order.Adapter)
 	}
-	if f.lose {
-		f.lose = false
-		return 0, errLost
+	if f.loseAnswer {
+		f.loseAnswer = false
+		return 0, errAnswerLost
 	}
 	return backoffice.Accepted, nil
 }
 
-// holdersOf returns who gave orders to an engine.
+// holdersOf returns the instances that sent orders to an engine.
 func (f *fakeEngines) holdersOf(engine string) map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,8 +130,8 @@
 	return held
 }
 
-// table reads routes.Draft as JSON.
-func table(content []byte) (*routes.Table, error) {
+// parseRoutes parses the JSON encoding of routes.Draft.
+func parseRoutes(content []byte) (*routes.Table, error) {
 	var draft routes.Draft
 	if err := json.Unmarshal(content, &draft); err != nil {
 		return nil, err
@@ -138,8 +139,9 @@
 	return routes.New(draft)
 }
 
-// content is the routes of a version: one service of engines with three models.
-func content(version uint64) []byte {
+// encodedRoutes returns routes with the given version: one service of engines with
+// three models.
+func encodedRoutes(version uint64) []byte {
 	model := func(name string) routes.Model {
 		return routes.Model{Name: name, Megabytes: 70_000, AdapterMegabytes: 50, Adapters: 4, Load: time.Second}
 	}
@@ -151,117 +153,119 @@
 	return text
 }
 
-// site is control instances on one machine.
-type site struct {
-	seeds   []string
-	engines *fakeEngines
-	offices map[string]*backoffice.Backoffice
-	folders map[string]string
-	calls   *courier.Pool
-	// lost are instances that were stopped for good.
-	lost map[string]bool
-	// gap is the least time between orders of two instances to one engine.
-	gap time.Duration
+// testCluster is a group of control plane instances in this process.
+type testCluster struct {
+	seeds     []string
+	fakes     *fakeEngines
+	instances map[string]*backoffice.Backoffice
+	folders   map[string]string
+	calls     *courier.Pool
+	// stopped marks the instances that were stopped and are not restarted.
+	stopped map[string]bool
+	// orderGap is the minimum time between orders of two instances to the same engine.
+	orderGap time.Duration
 }
 
-func newSite() *site {
+func newTestCluster() *testCluster {
 	GinkgoHelper()
-	return newSiteWithGap(3 * time.Second)
+	return newTestClusterWithOrderGap(3 * time.Second)
 }
 
-func newSiteWithGap(gap time.Duration) *site {
-	s := &site{
-		engines: newFakeEngines(), offices: map[string]*backoffice.Backoffice{}, folders: map[string]string{},
-		calls: courier.NewPool(courier.DialTCP, time.Second), gap: gap, lost: map[string]bool{},
+func newTestClusterWithOrderGap(gap time.Duration) *testCluster {
+	c := &testCluster{
+		fakes: newFakeEngines(), instances: map[string]*backoffice.Backoffice{}, folders: map[string]string{},
+		calls: courier.NewPool(courier.DialTCP, time.Second), orderGap: gap, stopped: map[string]bool{},
 	}
 	listeners := make([]net.Listener, 3)
 	for i := range listeners {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		listeners[i] = listener
-		s.seeds = append(s.seeds, listener.Addr().String())
+		c.seeds = append(c.seeds, listener.Addr().String())
 	}
-	for i, address := range s.seeds {
-		s.folders[address] = filepath.Join(GinkgoT().TempDir(), fmt.Sprint(i))
-		s.start(address, listeners[i], true)
+	for i, address := range c.seeds {
+		c.folders[address] = filepath.Join(GinkgoT().TempDir(), fmt.Sprint(i))
+		c.start(address, listeners[i], true)
 	}
 	DeferCleanup(func() {
-		for address, office := range s.offices {
-			if !s.lost[address] {
-				s.stop(office)
+		for address, instance := range c.instances {
+			if !c.stopped[address] {
+				c.stop(instance)
 			}
 		}
-		s.calls.Close()
+		c.calls.Close()
 	})
-	return s
+	return c
 }
 
-func (s *site) start(address string, listener net.Listener, founder bool) {
-	office, err := backoffice.New(backoffice.Options{
-		Address: address, FailureDomain: "here", Seeds: s.seeds, Founder: founder, Voters: 3,
-		Folder: s.folders[address], Inner: listener, Dial: courier.DialTCP, UpstreamLease: 3 * time.Second, OrderGap: s.gap,
-		Table: table, Engines: s.engines, Now: time.Now, Log: zerolog.Nop(),
+func (c *testCluster) start(address string, listener net.Listener, founder bool) {
+	instance, err := backoffice.New(backoffice.Options{
+		Address: address, FailureDomain: "here", Seeds: c.seeds, Founder: founder, Voters: 3,
+		Folder: c.folders[address], Inner: listener, Dial: courier.DialTCP, UpstreamLease: 3 * time.Second, OrderGap: c.orderGap,
+		Table: parseRoutes, Engines: c.fakes, Now: time.Now, Log: zerolog.Nop(),
 	})
 	Expect(err).NotTo(HaveOccurred())
-	s.offices[address] = office
+	c.instances[address] = instance
 }
 
-// stop stops an instance at once, as a kill would: it hands nothing over.
-func (s *site) stop(office *backoffice.Backoffice) {
-	ended, cancel := context.WithCancel(context.Background())
+// stop closes an instance without handing over its leadership, as if it was killed.
+func (c *testCluster) stop(instance *backoffice.Backoffice) {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	office.Close(ended)
+	instance.Close(canceled)
 }
 
-// wipe kills an instance and starts it again on an empty folder.
-func (s *site) wipe(address string) {
+// wipe stops an instance and restarts it with an empty data folder.
+func (c *testCluster) wipe(address string) {
 	GinkgoHelper()
-	s.stop(s.offices[address])
-	Expect(os.RemoveAll(s.folders[address])).To(Succeed())
+	c.stop(c.instances[address])
+	Expect(os.RemoveAll(c.folders[address])).To(Succeed())
 	var listener net.Listener
 	Eventually(func() (err error) {
 		listener, err = net.Listen("tcp", address)
 		return err
 	}, specTimeout).Should(Succeed())
-	s.start(address, listener, false)
+	c.start(address, listener, false)
 }
 
-// put has routes come into force by way of one instance.
-func (s *site) put(ctx context.Context, address string, version uint64) edition.Result {
+// putRoutes puts a version of the routes through one instance, and retries until it
+// gets an answer.
+func (c *testCluster) putRoutes(ctx context.Context, address string, version uint64) edition.Result {
 	GinkgoHelper()
 	var result edition.Result
 	Eventually(ctx, func() (err error) {
-		bounded, cancel := context.WithTimeout(ctx, 2*time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
-		result, err = s.offices[address].Put(bounded, edition.Put{Version: version, Content: content(version)})
+		result, err = c.instances[address].Put(callCtx, edition.Put{Version: version, Content: encodedRoutes(version)})
 		return err
 	}).Should(Succeed())
 	return result
 }
 
-// beAccepted matches the verdict on a version that is in force now. A put whose first
-// answer is lost is tried again, and finds its own document in force.
+// beAccepted matches the verdict on a version that is in force. A put whose first
+// answer was lost is retried and finds its own content in force.
 func beAccepted() types.GomegaMatcher {
 	return BeElementOf(edition.Stored, edition.Held)
 }
 
-// read returns the version that an instance says is in force.
-func (s *site) read(ctx context.Context, address string) uint64 {
+// routesVersion returns the version in force as read from one instance.
+func (c *testCluster) routesVersion(ctx context.Context, address string) uint64 {
 	GinkgoHelper()
 	var held edition.Edition
 	Eventually(ctx, func() (ok bool) {
-		bounded, cancel := context.WithTimeout(ctx, time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		held, ok = s.offices[address].Edition(bounded)
+		held, ok = c.instances[address].Edition(callCtx)
 		return ok
 	}).Should(BeTrue())
 	return held.Version
 }
 
-// sync asks the leader as an entry instance does.
-func (s *site) sync(ctx context.Context, demand ...courier.Demand) (courier.SyncReply, bool) {
-	for _, address := range s.seeds {
-		reply, err := s.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
+// syncWithLeader syncs with the leader as an entry instance does. It returns false if
+// no instance says that it leads.
+func (c *testCluster) syncWithLeader(ctx context.Context, demand ...courier.Demand) (courier.SyncReply, bool) {
+	for _, address := range c.seeds {
+		reply, err := c.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
 			Name: "entry", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()),
 			Static: &roster.InstanceStatic{CallerAddress: "127.0.0.1:1", FailureDomain: "here", InnerAddress: "entry"},
 		}, Demand: demand})
@@ -272,12 +276,12 @@
 	return courier.SyncReply{}, false
 }
 
-// announce tells every instance of an engine, again and again.
-func (s *site) announce(ctx context.Context, name string) {
+// announce announces an engine to every instance once a second until ctx ends.
+func (c *testCluster) announce(ctx context.Context, name string) {
 	go func() {
 		for sequence := uint64(1); ctx.Err() == nil; sequence++ {
-			for _, address := range s.seeds {
-				_ = s.offices[address].Announce(time.Now(), upstreamapi.Announcement{
+			for _, address := range c.seeds {
+				_ = c.instances[address].Announce(time.Now(), upstreamapi.Announcement{
 					Name: name, Incarnation: 1, Sequence: sequence, Address: "127.0.0.1:9", Services: []string{"pool"},
 				})
 			}
@@ -289,17 +293,18 @@
 	}()
 }
 
-// want returns a function that asks the leader for a model or an adapter, as an entry
-// instance does, and returns the engine or why there is none.
-func (s *site) want(ctx context.Context, model, adapter string) func() string {
+// wantFromLeader returns a function that requests a model or an adapter from the leader
+// as an entry instance does. The function returns the engine, the error text of a
+// failed call, or an empty string.
+func (c *testCluster) wantFromLeader(ctx context.Context, model, adapter string) func() string {
 	return func() string {
-		reply, ok := s.sync(ctx, courier.Demand{Service: "pool", Model: "a", Requests: 1})
+		reply, ok := c.syncWithLeader(ctx, courier.Demand{Service: "pool", Model: "a", Requests: 1})
 		if !ok {
 			return ""
 		}
-		bounded, cancel := context.WithTimeout(ctx, 2*time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
-		got, err := s.calls.Want(bounded, reply.Leader, courier.WantArgs{Service: "pool", Model: model, Adapter: adapter, Timeout: time.Second})
+		got, err := c.calls.Want(callCtx, reply.Leader, courier.WantArgs{Service: "pool", Model: model, Adapter: adapter, Timeout: time.Second})
 		if err != nil {
 			return err.Error()
 		}
@@ -308,59 +313,59 @@
 }
 
 var _ = Describe("Backoffice", func() {
-	It("founds one cluster of the seeds, and every instance tells the same routes", func(ctx SpecContext) {
-		s := newSite()
-		Expect(s.put(ctx, s.seeds[0], 2).Verdict).To(beAccepted())
-		Expect(s.put(ctx, s.seeds[1], 5).Verdict).To(beAccepted())
-		Expect(s.put(ctx, s.seeds[2], 3).Verdict).To(Equal(edition.Superseded))
-		for _, address := range s.seeds {
-			Expect(s.read(ctx, address)).To(Equal(uint64(5)))
+	It("founds one cluster of the seeds, and every instance returns the same routes", func(ctx SpecContext) {
+		c := newTestCluster()
+		Expect(c.putRoutes(ctx, c.seeds[0], 2).Verdict).To(beAccepted())
+		Expect(c.putRoutes(ctx, c.seeds[1], 5).Verdict).To(beAccepted())
+		Expect(c.putRoutes(ctx, c.seeds[2], 3).Verdict).To(Equal(edition.Superseded))
+		for _, address := range c.seeds {
+			Expect(c.routesVersion(ctx, address)).To(Equal(uint64(5)))
 		}
 	}, SpecTimeout(specTimeout))
 
-	// Routes have grown to hundreds of kilobytes, and every entry instance asks for them
-	// at the same moment: they have to get through the leader's link at once.
-	It("tells large routes in a fraction of their size", func(ctx SpecContext) {
-		s := newSite()
-		large := edition.Put{Version: 1, Content: append(content(1), bytes.Repeat([]byte(" "), 400_000)...)}
+	// The routes can take hundreds of kilobytes, and all entry instances request them at
+	// the same moment through the leader's link.
+	It("sends large routes in a fraction of their size", func(ctx SpecContext) {
+		c := newTestCluster()
+		large := edition.Put{Version: 1, Content: append(encodedRoutes(1), bytes.Repeat([]byte(" "), 400_000)...)}
 		Eventually(ctx, func() error {
-			_, err := s.offices[s.seeds[0]].Put(ctx, large)
+			_, err := c.instances[c.seeds[0]].Put(ctx, large)
 			return err
 		}).Should(Succeed())
-		var told *edition.Edition
+		var received *edition.Edition
 		Eventually(ctx, func() bool {
-			reply, ok := s.sync(ctx)
-			told = reply.Edition
-			return ok && told != nil
+			reply, ok := c.syncWithLeader(ctx)
+			received = reply.Edition
+			return ok && received != nil
 		}).Should(BeTrue())
-		Expect(len(told.Content)).To(BeNumerically("<", len(large.Content)/10))
-		Expect(registry.Unpack(told.Content)).To(Equal(large.Content))
+		Expect(len(received.Content)).To(BeNumerically("<", len(large.Content)/10))
+		Expect(registry.Unpack(received.Content)).To(Equal(large.Content))
 	}, SpecTimeout(specTimeout))
 
-	// One instance after the other loses its disk, right after a change was
-	// acknowledged. Each comes back empty and must become a voter again before the
-	// next is lost; what was acknowledged must stay.
+	// Each instance in turn loses its disk right after a change was acknowledged. It must
+	// become a voter again before the next one loses its disk, and no acknowledged change
+	// may be lost.
 	It("replaces voters that lost their disks, one after the other", func(ctx SpecContext) {
-		s := newSite()
-		for i, address := range s.seeds {
+		c := newTestCluster()
+		for i, address := range c.seeds {
 			version := uint64(i + 1)
-			s.put(ctx, address, version)
-			s.wipe(address)
-			Eventually(ctx, func() uint64 { return s.read(ctx, address) }).Should(Equal(version))
-			Eventually(ctx, s.offices[address].Votes).Should(BeTrue())
+			c.putRoutes(ctx, address, version)
+			c.wipe(address)
+			Eventually(ctx, func() uint64 { return c.routesVersion(ctx, address) }).Should(Equal(version))
+			Eventually(ctx, c.instances[address].Votes).Should(BeTrue())
 		}
-		Expect(s.put(ctx, s.seeds[0], 9).Verdict).To(beAccepted())
+		Expect(c.putRoutes(ctx, c.seeds[0], 9).Verdict).To(beAccepted())
 	}, SpecTimeout(specTimeout))
 
 	It("tells an entry instance of engines that any instance has heard of, and of their leaving", func(ctx SpecContext) {
-		s := newSite()
-		s.engines.add("e1", "a")
-		s.put(ctx, s.seeds[0], 1)
-		Expect(s.offices[s.seeds[1]].Announce(time.Now(), upstreamapi.Announcement{
+		c := newTestCluster()
+		c.fakes.add("e1", "a")
+		c.putRoutes(ctx, c.seeds[0], 1)
+		Expect(c.instances[c.seeds[1]].Announce(time.Now(), upstreamapi.Announcement{
 			Name: "e1", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:9", Services: []string{"pool"},
 		})).To(Succeed())
-		told := func() (names []string) {
-			reply, ok := s.sync(ctx)
+		upstreams := func() (names []string) {
+			reply, ok := c.syncWithLeader(ctx)
 			if !ok {
 				return nil
 			}
@@ -369,73 +374,73 @@
 			}
 			return names
 		}
-		Eventually(ctx, told).Should(ConsistOf("e1 left false"))
-		s.offices[s.seeds[2]].Leave(time.Now(), upstreamapi.Leave{Name: "e1", Incarnation: 1})
-		Eventually(ctx, told).Should(ConsistOf("e1 left true"))
+		Eventually(ctx, upstreams).Should(ConsistOf("e1 left false"))
+		c.instances[c.seeds[2]].Leave(time.Now(), upstreamapi.Leave{Name: "e1", Incarnation: 1})
+		Eventually(ctx, upstreams).Should(ConsistOf("e1 left true"))
 	}, SpecTimeout(specTimeout))
 
-	// Requests wait for a model that the only engine does not hold, and for more
-	// adapters than it has places. The answer to an order is lost: it must not be
-	// given in a way that could be carried out twice.
+	// Requests wait for a model that the only engine does not hold, and for more adapters
+	// than it has slots. The answer to an order is lost: the order must not be repeated
+	// in a way that allows both to be carried out.
 	It("loads what requests wait for, by one holder and within the places", func(ctx SpecContext) {
-		s := newSite()
-		s.engines.add("e1", "a", "b")
-		s.put(ctx, s.seeds[0], 1)
-		s.announce(ctx, "e1")
-		s.engines.mu.Lock()
-		s.engines.lose = true
-		s.engines.mu.Unlock()
-		Eventually(ctx, s.want(ctx, "a", "a1")).Should(Equal("e1"))
-		Eventually(ctx, s.want(ctx, "c", "")).Should(Equal("e1"))
-		Expect(s.engines.holds("e1", "a")).To(BeTrue())
-		s.engines.mu.Lock()
-		defer s.engines.mu.Unlock()
-		for _, order := range s.engines.orders {
-			Expect(order.holder).To(Equal(s.engines.orders[0].holder))
+		c := newTestCluster()
+		c.fakes.add("e1", "a", "b")
+		c.putRoutes(ctx, c.seeds[0], 1)
+		c.announce(ctx, "e1")
+		c.fakes.mu.Lock()
+		c.fakes.loseAnswer = true
+		c.fakes.mu.Unlock()
+		Eventually(ctx, c.wantFromLeader(ctx, "a", "a1")).Should(Equal("e1"))
+		Eventually(ctx, c.wantFromLeader(ctx, "c", "")).Should(Equal("e1"))
+		Expect(c.fakes.holds("e1", "a")).To(BeTrue())
+		c.fakes.mu.Lock()
+		defer c.fakes.mu.Unlock()
+		for _, order := range c.fakes.orders {
+			Expect(order.holder).To(Equal(c.fakes.orders[0].holder))
 		}
 		total := 0
-		for _, adapters := range s.engines.engines["e1"].models {
+		for _, adapters := range c.fakes.engines["e1"].models {
 			total += len(adapters)
 		}
 		Expect(total).To(BeNumerically("<=", 2))
-		Expect(len(s.engines.engines["e1"].models)).To(BeNumerically("<=", 2), "of 70 GB each in 200 GB")
+		Expect(len(c.fakes.engines["e1"].models)).To(BeNumerically("<=", 2), "two models of 70 GB each fit into 200 GB")
 	}, SpecTimeout(specTimeout))
 
 	// The leader is lost right after it has ordered an engine. Its successor must not
-	// order the same engine for a while: an engine that two instances order in turns
-	// may carry out the older order last. All others it orders at once, or every model
-	// that demand moves to would wait for as long.
+	// order this engine for a while, since the engine could carry out the older order
+	// last. It orders all other engines at once: otherwise every model would be stuck for
+	// the time of the wait.
 	It("waits after a lost leader only with the engines that it has ordered", func(ctx SpecContext) {
-		s := newSiteWithGap(30 * time.Second)
-		// The engines are full, so that nothing else is ordered.
-		s.engines.add("e1", "a", "c")
-		s.engines.add("e2", "b", "c")
-		s.put(ctx, s.seeds[0], 1)
-		s.announce(ctx, "e1")
-		s.announce(ctx, "e2")
-		Eventually(ctx, s.want(ctx, "a", "a1")).Should(Equal("e1"))
-		first, ok := s.sync(ctx)
+		c := newTestClusterWithOrderGap(30 * time.Second)
+		// The engines are full, so that no other orders are sent.
+		c.fakes.add("e1", "a", "c")
+		c.fakes.add("e2", "b", "c")
+		c.putRoutes(ctx, c.seeds[0], 1)
+		c.announce(ctx, "e1")
+		c.announce(ctx, "e2")
+		Eventually(ctx, c.wantFromLeader(ctx, "a", "a1")).Should(Equal("e1"))
+		first, ok := c.syncWithLeader(ctx)
 		Expect(ok).To(BeTrue())
-		s.lost[first.Leader] = true
-		s.stop(s.offices[first.Leader])
-		Eventually(ctx, s.want(ctx, "b", "b1")).Should(Equal("e2"))
-		Expect(s.want(ctx, "a", "a2")()).To(BeEmpty())
-		Expect(s.engines.holdersOf("e1")).To(HaveLen(1))
-		Expect(s.engines.holdersOf("e2")).NotTo(HaveKey(first.Leader))
+		c.stopped[first.Leader] = true
+		c.stop(c.instances[first.Leader])
+		Eventually(ctx, c.wantFromLeader(ctx, "b", "b1")).Should(Equal("e2"))
+		Expect(c.wantFromLeader(ctx, "a", "a2")()).To(BeEmpty())
+		Expect(c.fakes.holdersOf("e1")).To(HaveLen(1))
+		Expect(c.fakes.holdersOf("e2")).NotTo(HaveKey(first.Leader))
 	}, SpecTimeout(specTimeout))
 
-	// An engine has crashed and was started anew at its address, under another name.
-	// The new one answers for it, empty: orders to the one that is gone are refused,
-	// and the copies that they should bring never come. Callers wait for them.
+	// An engine has crashed, and an empty one under another name was started at its
+	// address. Orders to the crashed one are refused, so copies that are planned there
+	// never become available and callers wait for them in vain.
 	It("takes an engine for gone whose address answers under another name", func(ctx SpecContext) {
-		s := newSite()
-		s.engines.add("e1", "a")
-		s.engines.engines["e1"].gone = true
-		s.put(ctx, s.seeds[0], 1)
-		s.announce(ctx, "e1")
+		c := newTestCluster()
+		c.fakes.add("e1", "a")
+		c.fakes.engines["e1"].replaced = true
+		c.putRoutes(ctx, c.seeds[0], 1)
+		c.announce(ctx, "e1")
 		Eventually(ctx, func() bool {
-			s.want(ctx, "a", "a1")()
-			reply, ok := s.sync(ctx)
+			c.wantFromLeader(ctx, "a", "a1")()
+			reply, ok := c.syncWithLeader(ctx)
 			if !ok {
 				return false
 			}
@@ -445,17 +450,17 @@
 		}).Should(BeTrue())
 	}, SpecTimeout(specTimeout))
 
-	It("orders the engine that was heard of last at an address alone", func(ctx SpecContext) {
-		s := newSite()
-		s.engines.add("old", "a")
-		s.engines.add("new", "a")
-		s.put(ctx, s.seeds[0], 1)
-		Expect(s.offices[s.seeds[1]].Announce(time.Now(), upstreamapi.Announcement{
+	It("orders only the engine that was last heard from at an address", func(ctx SpecContext) {
+		c := newTestCluster()
+		c.fakes.add("old", "a")
+		c.fakes.add("new", "a")
+		c.putRoutes(ctx, c.seeds[0], 1)
+		Expect(c.instances[c.seeds[1]].Announce(time.Now(), upstreamapi.Announcement{
 			Name: "old", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:9", Services: []string{"pool"},
 		})).To(Succeed())
-		s.announce(ctx, "new")
-		Eventually(ctx, s.want(ctx, "a", "a1")).Should(Equal("new"))
-		Eventually(ctx, s.want(ctx, "c", "")).Should(Equal("new"))
-		Expect(s.engines.holdersOf("old")).To(BeEmpty())
+		c.announce(ctx, "new")
+		Eventually(ctx, c.wantFromLeader(ctx, "a", "a1")).Should(Equal("new"))
+		Eventually(ctx, c.wantFromLeader(ctx, "c", "")).Should(Equal("new"))
+		Expect(c.fakes.holdersOf("old")).To(BeEmpty())
 	}, SpecTimeout(specTimeout))
 })
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -12,37 +12,41 @@
 )
 
 const (
-	// gatherTime is how long reports of crashes are gathered into one command: an engine
-	// that ends is reported by each entry instance that had requests there.
-	gatherTime = 40 * time.Millisecond
-	// noteTimeout bounds the recording of what was gathered.
-	noteTimeout = 2 * time.Second
-	// recallEvery is how often it is looked for upstreams that live after all.
-	recallEvery = 500 * time.Millisecond
+	// crashBatchDelay is how long crash reports are collected into one command: each
+	// entry instance that had requests at a crashed engine reports it.
+	crashBatchDelay = 40 * time.Millisecond
+	// crashRecordTimeout bounds the recording of one batch of reports.
+	crashRecordTimeout = 2 * time.Second
+	// crashRecallInterval is the interval between two checks for upstreams that were
+	// reported as crashed but are alive.
+	crashRecallInterval = 500 * time.Millisecond
 )
 
-// crashes records what entry instances report of upstreams that ended under requests.
-type crashes struct {
-	office *Backoffice
-
-	mu       sync.Mutex
-	gathered quarantine.Update
-	// waiting are who reported what is gathered.
-	waiting []chan bool
-	// wake holds a token if something is gathered.
+// crashRecorder records in the replicated log the upstreams that entry instances report
+// as crashed while they served requests.
+type crashRecorder struct {
+	backoffice *Backoffice
+
+	mu sync.Mutex
+	// batch holds the reports that are not recorded yet.
+	batch quarantine.Update
+	// waiters receive whether the batch was recorded.
+	waiters []chan bool
+	// wake holds a token if the batch may be non-empty.
 	wake chan struct{}
 }
 
-func newCrashes(b *Backoffice) *crashes {
-	return &crashes{office: b, wake: make(chan struct{}, 1)}
+func newCrashRecorder(b *Backoffice) *crashRecorder {
+	return &crashRecorder{backoffice: b, wake: make(chan struct{}, 1)}
 }
 
-// note records an update together with others, and reports whether the voters have it.
-func (c *crashes) note(ctx context.Context, update quarantine.Update) bool {
+// record adds update to the current batch, waits until the batch is recorded and
+// reports whether the voters have it.
+func (c *crashRecorder) record(ctx context.Context, update quarantine.Update) bool {
 	recorded := make(chan bool, 1)
 	c.mu.Lock()
-	c.gathered = c.gathered.With(c.office.plausible(update))
-	c.waiting = append(c.waiting, recorded)
+	c.batch = c.batch.With(c.backoffice.withoutLeavingUpstreams(update))
+	c.waiters = append(c.waiters, recorded)
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -56,80 +60,84 @@
 	}
 }
 
-func (c *crashes) run(ctx context.Context) {
+func (c *crashRecorder) run(ctx context.Context) {
 	for {
 		select {
 		case <-c.wake:
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, gatherTime) {
+		if !pause.For(ctx, crashBatchDelay) {
 			return
 		}
-		c.record(ctx)
+		c.flush(ctx)
 	}
 }
 
-func (c *crashes) record(ctx context.Context) {
+func (c *crashRecorder) flush(ctx context.Context) {
 	c.mu.Lock()
-	update, waiting := c.gathered, c.waiting
-	c.gathered, c.waiting = quarantine.Update{}, nil
+	update, waiters := c.batch, c.waiters
+	c.batch, c.waiters = quarantine.Update{}, nil
 	c.mu.Unlock()
 	ok := update.Empty() || c.propose(ctx, update)
-	for _, recorded := range waiting {
+	for _, recorded := range waiters {
 		recorded <- ok
 	}
 }
 
-func (c *crashes) propose(ctx context.Context, update quarantine.Update) bool {
-	ctx, cancel := context.WithTimeout(ctx, noteTimeout)
+func (c *crashRecorder) propose(ctx context.Context, update quarantine.Update) bool {
+	ctx, cancel := context.WithTimeout(ctx, crashRecordTimeout)
 	defer cancel()
-	update.Now = c.office.options.Now()
-	_, err := c.office.voter.Propose(ctx, update)
+	update.Now = c.backoffice.options.Now()
+	_, err := c.backoffice.voter.Propose(ctx, update)
 	if err != nil {
-		c.office.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crashes not recorded")
+		c.backoffice.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
 	}
 	return err == nil
 }
 
-// listen takes back crashes of upstreams that are heard of later.
-func (c *crashes) listen(ctx context.Context) {
-	for pause.For(ctx, recallEvery) {
-		c.office.voter.RecallCrashes(ctx, c.office.heard)
+// runRecall withdraws crash reports of upstreams that were heard from after the report.
+func (c *crashRecorder) runRecall(ctx context.Context) {
+	for pause.For(ctx, crashRecallInterval) {
+		c.backoffice.voter.RecallCrashes(ctx, c.backoffice.lastHeardFrom)
 	}
 }
 
-// Quarantined returns the requests in quarantine, and those that are suspected.
+// Quarantined returns the quarantined and the suspected requests.
 func (b *Backoffice) Quarantined(now time.Time) ([]quarantine.Listing, error) {
 	return b.voter.Quarantined(now)
 }
 
-// Lift has requests in quarantine be sent again. If it may not have, it returns an error.
+// Lift releases requests from quarantine. If it returns an error, they may still be
+// released.
 func (b *Backoffice) Lift(ctx context.Context, digests []quarantine.Digest) error {
 	return b.voter.Lift(ctx, digests)
 }
 
-// heard returns when a lifetime of an upstream was heard of last.
-func (b *Backoffice) heard(lifetime quarantine.Lifetime) (time.Time, bool) {
+// lastHeardFrom returns the time when an incarnation of an upstream was last heard from.
+// It returns false if the roster does not hold this incarnation.
+func (b *Backoffice) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, found := b.roster.Upstream(lifetime.Upstream)
 	return known.Heard, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
 
-// plausible leaves out reports of upstreams that had said that they go.
-func (b *Backoffice) plausible(update quarantine.Update) quarantine.Update {
+// withoutLeavingUpstreams returns update without the reports of upstreams that had
+// announced their leave before they ended.
+func (b *Backoffice) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update.Reports = slices.DeleteFunc(slices.Clone(update.Reports), func(report quarantine.Report) bool {
 		known, found := b.roster.Upstream(report.Upstream)
-		// A leave that names no incarnation has the highest one.
+		// A leave without an incarnation is stored with maxIncarnation.
 		return found && known.Leaving && known.Announcement.Incarnation >= report.Incarnation
 	})
 	return update
 }
 
-// Note records what an entry instance reports of upstreams that ended under requests.
-func (f feed) Note(ctx context.Context, args courier.NoteArgs) courier.NoteReply {
-	return courier.NoteReply{Recorded: f.office.crashes.note(ctx, args.Update)}
+// Note records the upstreams that an entry instance reports as crashed while they
+// served requests.
+func (f feedServer) Note(ctx context.Context, args courier.NoteArgs) courier.NoteReply {
+	return courier.NoteReply{Recorded: f.backoffice.crashRecorder.record(ctx, args.Update)}
 }
--- a/internal/backoffice/demand.go
+++ b/internal/backoffice/demand.go
@@ -7,105 +7,109 @@
 )
 
 const (
-	// demandSlot is the step in which demand is counted, and the windows are what
-	// it is averaged over: the short one shows within a second that a model rises,
-	// the long one keeps a pause of a few requests from looking like an end.
-	demandSlot  = 250 * time.Millisecond
-	shortWindow = 4
-	longWindow  = 16
-	// shortTrust is the part of the short window's rate that counts, since few
-	// requests come in it.
-	shortTrust = 0.8
-	// idleAfter is how long nobody asks for a model before its last copy may make
-	// way.
-	idleAfter = 6 * time.Second
+	// demandSlotDuration is the resolution in which demand is counted.
+	demandSlotDuration = 250 * time.Millisecond
+	// Demand is averaged over two windows, in slots: the short one shows a rise within a
+	// second, the long one bridges a gap of a few requests.
+	shortWindowSlots = 4
+	longWindowSlots  = 16
+	// shortWindowWeight reduces the rate of the short window, which is based on few
+	// requests.
+	shortWindowWeight = 0.8
+	// modelIdleTimeout is the time without requests after which the last copy of a model
+	// may be unloaded.
+	modelIdleTimeout = 6 * time.Second
 )
 
-// demandKey names a model of a service.
+// demandKey identifies a model of a service.
 type demandKey struct {
 	service, model string
 }
 
-// demandOf is the work that was asked for of one model, slot by slot.
-type demandOf struct {
-	// slots are a ring of work.
-	slots [longWindow]workOf
-	// last is when it was last asked for.
-	last time.Time
-	// missingSince is since when requests have found no engine that holds it, zero while
-	// one does.
+// modelDemand is the recent workload requested of one model, in time slots.
+type modelDemand struct {
+	// slots is a ring buffer.
+	slots [longWindowSlots]workload
+	// lastRequested is the time of the last request.
+	lastRequested time.Time
+	// missingSince is the time since which requests have found no engine that holds the
+	// model. It is zero while an engine holds it.
 	missingSince time.Time
-	// at is the slot that is being filled, counted from 1970.
-	at int64
-	// waiting is how many requests wait at each entry instance, as it told last.
-	waiting map[string]waits
+	// currentSlot is the number of the slot that is being filled, counted from the Unix
+	// epoch.
+	currentSlot int64
+	// waitingByEntry holds how many requests wait at each entry instance by its last
+	// report.
+	waitingByEntry map[string]waitingCount
 }
 
-// workOf is what requests take of an engine, in seconds of it: the reading of their
-// prompts, and the places of their answers as a part of its batch. An engine does both
-// at once, so that the larger says how much of it they keep busy.
-type workOf struct {
-	reading, answering float64
+// workload is the engine time that requests need, in seconds: prefill for their
+// prompts, and decode for the batch slots of their answers, divided by the number of
+// slots. An engine does both at the same time, so the larger one determines how busy it
+// is.
+type workload struct {
+	prefill, decode float64
 }
 
-// work returns what requests take of an engine with so many places.
-func work(d courier.Demand, places int) workOf {
-	return workOf{reading: d.Reading.Seconds(), answering: d.Answering.Seconds() / float64(max(places, 1))}
+// workloadOf returns the workload of d on an engine with the given number of slots.
+func workloadOf(d courier.Demand, slots int) workload {
+	return workload{prefill: d.Reading.Seconds(), decode: d.Answering.Seconds() / float64(max(slots, 1))}
 }
 
-func (w *workOf) add(other workOf) {
-	w.reading += other.reading
-	w.answering += other.answering
+func (w *workload) add(other workload) {
+	w.prefill += other.prefill
+	w.decode += other.decode
 }
 
 const (
-	// readingShare is the part of its time that an engine may read, or its streams pause
-	// for longer than callers bear, and answeringShare the part of its places that are
-	// filled.
-	readingShare   = 0.7
-	answeringShare = 0.9
+	// maxPrefillShare is the share of its time that an engine may spend on prefill; above
+	// it, streams pause for longer than callers accept. maxDecodeShare is the share of
+	// its slots that may be filled.
+	maxPrefillShare = 0.7
+	maxDecodeShare  = 0.9
 )
 
-// seconds returns how long w keeps one engine busy.
-func (w workOf) seconds() float64 {
-	return max(w.reading/readingShare, w.answering/answeringShare)
+// engineSeconds returns how long w keeps one engine busy, in seconds.
+func (w workload) engineSeconds() float64 {
+	return max(w.prefill/maxPrefillShare, w.decode/maxDecodeShare)
 }
 
-// add counts work at now.
-func (d *demandOf) add(now time.Time, w workOf) {
-	d.last = now
+// add counts w in the slot of now.
+func (d *modelDemand) add(now time.Time, w workload) {
+	d.lastRequested = now
 	d.advance(now)
-	d.slots[d.at%longWindow].add(w)
+	d.slots[d.currentSlot%longWindowSlots].add(w)
 }
 
-// advance empties the slots that have begun anew.
-func (d *demandOf) advance(now time.Time) {
-	slot := now.UnixNano() / int64(demandSlot)
-	for steps := 0; d.at < slot && steps < longWindow; steps++ {
-		d.at++
-		d.slots[d.at%longWindow] = workOf{}
+// advance moves to the slot of now and clears the slots that it reuses.
+func (d *modelDemand) advance(now time.Time) {
+	slot := now.UnixNano() / int64(demandSlotDuration)
+	for steps := 0; d.currentSlot < slot && steps < longWindowSlots; steps++ {
+		d.currentSlot++
+		d.slots[d.currentSlot%longWindowSlots] = workload{}
 	}
-	d.at = slot
+	d.currentSlot = slot
 }
 
-// rate returns the work that is asked for at now, in engines.
-func (d *demandOf) rate(now time.Time) float64 {
+// rate returns the workload per second at now, in engines: 1 keeps one engine busy.
+func (d *modelDemand) rate(now time.Time) float64 {
 	d.advance(now)
-	var long, short workOf
-	for i := range int64(longWindow) {
-		done := d.slots[(d.at-i+longWindow)%longWindow]
-		long.add(done)
-		if i < shortWindow {
-			short.add(done)
+	var long, short workload
+	for i := range int64(longWindowSlots) {
+		slotLoad := d.slots[(d.currentSlot-i+longWindowSlots)%longWindowSlots]
+		long.add(slotLoad)
+		if i < shortWindowSlots {
+			short.add(slotLoad)
 		}
 	}
-	slot := demandSlot.Seconds()
-	return max(long.seconds()/(longWindow*slot), shortTrust*short.seconds()/(shortWindow*slot))
+	slot := demandSlotDuration.Seconds()
+	return max(long.engineSeconds()/(longWindowSlots*slot), shortWindowWeight*short.engineSeconds()/(shortWindowSlots*slot))
 }
 
-// missing returns for how long requests have found no engine that holds the model.
-func (d *demandOf) missing(now time.Time, held bool) time.Duration {
-	if held || now.Sub(d.last) > idleAfter {
+// missingFor returns how long requests have found no engine that holds the model. held
+// says whether an engine holds it now.
+func (d *modelDemand) missingFor(now time.Time, held bool) time.Duration {
+	if held || now.Sub(d.lastRequested) > modelIdleTimeout {
 		d.missingSince = time.Time{}
 		return 0
 	}
@@ -115,38 +119,40 @@
 	return now.Sub(d.missingSince)
 }
 
-// waits is how many requests waited at an entry instance.
-type waits struct {
-	at    time.Time
-	count int
+// waitingCount is how many requests waited at an entry instance at reportedAt.
+type waitingCount struct {
+	reportedAt time.Time
+	count      int
 }
 
-// waitsKept is how long what an entry instance told of waiting requests counts: it
-// tells nothing of a model any more that nobody there asks for.
-const waitsKept = 1500 * time.Millisecond
-
-// wait notes that count more requests wait at an entry instance.
-func (d *demandOf) wait(now time.Time, entry string, count int) {
-	told := d.waiting[entry]
-	if told.at.Equal(now) {
-		// Requests with other adapters of the model came in the same call.
-		count += told.count
+// waitingCountTTL is how long a report of waiting requests is valid: an entry instance
+// sends no more reports for a model that none of its callers requests.
+const waitingCountTTL = 1500 * time.Millisecond
+
+// setWaiting records that count requests wait at an entry instance.
+func (d *modelDemand) setWaiting(now time.Time, entry string, count int) {
+	previous := d.waitingByEntry[entry]
+	if previous.reportedAt.Equal(now) {
+		// The same report has several entries for a model if requests use different
+		// adapters.
+		count += previous.count
 	}
-	if d.waiting == nil {
-		d.waiting = map[string]waits{}
+	if d.waitingByEntry == nil {
+		d.waitingByEntry = map[string]waitingCount{}
 	}
-	d.waiting[entry] = waits{at: now, count: count}
+	d.waitingByEntry[entry] = waitingCount{reportedAt: now, count: count}
 }
 
-// waitingAt returns how many requests wait at all entry instances.
-func (d *demandOf) waitingAt(now time.Time) int {
+// totalWaiting returns how many requests wait at all entry instances, and drops expired
+// reports.
+func (d *modelDemand) totalWaiting(now time.Time) int {
 	total := 0
-	for entry, told := range d.waiting {
-		if now.Sub(told.at) >= waitsKept {
-			delete(d.waiting, entry)
+	for entry, reported := range d.waitingByEntry {
+		if now.Sub(reported.reportedAt) >= waitingCountTTL {
+			delete(d.waitingByEntry, entry)
 			continue
 		}
-		total += told.count
+		total += reported.count
 	}
 	return total
 }
--- a/internal/backoffice/demand_test.go
+++ b/internal/backoffice/demand_test.go
@@ -9,26 +9,26 @@
 	"github.com/lovagelift/lovagelift/internal/backoffice"
 )
 
-var _ = Describe("The requests that wait for a model", func() {
-	// Callers of one entry instance wait for a model that nobody holds, those of the
-	// next one don't. What the next one told would have hidden them: models that fewer
-	// wait for were brought back before theirs.
+var _ = Describe("Requests that wait for a model", func() {
+	// Callers of one entry instance wait for a model that no engine holds, and those of
+	// another one don't. The report of the second must not replace that of the first, or
+	// models with fewer waiting requests are loaded first.
 	It("are those of all entry instances", func() {
 		now := time.Now()
-		var waiting backoffice.Waiting
-		waiting.Tell(now, "a", 3)
-		waiting.Tell(now, "a", 2)
-		waiting.Tell(now, "b", 0)
-		Expect(waiting.At(now)).To(Equal(5))
+		var waiting backoffice.WaitingRequests
+		waiting.Set(now, "a", 3)
+		waiting.Set(now, "a", 2)
+		waiting.Set(now, "b", 0)
+		Expect(waiting.Total(now)).To(Equal(5))
 		later := now.Add(250 * time.Millisecond)
-		waiting.Tell(later, "a", 1)
-		Expect(waiting.At(later)).To(Equal(1))
+		waiting.Set(later, "a", 1)
+		Expect(waiting.Total(later)).To(Equal(1))
 	})
 
-	It("are forgotten when an entry instance tells no more of them", func() {
+	It("expire when an entry instance stops reporting them", func() {
 		now := time.Now()
-		var waiting backoffice.Waiting
-		waiting.Tell(now, "a", 3)
-		Expect(waiting.At(now.Add(2 * time.Second))).To(BeZero())
+		var waiting backoffice.WaitingRequests
+		waiting.Set(now, "a", 3)
+		Expect(waiting.Total(now.Add(2 * time.Second))).To(BeZero())
 	})
 })
--- a/internal/backoffice/engine.go
+++ b/internal/backoffice/engine.go
@@ -9,147 +9,154 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// engine is what the instance that gives orders knows of one engine.
+// engine is the leader's view of one engine.
 type engine struct {
 	EngineAddress
-	// incarnation is that of its announcements.
+	// incarnation is the one in the engine's announcement.
 	incarnation uint64
 	service     string
 	spec        *routes.Engine
 	leaving     bool
-	// report is the newest one, corrected by the orders that were accepted since.
-	// It is only good for orders if known is true.
-	report   Report
-	known    bool
-	reported time.Time
-	// asked is when a report was last asked for, zero if one is due at once.
-	asked time.Time
-	// asking is true while a report is under way, and ordering while an order is.
-	asking   bool
-	ordering bool
-	// coming is a model that is being loaded, or empty, and comingAt when it will be there.
-	coming   string
-	comingAt time.Time
-	// going is a model that is to be unloaded, or empty. Since goingSince nobody is
-	// told that the engine holds it. unloading says that the engine has accepted the
-	// order: until it is done, it refuses requests for the model, but lists it still.
-	going      string
-	goingSince time.Time
-	// goingFor is the model for which going makes way.
-	goingFor  string
-	unloading bool
-	// stale says that an order was refused or not answered: no other is given
-	// before a report tells what the engine holds.
+	// report is the newest one, updated by the orders that the engine accepted after it.
+	// It is valid only if hasReport is set.
+	report     Report
+	hasReport  bool
+	reportedAt time.Time
+	// reportRequestedAt is the time of the last attempt to fetch a report, zero if a
+	// report is due at once.
+	reportRequestedAt time.Time
+	// reportPending is set while a report is being fetched, and orderPending while an
+	// order is being sent.
+	reportPending bool
+	orderPending  bool
+	// loading is the model that is being loaded, or empty. loadDoneAt is the estimated
+	// end of the load.
+	loading    string
+	loadDoneAt time.Time
+	// withdrawn is the model that is to be unloaded, or empty. Since withdrawnAt it is no
+	// longer advertised as held. unloading is set once the engine has accepted the order:
+	// it then refuses requests for the model, but lists it until the unload is done.
+	withdrawn   string
+	withdrawnAt time.Time
+	// replacement is the model for which withdrawn is unloaded.
+	replacement string
+	unloading   bool
+	// stale is set after an order was refused or not answered. No other order is sent
+	// before a new report arrives.
 	stale bool
-	// adaptersFullUntil is until when no adapter is loaded, since one that is being
-	// unloaded still takes its place.
-	adaptersFullUntil time.Time
-	// news is closed when an order or a report of it has ended.
-	news chan struct{}
-	// late are orders whose answer is not known, the one under way included.
-	late lateOrders
+	// adapterLoadsBlockedUntil is the time before which no adapter is loaded, because an
+	// adapter that is being unloaded still occupies its slot.
+	adapterLoadsBlockedUntil time.Time
+	// updated is closed and replaced when an order or a report of the engine completes.
+	updated chan struct{}
+	// unconfirmed holds the orders without a known answer, including the pending one.
+	unconfirmed unconfirmedOrders
 }
 
-// newEngine returns an engine of which nothing is known but its announcement. before is
-// the process that had its name until now, or nil: what that one held is gone, but what
-// it was ordered may still arrive.
+// newEngine returns the state of an engine of which only the announcement is known.
+// before is the previous process under the same name, or nil: the models that it held
+// are gone, but orders sent to it may still arrive.
 func newEngine(now time.Time, a upstreamapi.Announcement, service *routes.Service, before *engine) *engine {
 	e := &engine{
 		EngineAddress: EngineAddress{Name: a.Name, Address: a.Address},
 		incarnation:   a.Incarnation,
-		service:       service.Name, spec: service.Engine, news: make(chan struct{}),
+		service:       service.Name, spec: service.Engine, updated: make(chan struct{}),
 	}
 	if before != nil {
-		e.late = before.late.handOn(now)
+		e.unconfirmed = before.unconfirmed.forSuccessor(now)
 	}
 	return e
 }
 
-// wake has those look again who wait for the end of an order or a report.
-func (e *engine) wake() {
-	close(e.news)
-	e.news = make(chan struct{})
+// notifyWaiters wakes the goroutines that wait for an order or a report to complete.
+func (e *engine) notifyWaiters() {
+	close(e.updated)
+	e.updated = make(chan struct{})
 }
 
-// sent, answered and unanswered note what becomes of the order under way.
-func (e *engine) sent(now time.Time, order Order) {
-	e.late.begin(now, order)
+// orderSent, orderAnswered and orderUnanswered track the pending order.
+func (e *engine) orderSent(now time.Time, order Order) {
+	e.unconfirmed.begin(now, order)
 }
 
-func (e *engine) answered() {
-	e.late.end()
+func (e *engine) orderAnswered() {
+	e.unconfirmed.confirm()
 }
 
-func (e *engine) unanswered() {
-	e.late.keep()
+func (e *engine) orderUnanswered() {
+	e.unconfirmed.markUnanswered()
 }
 
-// take takes in a report. One from before an accepted order says nothing new of
-// what the engine holds.
-func (e *engine) take(now time.Time, report Report) {
-	e.reported, e.asked = now, now
-	e.late.expire(now)
+// applyReport stores a report. Of a report that is older than an accepted order, only
+// the load figures are used.
+func (e *engine) applyReport(now time.Time, report Report) {
+	e.reportedAt, e.reportRequestedAt = now, now
+	e.unconfirmed.expire(now)
 	if report.Incarnation != 0 && e.incarnation != 0 && report.Incarnation != e.incarnation {
-		e.foreign(report)
+		e.applyForeignReport(report)
 		return
 	}
-	if e.known && report.Sequence < e.report.Sequence {
+	if e.hasReport && report.Sequence < e.report.Sequence {
 		e.report.Running, e.report.Queued, e.report.KVUsed = report.Running, report.Queued, report.KVUsed
 		return
 	}
-	for _, coming := range report.Coming {
-		report.Models = withAdapter(report.Models, coming)
+	for _, adapter := range report.Coming {
+		report.Models = withAdapter(report.Models, adapter)
 	}
 	if !report.Busy {
-		e.coming = ""
+		e.loading = ""
 	}
 	if !report.Busy && e.unloading {
-		e.going, e.unloading = "", false
+		e.withdrawn, e.unloading = "", false
 	}
-	e.report, e.known, e.stale = report, true, false
+	e.report, e.hasReport, e.stale = report, true, false
 }
 
-// doubt notes that what the engine holds is not known until its next report, which is due
-// at once.
-func (e *engine) doubt() {
+// markStale records that the state of the engine is uncertain until its next report,
+// and makes that report due at once.
+func (e *engine) markStale() {
 	e.stale = true
-	e.asked = time.Time{}
+	e.reportRequestedAt = time.Time{}
 }
 
-// foreign takes in a report of another process under the engine's name. An earlier one
-// says nothing of the engine. A later one says that the engine is gone, with all that it
-// held: nobody must send or order anything until the later one has announced itself.
-func (e *engine) foreign(report Report) {
+// applyForeignReport handles a report of another process under the engine's name. A
+// report of an earlier process is ignored. One of a later process means that the engine
+// is gone with everything that it held: it gets no requests or orders until the later
+// process has announced itself.
+func (e *engine) applyForeignReport(report Report) {
 	if report.Incarnation < e.incarnation {
 		return
 	}
-	e.report, e.known, e.stale = Report{}, false, true
-	e.coming, e.going, e.unloading = "", "", false
+	e.report, e.hasReport, e.stale = Report{}, false, true
+	e.loading, e.withdrawn, e.unloading = "", "", false
 }
 
-// reserved returns the model for which another makes way now, or nothing.
-func (e *engine) reserved() string {
-	if e.going == "" {
+// reservedFor returns the model for which another one is being unloaded, or an empty
+// string.
+func (e *engine) reservedFor() string {
+	if e.withdrawn == "" {
 		return ""
 	}
-	return e.goingFor
+	return e.replacement
 }
 
-// changing reports whether an order is under way, or what became of one is not known.
+// changing reports whether the engine is carrying out an order, or the result of one is
+// unknown.
 func (e *engine) changing() bool {
-	return e.report.Busy || e.coming != "" || e.unloading || e.stale
+	return e.report.Busy || e.loading != "" || e.unloading || e.stale
 }
 
-// reportEvery returns how often the engine is asked for its report, of so many of
-// which some are changing.
-func (e *engine) reportEvery(engines, changing int) time.Duration {
+// reportInterval returns the interval between two reports of the engine. engines is the
+// number of all engines, and changing how many of them are changing.
+func (e *engine) reportInterval(engines, changing int) time.Duration {
 	if e.changing() {
-		return max(busyReportEvery, time.Duration(changing)*reportShare)
+		return max(busyReportInterval, time.Duration(changing)*minReportSpacing)
 	}
-	return max(reportEvery, time.Duration(engines)*reportShare)
+	return max(idleReportInterval, time.Duration(engines)*minReportSpacing)
 }
 
-// withAdapter returns models with an adapter added to its model, if that is held.
+// withAdapter returns a copy of models in which adapter is added to its model, if the
+// model is held.
 func withAdapter(models []courier.HeldModel, adapter Adapter) []courier.HeldModel {
 	models = slices.Clone(models)
 	for i, held := range models {
@@ -160,11 +167,11 @@
 	return models
 }
 
-// holds reports whether the engine can run model, with adapter unless it is
-// empty, and is to do so for longer.
+// holds reports whether the engine can run model, and also adapter unless it is empty.
+// It is false for a model that is withdrawn.
 func (e *engine) holds(model, adapter string) bool {
 	held := e.model(model)
-	return held != nil && model != e.going && (adapter == "" || slices.Contains(held.Adapters, adapter))
+	return held != nil && model != e.withdrawn && (adapter == "" || slices.Contains(held.Adapters, adapter))
 }
 
 func (e *engine) model(name string) *courier.HeldModel {
@@ -176,44 +183,46 @@
 	return nil
 }
 
-// told returns the models that others may send requests for.
-func (e *engine) told() []courier.HeldModel {
-	if e.going == "" {
+// advertisedModels returns the models for which entry instances may send requests to
+// the engine.
+func (e *engine) advertisedModels() []courier.HeldModel {
+	if e.withdrawn == "" {
 		return e.report.Models
 	}
-	return slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.HeldModel) bool { return m.Name == e.going })
+	return slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.HeldModel) bool { return m.Name == e.withdrawn })
 }
 
-// adapters returns how many adapters the engine holds.
-func (e *engine) adapters() int {
+// usedAdapterSlots returns how many adapter slots are occupied, including those that
+// unconfirmed orders may occupy.
+func (e *engine) usedAdapterSlots() int {
 	count := 0
 	for _, model := range e.report.Models {
 		count += len(model.Adapters)
 	}
-	return count + e.late.adapters(e)
+	return count + e.unconfirmed.adapterSlots(e)
 }
 
-// megabytes returns the memory that weights and adapters take.
-func (e *engine) megabytes() float64 {
-	coming, _ := e.spec.Model(e.coming)
-	total := coming.Megabytes
+// usedMegabytes returns the memory taken by weights and adapters, including the memory
+// that unconfirmed orders may take.
+func (e *engine) usedMegabytes() float64 {
+	loading, _ := e.spec.Model(e.loading)
+	total := loading.Megabytes
 	for _, held := range e.report.Models {
 		model, _ := e.spec.Model(held.Name)
 		total += model.Megabytes + float64(len(held.Adapters))*model.AdapterMegabytes
 	}
-	return total + e.late.megabytes(e)
+	return total + e.unconfirmed.megabytes(e)
 }
 
-// fitsAdapter reports whether an adapter of model can be loaded now.
-//
-// An engine carries out one order at a time.
+// fitsAdapter reports whether an adapter of model can be loaded now. A busy engine
+// accepts no order, as it carries out one at a time.
 func (e *engine) fitsAdapter(now time.Time, model string) bool {
 	spec, known := e.spec.Model(model)
-	return known && !e.report.Busy && !now.Before(e.adaptersFullUntil) && e.adapters() < e.spec.AdapterSlots && e.megabytes()+spec.AdapterMegabytes <= e.spec.Megabytes
+	return known && !e.report.Busy && !now.Before(e.adapterLoadsBlockedUntil) && e.usedAdapterSlots() < e.spec.AdapterSlots && e.usedMegabytes()+spec.AdapterMegabytes <= e.spec.Megabytes
 }
 
-// apply corrects the report by an order that was accepted.
-func (e *engine) apply(now time.Time, order Order) {
+// applyOrder updates the report by an order that the engine accepted.
+func (e *engine) applyOrder(now time.Time, order Order) {
 	e.report.Sequence = max(e.report.Sequence, order.Expected+1)
 	held := e.model(order.Model)
 	switch {
@@ -230,11 +239,11 @@
 		e.report.Busy = true
 	}
 	if order.Adapter == "" && order.Kind == Load {
-		e.coming, e.comingAt = order.Model, now.Add(e.loadTime(order.Model))
+		e.loading, e.loadDoneAt = order.Model, now.Add(e.loadTime(order.Model))
 	}
 }
 
-// loadTime returns how long the engine loads a model.
+// loadTime returns how long the engine takes to load a model.
 func (e *engine) loadTime(name string) time.Duration {
 	model, _ := e.spec.Model(name)
 	switch {
@@ -247,17 +256,19 @@
 	}
 }
 
-// unloadTime is about how long it takes to unload a model: its requests end first.
-const unloadTime = 1500 * time.Millisecond
+// typicalUnloadTime is about how long an engine takes to unload a model, since it first
+// completes the requests for it.
+const typicalUnloadTime = 1500 * time.Millisecond
 
-// expected returns the model that the engine will hold next, and in what time.
-func (e *engine) expected(now time.Time) (model string, in time.Duration) {
+// nextModel returns the model that the engine will hold next, and the estimated time
+// until then. The name is empty if no load is expected.
+func (e *engine) nextModel(now time.Time) (model string, after time.Duration) {
 	switch {
-	case e.coming != "":
-		return e.coming, max(e.comingAt.Sub(now), busyReportEvery)
-	case e.reserved() != "":
-		gone := max(e.goingSince.Add(unloadNotice+unloadTime).Sub(now), busyReportEvery)
-		return e.reserved(), gone + e.loadTime(e.reserved())
+	case e.loading != "":
+		return e.loading, max(e.loadDoneAt.Sub(now), busyReportInterval)
+	case e.reservedFor() != "":
+		unloadTime := max(e.withdrawnAt.Add(withdrawalNotice+typicalUnloadTime).Sub(now), busyReportInterval)
+		return e.reservedFor(), unloadTime + e.loadTime(e.reservedFor())
 	default:
 		return "", 0
 	}
--- a/internal/backoffice/engine_test.go
+++ b/internal/backoffice/engine_test.go
@@ -20,70 +20,70 @@
 		return r
 	}
 
-	// An engine that was ordered to unload a model waits for its streams, for
-	// seconds. It lists the model meanwhile and refuses every request for it. Entry
-	// instances that were told of it would send there, and spend the budget of
-	// retries on refusals.
+	// An engine that was ordered to unload a model first completes its streams, for
+	// seconds. Meanwhile it lists the model but refuses requests for it. Entry instances
+	// must not send requests there, which would use up the retry budget.
 	It("leaves out a model until the engine has unloaded it", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
-		e.Take(now, report(1, false, "a", "b"))
-		Expect(e.Told()).To(ConsistOf("a", "b"))
-		e.Go("a")
-		Expect(e.Told()).To(ConsistOf("b"))
-		e.Unload("a", 1)
-		e.Take(now, report(2, true, "a", "b"))
-		Expect(e.Told()).To(ConsistOf("b"))
-		e.Take(now, report(2, false, "b"))
-		Expect(e.Told()).To(ConsistOf("b"))
-		e.Take(now, report(3, false, "a", "b"))
-		Expect(e.Told()).To(ConsistOf("a", "b"), "it was loaded again")
+		e.ApplyReport(now, report(1, false, "a", "b"))
+		Expect(e.AdvertisedModels()).To(ConsistOf("a", "b"))
+		e.Withdraw("a")
+		Expect(e.AdvertisedModels()).To(ConsistOf("b"))
+		e.AcceptUnload("a", 1)
+		e.ApplyReport(now, report(2, true, "a", "b"))
+		Expect(e.AdvertisedModels()).To(ConsistOf("b"))
+		e.ApplyReport(now, report(2, false, "b"))
+		Expect(e.AdvertisedModels()).To(ConsistOf("b"))
+		e.ApplyReport(now, report(3, false, "a", "b"))
+		Expect(e.AdvertisedModels()).To(ConsistOf("a", "b"), "the model was loaded again")
 	})
 
 	It("takes no report from before an order for what the engine holds after it", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
-		e.Take(now, report(4, false, "a", "b"))
-		e.Unload("a", 4)
-		e.Take(now, report(4, false, "a", "b"))
-		Expect(e.Told()).To(ConsistOf("b"))
+		e.ApplyReport(now, report(4, false, "a", "b"))
+		e.AcceptUnload("a", 4)
+		e.ApplyReport(now, report(4, false, "a", "b"))
+		Expect(e.AdvertisedModels()).To(ConsistOf("b"))
 	})
 
-	// An order got no answer, so that a report is due at once. Told as one that never came,
-	// the report before made the load of the engine no number at entry instances.
+	// After an order without an answer, a report is due at once. If that makes the last
+	// report look as if it had never arrived, the load of the engine is NaN at the entry
+	// instances.
 	It("is as old as its last report when the next one is due at once", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
-		e.Take(now, report(1, false, "a"))
-		e.Doubt()
+		e.ApplyReport(now, report(1, false, "a"))
+		e.MarkStale()
 		Expect(e.ReportDue(now, 12, 1)).To(BeTrue())
 		Expect(e.ReportedAt()).To(Equal(now))
 	})
 
-	// Demand has moved on. The model that rises waits for the engine to unload the one
-	// that fell silent, and callers wait for the load: each end that is seen half a
-	// second late is half a second of refusals.
-	It("is asked for more often while the engine loads", func() {
+	// A model with rising demand waits until the engine has unloaded another one, and
+	// callers wait for the load. Each completion that is noticed half a second late
+	// causes half a second of refusals.
+	It("is polled more often while the engine loads", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
-		e.Take(now, report(1, false, "a"))
+		e.ApplyReport(now, report(1, false, "a"))
 		soon := now.Add(200 * time.Millisecond)
 		Expect(e.ReportDue(soon, 12, 2)).To(BeFalse())
-		e.Load("b", 1)
+		e.AcceptLoad("b", 1)
 		Expect(e.ReportDue(soon, 12, 2)).To(BeTrue())
-		e.Take(soon, report(2, false, "a", "b"))
+		e.ApplyReport(soon, report(2, false, "a", "b"))
 		Expect(e.ReportDue(soon.Add(200*time.Millisecond), 12, 2)).To(BeFalse())
 	})
 
-	// A hundred and forty engines that were asked as often as twelve left the leader no
-	// time to lead: it was replaced every other second, and nobody loaded adapters.
-	It("is asked for less often among many engines", func() {
+	// When 140 engines were polled as often as 12, the leader was replaced every other
+	// second, and no adapters were loaded.
+	It("is polled less often among many engines", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
-		e.Take(now, report(1, false, "a"))
+		e.ApplyReport(now, report(1, false, "a"))
 		Expect(e.ReportDue(now.Add(time.Second), 140, 30)).To(BeFalse())
 		Expect(e.ReportDue(now.Add(1500*time.Millisecond), 140, 30)).To(BeTrue())
-		e.Load("b", 1)
+		e.AcceptLoad("b", 1)
 		Expect(e.ReportDue(now.Add(200*time.Millisecond), 140, 30)).To(BeFalse())
 		Expect(e.ReportDue(now.Add(400*time.Millisecond), 140, 30)).To(BeTrue())
 	})
@@ -96,7 +96,7 @@
 		{Name: "c", Megabytes: 70, AdapterMegabytes: 1},
 	}}
 	now := time.Now()
-	holding := func(incarnation, sequence uint64, models ...string) backoffice.Report {
+	reportFrom := func(incarnation, sequence uint64, models ...string) backoffice.Report {
 		r := backoffice.Report{Incarnation: incarnation, Sequence: sequence}
 		for _, model := range models {
 			r.Models = append(r.Models, courier.HeldModel{Name: model})
@@ -104,54 +104,55 @@
 		return r
 	}
 
-	// A report that was on its way when the engine crashed comes after the announcement
-	// of the new one. Told on, it would draw requests for models that are not there.
+	// A report that is under way when the engine crashes can arrive after the
+	// announcement of its successor. If it was used, entry instances would send requests
+	// for models that the successor does not hold.
 	It("is not told of by a report of the one before", func() {
 		first := backoffice.NewEngineOf(spec, 1)
-		first.Take(now, holding(1, 5, "a", "b"))
+		first.ApplyReport(now, reportFrom(1, 5, "a", "b"))
 		second := first.Restart(now, 2)
-		second.Take(now, holding(1, 6, "a", "b"))
-		Expect(second.Told()).To(BeEmpty())
-		second.Take(now, holding(2, 0))
-		Expect(second.Known()).To(BeTrue())
-		second.Take(now, holding(1, 7, "a"))
-		Expect(second.Told()).To(BeEmpty())
+		second.ApplyReport(now, reportFrom(1, 6, "a", "b"))
+		Expect(second.AdvertisedModels()).To(BeEmpty())
+		second.ApplyReport(now, reportFrom(2, 0))
+		Expect(second.HasReport()).To(BeTrue())
+		second.ApplyReport(now, reportFrom(1, 7, "a"))
+		Expect(second.AdvertisedModels()).To(BeEmpty())
 	})
 
 	It("takes nothing as held once a report comes of the one after it", func() {
 		e := backoffice.NewEngineOf(spec, 1)
-		e.Take(now, holding(1, 5, "a", "b"))
-		e.Take(now, holding(2, 0))
-		Expect(e.Known()).To(BeFalse(), "no order may go there before it has announced itself")
-		Expect(e.Told()).To(BeEmpty())
+		e.ApplyReport(now, reportFrom(1, 5, "a", "b"))
+		e.ApplyReport(now, reportFrom(2, 0))
+		Expect(e.HasReport()).To(BeFalse(), "no order may be sent before the successor has announced itself")
+		Expect(e.AdvertisedModels()).To(BeEmpty())
 	})
 
-	// An order to load is left unanswered, the engine crashes, starts again under its
-	// name and is given two other models. The order arrives: at a count of orders that
-	// is the same again, it is carried out, the engine takes more than its memory and
-	// crashes with all its streams.
+	// An order to load a model is not answered. The engine crashes, restarts under the
+	// same name and loads two other models. When the order then arrives at an equal
+	// sequence number, the engine carries it out, exceeds its memory and crashes with all
+	// its streams.
 	It("keeps room for an order to the one before until its count has passed it", func() {
 		first := backoffice.NewEngineOf(spec, 1)
-		first.Take(now, holding(1, 1, "a"))
+		first.ApplyReport(now, reportFrom(1, 1, "a"))
 		first.SendUnanswered(now, backoffice.Order{Kind: backoffice.Load, Model: "c", Expected: 1})
-		Expect(first.Megabytes()).To(Equal(70.0), "the count alone keeps a late order from harm here")
+		Expect(first.UsedMegabytes()).To(Equal(70.0), "within one process, the sequence number alone makes a late order harmless")
 		second := first.Restart(now, 2)
-		second.Take(now, holding(2, 0, "a"))
-		Expect(second.Megabytes()).To(Equal(140.0))
-		second.Take(now, holding(2, 1, "a", "b"))
-		Expect(second.Megabytes()).To(Equal(210.0), "nothing else fits")
-		second.Take(now, holding(2, 2, "a", "b"))
-		Expect(second.Megabytes()).To(Equal(140.0))
+		second.ApplyReport(now, reportFrom(2, 0, "a"))
+		Expect(second.UsedMegabytes()).To(Equal(140.0))
+		second.ApplyReport(now, reportFrom(2, 1, "a", "b"))
+		Expect(second.UsedMegabytes()).To(Equal(210.0), "the memory is full")
+		second.ApplyReport(now, reportFrom(2, 2, "a", "b"))
+		Expect(second.UsedMegabytes()).To(Equal(140.0))
 	})
 
 	It("keeps room for an order that is on its way when the engine crashes, for some time", func() {
 		first := backoffice.NewEngineOf(spec, 1)
-		first.Take(now, holding(1, 3, "a"))
+		first.ApplyReport(now, reportFrom(1, 3, "a"))
 		first.Send(now, backoffice.Order{Kind: backoffice.Load, Model: "a", Adapter: "x", Expected: 3})
 		second := first.Restart(now, 2)
-		second.Take(now, holding(2, 0, "a"))
-		Expect(second.Adapters()).To(Equal(1))
-		second.Take(now.Add(time.Minute), holding(2, 0, "a"))
-		Expect(second.Adapters()).To(BeZero())
+		second.ApplyReport(now, reportFrom(2, 0, "a"))
+		Expect(second.UsedAdapterSlots()).To(Equal(1))
+		second.ApplyReport(now.Add(time.Minute), reportFrom(2, 0, "a"))
+		Expect(second.UsedAdapterSlots()).To(BeZero())
 	})
 })
--- a/internal/backoffice/export_test.go
+++ b/internal/backoffice/export_test.go
@@ -9,165 +9,165 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Engine is what is known of one engine.
+// Engine exports engine.
 type Engine struct {
 	engine *engine
 }
 
 // NewEngine returns an engine of which nothing is known.
 func NewEngine() Engine {
-	return Engine{engine: &engine{spec: &routes.Engine{}, news: make(chan struct{})}}
+	return Engine{engine: &engine{spec: &routes.Engine{}, updated: make(chan struct{})}}
 }
 
-// NewEngineOf returns an engine of which only its incarnation is known.
+// NewEngineOf returns an engine with the given spec, of which only the announced
+// incarnation is known.
 func NewEngineOf(spec *routes.Engine, incarnation uint64) Engine {
 	return Engine{engine: newEngine(time.Time{}, upstreamapi.Announcement{Name: "e", Incarnation: incarnation},
 		&routes.Service{Name: "pool", Engine: spec}, nil)}
 }
 
-// Restart returns the engine that starts under the same name.
+// Restart returns the engine's successor under the same name.
 func (e Engine) Restart(now time.Time, incarnation uint64) Engine {
 	return Engine{engine: newEngine(now, upstreamapi.Announcement{Name: "e", Incarnation: incarnation},
 		&routes.Service{Name: "pool", Engine: e.engine.spec}, e.engine)}
 }
 
-// Send notes that an order is on its way.
+// Send records an order that is under way.
 func (e Engine) Send(now time.Time, order Order) {
-	e.engine.sent(now, order)
+	e.engine.orderSent(now, order)
 }
 
-// SendUnanswered notes an order that got no answer.
+// SendUnanswered records an order that got no answer.
 func (e Engine) SendUnanswered(now time.Time, order Order) {
-	e.engine.sent(now, order)
-	e.engine.unanswered()
+	e.engine.orderSent(now, order)
+	e.engine.orderUnanswered()
 }
 
-// Known reports whether it is known what the engine holds.
-func (e Engine) Known() bool {
-	return e.engine.known
+// HasReport reports whether the engine has a valid report.
+func (e Engine) HasReport() bool {
+	return e.engine.hasReport
 }
 
-// Megabytes returns the memory that counts as taken.
-func (e Engine) Megabytes() float64 {
-	return e.engine.megabytes()
+// UsedMegabytes returns the memory that counts as used.
+func (e Engine) UsedMegabytes() float64 {
+	return e.engine.usedMegabytes()
 }
 
-// Adapters returns the places for adapters that count as taken.
-func (e Engine) Adapters() int {
-	return e.engine.adapters()
+// UsedAdapterSlots returns how many adapter slots count as occupied.
+func (e Engine) UsedAdapterSlots() int {
+	return e.engine.usedAdapterSlots()
 }
 
-// Take takes in a report.
-func (e Engine) Take(now time.Time, report Report) {
-	e.engine.take(now, report)
+func (e Engine) ApplyReport(now time.Time, report Report) {
+	e.engine.applyReport(now, report)
 }
 
-// Go says that a model is to be unloaded.
-func (e Engine) Go(model string) {
-	e.engine.going = model
+// Withdraw marks a model as one to be unloaded.
+func (e Engine) Withdraw(model string) {
+	e.engine.withdrawn = model
 }
 
-// Unload corrects what is known by an order to unload that was accepted.
-func (e Engine) Unload(model string, expected uint64) {
-	e.engine.going, e.engine.unloading = model, true
-	e.engine.apply(time.Time{}, Order{Kind: Unload, Model: model, Expected: expected})
+// AcceptUnload applies an accepted order to unload a model.
+func (e Engine) AcceptUnload(model string, expected uint64) {
+	e.engine.withdrawn, e.engine.unloading = model, true
+	e.engine.applyOrder(time.Time{}, Order{Kind: Unload, Model: model, Expected: expected})
 }
 
-// Told returns the models that others are told of.
-func (e Engine) Told() []string {
+// AdvertisedModels returns the names of the advertised models.
+func (e Engine) AdvertisedModels() []string {
 	var names []string
-	for _, model := range e.engine.told() {
+	for _, model := range e.engine.advertisedModels() {
 		names = append(names, model.Name)
 	}
 	return names
 }
 
-// Load corrects what is known by an order to load that was accepted.
-func (e Engine) Load(model string, expected uint64) {
-	e.engine.apply(time.Time{}, Order{Kind: Load, Model: model, Expected: expected})
+// AcceptLoad applies an accepted order to load a model.
+func (e Engine) AcceptLoad(model string, expected uint64) {
+	e.engine.applyOrder(time.Time{}, Order{Kind: Load, Model: model, Expected: expected})
 }
 
-// ReportDue reports whether the engine is asked again at now, one of so many.
+// ReportDue reports whether a report is due at now, among engines of which some are
+// changing.
 func (e Engine) ReportDue(now time.Time, engines, changing int) bool {
-	return now.Sub(e.engine.asked) >= e.engine.reportEvery(engines, changing)
+	return now.Sub(e.engine.reportRequestedAt) >= e.engine.reportInterval(engines, changing)
 }
 
-// Waiting gives specs what is known of requests that wait for a model.
-type Waiting struct {
-	demand demandOf
+// WaitingRequests exports the waiting requests of modelDemand.
+type WaitingRequests struct {
+	demand modelDemand
 }
 
-// Tell notes that requests wait at an entry instance.
-func (w *Waiting) Tell(now time.Time, entry string, count int) {
-	w.demand.wait(now, entry, count)
+// Set records that count requests wait at an entry instance.
+func (w *WaitingRequests) Set(now time.Time, entry string, count int) {
+	w.demand.setWaiting(now, entry, count)
 }
 
-// At returns how many requests wait.
-func (w *Waiting) At(now time.Time) int {
-	return w.demand.waitingAt(now)
+// Total returns how many requests wait at all entry instances.
+func (w *WaitingRequests) Total(now time.Time) int {
+	return w.demand.totalWaiting(now)
 }
 
-// Told gives specs what is kept of what entry instances told.
-type Told struct {
-	orders *orders
+// Reported exports the state of orchestrator that entry instances report.
+type Reported struct {
+	orchestrator *orchestrator
 }
 
-// NewTold returns what is kept at an instance that was told nothing.
-func NewTold() Told {
-	return Told{orders: &orders{
-		demand: map[demandKey]*demandOf{}, uses: map[string]adapterUses{}, users: map[Adapter]int{}, asked: map[Adapter]time.Time{},
-		limits: map[string]toldLimit{},
+// NewReported returns the state before the first report.
+func NewReported() Reported {
+	return Reported{orchestrator: &orchestrator{
+		demand: map[demandKey]*modelDemand{}, usesByEntry: map[string]adapterUses{}, adapterUsers: map[Adapter]int{}, adapterRequestedAt: map[Adapter]time.Time{},
+		limits: map[string]reportedLimit{},
 	}}
 }
 
-// Note takes in what an entry instance told.
-func (t Told) Note(now time.Time, entry string, demand ...courier.Demand) {
-	t.orders.note(now, entry, demand)
+func (r Reported) RecordDemand(now time.Time, entry string, demand ...courier.Demand) {
+	r.orchestrator.recordDemand(now, entry, demand)
 }
 
-// InUse reports whether requests with an adapter are under way.
-func (t Told) InUse(adapter Adapter) bool {
-	return t.orders.inUse(adapter)
+func (r Reported) AdapterInUse(adapter Adapter) bool {
+	return r.orchestrator.adapterInUse(adapter)
 }
 
-// Kept returns how many models, adapters and entry instances are kept at now.
-func (t Told) Kept(now time.Time) int {
-	t.orders.expire(now)
-	return len(t.orders.demand) + len(t.orders.uses) + len(t.orders.users) + len(t.orders.asked)
+// Entries expires old reports and returns the number of remaining map entries.
+func (r Reported) Entries(now time.Time) int {
+	r.orchestrator.expire(now)
+	return len(r.orchestrator.demand) + len(r.orchestrator.usesByEntry) + len(r.orchestrator.adapterUsers) + len(r.orchestrator.adapterRequestedAt)
 }
 
-// ShortAfter reports whether an instance is short of processor time after rounds that
-// began late.
-func ShortAfter(late ...time.Duration) bool {
-	var l lateness
-	for _, by := range late {
-		l = l.with(by)
+// StarvedAfter reports whether an instance counts as starved of processor time after
+// rounds with these delays.
+func StarvedAfter(delays ...time.Duration) bool {
+	var delay wakeDelay
+	for _, d := range delays {
+		delay = delay.averagedWith(d)
 	}
-	return l.short()
+	return delay.isStarved()
 }
 
-// Merged returns what an entry instance told in two calls as one.
-func Merged(older, newer []courier.Demand) []courier.Demand {
-	return merged(older, newer)
+// MergeDemand exports mergeDemand.
+func MergeDemand(older, newer []courier.Demand) []courier.Demand {
+	return mergeDemand(older, newer)
 }
 
-// Doubt notes that an order was not answered.
-func (e Engine) Doubt() {
-	e.engine.doubt()
+// MarkStale records that the state of the engine is uncertain.
+func (e Engine) MarkStale() {
+	e.engine.markStale()
 }
 
-// ReportedAt returns when the newest report came.
+// ReportedAt returns the time of the newest report.
 func (e Engine) ReportedAt() time.Time {
-	return e.engine.reported
+	return e.engine.reportedAt
 }
 
-// NoteLimit takes in that an upstream names a limit.
-func (t Told) NoteLimit(now time.Time, upstream string, limit float64) {
-	t.orders.noteLimits(now, []courier.LimitedUpstream{{Name: upstream, Limit: ratelimit.Limit(limit)}})
+// RecordLimit records the rate limit of an upstream.
+func (r Reported) RecordLimit(now time.Time, upstream string, limit float64) {
+	r.orchestrator.recordLimits(now, []courier.LimitedUpstream{{Name: upstream, Limit: ratelimit.Limit(limit)}})
 }
 
-// IsNarrow reports whether an engine with so many slots takes few requests.
-func (t Told) IsNarrow(now time.Time, name string, slots int) bool {
-	t.orders.expireLimits(now)
-	return t.orders.isNarrow(&engine{EngineAddress: EngineAddress{Name: name}, spec: &routes.Engine{Slots: slots}})
+// HasLowLimit expires old limits and reports whether an engine with the given number of
+// slots has a low limit.
+func (r Reported) HasLowLimit(now time.Time, name string, slots int) bool {
+	r.orchestrator.expireLimits(now)
+	return r.orchestrator.hasLowLimit(&engine{EngineAddress: EngineAddress{Name: name}, spec: &routes.Engine{Slots: slots}})
 }
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -13,64 +13,66 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// feed answers entry instances.
-type feed struct {
-	office *Backoffice
+// feedServer answers the calls of entry instances, and those of control plane instances
+// that relay for them.
+type feedServer struct {
+	backoffice *Backoffice
 }
 
-// Sync takes an entry instance's record and demand, and returns the news.
-func (f feed) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
-	b := f.office
+// Sync records an entry instance's roster record and demand, and returns what has
+// changed since its last call.
+func (f feedServer) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
+	b := f.backoffice
 	now := b.options.Now()
 	leader, _ := b.voter.Leader()
 	reply := courier.SyncReply{Leader: leader.Instance()}
 	b.mu.Lock()
 	b.roster.Hear(now, args.From)
 	reply.Changes = b.roster.Since(now, args.Cursor)
-	if members := b.members(now).of(args.FailureDomain); members.Revision != args.Members {
+	if members := b.membership(now).forDomain(args.FailureDomain); members.Revision != args.Members {
 		reply.Members = &members
 	}
 	b.mu.Unlock()
-	// Entry instances route to upstreams alone.
+	// Entry instances need only the upstreams for routing.
 	reply.Changes.Instances = nil
 	reply.Changes.InstanceBeats = roster.InstanceBeats{}
 	held, reading := b.voter.Reading()
 	reply.Reading = reading
 	if held.Version > args.Edition {
-		reply.Edition = b.packed(held)
+		reply.Edition = b.packEdition(held)
 	}
 	if news := b.voter.Quarantine(now); news.Mark != args.Quarantine {
 		reply.Quarantine = &news
 	}
-	b.orders.note(now, args.From.Name, args.Demand)
-	b.orders.noteLimits(now, args.Limited)
+	b.orchestrator.recordDemand(now, args.From.Name, args.Demand)
+	b.orchestrator.recordLimits(now, args.Limited)
 	if leader != b.voter.Identity() {
-		b.relay.note(now, args.From.Name, args.Demand, args.Limited)
-		b.relay.tell(now, args.Holdings, &reply)
+		b.relay.record(now, args.From.Name, args.Demand, args.Limited)
+		b.relay.fillHoldings(now, args.Holdings, &reply)
 		return reply
 	}
-	reply.Holdings, _, reply.HoldingsAge = b.orders.holdings(now, args.Holdings)
+	reply.Holdings, _, reply.HoldingsAge = b.orchestrator.holdings(now, args.Holdings)
 	return reply
 }
 
-// Gather takes what entry instances told another control instance, and returns what
-// engines hold.
-func (f feed) Gather(_ context.Context, args courier.GatherArgs) courier.GatherReply {
-	o := f.office.orders
-	now := f.office.options.Now()
+// Gather records the demand that entry instances reported to another control plane
+// instance, and returns the models that engines hold.
+func (f feedServer) Gather(_ context.Context, args courier.GatherArgs) courier.GatherReply {
+	o := f.backoffice.orchestrator
+	now := f.backoffice.options.Now()
 	for entry, demand := range args.Told {
-		o.note(now, entry, demand)
+		o.recordDemand(now, entry, demand)
 	}
-	o.noteLimits(now, args.Limited)
+	o.recordLimits(now, args.Limited)
 	var reply courier.GatherReply
 	reply.Holdings, reply.Revision, reply.Age = o.holdings(now, args.Holdings)
 	return reply
 }
 
-// packed returns an edition with its content packed, once for all who ask for it. One
-// of 1,400 routes takes 0.4 MB: as it is, 86 entry instances did not get it through the
-// leader's link within the time that they wait for an answer, again and again.
-func (b *Backoffice) packed(held edition.Edition) *edition.Edition {
+// packEdition returns held with its content packed, and packs each version once for all
+// callers. The content of 1,400 routes takes 0.4 MB: unpacked, it repeatedly failed to
+// reach 86 entry instances through the leader's link before their calls timed out.
+func (b *Backoffice) packEdition(held edition.Edition) *edition.Edition {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.packedEdition != nil && b.packedEdition.Version == held.Version {
@@ -78,35 +80,35 @@
 	}
 	content, err := registry.Pack(held.Content)
 	if err != nil {
-		b.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("routes not packed")
+		b.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
 		return &held
 	}
 	b.packedEdition = &edition.Edition{Version: held.Version, Content: content}
 	return b.packedEdition
 }
 
-// membersEvery is how often the lists of members are made anew: all who ask several
-// times a second get the same.
-const membersEvery = 100 * time.Millisecond
+// membershipTTL is how long the membership is cached. Entry instances ask for it
+// several times a second each, and share the result.
+const membershipTTL = 100 * time.Millisecond
 
-// members is the inner addresses of the entry and of the control instances that were
-// alive at a time, and of the control instances by failure domain. revision is a hash of
-// them.
-type members struct {
-	at       time.Time
-	revision uint64
-	entries  []string
-	controls []string
-	near     map[string][]string
+// membership holds the inner addresses of the entry instances and the control plane
+// instances that were alive at computedAt. revision is a hash of them.
+type membership struct {
+	computedAt       time.Time
+	revision         uint64
+	entries          []string
+	controls         []string
+	controlsByDomain map[string][]string
 }
 
-// of returns what an asker in a failure domain is told.
-func (m members) of(domain string) courier.Members {
-	return courier.Members{Revision: m.revision, Entries: m.entries, Controls: m.controls, Near: m.near[domain]}
+// forDomain returns the membership as sent to an instance in a failure domain.
+func (m membership) forDomain(domain string) courier.Members {
+	return courier.Members{Revision: m.revision, Entries: m.entries, Controls: m.controls, Near: m.controlsByDomain[domain]}
 }
 
-// hash returns a hash of the members. It is never 0, which says that an asker knows none.
-func (m members) hash() uint64 {
+// hash returns a hash of the addresses. It is never 0, the revision that callers
+// without a membership send.
+func (m membership) hash() uint64 {
 	sum := fnv.New64a()
 	for _, list := range [][]string{m.entries, m.controls} {
 		for _, address := range list {
@@ -118,29 +120,30 @@
 	return max(sum.Sum64(), 1)
 }
 
-// members returns who is alive. b.mu is held.
-func (b *Backoffice) members(now time.Time) members {
-	if now.Sub(b.known.at) < membersEvery {
-		return b.known
+// membership returns the instances that are alive. b.mu is held.
+func (b *Backoffice) membership(now time.Time) membership {
+	if now.Sub(b.cachedMembership.computedAt) < membershipTTL {
+		return b.cachedMembership
 	}
-	b.known = members{at: now, near: map[string][]string{}}
+	b.cachedMembership = membership{computedAt: now, controlsByDomain: map[string][]string{}}
 	for _, instance := range b.roster.Instances(now) {
 		if instance.CallerAddress != "" {
-			b.known.entries = append(b.known.entries, instance.InnerAddress)
+			b.cachedMembership.entries = append(b.cachedMembership.entries, instance.InnerAddress)
 		}
 		if instance.Identity != "" {
-			b.known.controls = append(b.known.controls, instance.InnerAddress)
+			b.cachedMembership.controls = append(b.cachedMembership.controls, instance.InnerAddress)
 			domain := instance.FailureDomain
-			b.known.near[domain] = append(b.known.near[domain], instance.InnerAddress)
+			b.cachedMembership.controlsByDomain[domain] = append(b.cachedMembership.controlsByDomain[domain], instance.InnerAddress)
 		}
 	}
-	slices.Sort(b.known.entries)
-	slices.Sort(b.known.controls)
-	b.known.revision = b.known.hash()
-	return b.known
+	slices.Sort(b.cachedMembership.entries)
+	slices.Sort(b.cachedMembership.controls)
+	b.cachedMembership.revision = b.cachedMembership.hash()
+	return b.cachedMembership
 }
 
-// Want returns an engine that holds an adapter, after ordering it if need be.
-func (f feed) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
-	return f.office.orders.want(ctx, args)
+// Want returns an engine that holds a model or an adapter, and has it loaded first if
+// none does.
+func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
+	return f.backoffice.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -12,51 +12,54 @@
 )
 
 const (
-	// leaseTime is how long after its lease was asked for an order may be sent. The
-	// voters answer within some ms.
-	leaseTime = 300 * time.Millisecond
-	// orderLate is how late an order may arrive whose sender has given up waiting:
-	// what was lost on the way is sent again for a while.
-	orderLate = 400 * time.Millisecond
-	// leaseRest is how many times longer than taking leases the time until the next are
-	// taken is. Most of the time that it takes is the voters', not this instance's.
-	leaseRest = 2
-	// forgetLeases is for how long a leader has to know the engines until it takes
-	// those that it has not heard of for gone.
-	forgetLeases = 10 * time.Second
+	// leaseValidity is the time after the request for a lease in which the order may be
+	// sent. The voters answer within some ms.
+	leaseValidity = 300 * time.Millisecond
+	// retransmitTime is how long after its sender timed out an order may still arrive,
+	// because the network retransmits lost packets.
+	retransmitTime = 400 * time.Millisecond
+	// leaseRestFactor is the pause between two batches, as a multiple of the time that
+	// the last batch took. Most of that time is spent by the voters, not by this
+	// instance.
+	leaseRestFactor = 2
+	// leaseForgetDelay is how long a leader collects announcements before it deletes the
+	// leases of engines that it has not heard from.
+	leaseForgetDelay = 10 * time.Second
 )
 
-// leases takes the leases of engines, one of which each order needs. Those that are
-// asked for while some are being taken are taken together afterwards: with an entry
-// in the log for each of 40 orders a second, a leader with 0.12 of a core and nine
-// voters had no time left to lead.
-type leases struct {
-	orders *orders
+// leaseBatcher takes the lease that each order to an engine needs. Requests that arrive
+// while a batch is being taken form the next batch: with one log entry for each of 40
+// orders per second, a leader with 0.12 of a core and nine voters had no time left to
+// lead.
+type leaseBatcher struct {
+	orchestrator *orchestrator
 
 	mu sync.Mutex
-	// asked are who wait for the lease of each engine.
-	asked map[string][]chan leaseAnswer
-	// wake holds a token if somebody may wait.
+	// pending holds the callers that wait for the lease of each engine.
+	pending map[string][]chan leaseResult
+	// wake holds a token if pending may be non-empty.
 	wake chan struct{}
 }
 
-// leaseAnswer says until when an order may be sent, or why none may.
-type leaseAnswer struct {
+// leaseResult holds the time until which an order may be sent, or the reason why none
+// may.
+type leaseResult struct {
 	until time.Time
 	err   error
 }
 
-// errNoLease is why an order is not given.
-var errNoLease = errors.New("backoffice: another instance took the lease of the engine")
+// errLeaseTaken is returned for an engine whose lease another instance took within the
+// exclusion time.
+var errLeaseTaken = errors.New("backoffice: another instance took the lease of the engine")
 
-// newLeases returns the leases of a control instance, which are taken until ctx ends.
-func newLeases(ctx context.Context, o *orders) *leases {
-	l := &leases{orders: o, asked: map[string][]chan leaseAnswer{}, wake: make(chan struct{}, 1)}
-	o.office.done.Go(func() {
+// newLeaseBatcher returns a leaseBatcher that works until ctx ends.
+func newLeaseBatcher(ctx context.Context, o *orchestrator) *leaseBatcher {
+	l := &leaseBatcher{orchestrator: o, pending: map[string][]chan leaseResult{}, wake: make(chan struct{}, 1)}
+	o.backoffice.done.Go(func() {
 		for {
 			select {
 			case <-l.wake:
-				l.work(ctx)
+				l.takePending(ctx)
 			case <-ctx.Done():
 				return
 			}
@@ -66,54 +69,54 @@
 }
 
 // take takes the lease of an engine for one order, which must be sent at once.
-func (l *leases) take(ctx context.Context, engine string) error {
-	answer := make(chan leaseAnswer, 1)
+func (l *leaseBatcher) take(ctx context.Context, engine string) error {
+	answer := make(chan leaseResult, 1)
 	l.mu.Lock()
-	l.asked[engine] = append(l.asked[engine], answer)
+	l.pending[engine] = append(l.pending[engine], answer)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case got := <-answer:
-		if got.err == nil && !l.now().Before(got.until) {
-			return errors.Newf("backoffice: the lease of %s came too late", engine)
+	case result := <-answer:
+		if result.err == nil && !l.now().Before(result.until) {
+			return errors.Newf("backoffice: lease of %s was granted too late to send the order", engine)
 		}
-		return got.err
+		return result.err
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "backoffice: lease")
+		return errors.Wrap(ctx.Err(), "backoffice: wait for lease")
 	}
 }
 
-// work takes what is asked for, and rests.
-func (l *leases) work(ctx context.Context) {
+// takePending takes the pending leases in one batch, and then pauses.
+func (l *leaseBatcher) takePending(ctx context.Context) {
 	l.mu.Lock()
-	asked := l.asked
-	l.asked = map[string][]chan leaseAnswer{}
+	batch := l.pending
+	l.pending = map[string][]chan leaseResult{}
 	l.mu.Unlock()
-	if len(asked) == 0 {
+	if len(batch) == 0 {
 		return
 	}
-	began := l.now()
-	l.takeAll(ctx, asked)
-	pause.For(ctx, leaseRest*l.now().Sub(began))
+	start := l.now()
+	l.takeBatch(ctx, batch)
+	pause.For(ctx, leaseRestFactor*l.now().Sub(start))
 }
 
-func (l *leases) takeAll(ctx context.Context, asked map[string][]chan leaseAnswer) {
-	ctx, cancel := context.WithTimeout(ctx, leaseTime)
+func (l *leaseBatcher) takeBatch(ctx context.Context, batch map[string][]chan leaseResult) {
+	ctx, cancel := context.WithTimeout(ctx, leaseValidity)
 	defer cancel()
-	until := l.now().Add(leaseTime)
-	engines := make([]string, 0, len(asked))
-	for engine := range asked {
+	until := l.now().Add(leaseValidity)
+	engines := make([]string, 0, len(batch))
+	for engine := range batch {
 		engines = append(engines, engine)
 	}
 	slices.Sort(engines)
-	taken, err := l.orders.office.voter.TakeLeases(ctx, engines, l.wait(), l.gone())
-	for engine, waiting := range asked {
-		answer := leaseAnswer{until: until, err: err}
+	taken, err := l.orchestrator.backoffice.voter.TakeLeases(ctx, engines, l.exclusionTime(), l.goneEngines())
+	for engine, waiting := range batch {
+		answer := leaseResult{until: until, err: err}
 		if err == nil && !slices.Contains(taken, engine) {
-			answer.err = errNoLease
+			answer.err = errLeaseTaken
 		}
 		for _, waiter := range waiting {
 			waiter <- answer
@@ -121,31 +124,33 @@
 	}
 }
 
-func (l *leases) now() time.Time {
-	return l.orders.office.options.Now()
+func (l *leaseBatcher) now() time.Time {
+	return l.orchestrator.backoffice.options.Now()
 }
 
-// wait is how long an instance that has seen another take the lease of an engine
-// gives it no orders: the other may have sent one as late as leaseTime after, which
-// arrived as late as orderLate after that.
-func (l *leases) wait() time.Duration {
-	return leaseTime + orderTimeout + orderLate + l.orders.office.options.OrderGap
+// exclusionTime is how long this instance sends no orders to an engine after it has
+// seen another instance take the lease. The other instance may send an order up to
+// leaseValidity later, which may arrive up to orderTimeout and retransmitTime after
+// that. OrderGap must then pass before the next order.
+func (l *leaseBatcher) exclusionTime() time.Duration {
+	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.OrderGap
 }
 
-// free reports whether no other instance may have ordered an engine within the time
-// that two must leave between them.
-func (l *leases) free(now time.Time, engine string) bool {
-	return l.orders.office.voter.LeaseFree(now, engine, l.wait())
+// isFree reports whether no other instance can have ordered an engine within the
+// minimum time between orders of two instances.
+func (l *leaseBatcher) isFree(now time.Time, engine string) bool {
+	return l.orchestrator.backoffice.voter.LeaseFree(now, engine, l.exclusionTime())
 }
 
-// gone returns the engines whose leases are not needed any more: no instance has
-// heard of them while this one leads, for longer than anybody waits.
-func (l *leases) gone() []string {
-	o := l.orders
+// goneEngines returns the engines whose leases can be deleted: this instance has led
+// for at least leaseForgetDelay, which is longer than any instance waits for a lease,
+// and knows of no such engine.
+func (l *leaseBatcher) goneEngines() []string {
+	o := l.orchestrator
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if l.now().Sub(o.metSince) < forgetLeases {
+	if l.now().Sub(o.termSince) < leaseForgetDelay {
 		return nil
 	}
-	return slices.DeleteFunc(o.office.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
+	return slices.DeleteFunc(o.backoffice.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
 }
--- a/internal/backoffice/limits.go
+++ b/internal/backoffice/limits.go
@@ -8,44 +8,45 @@
 )
 
 const (
-	// limitKept is how long a limit counts that no entry instance tells of any more: each
-	// tells of those that it knows with each of its questions.
-	limitKept = 2 * time.Second
-	// narrowShare is the part of its slots below which an engine that takes so many requests
-	// a second is narrow: a request has a slot for a second or two.
-	narrowShare = 0.125
+	// limitTTL is how long a rate limit is valid after the last report of it. Each entry
+	// instance includes the limits that it knows in each sync.
+	limitTTL = 2 * time.Second
+	// lowLimitShare is the rate limit per slot, in requests per second, below which an
+	// engine counts as having a low limit. A request occupies a slot for a second or two.
+	lowLimitShare = 0.125
 )
 
-// toldLimit is a limit that entry instances told of last at a time.
-type toldLimit struct {
-	limit ratelimit.Limit
-	at    time.Time
+// reportedLimit is an upstream's rate limit that an entry instance reported at
+// reportedAt.
+type reportedLimit struct {
+	limit      ratelimit.Limit
+	reportedAt time.Time
 }
 
-// noteLimits takes in which upstreams name a limit.
-func (o *orders) noteLimits(now time.Time, limited []courier.LimitedUpstream) {
+// recordLimits records the rate limits that upstreams state in their responses.
+func (o *orchestrator) recordLimits(now time.Time, limited []courier.LimitedUpstream) {
 	if len(limited) == 0 {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, upstream := range limited {
-		o.limits[upstream.Name] = toldLimit{limit: upstream.Limit, at: now}
+		o.limits[upstream.Name] = reportedLimit{limit: upstream.Limit, reportedAt: now}
 	}
 }
 
-// expireLimits forgets the limits that nobody tells of any more. o.mu is held.
-func (o *orders) expireLimits(now time.Time) {
-	for name, told := range o.limits {
-		if now.Sub(told.at) >= limitKept {
+// expireLimits removes the limits that are no longer reported. o.mu is held.
+func (o *orchestrator) expireLimits(now time.Time) {
+	for name, reported := range o.limits {
+		if now.Sub(reported.reportedAt) >= limitTTL {
 			delete(o.limits, name)
 		}
 	}
 }
 
-// isNarrow reports whether an engine takes few requests by a limit that it names. o.mu is
-// held.
-func (o *orders) isNarrow(e *engine) bool {
-	told, limited := o.limits[e.Name]
-	return limited && float64(told.limit) < narrowShare*float64(e.spec.Slots)
+// hasLowLimit reports whether an engine has stated a rate limit that is low for its
+// number of slots. o.mu is held.
+func (o *orchestrator) hasLowLimit(e *engine) bool {
+	reported, limited := o.limits[e.Name]
+	return limited && float64(reported.limit) < lowLimitShare*float64(e.spec.Slots)
 }
--- a/internal/backoffice/models.go
+++ b/internal/backoffice/models.go
@@ -10,57 +10,57 @@
 	"github.com/lovagelift/lovagelift/internal/stocking"
 )
 
-// stockingOptions are those of every plan. An engine's first tokens come late
-// from about two thirds of its load on; a load takes seconds, so that a copy is
-// ordered before.
-var stockingOptions = stocking.Options{Busy: 0.65, Gain: 0.3, Orders: 4}
-
-// fetchBurst is how many loads from the weight store may begin at once, beyond
-// the rate that the store allows.
-const fetchBurst = 2
-
-// unloadNotice is the time from when nobody is told any more that an engine holds a
-// model until it is ordered away. An engine refuses requests for a model as soon
-// as it is to be unloaded; entry instances ask for news every 250 ms, and stop
-// sending before.
-const unloadNotice = 400 * time.Millisecond
-
-// unloadWithdrawn orders models away that were to go for long enough, unless they are
-// asked for again.
-func (o *orders) unloadWithdrawn(ctx context.Context, now time.Time) {
+// placementOptions are the options of every plan. The time to first token of an engine
+// rises from about two thirds of its load on. A load takes seconds, so another copy is
+// ordered before that point.
+var placementOptions = stocking.Options{Busy: 0.65, Gain: 0.3, Orders: 4}
+
+// maxFetchTokens is the burst of loads from the weight store, in addition to the rate
+// that the store allows.
+const maxFetchTokens = 2
+
+// withdrawalNotice is the time between the withdrawal of a model from the advertised
+// ones and the order to unload it. An engine refuses requests for a model as soon as it
+// accepts the order. Entry instances sync every 250 ms, so they stop sending before.
+const withdrawalNotice = 400 * time.Millisecond
+
+// unloadWithdrawn sends the orders to unload the models that were withdrawn at least
+// withdrawalNotice ago. It cancels the withdrawal of a model that is needed again, or
+// whose engine can't be ordered now. o.mu is held.
+func (o *orchestrator) unloadWithdrawn(ctx context.Context, now time.Time) {
 	for _, e := range o.engines {
-		if e.going == "" || e.unloading || e.ordering || now.Sub(e.goingSince) < unloadNotice {
+		if e.withdrawn == "" || e.unloading || e.orderPending || now.Sub(e.withdrawnAt) < withdrawalNotice {
 			continue
 		}
-		if _, ok := o.right(); !ok || !o.leases.free(now, e.Name) || e.stale || e.report.Busy || o.wantedAgain(now, e) {
-			e.going = ""
-			o.touch()
+		if _, ok := o.fencingToken(); !ok || !o.leases.isFree(now, e.Name) || e.stale || e.report.Busy || o.neededAgain(now, e) {
+			e.withdrawn = ""
+			o.markChanged()
 			continue
 		}
-		e.ordering = true
-		order := Order{Kind: Unload, Model: e.going}
-		o.office.done.Go(func() { o.give(ctx, e, order) })
+		e.orderPending = true
+		order := Order{Kind: Unload, Model: e.withdrawn}
+		o.backoffice.done.Go(func() { o.sendOrder(ctx, e, order) })
 	}
 }
 
-// wantedAgain reports whether requests wait for the model that is to go from e,
-// and no other engine holds it.
-func (o *orders) wantedAgain(now time.Time, e *engine) bool {
-	asked := o.demand[demandKey{e.service, e.going}]
-	if asked == nil || asked.waitingAt(now) == 0 {
+// neededAgain reports whether requests wait for the withdrawn model of e and no other
+// engine holds it.
+func (o *orchestrator) neededAgain(now time.Time, e *engine) bool {
+	demand := o.demand[demandKey{e.service, e.withdrawn}]
+	if demand == nil || demand.totalWaiting(now) == 0 {
 		return false
 	}
 	for _, other := range o.engines {
-		if other != e && other.service == e.service && other.holds(e.going, "") {
+		if other != e && other.service == e.service && other.holds(e.withdrawn, "") {
 			return false
 		}
 	}
 	return true
 }
 
-// stock orders models to where they are asked for.
-func (o *orders) stock(ctx context.Context, now time.Time) {
-	if _, ok := o.right(); !ok {
+// placeModels orders models onto the engines where they are needed.
+func (o *orchestrator) placeModels(ctx context.Context, now time.Time) {
+	if _, ok := o.fencingToken(); !ok {
 		return
 	}
 	o.mu.Lock()
@@ -71,67 +71,68 @@
 	o.unloadWithdrawn(ctx, now)
 	for name, service := range o.table.Services() {
 		if service.Engine != nil {
-			o.stockService(ctx, now, name, service.Engine)
+			o.placeServiceModels(ctx, now, name, service.Engine)
 		}
 	}
 }
 
-// stockService makes the plan for the engines of one service, and begins its
-// moves.
-func (o *orders) stockService(ctx context.Context, now time.Time, service string, spec *routes.Engine) {
-	elapsed := now.Sub(o.fetchesAt)
-	o.fetchesAt = now
-	o.fetches = min(o.fetches+elapsed.Seconds()*spec.LoadsPerSecond, fetchBurst)
-	options := stockingOptions
-	options.Fetches = int(o.fetches)
-	for _, move := range stocking.Plan(o.stockModels(now, service, spec), o.stockEngines(now, service), options) {
+// placeServiceModels plans the engines of one service and starts the planned moves.
+// o.mu is held.
+func (o *orchestrator) placeServiceModels(ctx context.Context, now time.Time, service string, spec *routes.Engine) {
+	elapsed := now.Sub(o.fetchTokensAt)
+	o.fetchTokensAt = now
+	o.fetchTokens = min(o.fetchTokens+elapsed.Seconds()*spec.LoadsPerSecond, maxFetchTokens)
+	options := placementOptions
+	options.Fetches = int(o.fetchTokens)
+	for _, move := range stocking.Plan(o.plannerModels(now, service, spec), o.plannerEngines(now, service), options) {
 		e := o.engines[move.Engine]
-		o.office.options.Log.Info().Str("engine", e.Name).Str("model", move.Model).Bool("unload", move.Unload).
+		o.backoffice.options.Log.Info().Str("engine", e.Name).Str("model", move.Model).Bool("unload", move.Unload).
 			Bool("fetch", move.Fetch).Str("reason", string(move.Reason)).Float64("load", move.Load).Msg("placement move")
 		if move.Unload {
-			e.going, e.goingSince, e.goingFor = move.Model, now, move.For
-			o.touch()
+			e.withdrawn, e.withdrawnAt, e.replacement = move.Model, now, move.For
+			o.markChanged()
 			continue
 		}
 		if move.Fetch {
-			o.fetches--
+			o.fetchTokens--
 		}
-		e.ordering = true
+		e.orderPending = true
 		order := Order{Kind: Load, Model: move.Model}
-		o.office.done.Go(func() { o.give(ctx, e, order) })
+		o.backoffice.done.Go(func() { o.sendOrder(ctx, e, order) })
 	}
 }
 
-func (o *orders) stockModels(now time.Time, service string, spec *routes.Engine) []stocking.Model {
+func (o *orchestrator) plannerModels(now time.Time, service string, spec *routes.Engine) []stocking.Model {
 	models := make([]stocking.Model, 0, len(spec.Models))
-	held := o.held(service)
+	held := o.heldModels(service)
 	for _, model := range spec.Models {
 		m := stocking.Model{
 			Name: model.Name, Megabytes: model.Megabytes,
 			Load: model.Load, WarmLoad: model.WarmLoad, DiskLoad: model.DiskLoad,
 		}
-		asked := o.demand[demandKey{service, model.Name}]
-		m.Idle = asked == nil || now.Sub(asked.last) > idleAfter
-		if asked != nil {
-			m.Demand = asked.rate(now)
-			m.Waiting = asked.waitingAt(now)
-			m.Missing = asked.missing(now, held[model.Name])
+		demand := o.demand[demandKey{service, model.Name}]
+		m.Idle = demand == nil || now.Sub(demand.lastRequested) > modelIdleTimeout
+		if demand != nil {
+			m.Demand = demand.rate(now)
+			m.Waiting = demand.totalWaiting(now)
+			m.Missing = demand.missingFor(now, held[model.Name])
 		}
 		models = append(models, m)
 	}
 	return models
 }
 
-// held returns the models that an engine of a service holds for requests. It is made once
-// for a plan: 242 models looked for at 140 engines, 8 times a second, took 8 ms of a core.
-func (o *orders) held(service string) map[string]bool {
+// heldModels returns the models that the engines of a service advertise. It is computed
+// once for each plan: a search for each of 242 models at 140 engines, 8 times a second,
+// took 8 ms of a core.
+func (o *orchestrator) heldModels(service string) map[string]bool {
 	held := map[string]bool{}
 	for _, e := range o.engines {
 		if e.service != service || e.leaving {
 			continue
 		}
 		for _, model := range e.report.Models {
-			if model.Name != e.going {
+			if model.Name != e.withdrawn {
 				held[model.Name] = true
 			}
 		}
@@ -139,18 +140,18 @@
 	return held
 }
 
-func (o *orders) stockEngines(now time.Time, service string) []stocking.Engine {
+func (o *orchestrator) plannerEngines(now time.Time, service string) []stocking.Engine {
 	var engines []stocking.Engine
 	for _, e := range o.engines {
 		if e.service != service {
 			continue
 		}
 		engine := stocking.Engine{
-			Name: e.Name, Megabytes: e.spec.Megabytes, Used: e.megabytes(), Coming: e.coming,
-			Closed:  !e.known || e.ordering || e.stale || e.report.Busy || e.going != "" || !o.leases.free(now, e.Name),
-			Leaving: e.leaving, Narrow: o.isNarrow(e), InMemory: e.report.InMemory, OnDisk: e.report.OnDisk,
+			Name: e.Name, Megabytes: e.spec.Megabytes, Used: e.usedMegabytes(), Coming: e.loading,
+			Closed:  !e.hasReport || e.orderPending || e.stale || e.report.Busy || e.withdrawn != "" || !o.leases.isFree(now, e.Name),
+			Leaving: e.leaving, Narrow: o.hasLowLimit(e), InMemory: e.report.InMemory, OnDisk: e.report.OnDisk,
 		}
-		for _, held := range e.told() {
+		for _, held := range e.advertisedModels() {
 			engine.Holds = append(engine.Holds, held.Name)
 		}
 		engines = append(engines, engine)
@@ -158,43 +159,45 @@
 	return engines
 }
 
-// noteModel takes in what callers asked for of one model at an entry instance.
-func (o *orders) noteModel(now time.Time, entry string, d courier.Demand) {
+// recordModelDemand records the demand for one model at an entry instance. o.mu is
+// held.
+func (o *orchestrator) recordModelDemand(now time.Time, entry string, d courier.Demand) {
 	key := demandKey{d.Service, d.Model}
-	asked := o.demand[key]
-	if asked == nil {
-		asked = &demandOf{}
-		o.demand[key] = asked
+	demand := o.demand[key]
+	if demand == nil {
+		demand = &modelDemand{}
+		o.demand[key] = demand
 	}
 	if d.Requests > 0 || d.Waiting > 0 {
-		asked.add(now, work(d, o.places(d.Service)))
+		demand.add(now, workloadOf(d, o.engineSlots(d.Service)))
 	}
-	asked.wait(now, entry, d.Waiting)
+	demand.setWaiting(now, entry, d.Waiting)
 }
 
-// places returns how many requests an engine of a service runs at once, 0 if that is
-// not known.
-func (o *orders) places(service string) int {
+// engineSlots returns how many requests an engine of a service runs at once, or 0 if
+// that is unknown. o.mu is held.
+func (o *orchestrator) engineSlots(service string) int {
 	if o.table == nil {
 		return 0
 	}
-	known := o.table.Service(service)
-	if known == nil || known.Engine == nil {
+	spec := o.table.Service(service)
+	if spec == nil || spec.Engine == nil {
 		return 0
 	}
-	return known.Engine.Slots
+	return spec.Engine.Slots
 }
 
-// wantingCall stands for the entry instance of calls for a model.
-const wantingCall = ""
+// callEntry takes the place of an entry instance's name for demand that comes from Want
+// calls.
+const callEntry = ""
 
-// wantModel waits for an engine that holds a model, which the next plan sees that
-// requests wait for. A plan of its own for each call would take the leader's time, and
-// its orders would end with the call.
-func (o *orders) wantModel(ctx context.Context, args courier.WantArgs) courier.WantReply {
-	now := o.office.options.Now()
+// awaitModel waits for an engine that holds a model. It records a waiting request,
+// which the next plan takes into account. A plan for each call would cost the leader
+// too much time, and its orders would be cancelled at the end of the call.
+func (o *orchestrator) awaitModel(ctx context.Context, args courier.WantArgs) courier.WantReply {
+	now := o.backoffice.options.Now()
 	o.mu.Lock()
-	o.noteModel(now, wantingCall, courier.Demand{Service: args.Service, Model: args.Model, Waiting: 1})
+	o.recordModelDemand(now, callEntry, courier.Demand{Service: args.Service, Model: args.Model, Waiting: 1})
 	o.mu.Unlock()
 	for {
 		o.mu.Lock()
@@ -210,13 +213,13 @@
 		case holder != "":
 			return courier.WantReply{Engine: holder}
 		case term == 0:
-			return notLeader
+			return notLeaderReply
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 		}
-		if !pause.For(ctx, wantModelEvery) {
+		if !pause.For(ctx, minModelCheckInterval) {
 			return courier.WantReply{Reason: "not in time"}
 		}
 	}
--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -1,6 +1,6 @@
-// Package backoffice is a control instance: a voter of the replicated state that
-// takes announcements of upstreams and changes of routes, tells entry instances
-// of both, and gives orders to engines while it leads (control plane).
+// Package backoffice is the control plane: each instance is a voter of the replicated
+// state, accepts announcements of upstreams and changes of routes, sends both to entry
+// instances, and while it leads, orders engines to load and unload models.
 package backoffice
 
 import (
@@ -18,74 +18,75 @@
 
 // Options configures a Backoffice.
 type Options struct {
-	// Address is where other instances reach this one. It is its name as well, so
-	// that whoever knows an identity knows where to reach it.
+	// Address is where other instances reach this one. It also serves as the instance's
+	// name, so that an identity implies an address.
 	Address       string
 	FailureDomain string
-	// Seeds are the addresses of control instances to begin with, this one's
-	// perhaps among them.
+	// Seeds are the addresses of the initial control plane instances. They may include
+	// this instance.
 	Seeds []string
-	// Founder is true at the very first start of the whole system, on the
-	// instances that Seeds names. They become the first voters.
+	// Founder is set at the very first start of the whole system, on the instances listed
+	// in Seeds. They become the first voters.
 	Founder bool
-	// Voters is how many instances should vote at the least.
+	// Voters is the minimum number of voters.
 	Voters int
 	// Folder is the data folder.
 	Folder string
-	// Inner is where Address listens. The Backoffice closes it.
+	// Inner listens on Address. The Backoffice closes it.
 	Inner net.Listener
 	// Dial connects to another instance.
 	Dial courier.Dial
-	// UpstreamLease is how long an upstream gets work after it was heard of.
+	// UpstreamLease is how long an upstream receives work after it was last heard from.
 	UpstreamLease time.Duration
-	// OrderGap is the least time between orders of two instances to one engine.
+	// OrderGap is the minimum time between orders of two instances to the same engine.
 	OrderGap time.Duration
-	// Quarantine says when requests that crash upstreams are quarantined.
+	// Quarantine determines when requests that crash upstreams are quarantined.
 	Quarantine quarantine.Limits
-	// Table reads the routes that an operator sent.
+	// Table parses routes as sent by an operator.
 	Table func(content []byte) (*routes.Table, error)
-	// Engines reaches engines to ask and to order.
+	// Engines is the client for reports and orders of engines.
 	Engines Engines
 	Now     func() time.Time
 	Log     zerolog.Logger
-	// Metrics is where the instance counts.
+	// Metrics defaults to a scope that discards everything.
 	Metrics tally.Scope
 }
 
-// Engines speaks with engines. Its methods are called from many goroutines.
+// Engines is a client for engines. Its methods must be safe for concurrent use.
 type Engines interface {
-	// Report asks an engine what it holds and does.
+	// Report asks an engine for the models that it holds and its load.
 	Report(ctx context.Context, engine EngineAddress) (Report, error)
-	// Order has an engine load or unload. An error leaves open whether the engine
-	// carries the order out, now or later.
+	// Order orders an engine to load or unload a model or an adapter. After an error, the
+	// engine may or may not carry the order out, now or later.
 	Order(ctx context.Context, engine EngineAddress, order Order) (OrderAnswer, error)
 }
 
-// EngineAddress names one engine's process. Whoever else answers at Address is
-// not meant.
+// EngineAddress identifies one engine process. Another process may have taken over
+// Address.
 type EngineAddress struct {
 	Name    string
 	Address string
 }
 
-// Report is what an engine holds and does. It lags by some tenths of a second.
+// Report holds an engine's models and load. It lags by some tenths of a second.
 type Report struct {
-	// Incarnation is that of the process that gives it, 0 if it does not say.
+	// Incarnation is the incarnation of the reporting process, or 0 if the process
+	// reports none.
 	Incarnation uint64
-	// Sequence counts the orders that the engine has accepted.
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence uint64
-	// Busy says that a model is being loaded or unloaded.
+	// Busy is set while a model is being loaded or unloaded.
 	Busy   bool
 	Models []courier.HeldModel
-	// Running and Queued are requests, KVUsed the tokens in memory that can't be
-	// dropped.
+	// Running and Queued are numbers of requests. KVUsed is the number of KV cache tokens
+	// that can't be evicted.
 	Running int
 	Queued  int
 	KVUsed  int
-	// Coming are adapters that are being loaded. They take places already.
+	// Coming are adapters that are being loaded. They already occupy slots.
 	Coming []Adapter
-	// InMemory and OnDisk are models whose weights the engine need not fetch from
-	// the store.
+	// InMemory and OnDisk are models whose weights the engine has cached, so that a load
+	// does not fetch them from the weight store.
 	InMemory []string
 	OnDisk   []string
 }
@@ -96,46 +97,48 @@
 	Name  string
 }
 
-// OrderKind is what an Order does.
+// OrderKind is the action of an Order.
 type OrderKind uint8
 
-// The kinds of order.
+// Kinds of order.
 const (
 	Load OrderKind = iota + 1
 	Unload
 )
 
-// Order changes what an engine holds.
+// Order changes which models or adapters an engine holds.
 type Order struct {
 	Kind  OrderKind
 	Model string
-	// Adapter is empty for the model itself.
+	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// Expected is the Sequence of the engine at which the order holds. An order
-	// that is carried out late, after another one, would else take memory that is
-	// no longer free.
+	// Expected is the engine's Sequence at which the order is valid. Without it, an order
+	// that is carried out late, after another one, could take memory that is no longer
+	// free.
 	Expected uint64
-	// Holder is who gives the order, and Fence its fencing number.
+	// Holder is the instance that sends the order, and Fence its fencing token.
 	Holder string
 	Fence  uint64
 }
 
-// OrderAnswer is what an engine says to an order.
+// OrderAnswer is an engine's answer to an order.
 type OrderAnswer uint8
 
-// The answers.
+// Answers of an engine.
 const (
 	// Accepted means that the order is being carried out.
 	Accepted OrderAnswer = iota + 1
-	// AlreadyDone means that the engine holds what the order asks for.
+	// AlreadyDone means that the engine is already in the ordered state.
 	AlreadyDone
-	// Refused means that the engine does not carry the order out and never will.
+	// Refused means that the engine does not carry out the order, now or later.
 	Refused
-	// Gone is Refused by another process, which has the engine's address now.
+	// Gone means that the order was refused by another process that now has the engine's
+	// address.
 	Gone
 )
 
-// String returns the word for the log. An order without an answer is unknown.
+// String returns the name for logs and metrics. The zero value, which stands for no
+// answer, is "unknown".
 func (a OrderAnswer) String() string {
 	switch a {
 	case Accepted:
@@ -151,24 +154,26 @@
 	}
 }
 
-// The intervals of a control instance.
+// Timing of a control plane instance.
 const (
-	// pullEvery is the time between two pulls of another's roster: with the entry
-	// instances' own interval, an upstream that leaves is known everywhere within
-	// a second.
-	pullEvery = 250 * time.Millisecond
-	// electEvery is the time between two looks at the voters. A voter that lost
-	// its disk is replaced within some of them.
-	electEvery = 200 * time.Millisecond
-	// callTimeout bounds one call between instances. It is far above the round
-	// trip between failure domains (3 ms) and a sync (2 ms).
+	// rosterPullInterval is the interval between two pulls of a peer's roster. Together
+	// with the sync interval of entry instances, it makes the leave of an upstream known
+	// everywhere within a second.
+	rosterPullInterval = 250 * time.Millisecond
+	// voterCheckInterval is the interval between two checks of the voters. A voter that
+	// lost its disk is replaced within a few of them.
+	voterCheckInterval = 200 * time.Millisecond
+	// callTimeout bounds one call between instances. It is far above the round trip
+	// between failure domains (3 ms) and the duration of a sync (2 ms).
 	callTimeout = time.Second
-	// heartbeat and electionTimeout pace the agreement: a lost leader is replaced
-	// within 1.5 s, and a heartbeat costs a core of 0.12 about 1 part in 1,000.
-	heartbeat       = 120 * time.Millisecond
-	electionTimeout = 700 * time.Millisecond
-	// clockDrift bounds how far the rates of two clocks differ.
-	clockDrift = 0.05
-	// silentVoter is how long a voter is silent before another takes its place.
-	silentVoter = 1500 * time.Millisecond
+	// heartbeatInterval and electionTimeout are those of the consensus protocol: a lost
+	// leader is replaced within 1.5 s, and heartbeats take about 1/1000 of the time of an
+	// instance with 0.12 of a core.
+	heartbeatInterval = 120 * time.Millisecond
+	electionTimeout   = 700 * time.Millisecond
+	// maxClockDrift bounds the relative difference between the rates of two clocks.
+	maxClockDrift = 0.05
+	// voterSilenceTimeout is how long a voter may be silent before another instance
+	// replaces it.
+	voterSilenceTimeout = 1500 * time.Millisecond
 )
--- a/internal/backoffice/pulls.go
+++ b/internal/backoffice/pulls.go
@@ -7,22 +7,23 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// peer is another control instance.
+// peer is another control plane instance.
 type peer struct {
 	address string
-	// seed is true if the settings name it. It is pulled from also while it is
-	// lost, to see when it is back.
+	// seed is set if the settings list the instance. A seed is also pulled from while it
+	// is unreachable, to notice its return.
 	seed   bool
 	source roster.Source
-	// busy is true while a pull is under way.
-	busy bool
-	// lost is true while pulls go unanswered.
-	lost bool
+	// pulling is set during a pull.
+	pulling bool
+	// unreachable is set while pulls fail.
+	unreachable bool
 }
 
-// pull keeps asking the other control instances for what changed.
-func (b *Backoffice) pull(ctx context.Context) {
-	ticker := time.NewTicker(pullEvery)
+// runPulls pulls the roster changes of the other control plane instances until ctx
+// ends.
+func (b *Backoffice) runPulls(ctx context.Context) {
+	ticker := time.NewTicker(rosterPullInterval)
 	defer ticker.Stop()
 	for {
 		for _, p := range b.beginPulls(b.options.Now()) {
@@ -36,8 +37,8 @@
 	}
 }
 
-// beginPulls renews this instance's record and returns whom to pull from, each
-// marked as busy.
+// beginPulls renews this instance's record and returns the peers to pull from, with
+// pulling set.
 func (b *Backoffice) beginPulls(now time.Time) []*peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,18 +54,18 @@
 			b.peers[instance.Name] = &peer{address: instance.InnerAddress}
 		}
 	}
-	var begun []*peer
+	var started []*peer
 	for name, p := range b.peers {
 		if !p.seed && !alive[name] {
 			delete(b.peers, name)
 			continue
 		}
-		if !p.busy {
-			p.busy = true
-			begun = append(begun, p)
+		if !p.pulling {
+			p.pulling = true
+			started = append(started, p)
 		}
 	}
-	return begun
+	return started
 }
 
 func (b *Backoffice) pullFrom(ctx context.Context, p *peer) {
@@ -72,22 +73,23 @@
 	cursor := p.source.Cursor(true)
 	introduction := b.roster.Introduction(b.options.Now())
 	b.mu.Unlock()
-	asked := b.options.Now()
-	changes, err := b.calls.PullRoster(ctx, p.address, cursor, introduction)
+	sentAt := b.options.Now()
+	changes, err := b.callPool.PullRoster(ctx, p.address, cursor, introduction)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.busy = false
-	if lost := err != nil; lost != p.lost && ctx.Err() == nil {
-		p.lost = lost
-		b.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", lost).Msg("control instance lost or regained")
+	p.pulling = false
+	if failed := err != nil; failed != p.unreachable && ctx.Err() == nil {
+		p.unreachable = failed
+		b.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", failed).Msg("reachability of a control plane instance changed")
 	}
 	if err == nil {
-		b.roster.Merge(asked, &p.source, changes)
+		b.roster.Merge(sentAt, &p.source, changes)
 	}
 }
 
-// answerPull answers another control instance's pull, which brings its record.
-func (b *Backoffice) answerPull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
+// handlePull answers the pull of another control plane instance, which includes the
+// caller's own record.
+func (b *Backoffice) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
 	now := b.options.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -12,121 +12,125 @@
 )
 
 const (
-	// relayEvery is the time between two calls to the leader for what engines hold.
-	relayEvery = 125 * time.Millisecond
-	// relayIdle is after how long without a question of an entry instance the leader is not
-	// called any more: bytes between failure domains are paid for. Entry instances pause for
-	// a second at the most.
-	relayIdle = 2 * time.Second
+	// relayInterval is the pause between two calls to the leader.
+	relayInterval = 125 * time.Millisecond
+	// relayIdleTimeout is the time without a sync of an entry instance after which the
+	// leader is no longer called, because traffic between failure domains costs money.
+	// Entry instances pause for a second at most.
+	relayIdleTimeout = 2 * time.Second
 )
 
-// relay hands on, at an instance that does not lead, what the entry instances that ask
-// it told, to the leader, and what the leader tells of engines, to them.
+// relay runs on instances that do not lead. It forwards the demand reported by entry
+// instances to the leader, and returns the leader's holdings to the entry instances.
 //
-// With 86 entry instances that all ask the leader, each change of the leader brings it 86
-// new connections and lists of all upstreams at once, about a second of 0.07 of a core:
-// its heartbeats come late, and it is replaced again. A leader that is asked by the other
-// control instances alone has as many askers whatever the number of entry instances.
+// If 86 entry instances all call the leader directly, a new leader receives 86
+// connections and lists of all upstreams at once, which takes about a second of 0.07 of
+// a core. Its heartbeats are then late and it is replaced again. With the relay, the
+// number of callers of the leader does not depend on the number of entry instances.
 type relay struct {
-	office *Backoffice
+	backoffice *Backoffice
 
 	mu sync.Mutex
-	// told is what entry instances told since the last call, by entry instance, and asked
-	// when the last of them asked.
-	told  map[string][]courier.Demand
-	asked time.Time
-	// limited are the upstreams that name a limit, by what was told since the last call.
+	// demand holds the reports since the last call to the leader, by entry instance.
+	// lastSyncAt is the time of the last sync.
+	demand     map[string][]courier.Demand
+	lastSyncAt time.Time
+	// limited holds the upstreams with a rate limit that were reported since the last
+	// call, by name.
 	limited map[string]courier.LimitedUpstream
-	// holdings is what the leader told last, with its revision, made at made.
-	holdings []byte
-	revision uint64
-	made     time.Time
+	// holdings are the last ones that the leader returned, with their revision. The
+	// leader encoded them at encodedAt.
+	holdings  []byte
+	revision  uint64
+	encodedAt time.Time
 }
 
 // run calls the leader until ctx ends.
 func (r *relay) run(ctx context.Context) {
-	for pause.For(ctx, relayEvery) {
-		r.call(ctx)
+	for pause.For(ctx, relayInterval) {
+		r.gather(ctx)
 	}
 }
 
-// note takes in what an entry instance told.
-func (r *relay) note(now time.Time, entry string, demand []courier.Demand, limited []courier.LimitedUpstream) {
+// record adds the report of an entry instance to the next call.
+func (r *relay) record(now time.Time, entry string, demand []courier.Demand, limited []courier.LimitedUpstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked = now
+	r.lastSyncAt = now
 	for _, upstream := range limited {
 		r.limited[upstream.Name] = upstream
 	}
-	r.told[entry] = merged(r.told[entry], demand)
+	r.demand[entry] = mergeDemand(r.demand[entry], demand)
 }
 
-// merged returns what an entry instance told in two calls as one: requests add up, the
-// newer says what waits and is under way.
-func merged(older, newer []courier.Demand) []courier.Demand {
+// mergeDemand combines two successive reports of an entry instance. Requests and their
+// work add up. Waiting and Open are taken from the newer report.
+func mergeDemand(older, newer []courier.Demand) []courier.Demand {
 	type key struct{ service, model, adapter string }
-	at := make(map[key]int, len(newer))
-	all := make([]courier.Demand, 0, len(older)+len(newer))
+	index := make(map[key]int, len(newer))
+	merged := make([]courier.Demand, 0, len(older)+len(newer))
 	for _, d := range newer {
-		at[key{d.Service, d.Model, d.Adapter}] = len(all)
-		all = append(all, d)
+		index[key{d.Service, d.Model, d.Adapter}] = len(merged)
+		merged = append(merged, d)
 	}
 	for _, d := range older {
 		d.Waiting, d.Open = 0, 0
-		n, both := at[key{d.Service, d.Model, d.Adapter}]
-		if !both {
-			all = append(all, d)
+		n, found := index[key{d.Service, d.Model, d.Adapter}]
+		if !found {
+			merged = append(merged, d)
 			continue
 		}
-		all[n].Requests += d.Requests
-		all[n].Reading += d.Reading
-		all[n].Answering += d.Answering
+		merged[n].Requests += d.Requests
+		merged[n].Reading += d.Reading
+		merged[n].Answering += d.Answering
 	}
-	return all
+	return merged
 }
 
-// call makes one call to the leader, if that is another instance and somebody asks here.
-// What was told goes with it, whatever becomes of the call: demand is told again as long
-// as it lasts, and must not come in a heap after a leader was missed.
-func (r *relay) call(ctx context.Context) {
-	now := r.office.options.Now()
-	leader, _ := r.office.voter.Leader()
+// gather makes one call to the leader, if another instance leads and entry instances
+// have synced recently. The collected demand is dropped even if the call is not made or
+// fails: entry instances report lasting demand again, and a new leader must not receive
+// all the demand that accumulated without a leader at once.
+func (r *relay) gather(ctx context.Context) {
+	now := r.backoffice.options.Now()
+	leader, _ := r.backoffice.voter.Leader()
 	r.mu.Lock()
 	args := courier.GatherArgs{
-		Told: r.told, Limited: slices.Collect(maps.Values(r.limited)), Holdings: r.revision,
+		Told: r.demand, Limited: slices.Collect(maps.Values(r.limited)), Holdings: r.revision,
 	}
-	r.told = map[string][]courier.Demand{}
+	r.demand = map[string][]courier.Demand{}
 	clear(r.limited)
-	idle := now.Sub(r.asked) >= relayIdle
+	idle := now.Sub(r.lastSyncAt) >= relayIdleTimeout
 	r.mu.Unlock()
-	if idle || leader == "" || leader == r.office.voter.Identity() {
+	if idle || leader == "" || leader == r.backoffice.voter.Identity() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := r.office.calls.Gather(ctx, leader.Instance(), args)
+	reply, err := r.backoffice.callPool.Gather(ctx, leader.Instance(), args)
 	if err != nil {
-		r.office.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("leader does not answer")
+		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching holdings from the leader failed")
 		return
 	}
-	r.take(r.office.options.Now(), reply)
+	r.setHoldings(r.backoffice.options.Now(), reply)
 }
 
-// take takes in what the leader told.
-func (r *relay) take(now time.Time, reply courier.GatherReply) {
+// setHoldings stores the leader's reply if it has newer holdings.
+func (r *relay) setHoldings(now time.Time, reply courier.GatherReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.Revision <= r.revision {
 		return
 	}
-	r.holdings, r.revision, r.made = reply.Holdings, reply.Revision, now.Add(-reply.Age)
+	r.holdings, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
 }
 
-// tell fills in what is known of engines, unless the asker has it already.
-func (r *relay) tell(now time.Time, have uint64, reply *courier.SyncReply) {
+// fillHoldings adds the holdings to reply if they are newer than the revision have of
+// the caller.
+func (r *relay) fillHoldings(now time.Time, have uint64, reply *courier.SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.revision > have {
-		reply.Holdings, reply.HoldingsAge = r.holdings, now.Sub(r.made)
+		reply.Holdings, reply.HoldingsAge = r.holdings, now.Sub(r.encodedAt)
 	}
 }
--- a/internal/backoffice/relay_test.go
+++ b/internal/backoffice/relay_test.go
@@ -12,17 +12,18 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// syncAt asks one instance as an entry instance does.
-func (s *site) syncAt(ctx context.Context, address string, demand ...courier.Demand) (courier.SyncReply, error) {
-	return s.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
+// syncWith syncs with one instance as an entry instance does.
+func (c *testCluster) syncWith(ctx context.Context, address string, demand ...courier.Demand) (courier.SyncReply, error) {
+	return c.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
 		Name: "entry", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()),
 		Static: &roster.InstanceStatic{CallerAddress: "127.0.0.1:1", FailureDomain: "here", InnerAddress: "entry"},
 	}, Demand: demand})
 }
 
-// membersAt returns who is alive by what an instance tells one that has a revision of it.
-func (s *site) membersAt(ctx context.Context, address string, have uint64) *courier.Members {
-	reply, err := s.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
+// membersOf returns the membership that an instance sends to a caller that has the
+// revision have, and nil if it sends none.
+func (c *testCluster) membersOf(ctx context.Context, address string, have uint64) *courier.Members {
+	reply, err := c.calls.Sync(ctx, address, courier.SyncArgs{From: roster.InstanceRecord{
 		Name: "entry", Incarnation: 1, Sequence: uint64(time.Now().UnixNano()),
 		Static: &roster.InstanceStatic{CallerAddress: "127.0.0.1:1", FailureDomain: "here", InnerAddress: "entry"},
 	}, Members: have})
@@ -32,18 +33,18 @@
 	return reply.Members
 }
 
-// holders returns the engines that hold a model by what an instance tells.
-func (s *site) holders(ctx context.Context, address, model string, demand ...courier.Demand) []string {
-	reply, err := s.syncAt(ctx, address, demand...)
+// holdersOf returns the engines that hold a model, as reported by one instance.
+func (c *testCluster) holdersOf(ctx context.Context, address, model string, demand ...courier.Demand) []string {
+	reply, err := c.syncWith(ctx, address, demand...)
 	if err != nil {
 		return nil
 	}
-	held, err := courier.DecodeHoldings(reply.Holdings)
+	holdings, err := courier.DecodeHoldings(reply.Holdings)
 	if err != nil {
 		return nil
 	}
 	var holders []string
-	for _, engine := range held.Engines {
+	for _, engine := range holdings.Engines {
 		for _, known := range engine.Models {
 			if known.Name == model {
 				holders = append(holders, engine.Name)
@@ -54,52 +55,52 @@
 }
 
 var _ = Describe("An instance that does not lead", func() {
-	// Many entry instances share the control instances that do not lead. Callers behind
-	// them ask for a model that no engine holds: the leader must hear of it from the
-	// instance that was asked, and that instance must tell who holds it then.
+	// Entry instances sync with control plane instances that do not lead. Demand for a
+	// model that no engine holds must reach the leader through them, and they must report
+	// which engine holds it afterwards.
 	It("hands on what is asked for, and what engines hold", func(ctx SpecContext) {
-		s := newSite()
-		s.engines.add("e1", "a")
-		s.put(ctx, s.seeds[0], 1)
-		s.announce(ctx, "e1")
+		c := newTestCluster()
+		c.fakes.add("e1", "a")
+		c.putRoutes(ctx, c.seeds[0], 1)
+		c.announce(ctx, "e1")
 		var leader string
 		Eventually(ctx, func() bool {
-			reply, ok := s.sync(ctx)
+			reply, ok := c.syncWithLeader(ctx)
 			leader = reply.Leader
 			return ok
 		}).Should(BeTrue())
-		follower := s.seeds[0]
+		follower := c.seeds[0]
 		if follower == leader {
-			follower = s.seeds[1]
+			follower = c.seeds[1]
 		}
-		Eventually(ctx, func() []string { return s.holders(ctx, follower, "a") }).Should(ConsistOf("e1"))
+		Eventually(ctx, func() []string { return c.holdersOf(ctx, follower, "a") }).Should(ConsistOf("e1"))
 		wanted := courier.Demand{Service: "pool", Model: "b", Requests: 1, Waiting: 1, Reading: time.Millisecond}
-		Eventually(ctx, func() []string { return s.holders(ctx, follower, "b", wanted) }).Should(ConsistOf("e1"))
+		Eventually(ctx, func() []string { return c.holdersOf(ctx, follower, "b", wanted) }).Should(ConsistOf("e1"))
 	}, SpecTimeout(specTimeout))
 
-	// Each of 291 entry instances asks several times a second, and is told of 300 others:
-	// 20 KB a second for a list that hardly ever changes.
-	It("tells who is alive only to an asker that does not know it", func(ctx SpecContext) {
-		s := newSite()
-		s.put(ctx, s.seeds[0], 1)
+	// With 291 entry instances that sync several times a second, a list of 300 instances
+	// in each reply takes 20 KB a second, although it hardly ever changes.
+	It("sends the membership only to a caller that does not have it", func(ctx SpecContext) {
+		c := newTestCluster()
+		c.putRoutes(ctx, c.seeds[0], 1)
 		var members *courier.Members
 		Eventually(ctx, func() int {
-			members = s.membersAt(ctx, s.seeds[0], 0)
+			members = c.membersOf(ctx, c.seeds[0], 0)
 			return len(members.Controls)
-		}).Should(Equal(len(s.seeds)))
+		}).Should(Equal(len(c.seeds)))
 		Expect(members.Entries).To(ConsistOf("entry"))
 		Expect(members.Revision).NotTo(BeZero())
-		Expect(s.membersAt(ctx, s.seeds[0], members.Revision)).To(BeNil())
-		Eventually(ctx, func() *courier.Members { return s.membersAt(ctx, s.seeds[1], members.Revision) }).
-			Should(BeNil(), "another control instance knows the same")
+		Expect(c.membersOf(ctx, c.seeds[0], members.Revision)).To(BeNil())
+		Eventually(ctx, func() *courier.Members { return c.membersOf(ctx, c.seeds[1], members.Revision) }).
+			Should(BeNil(), "other control plane instances have the same membership")
 	}, SpecTimeout(specTimeout))
 
-	It("counts requests that were told twice before the leader asked, and the last that wait", func() {
-		told := backoffice.Merged(
+	It("adds up requests of two reports, and takes the waiting ones from the newer", func() {
+		merged := backoffice.MergeDemand(
 			[]courier.Demand{{Model: "a", Requests: 2, Waiting: 2, Open: 1}, {Model: "b", Requests: 1, Waiting: 1}},
 			[]courier.Demand{{Model: "a", Requests: 3, Waiting: 1, Open: 4}},
 		)
-		Expect(told).To(ConsistOf(
+		Expect(merged).To(ConsistOf(
 			courier.Demand{Model: "a", Requests: 5, Waiting: 1, Open: 4},
 			courier.Demand{Model: "b", Requests: 1},
 		))
--- a/internal/backoffice/voters.go
+++ b/internal/backoffice/voters.go
@@ -11,44 +11,45 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// foundEvery is the time between two tries to found the cluster. All instances
-// start within a second of each other.
-const foundEvery = 200 * time.Millisecond
+// bootstrapRetryInterval is the pause between two attempts to bootstrap the cluster.
+// All instances start within a second of each other.
+const bootstrapRetryInterval = 200 * time.Millisecond
 
-// found founds the cluster at the very first start. Every founder tries: the
-// cluster that follows from the same identities is the same.
-func (b *Backoffice) found(ctx context.Context) {
+// bootstrap founds the cluster at the very first start. All founders try it: the same
+// identities result in the same cluster.
+func (b *Backoffice) bootstrap(ctx context.Context) {
 	if !b.options.Founder {
 		return
 	}
 	for b.voter.Status().Cluster == "" {
 		if err := b.voter.Bootstrap(ctx); err != nil {
-			b.options.Log.Debug().Err(err).Msg("cluster not founded yet")
+			b.options.Log.Debug().Err(err).Msg("bootstrap failed; retrying")
 		}
-		if !pause.For(ctx, foundEvery) {
+		if !pause.For(ctx, bootstrapRetryInterval) {
 			return
 		}
 	}
-	b.options.Log.Info().Str("cluster", b.voter.Status().Cluster).Msg("cluster founded")
+	b.options.Log.Info().Str("cluster", b.voter.Status().Cluster).Msg("cluster bootstrapped")
 }
 
-// elect keeps the set of voters whole while this instance leads.
-func (b *Backoffice) elect(ctx context.Context) {
-	for pause.For(ctx, electEvery) {
+// maintainVoters updates metrics, detects a failed replica, and adjusts the set of
+// voters while this instance leads.
+func (b *Backoffice) maintainVoters(ctx context.Context) {
+	for pause.For(ctx, voterCheckInterval) {
 		status := b.voter.Status()
-		b.reportState(status)
+		b.updateMetrics(status)
 		if status.Failure != nil {
 			close(b.failed)
 			return
 		}
-		if b.leads(b.options.Now()) {
+		if b.trackLeadership(b.options.Now()) {
 			b.changeVoters(ctx)
 		}
 	}
 }
 
-// reportState sets what this instance is and knows.
-func (b *Backoffice) reportState(status jury.Status) {
+// updateMetrics exports the state of the replica.
+func (b *Backoffice) updateMetrics(status jury.Status) {
 	scope := b.options.Metrics.SubScope("backoffice")
 	leads := 0.0
 	if status.Role == jury.Leader {
@@ -66,7 +67,8 @@
 	b.logCaughtUp(reading)
 }
 
-// logCaughtUp logs that a replica that has started holds all that is committed.
+// logCaughtUp logs once when the replica has applied all committed log entries after
+// its start.
 func (b *Backoffice) logCaughtUp(reading edition.Reading) {
 	b.mu.Lock()
 	first := reading.Confirmed && !b.caughtUp
@@ -77,29 +79,30 @@
 	}
 }
 
-// leads reports whether this instance leads, and notes since when.
-func (b *Backoffice) leads(now time.Time) bool {
+// trackLeadership reports whether this instance leads, and records the time since which
+// it does.
+func (b *Backoffice) trackLeadership(now time.Time) bool {
 	leader, _ := b.voter.Leader()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case leader != b.voter.Identity():
-		b.leadsSince = time.Time{}
+		b.leaderSince = time.Time{}
 		return false
-	case b.leadsSince.IsZero():
-		b.leadsSince = now
+	case b.leaderSince.IsZero():
+		b.leaderSince = now
 	}
 	return true
 }
 
-// changeVoters asks for the next change of voters, if one is due.
+// changeVoters requests the next change of the voters, if one is due.
 func (b *Backoffice) changeVoters(ctx context.Context) {
 	b.mu.Lock()
-	since := b.leadsSince
+	since := b.leaderSince
 	b.mu.Unlock()
 	change := electorate.Decide(
 		b.options.Now(), b.voter.Identity(), b.voter.Status().Voters, b.voter.Peers(), since,
-		electorate.Options{Least: b.options.Voters, Patience: silentVoter},
+		electorate.Options{Least: b.options.Voters, Patience: voterSilenceTimeout},
 	)
 	if change == (electorate.Change{}) {
 		return
@@ -108,10 +111,10 @@
 	defer cancel()
 	err := b.voter.ChangeVoters(ctx, courier.VotersChange{Add: change.Add, Remove: change.Remove})
 	b.options.Log.Info().Err(err).Str("add", string(change.Add)).Str("remove", string(change.Remove)).
-		Str("reason", string(change.Reason)).Msg("change of voters")
+		Str("reason", string(change.Reason)).Msg("change of voters requested")
 }
 
-// Votes reports whether this instance is one of the voters.
+// Votes reports whether this instance is a voter.
 func (b *Backoffice) Votes() bool {
 	return b.voter.Status().Voter
 }
--- a/internal/backoffice/want.go
+++ b/internal/backoffice/want.go
@@ -10,111 +10,114 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// want has an engine load an adapter and returns its name.
-func (o *orders) want(ctx context.Context, args courier.WantArgs) courier.WantReply {
+// ensureHeld returns an engine that holds the requested model or adapter. If none holds
+// the adapter, it orders an engine to load it; a missing model is left to the next
+// plan.
+func (o *orchestrator) ensureHeld(ctx context.Context, args courier.WantArgs) courier.WantReply {
 	if args.Adapter == "" {
-		return o.wantModel(ctx, args)
+		return o.awaitModel(ctx, args)
 	}
 	for {
-		reply, wait := o.tryWant(ctx, args)
-		if wait == nil {
+		reply, retry := o.ensureAdapter(ctx, args)
+		if retry == nil {
 			return reply
 		}
 		select {
 		case <-ctx.Done():
 			return courier.WantReply{Reason: "not in time"}
-		case <-wait:
-		case <-time.After(wantLook):
+		case <-retry:
+		case <-time.After(maxAdapterCheckInterval):
 		}
-		if !pause.For(ctx, wantEvery) {
+		if !pause.For(ctx, minAdapterCheckInterval) {
 			return courier.WantReply{Reason: "not in time"}
 		}
 	}
 }
 
-// notLeader is the answer of an instance that gives no orders.
-var notLeader = courier.WantReply{Reason: "this instance gives no orders", NotLeader: true}
+// notLeaderReply is the reply of an instance that does not lead.
+var notLeaderReply = courier.WantReply{Reason: "this instance gives no orders", NotLeader: true}
 
 const (
-	// wantEvery is the least time between two looks of one call at the engines. Reports
-	// come 200 times a second, and each had every call that waits look at 140 engines: the
-	// leader had no time left and was replaced every other second.
-	wantEvery = 20 * time.Millisecond
-	// wantLook is the longest time between two looks: the engine that a call waits for may
-	// have gone.
-	wantLook = 200 * time.Millisecond
-	// wantModelEvery is the least time between two looks of a call for a model, which takes
-	// some seconds to load.
-	wantModelEvery = 100 * time.Millisecond
+	// minAdapterCheckInterval is the minimum interval between two attempts of one call.
+	// Reports arrive 200 times a second. When each report made all waiting calls search
+	// 140 engines, the leader had no time left and was replaced every other second.
+	minAdapterCheckInterval = 20 * time.Millisecond
+	// maxAdapterCheckInterval is the maximum interval between two attempts, as the engine
+	// that a call waits for may be gone.
+	maxAdapterCheckInterval = 200 * time.Millisecond
+	// minModelCheckInterval is the minimum interval between two checks of a call for a
+	// model, which takes some seconds to load.
+	minModelCheckInterval = 100 * time.Millisecond
 )
 
-// tryWant makes one step towards an adapter. If it can't tell the end yet, it
-// returns what to wait for.
-func (o *orders) tryWant(ctx context.Context, args courier.WantArgs) (courier.WantReply, <-chan struct{}) {
-	now := o.office.options.Now()
+// ensureAdapter tries to have an adapter loaded. If the outcome is open, it returns a
+// channel to wait on before the next attempt.
+func (o *orchestrator) ensureAdapter(ctx context.Context, args courier.WantArgs) (courier.WantReply, <-chan struct{}) {
+	now := o.backoffice.options.Now()
 	o.mu.Lock()
 	if o.term == 0 {
 		o.mu.Unlock()
-		return notLeader, nil
+		return notLeaderReply, nil
 	}
-	e := o.adapterEngine(now, args)
+	e := o.chooseAdapterEngine(now, args)
 	if e == nil {
 		o.mu.Unlock()
 		return courier.WantReply{Reason: "no engine holds the model"}, nil
 	}
-	o.asked[Adapter{Model: args.Model, Name: args.Adapter}] = now
+	o.adapterRequestedAt[Adapter{Model: args.Model, Name: args.Adapter}] = now
 	if e.holds(args.Model, args.Adapter) {
 		o.mu.Unlock()
 		return courier.WantReply{Engine: e.Name}, nil
 	}
-	if !o.leases.free(now, e.Name) {
+	if !o.leases.isFree(now, e.Name) {
 		o.mu.Unlock()
 		return courier.WantReply{Reason: "another instance has ordered the engine a moment ago"}, nil
 	}
-	if e.ordering || e.stale {
-		news := e.news
+	if e.orderPending || e.stale {
+		updated := e.updated
 		o.mu.Unlock()
-		return courier.WantReply{}, news
+		return courier.WantReply{}, updated
 	}
 	order := Order{Kind: Load, Model: args.Model, Adapter: args.Adapter}
 	if !e.fitsAdapter(now, args.Model) {
 		order.Kind = Unload
-		oldest := o.leastRecent(now, e)
-		order.Model, order.Adapter = oldest.Model, oldest.Name
-		if order.Adapter == "" || e.report.Busy || now.Before(e.adaptersFullUntil) {
+		evicted := o.evictableAdapter(now, e)
+		order.Model, order.Adapter = evicted.Model, evicted.Name
+		if order.Adapter == "" || e.report.Busy || now.Before(e.adapterLoadsBlockedUntil) {
 			o.mu.Unlock()
 			return courier.WantReply{Reason: "all places for adapters are in use"}, nil
 		}
 	}
-	e.ordering = true
+	e.orderPending = true
 	o.mu.Unlock()
-	if !o.give(ctx, e, order) {
+	if !o.sendOrder(ctx, e, order) {
 		return courier.WantReply{Reason: "the order was not carried out"}, nil
 	}
-	if order.Kind == Load && !pause.For(ctx, adapterTime) {
+	if order.Kind == Load && !pause.For(ctx, adapterLoadTime) {
 		return courier.WantReply{Reason: "not in time"}, nil
 	}
-	return o.tryWant(ctx, args)
+	return o.ensureAdapter(ctx, args)
 }
 
-// adapterEngine returns the engine for an adapter: one that holds it, else the
-// one with the highest hash among those that hold the model, may be ordered and
-// have a place, so that several askers agree.
-func (o *orders) adapterEngine(now time.Time, args courier.WantArgs) *engine {
+// chooseAdapterEngine returns the engine for an adapter. It prefers one that holds the
+// adapter already. Among the others that hold the model, it prefers engines whose lease
+// is free, then those that can load an adapter, then the highest hash, so that several
+// calls choose the same engine. o.mu is held.
+func (o *orchestrator) chooseAdapterEngine(now time.Time, args courier.WantArgs) *engine {
 	var chosen *engine
 	var highest uint64
 	for name, e := range o.engines {
-		if e.service != args.Service || e.leaving || !e.known || !e.holds(args.Model, "") {
+		if e.service != args.Service || e.leaving || !e.hasReport || !e.holds(args.Model, "") {
 			continue
 		}
 		if e.holds(args.Model, args.Adapter) {
 			return e
 		}
-		score := uint64(rank(name, args.Adapter))
-		if o.hasPlace(now, e, args.Model) {
+		score := uint64(hashScore(name, args.Adapter))
+		if o.canLoadAdapter(now, e, args.Model) {
 			score |= 1 << 32
 		}
-		if o.leases.free(now, e.Name) {
+		if o.leases.isFree(now, e.Name) {
 			score |= 1 << 33
 		}
 		if chosen == nil || score > highest || score == highest && name < chosen.Name {
@@ -124,8 +127,8 @@
 	return chosen
 }
 
-// rank is a hash of two names.
-func rank(a, b string) uint32 {
+// hashScore returns a hash of two names (rendezvous hashing).
+func hashScore(a, b string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(strings.Join([]string{a, b}, "\x00")))
 	return sum.Sum32()
