--- a/internal/backoffice/backoffice_test.go
+++ b/internal/backoffice/backoffice_test.go
@@ -380,8 +380,8 @@
 	}, SpecTimeout(specTimeout))
 
 	// Requests wait for a model that the only engine does not hold, and for more adapters
-	// than it has slots. The answer to an order is lost: the order must not be repeated
-	// in a way that allows both to be carried out.
+	// than it has slots. The answer to an order is lost: the leader must not repeat the
+	// order in a way that could have it carried out twice.
 	It("loads what requests wait for, by one holder and within the places", func(ctx SpecContext) {
 		c := newTestCluster()
 		c.fakes.add("e1", "a", "b")
@@ -408,8 +408,8 @@
 
 	// The leader is lost right after it has ordered an engine. Its successor must not
 	// order this engine for a while, since the engine could carry out the older order
-	// last. It orders all other engines at once: otherwise every model would be stuck for
-	// the time of the wait.
+	// last. It must order all other engines immediately, or no model could be moved
+	// during the wait.
 	It("waits after a lost leader only with the engines that it has ordered", func(ctx SpecContext) {
 		c := newTestClusterWithOrderGap(30 * time.Second)
 		// The engines are full, so that no other orders are sent.
--- a/internal/backoffice/demand.go
+++ b/internal/backoffice/demand.go
@@ -9,8 +9,8 @@
 const (
 	// demandSlotDuration is the resolution in which demand is counted.
 	demandSlotDuration = 250 * time.Millisecond
-	// Demand is averaged over two windows, in slots: the short one shows a rise within a
-	// second, the long one bridges a gap of a few requests.
+	// The workload is averaged over two windows, given in slots: the short one shows a
+	// rise of demand within a second, the long one bridges a pause of a few requests.
 	shortWindowSlots = 4
 	longWindowSlots  = 16
 	// shortWindowWeight reduces the rate of the short window, which is based on few
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -142,8 +142,8 @@
 	return b.cachedMembership
 }
 
-// Want returns an engine that holds a model or an adapter, and has it loaded first if
-// none does.
+// Want returns an engine that holds a model or an adapter, if necessary after it was
+// loaded.
 func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
 	return f.backoffice.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -142,9 +142,9 @@
 	return l.orchestrator.backoffice.voter.LeaseFree(now, engine, l.exclusionTime())
 }
 
-// goneEngines returns the engines whose leases can be deleted: this instance has led
-// for at least leaseForgetDelay, which is longer than any instance waits for a lease,
-// and knows of no such engine.
+// goneEngines returns the engines whose leases can be deleted: those that are unknown
+// to this instance although it has led for leaseForgetDelay, which must exceed the
+// exclusion time.
 func (l *leaseBatcher) goneEngines() []string {
 	o := l.orchestrator
 	o.mu.Lock()
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -15,7 +15,7 @@
 const (
 	// minRoundInterval is the minimum pause between two rounds of reports and orders.
 	minRoundInterval = 125 * time.Millisecond
-	// minRestFactor is the minimum pause after a round as a multiple of the round's
+	// minRestFactor is the minimum pause after a round, as a multiple of the round's
 	// duration. A plan for 140 engines and 242 models takes 1.6 ms of a whole core
 	// (BenchmarkPlan). With 0.12 of a core, rounds must leave time for the consensus
 	// protocol.
@@ -61,7 +61,7 @@
 
 	mu      sync.Mutex
 	engines map[string]*engine
-	// table is parsed from the edition in force, and has its version.
+	// table is parsed from the edition of the routes with its version.
 	table *routes.Table
 	// term is the leadership term in which engines was collected, or 0 while this
 	// instance does not lead. revision grows with each change of the holdings that entry
--- a/internal/backoffice/want.go
+++ b/internal/backoffice/want.go
@@ -10,9 +10,8 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// ensureHeld returns an engine that holds the requested model or adapter. If none holds
-// the adapter, it orders an engine to load it; a missing model is left to the next
-// plan.
+// ensureHeld returns an engine that holds the requested model or adapter. It orders the
+// load of a missing adapter, and waits until a plan has loaded a missing model.
 func (o *orchestrator) ensureHeld(ctx context.Context, args courier.WantArgs) courier.WantReply {
 	if args.Adapter == "" {
 		return o.awaitModel(ctx, args)
