--- a/internal/jury/leader.go
+++ b/internal/jury/leader.go
@@ -76,7 +76,8 @@
 	uncommittedBytes int
 }
 
-// peerIDs returns the identities of the peers, sorted.
+// peerIDs returns the identities of the peers, sorted, so that messages are sent
+// in a deterministic order.
 func (l *leaderState) peerIDs() []Identity {
 	return slices.Sorted(maps.Keys(l.peers))
 }
--- a/internal/jury/lease.go
+++ b/internal/jury/lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxReadRequests limits both the unanswered read requests and the unapplied
-// confirmations of a member.
+// maxReadRequests limits both the unanswered read requests of a member and the
+// confirmations that wait for its commit index.
 const maxReadRequests = 32
 
 // quorumContactAt returns the latest time such that a quorum of voters, the
@@ -52,8 +52,8 @@
 }
 
 // OrderRight reports whether the member may send orders (commands) to upstreams
-// at now, with the fencing token term. Until is the latest time at which this
-// right ends without further contact with a quorum.
+// at now, with term as the fencing token. Unless the lease is extended, the right
+// ends at until or earlier.
 //
 // The caller must check OrderRight immediately before each send. At most one
 // member at a time holds the right or has orders in flight from when it held
@@ -69,9 +69,10 @@
 	return m.hardState.Term, until, true
 }
 
-// readRequest asks the leader for its commit index as the read index: a member
-// that has applied it knows all entries that were committed at sentAt. This is
-// the ReadIndex protocol of Raft.
+// readRequest asks the leader for a read index, which is its commit index. Once
+// the member has committed up to it, the member has all entries that were
+// committed at sentAt. This is the ReadIndex protocol of Raft, with requests and
+// answers carried by heartbeats.
 type readRequest struct {
 	token  uint64
 	sentAt time.Time
@@ -90,9 +91,9 @@
 	// number, so that an answer from before a restart matches no request.
 	lastToken uint64
 	pending   []readRequest
-	// unapplied are the confirmations of indices that the member may not have
-	// committed yet, in order.
-	unapplied []readConfirmation
+	// awaitingCommit are the confirmations of indices that the member may not
+	// have committed yet, in order.
+	awaitingCommit []readConfirmation
 	// asOf is the latest time for which the member is known to have committed
 	// all entries. It is zero if there is none.
 	asOf time.Time
@@ -120,8 +121,8 @@
 	for i, request := range r.pending {
 		if request.token == body.Token {
 			r.pending = slices.Clone(r.pending[i+1:])
-			if len(r.unapplied) < maxReadRequests {
-				r.unapplied = append(r.unapplied, readConfirmation{index: body.FreshIndex, sentAt: request.sentAt})
+			if len(r.awaitingCommit) < maxReadRequests {
+				r.awaitingCommit = append(r.awaitingCommit, readConfirmation{index: body.FreshIndex, sentAt: request.sentAt})
 			}
 			return
 		}
@@ -131,11 +132,11 @@
 // advanceFreshness consumes the confirmations up to the commit index.
 func (m *Member) advanceFreshness() {
 	reads := &m.reads
-	for len(reads.unapplied) > 0 && reads.unapplied[0].index <= m.commitIndex {
-		if reads.unapplied[0].sentAt.After(reads.asOf) {
-			reads.asOf = reads.unapplied[0].sentAt
+	for len(reads.awaitingCommit) > 0 && reads.awaitingCommit[0].index <= m.commitIndex {
+		if reads.awaitingCommit[0].sentAt.After(reads.asOf) {
+			reads.asOf = reads.awaitingCommit[0].sentAt
 		}
-		reads.unapplied = reads.unapplied[1:]
+		reads.awaitingCommit = reads.awaitingCommit[1:]
 	}
 }
 
--- a/internal/jury/member.go
+++ b/internal/jury/member.go
@@ -165,7 +165,7 @@
 }
 
 // fail stops the member for good. A leader steps down, because it can no longer
-// persist what it appends.
+// guarantee that its entries are persisted.
 func (m *Member) fail(cause error) {
 	m.stepDown()
 	m.failure = cause
@@ -206,8 +206,8 @@
 	m.scheduleCampaign(now)
 }
 
-// blank reports whether the member has no initial snapshot yet. Only the name of
-// its cluster may already be recorded.
+// blank reports whether the member has no snapshot yet. Its cluster may already
+// be recorded.
 func (m *Member) blank() bool {
 	return m.snapshot.Index == 0
 }
--- a/internal/jury/membership.go
+++ b/internal/jury/membership.go
@@ -29,8 +29,8 @@
 // nextVoterSet returns the voter set after the change, or an error if the change
 // is not permitted.
 //
-// Any quorums of two sets that differ by one voter overlap, so the old and the
-// new set cannot make conflicting decisions. To keep this true, only one change
+// If two sets differ by one voter, every quorum of one overlaps every quorum of
+// the other, so they cannot make conflicting decisions. Therefore only one change
 // may be in progress, and the leader must first have committed an entry of its
 // term: before that, it may not know about a change that an earlier leader
 // started.
--- a/internal/jury/options.go
+++ b/internal/jury/options.go
@@ -97,8 +97,8 @@
 //
 // With the slowest clock, a leader's lease takes Lease/(1-ClockDrift) of true
 // time; with the fastest clock, a follower withholds its vote for
-// ElectionTimeout/(1+ClockDrift) of true time. Lease is the maximum at which the
-// first does not exceed the second.
+// ElectionTimeout/(1+ClockDrift) of true time. Lease is the longest lease for
+// which the first time does not exceed the second.
 func (o Options) Lease() time.Duration {
 	return scaleDuration(o.ElectionTimeout, (1-o.ClockDrift)/(1+o.ClockDrift))
 }
--- a/internal/jury/receive.go
+++ b/internal/jury/receive.go
@@ -40,7 +40,8 @@
 
 // acceptsCluster reports whether the member accepts a message from the sender's
 // cluster. A blank member joins the cluster of the first leader that addresses
-// it by its identity, unless its disk already belongs to another cluster.
+// it by its identity, unless its disk already belongs to another cluster. Blank
+// senders have no cluster; only their answers and Joins are accepted.
 func (m *Member) acceptsCluster(message Message) bool {
 	if message.Cluster == m.snapshot.Cluster {
 		return true
--- a/internal/jury/simulation_test.go
+++ b/internal/jury/simulation_test.go
@@ -133,7 +133,7 @@
 	faults    faultProfile
 	mutations jury.Mutation
 	now       time.Duration
-	// stepUnit is the resolution of the steps.
+	// stepUnit is the unit of the random lengths of steps and tick intervals.
 	stepUnit time.Duration
 	nodes    []*node
 	packets  []packet
--- a/internal/jury/state.go
+++ b/internal/jury/state.go
@@ -3,8 +3,8 @@
 import "github.com/cockroachdb/errors"
 
 // State is the persistent state that a member loads from its disk when it
-// starts. The zero value is that of a blank member, which belongs to no cluster
-// yet.
+// starts. A member without a snapshot is blank: it waits for a Bootstrap or for
+// a leader's snapshot. The zero value is the state of a new blank member.
 type State struct {
 	// Cluster is the cluster that the disk belongs to. It is written before the
 	// first snapshot, so it may be set while Snapshot is empty. The member then
