--- a/internal/chamber/answers.go
+++ b/internal/chamber/answers.go
@@ -28,7 +28,7 @@
 // Deliver takes in a message of another replica. One that is dropped is sent
 // again where it matters.
 func (c control) Deliver(message jury.Message) {
-	c.voter.clerk.Deliver(message)
+	c.voter.clerk.Receive(message)
 }
 
 // ProposeHere has command carried out if this voter leads.
@@ -36,7 +36,7 @@
 	if refused, ok := unreadable(command); ok {
 		return refused
 	}
-	return proposedOf(c.voter.clerk.ProposeHere(ctx, command))
+	return proposedOf(c.voter.clerk.ProposeLocal(ctx, command))
 }
 
 // Propose has command carried out by whichever voter leads.
@@ -95,12 +95,12 @@
 	if err == nil {
 		return courier.Proposed{Fate: courier.FateCarriedOut, Result: result}
 	}
-	var refused *clerk.NotAcceptedError
+	var refused *clerk.RejectedError
 	if errors.As(err, &refused) {
 		return courier.Proposed{
 			Fate:    courier.FateNotAccepted,
 			Leader:  refused.Leader,
-			Passing: refused.Passing,
+			Passing: refused.Retryable,
 			Reason:  err.Error(),
 		}
 	}
@@ -122,8 +122,8 @@
 	return "", errors.Newf("chamber: the settings name no voter %q", identity.Instance())
 }
 
-// Deliver hands a message to the replica that it is for.
-func (v *Voter) Deliver(ctx context.Context, message jury.Message) error {
+// Send hands a message to the replica that it is for.
+func (v *Voter) Send(ctx context.Context, message jury.Message) error {
 	address, err := v.address(message.To)
 	if err != nil {
 		return err
@@ -141,17 +141,17 @@
 func (v *Voter) Forward(ctx context.Context, to jury.Identity, command []byte) ([]byte, error) {
 	address, err := v.address(to)
 	if err != nil {
-		return nil, &clerk.NotAcceptedError{Passing: true, Cause: err}
+		return nil, &clerk.RejectedError{Retryable: true, Cause: err}
 	}
 	proposed := v.options.Calls.Propose(ctx, address, command, true)
 	switch proposed.Fate {
 	case courier.FateCarriedOut:
 		return proposed.Result, nil
 	case courier.FateNotAccepted:
-		return nil, &clerk.NotAcceptedError{
-			Leader:  proposed.Leader,
-			Passing: proposed.Passing,
-			Cause:   errors.New(proposed.Reason),
+		return nil, &clerk.RejectedError{
+			Leader:    proposed.Leader,
+			Retryable: proposed.Passing,
+			Cause:     errors.New(proposed.Reason),
 		}
 	default:
 		return nil, &clerk.UnknownError{Cause: errors.New(proposed.Reason)}
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -50,7 +50,7 @@
 
 // Bootstrap makes this blank voter one of a new cluster.
 func (c control) Bootstrap(ctx context.Context, charter courier.Charter) error {
-	return c.voter.clerk.BootstrapFrom(ctx, charter.Cluster, charter.Voters, clerk.Origin{
+	return c.voter.clerk.BootstrapFrom(ctx, charter.Cluster, charter.Voters, clerk.InitialState{
 		Index: charter.Index,
 		Term:  charter.Term,
 		Data:  charter.Data,
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -49,7 +49,7 @@
 	}
 	// Not by way of another leader: only what this replica has carried out itself
 	// shows it who took the leases before.
-	if _, err := v.clerk.ProposeHere(ctx, command); err != nil {
+	if _, err := v.clerk.ProposeLocal(ctx, command); err != nil {
 		return nil, err
 	}
 	return v.free(free, wait), nil
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -55,7 +55,7 @@
 	gazette  *gazette.Gazette
 	registry *registry.Registry
 	archive  *archive.Archive
-	clerk    *clerk.Clerk
+	clerk    *clerk.Replica
 	ticker   *time.Ticker
 
 	leasing   sync.Mutex
@@ -111,14 +111,14 @@
 			Snapshot:  loaded.Snapshot,
 			Entries:   loaded.Entries,
 		},
-		Store:   store,
-		Courier: v,
-		Machine: machine{v},
-		Peers:   options.Identities,
-		Now:     options.Now,
-		Ticks:   v.ticker.C,
-		Metrics: options.Metrics,
-		Log:     options.Log,
+		Store:        store,
+		Transport:    v,
+		StateMachine: machine{v},
+		Peers:        options.Identities,
+		Now:          options.Now,
+		Ticks:        v.ticker.C,
+		Metrics:      options.Metrics,
+		Log:          options.Log,
 	})
 	if err != nil {
 		v.ticker.Stop()
--- a/internal/clerk/applier.go
+++ b/internal/clerk/applier.go
@@ -9,131 +9,130 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// work is what the applier does. It is one of commitWork, restoreWork and
-// freshWork.
-type work interface {
-	work()
+// task is a unit of work of the applier: applyTask, restoreTask or freshnessTask.
+type task interface {
+	isTask()
 }
 
-// commitWork has committed entries carried out.
-type commitWork struct {
+// applyTask applies committed entries to the state machine.
+type applyTask struct {
 	entries []jury.Entry
 }
 
-// restoreWork replaces the state.
-type restoreWork struct {
+// restoreTask replaces the state of the state machine by a snapshot.
+type restoreTask struct {
 	snapshot jury.Snapshot
 }
 
-// freshWork says that with the work before it the state has all that was
-// committed at asOf.
-type freshWork struct {
+// freshnessTask records that once all earlier tasks are done, the state machine includes every
+// entry that was committed at asOf.
+type freshnessTask struct {
 	asOf time.Time
 }
 
-func (commitWork) work()  {}
-func (restoreWork) work() {}
-func (freshWork) work()   {}
+func (applyTask) isTask()     {}
+func (restoreTask) isTask()   {}
+func (freshnessTask) isTask() {}
 
-// awaited is who waits for an entry.
-type awaited struct {
+// pendingEntry is the caller's future for an entry that was appended in term.
+type pendingEntry struct {
 	term   jury.Term
-	waiter waiter
+	result future
 }
 
-// applier carries out what is committed, beside the loop: a large snapshot must
-// not delay heartbeats.
+// applier applies committed entries in a goroutine of its own, so that taking or restoring a large
+// snapshot does not delay heartbeats.
 type applier struct {
-	clerk *Clerk
+	replica *Replica
 
 	mutex sync.Mutex
-	// queue is unbounded; the member's limit of uncommitted entries and the
-	// pace of the leader bound it in practice.
-	queue   []work
-	awaited map[jury.Index]awaited
+	// queue has no explicit bound. In practice it is limited by the leader's maximum of uncommitted
+	// entries and by its rate of commits.
+	queue   []task
+	pending map[jury.Index]pendingEntry
 	applied jury.Index
 	asOf    time.Time
-	// wake holds a token if the queue may hold work.
-	wake chan struct{}
+	// wakeup holds a token if the queue may be non-empty.
+	wakeup chan struct{}
 
-	// What follows is used by the applier's goroutine only.
-	bytes, entries int
-	snapshotSize   int
-	snapshotIndex  jury.Index
-	stopped        bool
+	// The fields below are used only by the applier's goroutine.
+	bytesSinceSnapshot, entriesSinceSnapshot int
+	snapshotSize                             int
+	snapshotIndex                            jury.Index
+	stopped                                  bool
 }
 
-func newApplier(c *Clerk, snapshot jury.Snapshot) *applier {
+func newApplier(r *Replica, snapshot jury.Snapshot) *applier {
 	return &applier{
-		clerk:         c,
-		awaited:       map[jury.Index]awaited{},
+		replica:       r,
+		pending:       map[jury.Index]pendingEntry{},
 		applied:       snapshot.Index,
-		wake:          make(chan struct{}, 1),
+		wakeup:        make(chan struct{}, 1),
 		snapshotSize:  len(snapshot.Data),
 		snapshotIndex: snapshot.Index,
 	}
 }
 
-// add queues work. It never waits.
-func (a *applier) add(w work) {
+// enqueue adds a task to the queue without blocking.
+func (a *applier) enqueue(t task) {
 	a.mutex.Lock()
-	a.queue = append(a.queue, w)
+	a.queue = append(a.queue, t)
 	a.mutex.Unlock()
 	select {
-	case a.wake <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// await has w finished when the entry at index is carried out. It must be
-// called before the entry is added.
-func (a *applier) await(index jury.Index, term jury.Term, w waiter) {
+// register stores the future to complete when the entry at index is applied. It must be called
+// before the entry is enqueued.
+func (a *applier) register(index jury.Index, term jury.Term, result future) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if former, found := a.awaited[index]; found {
-		// A leader appends at an index again only after it lost the first entry.
-		former.waiter.finish(nil, &NotAcceptedError{Passing: true, Cause: errReplaced})
+	if previous, found := a.pending[index]; found {
+		// A leader appends a second entry at an index only after it lost the first one.
+		previous.result.complete(nil, &RejectedError{Retryable: true, Cause: errOverwritten})
 	}
-	a.awaited[index] = awaited{term: term, waiter: w}
+	a.pending[index] = pendingEntry{term: term, result: result}
 }
 
 func (a *applier) run() {
 	for {
 		select {
-		case <-a.clerk.ctx.Done():
+		case <-a.replica.ctx.Done():
 			return
-		case <-a.wake:
+		case <-a.wakeup:
 		}
 		a.mutex.Lock()
 		queue := a.queue
 		a.queue = nil
 		a.mutex.Unlock()
-		for _, w := range queue {
-			if err := a.do(w); err != nil {
+		for _, t := range queue {
+			if err := a.execute(t); err != nil {
 				a.stopped = true
-				a.clerk.failures <- err
+				a.replica.failures <- err
 			}
 			if a.stopped {
 				return
 			}
 		}
-		a.snapshot()
+		a.maybeSnapshot()
 	}
 }
 
-func (a *applier) do(w work) error {
-	switch w := w.(type) {
-	case commitWork:
-		for _, entry := range w.entries {
+func (a *applier) execute(t task) error {
+	switch t := t.(type) {
+	case applyTask:
+		for _, entry := range t.entries {
 			if err := a.apply(entry); err != nil {
 				return err
 			}
 		}
-	case restoreWork:
-		return a.restore(w.snapshot)
-	case freshWork:
+	case restoreTask:
+		return a.restore(t.snapshot)
+	case freshnessTask:
 		a.mutex.Lock()
-		a.asOf = w.asOf
+		a.asOf = t.asOf
 		a.mutex.Unlock()
 	}
 	return nil
@@ -143,74 +142,75 @@
 	var result []byte
 	if entry.Kind == jury.EntryCommand {
 		var err error
-		result, err = a.clerk.options.Machine.Apply(entry.Index, entry.Data)
+		result, err = a.replica.options.StateMachine.Apply(entry.Index, entry.Data)
 		if err != nil {
 			return errors.Wrapf(err, "clerk: apply entry %d", entry.Index)
 		}
 	}
-	a.bytes += len(entry.Data)
-	a.entries++
+	a.bytesSinceSnapshot += len(entry.Data)
+	a.entriesSinceSnapshot++
 	a.mutex.Lock()
 	a.applied = entry.Index
-	waiting, found := a.awaited[entry.Index]
-	delete(a.awaited, entry.Index)
+	pending, found := a.pending[entry.Index]
+	delete(a.pending, entry.Index)
 	a.mutex.Unlock()
 	switch {
 	case !found:
-	case waiting.term == entry.Term:
-		waiting.waiter.finish(result, nil)
+	case pending.term == entry.Term:
+		pending.result.complete(result, nil)
 	default:
-		waiting.waiter.finish(nil, &NotAcceptedError{Passing: true, Cause: errReplaced})
+		pending.result.complete(nil, &RejectedError{Retryable: true, Cause: errOverwritten})
 	}
 	return nil
 }
 
-// restore replaces the state. Whether an entry that the snapshot covers is the
-// one that was proposed can no longer be told.
+// restore replaces the state by a snapshot. For an entry that the snapshot covers, it is unknown
+// whether the proposed command or another leader's entry was committed at that index.
 func (a *applier) restore(snapshot jury.Snapshot) error {
-	if err := a.clerk.options.Machine.Restore(snapshot.Data); err != nil {
+	if err := a.replica.options.StateMachine.Restore(snapshot.Data); err != nil {
 		return errors.Wrapf(err, "clerk: restore the snapshot at %d", snapshot.Index)
 	}
-	a.snapshotTaken(snapshot.Index, len(snapshot.Data))
+	a.recordSnapshot(snapshot.Index, len(snapshot.Data))
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.applied = snapshot.Index
-	for index, waiting := range a.awaited {
+	for index, pending := range a.pending {
 		if index <= snapshot.Index {
-			waiting.waiter.finish(nil, &UnknownError{Cause: errCovered})
-			delete(a.awaited, index)
+			pending.result.complete(nil, &UnknownError{Cause: errCoveredBySnapshot})
+			delete(a.pending, index)
 		}
 	}
 	return nil
 }
 
-// snapshot takes a snapshot if enough was applied since the last. The more the
-// state takes, the rarer it is, so that the cost per entry stays bounded.
-func (a *applier) snapshot() {
-	due := a.bytes > max(a.clerk.options.SnapshotBytes, a.snapshotSize) || a.entries > snapshotEntries
+// maybeSnapshot takes a snapshot if enough entries were applied since the last one. The threshold
+// in bytes grows with the size of the state, which bounds the amortized cost of snapshots per
+// entry.
+func (a *applier) maybeSnapshot() {
+	due := a.bytesSinceSnapshot > max(a.replica.options.SnapshotBytes, a.snapshotSize) || a.entriesSinceSnapshot > maxEntriesBetweenSnapshots
 	if !due {
 		return
 	}
-	data, err := a.clerk.options.Machine.Snapshot()
+	data, err := a.replica.options.StateMachine.Snapshot()
 	if err != nil {
 		a.stopped = true
-		a.clerk.failures <- errors.Wrap(err, "clerk: take a snapshot")
+		a.replica.failures <- errors.Wrap(err, "clerk: take a snapshot")
 		return
 	}
 	select {
-	case a.clerk.compacts <- jury.Compact{Index: a.applied, Data: data}:
-		a.snapshotTaken(a.applied, len(data))
+	case a.replica.snapshots <- jury.Compact{Index: a.applied, Data: data}:
+		a.recordSnapshot(a.applied, len(data))
 	default:
-		// The loop has not taken the last one yet; the next batch tries again.
+		// The loop has not received the previous snapshot yet. Try again after the next batch.
 	}
 }
 
-func (a *applier) snapshotTaken(index jury.Index, size int) {
-	a.bytes, a.entries = 0, 0
+func (a *applier) recordSnapshot(index jury.Index, size int) {
+	a.bytesSinceSnapshot, a.entriesSinceSnapshot = 0, 0
 	a.snapshotIndex, a.snapshotSize = index, size
 }
 
-func (a *applier) freshAsOf() time.Time {
+func (a *applier) freshness() time.Time {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.asOf
@@ -222,12 +222,12 @@
 	return a.applied
 }
 
-// abandon answers all who wait when the clerk closes.
-func (a *applier) abandon() {
+// failPending completes all pending entries with ErrUnknown when the replica closes.
+func (a *applier) failPending() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for index, waiting := range a.awaited {
-		waiting.waiter.finish(nil, &UnknownError{Cause: errClosed})
-		delete(a.awaited, index)
+	for index, pending := range a.pending {
+		pending.result.complete(nil, &UnknownError{Cause: errClosed})
+		delete(a.pending, index)
 	}
 }
--- a/internal/clerk/bench_test.go
+++ b/internal/clerk/bench_test.go
@@ -15,9 +15,9 @@
 // commandBytes is the size of a command in the benchmarks.
 const commandBytes = 256
 
-// BenchmarkCommit measures commits of three replicas that reach each other in
-// memory, with one caller and with 64 at a time, on disks in memory and on data
-// folders. BenchmarkSync gives the bare rate of the disk to compare with.
+// BenchmarkCommit measures commits on a cluster of three replicas with an in-memory transport, for
+// 1 and 64 concurrent callers, with in-memory stores and with data folders on disk. BenchmarkSync
+// measures the sync rate of the disk for comparison.
 func BenchmarkCommit(b *testing.B) {
 	for _, disk := range []string{"memory", "archive"} {
 		for _, callers := range []int{1, 64} {
@@ -28,24 +28,24 @@
 	}
 }
 
-func benchmarkCommit(b *testing.B, archives bool, callers int) {
-	c := makeCourt(3)
+func benchmarkCommit(b *testing.B, onDisk bool, callers int) {
+	c := newStoppedCluster(3)
 	c.realTime = true
-	for _, r := range c.replicas {
-		if archives {
-			if err := r.open(b.TempDir()); err != nil {
+	for _, n := range c.nodes {
+		if onDisk {
+			if err := n.open(b.TempDir()); err != nil {
 				b.Fatal(err)
 			}
 		}
-		c.start(r)
+		c.start(n)
 	}
-	stop := c.tick()
+	stop := c.startTicking()
 	defer func() {
 		stop()
 		c.close()
-		for _, r := range c.replicas {
-			if r.archive != nil {
-				r.archive.Close()
+		for _, n := range c.nodes {
+			if n.archive != nil {
+				n.archive.Close()
 			}
 		}
 	}()
@@ -55,7 +55,7 @@
 	for caller := range callers {
 		group.Go(func() {
 			for i := caller; i < b.N; i += callers {
-				if _, err := leader.clerk.Propose(context.Background(), make([]byte, commandBytes)); err != nil {
+				if _, err := leader.replica.Propose(context.Background(), make([]byte, commandBytes)); err != nil {
 					b.Error(err)
 					return
 				}
@@ -67,11 +67,11 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
-// tick lets the replicas see the time pass.
-func (c *court) tick() (stop func()) {
+// startTicking sends ticks to all replicas in real time.
+func (c *cluster) startTicking() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	for _, r := range c.replicas {
+	for _, n := range c.nodes {
 		group.Go(func() {
 			ticker := time.NewTicker(10 * time.Millisecond)
 			defer ticker.Stop()
@@ -81,7 +81,7 @@
 					return
 				case now := <-ticker.C:
 					select {
-					case r.ticks <- now:
+					case n.ticks <- now:
 					case <-ctx.Done():
 						return
 					}
@@ -95,27 +95,26 @@
 	}
 }
 
-// elect bootstraps the replicas and waits for a leader.
-func (c *court) elect(b *testing.B) *replica {
-	for _, r := range c.replicas {
-		if err := r.clerk.Bootstrap(context.Background(), "bench", c.names(), nil); err != nil {
+// elect bootstraps the cluster and waits for a leader.
+func (c *cluster) elect(b *testing.B) *node {
+	for _, n := range c.nodes {
+		if err := n.replica.Bootstrap(context.Background(), "bench", c.identities(), nil); err != nil {
 			b.Fatal(err)
 		}
 	}
-	if _, err := c.replicas[0].clerk.Propose(context.Background(), []byte("first")); err != nil {
+	if _, err := c.nodes[0].replica.Propose(context.Background(), []byte("first")); err != nil {
 		b.Fatal(err)
 	}
-	for _, r := range c.replicas {
-		if r.clerk.Status().Role == jury.Leader {
-			return r
+	for _, n := range c.nodes {
+		if n.replica.Status().Role == jury.Leader {
+			return n
 		}
 	}
 	b.Fatal("no leader")
 	return nil
 }
 
-// BenchmarkSync measures the bare rate at which this disk syncs appended
-// records of one command and of 64.
+// BenchmarkSync measures the rate at which the disk syncs appended records of 1 and of 64 commands.
 func BenchmarkSync(b *testing.B) {
 	for _, commands := range []int{1, 64} {
 		b.Run(fmt.Sprintf("commands=%d", commands), func(b *testing.B) {
--- a/internal/clerk/errors.go
+++ b/internal/clerk/errors.go
@@ -8,16 +8,16 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// ErrUnknown means that a command may or may not be carried out, now or later.
-// Each *UnknownError is ErrUnknown.
+// ErrUnknown means that the outcome of a command is unknown: it may have been applied, may still be
+// applied, or may never be. Every *UnknownError matches it.
 var ErrUnknown = errors.New("clerk: it is unknown whether the command is carried out")
 
-// UnknownError is an ErrUnknown with its cause.
+// UnknownError is ErrUnknown with a cause.
 type UnknownError struct {
 	Cause error
 }
 
-// Error returns what is unknown and why.
+// Error returns the message of ErrUnknown with the cause.
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("%v: %v", ErrUnknown, e.Cause)
 }
@@ -32,30 +32,31 @@
 	return e.Cause
 }
 
-// NotAcceptedError means that a command was not carried out and never will be.
-type NotAcceptedError struct {
-	// Leader is the replica to ask instead, or empty if none is known.
+// RejectedError means that a command was not applied and never will be, unless it is proposed
+// again.
+type RejectedError struct {
+	// Leader is the current leader, to which the caller can turn. It is empty if unknown.
 	Leader jury.Identity
-	// Passing says that whichever replica leads next may accept the command.
-	Passing bool
-	Cause   error
+	// Retryable reports whether the current or next leader may accept the command.
+	Retryable bool
+	Cause     error
 }
 
-// Error returns the cause.
-func (e *NotAcceptedError) Error() string {
+// Error returns a message with the cause.
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("clerk: the command was not accepted: %v", e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *NotAcceptedError) Unwrap() error {
+func (e *RejectedError) Unwrap() error {
 	return e.Cause
 }
 
-// errReplaced means that another leader's entry took the place of a proposal.
-var errReplaced = errors.New("clerk: another leader's entry was committed in its place")
+// errOverwritten means that another leader's entry was committed at the index of the proposal.
+var errOverwritten = errors.New("clerk: another leader's entry was committed in its place")
 
-// errCovered means that a snapshot took the place of an entry.
-var errCovered = errors.New("clerk: a snapshot of another replica covers the entry")
+// errCoveredBySnapshot means that a snapshot from another replica covers the index of the proposal.
+var errCoveredBySnapshot = errors.New("clerk: a snapshot of another replica covers the entry")
 
-// errClosed means that the clerk is closed.
+// errClosed means that the replica is closed.
 var errClosed = errors.New("clerk: the replica is closed")
--- a/internal/clerk/fakes_test.go
+++ b/internal/clerk/fakes_test.go
@@ -17,14 +17,14 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// memory is a disk in memory that may fail.
-type memory struct {
+// memoryStore is an in-memory store that can be made to fail.
+type memoryStore struct {
 	mutex sync.Mutex
 	state jury.State
 	err   error
 }
 
-func (m *memory) Append(hard jury.HardState, truncateFrom jury.Index, entries []jury.Entry) error {
+func (m *memoryStore) Append(hard jury.HardState, truncateFrom jury.Index, entries []jury.Entry) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (m *memory) SaveSnapshot(s jury.Snapshot) error {
+func (m *memoryStore) SaveSnapshot(s jury.Snapshot) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.err == nil {
@@ -48,27 +48,27 @@
 	return m.err
 }
 
-func (m *memory) Compact(upTo jury.Index) error {
+func (m *memoryStore) Compact(upTo jury.Index) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.state.Entries = slices.DeleteFunc(slices.Clone(m.state.Entries), func(e jury.Entry) bool { return e.Index <= upTo })
 	return m.err
 }
 
-func (m *memory) RecordCluster(id string) error {
+func (m *memoryStore) RecordCluster(id string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.state.Cluster = id
 	return m.err
 }
 
-func (m *memory) fail(err error) {
+func (m *memoryStore) failWith(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.err = err
 }
 
-func (m *memory) load() jury.State {
+func (m *memoryStore) load() jury.State {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.state
@@ -76,132 +76,132 @@
 	return state
 }
 
-// tallies is a state machine that keeps the commands in order. The result of a
-// command is its place.
-type tallies struct {
+// recordingMachine is a state machine that records the commands in order. The result of a command
+// is its position.
+type recordingMachine struct {
 	mutex    sync.Mutex
 	commands []string
-	// count stands for the commands if counting is set, for benchmarks: the
-	// state then takes the same room however long they run.
-	count    int
-	counting bool
-	err      error
-}
-
-func (t *tallies) Apply(_ jury.Index, command []byte) ([]byte, error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.err != nil {
-		return nil, t.err
+	// With countOnly, commands are counted in count instead of recorded, so that the state of a
+	// benchmark does not grow with its duration.
+	count     int
+	countOnly bool
+	err       error
+}
+
+func (m *recordingMachine) Apply(_ jury.Index, command []byte) ([]byte, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.err != nil {
+		return nil, m.err
 	}
-	if t.counting {
-		t.count++
-		return fmt.Appendf(nil, "%d", t.count), nil
+	if m.countOnly {
+		m.count++
+		return fmt.Appendf(nil, "%d", m.count), nil
 	}
-	t.commands = append(t.commands, string(command))
-	return fmt.Appendf(nil, "%d", len(t.commands)), nil
+	m.commands = append(m.commands, string(command))
+	return fmt.Appendf(nil, "%d", len(m.commands)), nil
 }
 
-func (t *tallies) Snapshot() ([]byte, error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (m *recordingMachine) Snapshot() ([]byte, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	var data []byte
-	for _, command := range t.commands {
+	for _, command := range m.commands {
 		data = binary.AppendUvarint(data, uint64(len(command)))
 		data = append(data, command...)
 	}
 	return data, nil
 }
 
-func (t *tallies) Restore(data []byte) error {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.commands = nil
+func (m *recordingMachine) Restore(data []byte) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.commands = nil
 	for len(data) > 0 {
 		size, n := binary.Uvarint(data)
-		t.commands = append(t.commands, string(data[n:n+int(size)]))
+		m.commands = append(m.commands, string(data[n:n+int(size)]))
 		data = data[n+int(size):]
 	}
 	return nil
 }
 
-func (t *tallies) all() []string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return slices.Clone(t.commands)
+func (m *recordingMachine) applied() []string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return slices.Clone(m.commands)
 }
 
-func (t *tallies) fail(err error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.err = err
+func (m *recordingMachine) failWith(err error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.err = err
 }
 
-// replica is a Clerk with its fakes.
-type replica struct {
-	name  jury.Identity
-	clerk *clerk.Clerk
-	disk  *memory
-	// archive, if not nil, is used in place of disk.
-	archive *archive.Archive
-	state   jury.State
-	machine *tallies
-	ticks   chan time.Time
+// node is a replica with its fake store, state machine and clock ticks.
+type node struct {
+	identity jury.Identity
+	replica  *clerk.Replica
+	store    *memoryStore
+	// archive replaces store if it is not nil, and archived is the state loaded from it.
+	archive  *archive.Archive
+	archived jury.State
+	machine  *recordingMachine
+	ticks    chan time.Time
 }
 
-// court is a few replicas that reach each other in memory, with one clock.
-type court struct {
+// cluster is a set of replicas with an in-memory transport and a common clock.
+type cluster struct {
 	mutex sync.Mutex
-	// now is the time, unless realTime is set.
+	// now is the current time of the fake clock, unused with realTime.
 	now      time.Time
 	realTime bool
-	replicas []*replica
-	cut      map[jury.Identity]bool
-	// lostReply drops the replies of forwarded proposals.
-	lostReply bool
+	nodes    []*node
+	isolated map[jury.Identity]bool
+	// loseReplies drops the replies to forwarded proposals.
+	loseReplies bool
 }
 
-var errCut = errors.New("the replica cannot be reached")
+var errUnreachable = errors.New("the replica cannot be reached")
 
-func newCourt(count int) *court {
-	c := makeCourt(count)
-	for _, r := range c.replicas {
-		c.start(r)
+func newCluster(count int) *cluster {
+	c := newStoppedCluster(count)
+	for _, n := range c.nodes {
+		c.start(n)
 	}
 	DeferCleanup(c.close)
 	return c
 }
 
-func makeCourt(count int) *court {
-	c := &court{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), cut: map[jury.Identity]bool{}}
+func newStoppedCluster(count int) *cluster {
+	c := &cluster{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), isolated: map[jury.Identity]bool{}}
 	for i := range count {
-		name := jury.Identity(fmt.Sprintf("kgn-%c/%d", 'a'+i, i+1))
-		c.replicas = append(c.replicas, &replica{name: name, disk: &memory{}})
+		identity := jury.Identity(fmt.Sprintf("kgn-%c/%d", 'a'+i, i+1))
+		c.nodes = append(c.nodes, &node{identity: identity, store: &memoryStore{}})
 	}
 	return c
 }
 
-func (c *court) start(r *replica) {
-	machine, ticks := &tallies{counting: c.realTime}, make(chan time.Time)
-	var store clerk.Store = r.disk
-	state := r.disk.load()
-	if r.archive != nil {
-		store, state = r.archive, r.state
+func (c *cluster) start(n *node) {
+	machine, ticks := &recordingMachine{countOnly: c.realTime}, make(chan time.Time)
+	var store clerk.Store = n.store
+	state := n.store.load()
+	if n.archive != nil {
+		store, state = n.archive, n.archived
 	}
 	snapshotBytes := 2000
 	if c.realTime {
 		snapshotBytes = 0
 	}
-	started, err := clerk.New(clerk.Options{
+	replica, err := clerk.New(clerk.Options{
 		Member: jury.Options{
-			Self: r.name, Seed: uint64(r.name[4]), Heartbeat: 50 * time.Millisecond,
+			Self: n.identity, Seed: uint64(n.identity[4]), Heartbeat: 50 * time.Millisecond,
 			ElectionTimeout: 500 * time.Millisecond, OrderFlight: 100 * time.Millisecond, Kept: 1,
 		},
 		State:         state,
 		Store:         store,
-		Courier:       courier{court: c, from: r.name},
-		Machine:       machine,
-		Peers:         c.names,
+		Transport:     memoryTransport{cluster: c, from: n.identity},
+		StateMachine:  machine,
+		Peers:         c.identities,
 		Now:           c.clock,
 		Ticks:         ticks,
 		SnapshotBytes: snapshotBytes,
@@ -211,21 +211,21 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	r.clerk, r.machine, r.ticks = started, machine, ticks
+	n.replica, n.machine, n.ticks = replica, machine, ticks
 }
 
-// open gives r a data folder in place of its disk in memory.
-func (r *replica) open(folder string) error {
+// open uses a data folder on disk instead of the in-memory store.
+func (n *node) open(folder string) error {
 	opened, loaded, err := archive.Open(archive.Options{Folder: folder})
 	if err != nil {
 		return err
 	}
-	r.archive = opened
-	r.state = jury.State{Cluster: loaded.ClusterID, HardState: loaded.HardState, Snapshot: loaded.Snapshot, Entries: loaded.Entries}
+	n.archive = opened
+	n.archived = jury.State{Cluster: loaded.ClusterID, HardState: loaded.HardState, Snapshot: loaded.Snapshot, Entries: loaded.Entries}
 	return nil
 }
 
-func (c *court) clock() time.Time {
+func (c *cluster) clock() time.Time {
 	if c.realTime {
 		return time.Now()
 	}
@@ -234,66 +234,66 @@
 	return c.now
 }
 
-func (c *court) names() []jury.Identity {
-	var names []jury.Identity
-	for _, r := range c.replicas {
-		names = append(names, r.name)
+func (c *cluster) identities() []jury.Identity {
+	var identities []jury.Identity
+	for _, n := range c.nodes {
+		identities = append(identities, n.identity)
 	}
-	return names
+	return identities
 }
 
-// reach returns the clerk behind a name, unless either end is cut off.
-func (c *court) reach(from, to jury.Identity) *clerk.Clerk {
+// route returns the replica with the identity to, nil if either end is isolated.
+func (c *cluster) route(from, to jury.Identity) *clerk.Replica {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.cut[from] || c.cut[to] {
+	if c.isolated[from] || c.isolated[to] {
 		return nil
 	}
-	for _, r := range c.replicas {
-		if r.name == to {
-			return r.clerk
+	for _, n := range c.nodes {
+		if n.identity == to {
+			return n.replica
 		}
 	}
 	return nil
 }
 
-func (c *court) setCut(r *replica, cut bool) {
+func (c *cluster) setIsolated(n *node, isolated bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cut[r.name] = cut
+	c.isolated[n.identity] = isolated
 }
 
-// pass lets a little time pass for all replicas.
-func (c *court) pass() {
+// advance advances the fake clock by one tick.
+func (c *cluster) advance() {
 	c.mutex.Lock()
 	c.now = c.now.Add(10 * time.Millisecond)
 	now := c.now
 	c.mutex.Unlock()
-	for _, r := range c.replicas {
+	for _, n := range c.nodes {
 		select {
-		case r.ticks <- now:
+		case n.ticks <- now:
 		case <-time.After(100 * time.Millisecond):
-			// A replica that is closed takes no ticks.
+			// A closed replica receives no ticks.
 		}
 	}
 }
 
-// until lets time pass until done.
-func (c *court) until(done func() bool) {
+// waitUntil advances the clock until done returns true.
+func (c *cluster) waitUntil(done func() bool) {
 	GinkgoHelper()
 	Eventually(func() bool {
-		c.pass()
+		c.advance()
 		return done()
 	}).WithTimeout(20 * time.Second).WithPolling(100 * time.Microsecond).Should(BeTrue())
 }
 
-// whilePassing runs action while time passes.
-func whilePassing[T any](c *court, action func() T) T {
+// whileAdvancing runs action while the clock advances.
+func whileAdvancing[T any](c *cluster, action func() T) T {
 	GinkgoHelper()
 	done := make(chan T, 1)
 	go func() { done <- action() }()
 	var result T
-	c.until(func() bool {
+	c.waitUntil(func() bool {
 		select {
 		case result = <-done:
 			return true
@@ -304,61 +304,61 @@
 	return result
 }
 
-func (c *court) leader() *replica {
-	for _, r := range c.replicas {
-		if _, _, ok := r.clerk.OrderRight(c.clock()); ok {
-			return r
+func (c *cluster) leader() *node {
+	for _, n := range c.nodes {
+		if _, _, ok := n.replica.OrderRight(c.clock()); ok {
+			return n
 		}
 	}
 	return nil
 }
 
-// begin bootstraps the replicas and waits for a leader.
-func (c *court) begin() *replica {
+// bootstrap bootstraps the cluster and waits for a leader.
+func (c *cluster) bootstrap() *node {
 	GinkgoHelper()
-	for _, r := range c.replicas {
-		Expect(r.clerk.Bootstrap(context.Background(), "juryline", c.names(), nil)).To(Succeed())
+	for _, n := range c.nodes {
+		Expect(n.replica.Bootstrap(context.Background(), "cluster-1", c.identities(), nil)).To(Succeed())
 	}
-	c.until(func() bool { return c.leader() != nil })
+	c.waitUntil(func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
-func (c *court) others(r *replica) []*replica {
-	return slices.DeleteFunc(slices.Clone(c.replicas), func(o *replica) bool { return o == r })
+func (c *cluster) others(n *node) []*node {
+	return slices.DeleteFunc(slices.Clone(c.nodes), func(other *node) bool { return other == n })
 }
 
-func (c *court) close() {
-	ended, cancel := context.WithCancel(context.Background())
+func (c *cluster) close() {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for _, r := range c.replicas {
-		r.clerk.Close(ended)
+	for _, n := range c.nodes {
+		n.replica.Close(canceled)
 	}
 }
 
-// courier reaches replicas in memory.
-type courier struct {
-	court *court
-	from  jury.Identity
+// memoryTransport delivers messages in memory.
+type memoryTransport struct {
+	cluster *cluster
+	from    jury.Identity
 }
 
-func (c courier) Deliver(_ context.Context, message jury.Message) error {
-	to := c.court.reach(c.from, message.To)
-	if to == nil || !to.Deliver(message) {
-		return errCut
+func (t memoryTransport) Send(_ context.Context, message jury.Message) error {
+	to := t.cluster.route(t.from, message.To)
+	if to == nil || !to.Receive(message) {
+		return errUnreachable
 	}
 	return nil
 }
 
-func (c courier) Forward(ctx context.Context, name jury.Identity, command []byte) ([]byte, error) {
-	to := c.court.reach(c.from, name)
+func (t memoryTransport) Forward(ctx context.Context, identity jury.Identity, command []byte) ([]byte, error) {
+	to := t.cluster.route(t.from, identity)
 	if to == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	result, err := to.ProposeHere(ctx, command)
-	c.court.mutex.Lock()
-	defer c.court.mutex.Unlock()
-	if c.court.lostReply {
-		return nil, errCut
+	result, err := to.ProposeLocal(ctx, command)
+	t.cluster.mutex.Lock()
+	defer t.cluster.mutex.Unlock()
+	if t.cluster.loseReplies {
+		return nil, errUnreachable
 	}
 	return result, err
 }
--- a/internal/clerk/loop.go
+++ b/internal/clerk/loop.go
@@ -6,70 +6,71 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// freshStep is the least step in which freshness is passed on.
-const freshStep = 2 * time.Millisecond
-
-// asker is who waits for an Answer of the member.
-type asker struct {
-	waiter waiter
-	// appends says that success comes only when the entry is applied.
-	appends bool
+// minFreshnessStep is the smallest advance of the freshness that is published.
+const minFreshnessStep = 2 * time.Millisecond
+
+// pendingRequest is a caller that waits for the member's Answer to an event.
+type pendingRequest struct {
+	result future
+	// awaitApplied delays success until the entry appended for the event is applied.
+	awaitApplied bool
 }
 
-// request is an event of another goroutine, with whom to answer.
+// request is an event submitted by another goroutine. newEvent builds the event with its request
+// ID.
 type request struct {
-	asker asker
-	event func(id uint64) jury.Event
+	pending  pendingRequest
+	newEvent func(id uint64) jury.Event
 }
 
-// loop owns the member. All of it runs in one goroutine.
+// loop owns the member and runs in a single goroutine.
 type loop struct {
-	clerk  *Clerk
-	member *jury.Member
-	// askers are who waits for the Answer with an ID.
-	askers map[uint64]asker
-	lastID uint64
-	// fresh is the freshness that was passed on last.
-	fresh time.Time
-	// leader and failed are what was logged last.
-	leader jury.Identity
-	failed bool
-	joinAt time.Time
+	replica *Replica
+	member  *jury.Member
+	// pending holds the requests that wait for an Answer, by request ID.
+	pending       map[uint64]pendingRequest
+	lastRequestID uint64
+	// publishedFreshness is the last freshness that was passed to the applier.
+	publishedFreshness time.Time
+	// loggedLeader and failureLogged prevent repeated log messages.
+	loggedLeader  jury.Identity
+	failureLogged bool
+	nextJoin      time.Time
 }
 
 func (l *loop) run() {
-	c := l.clerk
+	r := l.replica
 	for {
 		select {
-		case <-c.ctx.Done():
-			l.abandon()
+		case <-r.ctx.Done():
+			l.failPending()
 			return
-		case <-c.options.Ticks:
+		case <-r.options.Ticks:
 			l.handle(jury.Tick{})
-			l.join()
-		case message := <-c.inbox:
+			l.sendJoins()
+		case message := <-r.inbox:
 			l.handle(jury.Receive{Message: message})
-		case p := <-c.proposals:
+		case p := <-r.proposals:
 			l.propose(p)
-		case w := <-c.written:
+		case w := <-r.writeResults:
 			l.handle(w.event())
-		case compact := <-c.compacts:
+		case compact := <-r.snapshots:
 			l.handle(compact)
-		case cause := <-c.failures:
+		case cause := <-r.failures:
 			l.handle(jury.Failed{Cause: cause})
-		case r := <-c.requests:
-			l.handle(r.event(l.ask(r.asker)))
+		case req := <-r.requests:
+			l.handle(req.newEvent(l.register(req.pending)))
 		}
 	}
 }
 
-// propose hands over a proposal together with those that wait behind it.
+// propose passes first to the member, in one batch with further proposals that are already queued.
 func (l *loop) propose(first *proposal) {
-	batch := []jury.Proposal{l.take(first)}
-	for len(batch) < maxBatch {
+	batch := []jury.Proposal{l.registerProposal(first)}
+	for len(batch) < maxProposalBatch {
 		select {
-		case p := <-l.clerk.proposals:
-			batch = append(batch, l.take(p))
+		case p := <-l.replica.proposals:
+			batch = append(batch, l.registerProposal(p))
 			continue
 		default:
 		}
@@ -78,121 +79,122 @@
 	l.handle(jury.Propose{Proposals: batch})
 }
 
-func (l *loop) take(p *proposal) jury.Proposal {
-	return jury.Proposal{ID: l.ask(asker{waiter: p.waiter, appends: true}), Data: p.command}
+func (l *loop) registerProposal(p *proposal) jury.Proposal {
+	return jury.Proposal{ID: l.register(pendingRequest{result: p.result, awaitApplied: true}), Data: p.command}
 }
 
-// ask returns the ID of a new event that a has answered.
-func (l *loop) ask(a asker) uint64 {
-	l.lastID++
-	l.askers[l.lastID] = a
-	return l.lastID
+// register stores a pending request and returns its new ID.
+func (l *loop) register(pending pendingRequest) uint64 {
+	l.lastRequestID++
+	l.pending[l.lastRequestID] = pending
+	return l.lastRequestID
 }
 
 func (l *loop) handle(event jury.Event) {
-	now := l.clerk.options.Now()
+	now := l.replica.options.Now()
 	for _, action := range l.member.Handle(now, event) {
-		l.act(action)
+		l.perform(action)
 	}
 	l.publish(now)
 }
 
-func (l *loop) act(action jury.Action) {
-	c := l.clerk
+func (l *loop) perform(action jury.Action) {
+	r := l.replica
 	switch a := action.(type) {
 	case jury.Persist:
-		// The member has one write under way at most, so that this never waits.
-		c.writes <- a
+		// Does not block: the member issues one Persist at a time.
+		r.writes <- a
 	case jury.Send:
-		c.senders.send(a.Message)
+		r.outbox.enqueue(a.Message)
 	case jury.Commit:
-		c.metrics.committed.Inc(int64(len(a.Entries)))
-		c.applier.add(commitWork{entries: a.Entries})
+		r.metrics.committedEntries.Inc(int64(len(a.Entries)))
+		r.applier.enqueue(applyTask{entries: a.Entries})
 	case jury.Restore:
-		c.applier.add(restoreWork{snapshot: a.Snapshot})
+		r.applier.enqueue(restoreTask{snapshot: a.Snapshot})
 	case jury.BecameLeader:
-		c.metrics.elected.Inc(1)
-		c.options.Log.Info().Uint64("term", uint64(a.Term)).Msg("became leader")
+		r.metrics.electionsWon.Inc(1)
+		r.options.Log.Info().Uint64("term", uint64(a.Term)).Msg("became leader")
 	case jury.SteppedDown:
-		c.options.Log.Info().Uint64("term", uint64(a.Term)).Msg("stepped down")
+		r.options.Log.Info().Uint64("term", uint64(a.Term)).Msg("stepped down")
 	case jury.Answer:
 		l.answer(a)
 	}
 }
 
 func (l *loop) answer(a jury.Answer) {
-	asking, found := l.askers[a.ID]
+	request, found := l.pending[a.ID]
 	if !found {
 		return
 	}
-	delete(l.askers, a.ID)
+	delete(l.pending, a.ID)
 	switch {
 	case a.Refusal != nil:
-		asking.waiter.finish(nil, &NotAcceptedError{
-			Leader:  l.member.Status().Leader,
-			Passing: passing(a.Refusal),
-			Cause:   a.Refusal,
+		request.result.complete(nil, &RejectedError{
+			Leader:    l.member.Status().Leader,
+			Retryable: retryable(a.Refusal),
+			Cause:     a.Refusal,
 		})
-	case asking.appends:
-		l.clerk.applier.await(a.Index, a.Term, asking.waiter)
+	case request.awaitApplied:
+		l.replica.applier.register(a.Index, a.Term, request.result)
 	default:
-		asking.waiter.finish(nil, nil)
+		request.result.complete(nil, nil)
 	}
 }
 
-// publish shows the member to other goroutines.
+// publish makes the member's state visible to other goroutines.
 func (l *loop) publish(now time.Time) {
-	c := l.clerk
+	r := l.replica
 	next := &view{at: now, status: l.member.Status(), peers: l.member.Peers(now), changed: make(chan struct{})}
-	next.right.term, next.right.until, next.right.held = l.member.OrderRight(now)
-	if last := c.view.Swap(next); last != nil {
-		close(last.changed)
+	next.orderRight.term, next.orderRight.until, next.orderRight.held = l.member.OrderRight(now)
+	if previous := r.view.Swap(next); previous != nil {
+		close(previous.changed)
 	}
-	if asOf, ok := l.member.Freshness(now); ok && asOf.Sub(l.fresh) >= freshStep {
-		l.fresh = asOf
-		c.applier.add(freshWork{asOf: asOf})
+	if asOf, ok := l.member.Freshness(now); ok && asOf.Sub(l.publishedFreshness) >= minFreshnessStep {
+		l.publishedFreshness = asOf
+		r.applier.enqueue(freshnessTask{asOf: asOf})
 	}
-	l.logChange(next.status)
+	l.logStatusChange(next.status)
 }
 
-// logChange logs a change of leader, and the failure of the member.
-func (l *loop) logChange(status jury.Status) {
-	log := &l.clerk.options.Log
+// logStatusChange logs changes of the leader and the failure of the member.
+func (l *loop) logStatusChange(status jury.Status) {
+	log := &l.replica.options.Log
 	switch {
-	case status.Failure != nil && !l.failed:
-		l.failed = true
-		log.Error().Err(status.Failure).Msg("the replica takes no further part until it is started anew")
-	case status.Failure == nil && status.Leader != l.leader:
-		l.leader = status.Leader
-		log.Info().Str("leader", string(l.leader)).Uint64("term", uint64(status.Term)).Msg("leader changed")
+	case status.Failure != nil && !l.failureLogged:
+		l.failureLogged = true
+		log.Error().Err(status.Failure).Msg("replica failed; it takes no further part until the process restarts")
+	case status.Failure == nil && status.Leader != l.loggedLeader:
+		l.loggedLeader = status.Leader
+		log.Info().Str("leader", string(l.loggedLeader)).Uint64("term", uint64(status.Term)).Msg("leader changed")
 	}
 }
 
-// join looks for a leader among all known replicas, once in a heartbeat.
-func (l *loop) join() {
-	c := l.clerk
+// sendJoins looks for a leader: if none is known, it sends a Join to all known replicas, once per
+// joinInterval.
+func (l *loop) sendJoins() {
+	r := l.replica
 	status := l.member.Status()
-	now := c.options.Now()
-	if status.Leader != "" || status.Failure != nil || now.Before(l.joinAt) || c.options.Peers == nil {
+	now := r.options.Now()
+	if status.Leader != "" || status.Failure != nil || now.Before(l.nextJoin) || r.options.Peers == nil {
 		return
 	}
-	l.joinAt = now.Add(joinEvery)
-	for _, name := range c.options.Peers() {
-		if name == c.options.Member.Self {
+	l.nextJoin = now.Add(joinInterval)
+	for _, name := range r.options.Peers() {
+		if name == r.options.Member.Self {
 			continue
 		}
-		c.senders.send(jury.Message{
-			From: c.options.Member.Self, To: name, Cluster: status.Cluster, Term: status.Term, Body: jury.Join{},
+		r.outbox.enqueue(jury.Message{
+			From: r.options.Member.Self, To: name, Cluster: status.Cluster, Term: status.Term, Body: jury.Join{},
 		})
 	}
 }
 
-// joinEvery is the time between two searches for a leader.
-const joinEvery = 200 * time.Millisecond
+// joinInterval is the minimum time between two searches for a leader.
+const joinInterval = 200 * time.Millisecond
 
-// abandon answers all who wait when the clerk closes.
-func (l *loop) abandon() {
-	for _, a := range l.askers {
-		a.waiter.finish(nil, &UnknownError{Cause: errClosed})
+// failPending completes all pending requests with ErrUnknown when the replica closes.
+func (l *loop) failPending() {
+	for _, request := range l.pending {
+		request.result.complete(nil, &UnknownError{Cause: errClosed})
 	}
 }
--- a/internal/clerk/metrics.go
+++ b/internal/clerk/metrics.go
@@ -2,19 +2,19 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics are the counters of a replica.
+// metrics holds the counters of a replica.
 type metrics struct {
-	committed tally.Counter
-	synced    tally.Counter
-	dropped   tally.Counter
-	elected   tally.Counter
+	committedEntries tally.Counter
+	syncedBatches    tally.Counter
+	droppedMessages  tally.Counter
+	electionsWon     tally.Counter
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		committed: scope.Counter("committed-entries"),
-		synced:    scope.Counter("synced-batches"),
-		dropped:   scope.Counter("dropped-messages"),
-		elected:   scope.Counter("elections-won"),
+		committedEntries: scope.Counter("committed-entries"),
+		syncedBatches:    scope.Counter("synced-batches"),
+		droppedMessages:  scope.Counter("dropped-messages"),
+		electionsWon:     scope.Counter("elections-won"),
 	}
 }
--- a/internal/clerk/propose.go
+++ b/internal/clerk/propose.go
@@ -9,175 +9,173 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// outcome is the end of a proposal.
+// outcome is the result of a proposal or request.
 type outcome struct {
 	result []byte
 	err    error
 }
 
-// waiter gets one outcome. Its channel has room for it.
-type waiter struct {
+// future receives exactly one outcome. Its channel is buffered, so that complete never blocks.
+type future struct {
 	outcomes chan outcome
 }
 
-func newWaiter() waiter {
-	return waiter{outcomes: make(chan outcome, 1)}
+func newFuture() future {
+	return future{outcomes: make(chan outcome, 1)}
 }
 
-func (w waiter) finish(result []byte, err error) {
-	w.outcomes <- outcome{result: result, err: err}
+func (f future) complete(result []byte, err error) {
+	f.outcomes <- outcome{result: result, err: err}
 }
 
-// proposal is one command on its way to the member.
+// proposal is a command that is to be proposed to the member.
 type proposal struct {
 	command []byte
-	waiter  waiter
+	result  future
 }
 
-// Propose has command committed and carried out, by whichever replica leads,
-// and returns its result.
+// Propose replicates command through the current leader, waits until it is applied, and returns its
+// result.
 //
-// A *NotAcceptedError means that the command was not carried out and never will
-// be. Any other error is ErrUnknown: it may be carried out still. While no
-// leader is known or the leader cannot accept, Propose tries again until ctx
-// ends, so that a change of leader is no error to the caller; ctx bounds how
-// long the caller is left waiting. If this replica has failed, Propose returns
-// at once.
-func (c *Clerk) Propose(ctx context.Context, command []byte) ([]byte, error) {
+// A *RejectedError means that the command was not applied and never will be. Any other error is
+// ErrUnknown: the command may still be applied. While no leader is known or the leader cannot
+// accept the command, Propose retries until ctx ends, so that callers see no error during a change
+// of leader. If this replica has failed, Propose returns immediately.
+func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	for {
-		seen := c.view.Load()
-		result, err := c.proposeTo(ctx, seen.status.Leader, command)
-		var refused *NotAcceptedError
-		if !errors.As(err, &refused) || !refused.Passing || seen.status.Failure != nil {
+		before := r.view.Load()
+		result, err := r.proposeTo(ctx, before.status.Leader, command)
+		var rejected *RejectedError
+		if !errors.As(err, &rejected) || !rejected.Retryable || before.status.Failure != nil {
 			return result, err
 		}
-		again := c.awaitView(ctx, func(v *view) bool {
-			return v.status.Leader != seen.status.Leader || v.at.Sub(seen.at) >= retryEvery
+		retry := r.awaitView(ctx, func(v *view) bool {
+			return v.status.Leader != before.status.Leader || v.at.Sub(before.at) >= retryInterval
 		})
-		if !again {
-			return nil, refused
+		if !retry {
+			return nil, rejected
 		}
 	}
 }
 
-// retryEvery is the time between two tries of a proposal with one leader.
-const retryEvery = 50 * time.Millisecond
+// retryInterval is the time between two attempts to propose a command to the same leader.
+const retryInterval = 50 * time.Millisecond
 
-// passing reports whether the cause of a refusal may soon be gone, also by a
-// change of leader. Overload is none: tries from all who wait would add to it.
-func passing(cause error) bool {
+// retryable reports whether a rejection may be temporary, including those that a change of leader
+// resolves. Overload is not retryable, because retries from all waiting callers would increase it.
+func retryable(cause error) bool {
 	var failed *jury.FailedError
 	return errors.IsAny(cause, jury.ErrNotLeader, jury.ErrNoLease, jury.ErrTransferring) || errors.As(cause, &failed)
 }
 
-func (c *Clerk) proposeTo(ctx context.Context, leader jury.Identity, command []byte) ([]byte, error) {
+func (r *Replica) proposeTo(ctx context.Context, leader jury.Identity, command []byte) ([]byte, error) {
 	switch leader {
 	case "":
-		return nil, &NotAcceptedError{Passing: true, Cause: jury.ErrNotLeader}
-	case c.options.Member.Self:
-		return c.ProposeHere(ctx, command)
+		return nil, &RejectedError{Retryable: true, Cause: jury.ErrNotLeader}
+	case r.options.Member.Self:
+		return r.ProposeLocal(ctx, command)
 	}
-	result, err := c.options.Courier.Forward(ctx, leader, command)
-	var refused *NotAcceptedError
-	if err == nil || errors.As(err, &refused) {
+	result, err := r.options.Transport.Forward(ctx, leader, command)
+	var rejected *RejectedError
+	if err == nil || errors.As(err, &rejected) {
 		return result, err
 	}
 	return nil, &UnknownError{Cause: err}
 }
 
-// ProposeHere has command committed and carried out if this replica leads. Its
-// errors are those of Propose.
-func (c *Clerk) ProposeHere(ctx context.Context, command []byte) ([]byte, error) {
-	p := &proposal{command: command, waiter: newWaiter()}
+// ProposeLocal is Propose without forwarding: it rejects the command if this replica is not the
+// leader.
+func (r *Replica) ProposeLocal(ctx context.Context, command []byte) ([]byte, error) {
+	p := &proposal{command: command, result: newFuture()}
 	select {
-	case c.proposals <- p:
+	case r.proposals <- p:
 	case <-ctx.Done():
-		return nil, &NotAcceptedError{Cause: ctx.Err()}
-	case <-c.ctx.Done():
-		return nil, &NotAcceptedError{Cause: errClosed}
+		return nil, &RejectedError{Cause: ctx.Err()}
+	case <-r.ctx.Done():
+		return nil, &RejectedError{Cause: errClosed}
 	}
-	return c.wait(ctx, p.waiter)
+	return r.wait(ctx, p.result)
 }
 
-func (c *Clerk) wait(ctx context.Context, w waiter) ([]byte, error) {
+func (r *Replica) wait(ctx context.Context, f future) ([]byte, error) {
 	select {
-	case o := <-w.outcomes:
+	case o := <-f.outcomes:
 		return o.result, o.err
 	case <-ctx.Done():
 		return nil, &UnknownError{Cause: ctx.Err()}
-	case <-c.ctx.Done():
+	case <-r.ctx.Done():
 	}
-	// The outcome may have come together with the end of the clerk.
+	// The outcome may have arrived at the moment the replica closed.
 	select {
-	case o := <-w.outcomes:
+	case o := <-f.outcomes:
 		return o.result, o.err
 	default:
 		return nil, &UnknownError{Cause: errClosed}
 	}
 }
 
-// ask hands an event to the member and waits for its answer.
-func (c *Clerk) ask(ctx context.Context, appends bool, event func(id uint64) jury.Event) error {
-	r := request{event: event, asker: asker{waiter: newWaiter(), appends: appends}}
+// submit passes an event to the member and waits for its answer.
+func (r *Replica) submit(ctx context.Context, awaitApplied bool, newEvent func(id uint64) jury.Event) error {
+	req := request{newEvent: newEvent, pending: pendingRequest{result: newFuture(), awaitApplied: awaitApplied}}
 	select {
-	case c.requests <- r:
+	case r.requests <- req:
 	case <-ctx.Done():
-		return &NotAcceptedError{Cause: ctx.Err()}
-	case <-c.ctx.Done():
-		return &NotAcceptedError{Cause: errClosed}
+		return &RejectedError{Cause: ctx.Err()}
+	case <-r.ctx.Done():
+		return &RejectedError{Cause: errClosed}
 	}
-	_, err := c.wait(ctx, r.asker.waiter)
+	_, err := r.wait(ctx, req.pending.result)
 	return err
 }
 
-// Bootstrap gives the initial snapshot to this replica, which must be blank or
-// already hold that of the same cluster, and returns once it is synced. The
-// cluster begins when all voters hold it.
-func (c *Clerk) Bootstrap(ctx context.Context, cluster string, voters []jury.Identity, data []byte) error {
-	return c.BootstrapFrom(ctx, cluster, voters, Origin{Data: data})
+// Bootstrap installs the initial snapshot on this replica and returns once it is durable. The
+// replica must be blank or already hold the initial snapshot of the same cluster. The cluster
+// starts when all voters hold the snapshot.
+func (r *Replica) Bootstrap(ctx context.Context, cluster string, voters []jury.Identity, data []byte) error {
+	return r.BootstrapFrom(ctx, cluster, voters, InitialState{Data: data})
 }
 
-// Origin is the state that a cluster begins with. Its Index and Term are those
-// of jury.Bootstrap.
-type Origin struct {
+// InitialState is the state with which a cluster starts. Index and Term are those of
+// jury.Bootstrap.
+type InitialState struct {
 	Index jury.Index
 	Term  jury.Term
 	Data  []byte
 }
 
-// BootstrapFrom is Bootstrap with the state of a cluster that lost its majority.
-func (c *Clerk) BootstrapFrom(ctx context.Context, cluster string, voters []jury.Identity, origin Origin) error {
-	return c.ask(ctx, false, func(id uint64) jury.Event {
+// BootstrapFrom is Bootstrap with the state of a cluster that lost its quorum.
+func (r *Replica) BootstrapFrom(ctx context.Context, cluster string, voters []jury.Identity, initial InitialState) error {
+	return r.submit(ctx, false, func(id uint64) jury.Event {
 		return jury.Bootstrap{
 			ID:      id,
 			Cluster: cluster,
 			Voters:  voters,
-			Data:    origin.Data,
-			Index:   origin.Index,
-			Term:    origin.Term,
+			Data:    initial.Data,
+			Index:   initial.Index,
+			Term:    initial.Term,
 		}
 	})
 }
 
-// AddVoter makes a learner a voter, if this replica leads, and returns when
-// that is committed. The errors are those of Propose.
-func (c *Clerk) AddVoter(ctx context.Context, name jury.Identity) error {
-	return c.ask(ctx, true, func(id uint64) jury.Event {
+// AddVoter promotes a learner to a voter and returns once the change is committed. This replica
+// must be the leader. The errors are those of Propose.
+func (r *Replica) AddVoter(ctx context.Context, name jury.Identity) error {
+	return r.submit(ctx, true, func(id uint64) jury.Event {
 		return jury.ChangeVoters{ID: id, Add: name}
 	})
 }
 
-// RemoveVoter removes a voter, if this replica leads, and returns when that is
-// committed. The errors are those of Propose.
-func (c *Clerk) RemoveVoter(ctx context.Context, name jury.Identity) error {
-	return c.ask(ctx, true, func(id uint64) jury.Event {
+// RemoveVoter removes a voter and returns once the change is committed. This replica must be the
+// leader. The errors are those of Propose.
+func (r *Replica) RemoveVoter(ctx context.Context, name jury.Identity) error {
+	return r.submit(ctx, true, func(id uint64) jury.Event {
 		return jury.ChangeVoters{ID: id, Remove: name}
 	})
 }
 
-// TransferLeadership begins to hand the leadership to another voter.
-func (c *Clerk) TransferLeadership(ctx context.Context) error {
-	return c.ask(ctx, false, func(id uint64) jury.Event {
+// TransferLeadership starts the transfer of the leadership to another voter.
+func (r *Replica) TransferLeadership(ctx context.Context) error {
+	return r.submit(ctx, false, func(id uint64) jury.Event {
 		return jury.TransferLeadership{ID: id}
 	})
 }
--- a/internal/clerk/view.go
+++ b/internal/clerk/view.go
@@ -7,82 +7,79 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// view is what the member showed after an event. It is immutable.
+// view is an immutable copy of the member's state after an event.
 type view struct {
-	at     time.Time
-	status jury.Status
-	peers  []jury.PeerStatus
-	right  right
-	// changed is closed when a later view replaces this one.
+	at         time.Time
+	status     jury.Status
+	peers      []jury.PeerStatus
+	orderRight orderRight
+	// changed is closed when a newer view replaces this one.
 	changed chan struct{}
 }
 
-// right is the right to order, as of one event.
-type right struct {
+// orderRight is the permission to send orders to upstreams, as of one event. It ends at until.
+type orderRight struct {
 	held  bool
 	term  jury.Term
 	until time.Time
 }
 
-// Status returns what the replica knows of itself.
-func (c *Clerk) Status() jury.Status {
-	return c.view.Load().status
+// Status returns the replica's own status.
+func (r *Replica) Status() jury.Status {
+	return r.view.Load().status
 }
 
-// Peers returns what the replica knows of the members that it replicates to, if
-// it leads.
-func (c *Clerk) Peers() []jury.PeerStatus {
-	return c.view.Load().peers
+// Peers returns the replication status of the other members if this replica is the leader.
+func (r *Replica) Peers() []jury.PeerStatus {
+	return r.view.Load().peers
 }
 
-// Leader returns the leader that the replica follows, or its own identity if it
-// leads. It is empty if the replica knows of none.
-func (c *Clerk) Leader() jury.Identity {
-	return c.Status().Leader
+// Leader returns the current leader, which may be this replica. It is empty if no leader is known.
+func (r *Replica) Leader() jury.Identity {
+	return r.Status().Leader
 }
 
-// OrderRight reports whether this replica may give orders to upstreams at now,
-// under the fencing number term, and when that ends at the latest. A caller
-// asks immediately before each send, with the time of its monotonic clock.
+// OrderRight reports whether this replica may send orders to upstreams at now. It returns the
+// fencing number term and the latest time at which the permission ends. Callers must check it
+// immediately before each send, with the time of their monotonic clock.
 //
-// The answer rests on the member's last event. A lease that was seen then ends
-// no earlier, and a leadership that ended since is covered by the time that the
-// next leader waits.
-func (c *Clerk) OrderRight(now time.Time) (term jury.Term, until time.Time, ok bool) {
-	r := c.view.Load().right
-	if !r.held || !now.Before(r.until) {
+// The result is as of the member's last event. That is safe: the lease seen at that event does not
+// end before until, and if the leadership ended since, the next leader waits before it sends its
+// first order.
+func (r *Replica) OrderRight(now time.Time) (term jury.Term, until time.Time, ok bool) {
+	right := r.view.Load().orderRight
+	if !right.held || !now.Before(right.until) {
 		return 0, time.Time{}, false
 	}
-	return r.term, r.until, true
+	return right.term, right.until, true
 }
 
-// Freshness returns the latest time of which the replica knows that its state
-// machine had, by now, carried out all that was committed anywhere at that
-// time. If there is none since the replica started, Freshness returns false.
-func (c *Clerk) Freshness() (asOf time.Time, ok bool) {
-	asOf = c.applier.freshAsOf()
+// Freshness returns the latest time for which the replica knows that its state machine now includes
+// everything that any leader had committed by then. It returns false if no such time is known since
+// the replica started.
+func (r *Replica) Freshness() (asOf time.Time, ok bool) {
+	asOf = r.applier.freshness()
 	return asOf, !asOf.IsZero()
 }
 
-// Applied returns the index of the last entry that the state machine has
-// carried out.
-func (c *Clerk) Applied() jury.Index {
-	return c.applier.appliedIndex()
+// AppliedIndex returns the index of the last applied entry.
+func (r *Replica) AppliedIndex() jury.Index {
+	return r.applier.appliedIndex()
 }
 
-// awaitView waits until a view satisfies met. It returns false if ctx or the
-// clerk ends before.
-func (c *Clerk) awaitView(ctx context.Context, met func(*view) bool) bool {
+// awaitView waits for a view that satisfies done. It returns false if ctx ends or the replica
+// closes first.
+func (r *Replica) awaitView(ctx context.Context, done func(*view) bool) bool {
 	for {
-		v := c.view.Load()
-		if met(v) {
+		v := r.view.Load()
+		if done(v) {
 			return true
 		}
 		select {
 		case <-v.changed:
 		case <-ctx.Done():
 			return false
-		case <-c.ctx.Done():
+		case <-r.ctx.Done():
 			return false
 		}
 	}
--- a/internal/clerk/writer.go
+++ b/internal/clerk/writer.go
@@ -4,56 +4,56 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// written is the end of a Persist.
-type written struct {
+// writeResult is the result of a Persist.
+type writeResult struct {
 	batch uint64
 	err   error
 }
 
-func (w written) event() jury.Event {
+func (w writeResult) event() jury.Event {
 	if w.err != nil {
 		return jury.Failed{Cause: w.err}
 	}
 	return jury.Synced{Batch: w.batch}
 }
 
-// writeAll does one Persist after the other. While one is synced, the member
-// gathers the next.
-func (c *Clerk) writeAll() {
+// runWriter performs one Persist at a time. Meanwhile the member collects the next one.
+func (r *Replica) runWriter() {
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-r.ctx.Done():
 			return
-		case persist := <-c.writes:
-			// The member waits for this before it hands over the next, so that
-			// the channel has room.
-			c.written <- written{batch: persist.Batch, err: c.write(persist)}
+		case persist := <-r.writes:
+			// Does not block: the member issues the next Persist only after it received this
+			// result.
+			r.writeResults <- writeResult{batch: persist.Batch, err: r.write(persist)}
 		}
 	}
 }
 
-// write does one Persist. A failed write or sync is never tried again: the disk
-// may have dropped what it could not write and call the rest clean.
-func (c *Clerk) write(persist jury.Persist) error {
+// write performs a Persist. It never retries a failed write or sync: the operating system may have
+// dropped the dirty pages and marked them clean, so that a later sync succeeds without the data.
+func (r *Replica) write(persist jury.Persist) error {
 	truncate := persist.TruncateFrom
 	if snapshot := persist.Snapshot; snapshot != nil {
-		if err := c.options.Store.RecordCluster(snapshot.Cluster); err != nil {
+		if err := r.options.Store.RecordCluster(snapshot.Cluster); err != nil {
 			return err
 		}
-		if err := c.options.Store.SaveSnapshot(*snapshot); err != nil {
+		if err := r.options.Store.SaveSnapshot(*snapshot); err != nil {
 			return err
 		}
 		if truncate > 0 {
-			// The store keeps what follows the snapshot if its log led up to it.
+			// SaveSnapshot keeps the entries after the snapshot if the log contains the snapshot's
+			// last entry. Only those entries are left to truncate.
 			truncate = max(truncate, snapshot.Index+1)
 		}
 	}
-	if err := c.options.Store.Append(persist.HardState, truncate, persist.Entries); err != nil {
+	if err := r.options.Store.Append(persist.HardState, truncate, persist.Entries); err != nil {
 		return err
 	}
-	c.metrics.synced.Inc(1)
+	r.metrics.syncedBatches.Inc(1)
 	if persist.Snapshot == nil {
 		return nil
 	}
-	return c.options.Store.Compact(persist.Snapshot.Index)
+	return r.options.Store.Compact(persist.Snapshot.Index)
 }
