--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -17,15 +17,15 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// clusterIDBytes makes two clusters of one name as good as impossible.
+// clusterIDBytes is long enough to make collisions of cluster IDs practically impossible.
 const clusterIDBytes = 8
 
-// Founding returns what a bootstrap must know of this voter.
-func (c control) Founding() courier.Founding {
-	status := c.voter.clerk.Status()
+// Founding returns the state of this voter that a bootstrap needs to know.
+func (c controlServer) Founding() courier.Founding {
+	status := c.voter.replica.Status()
 	founding := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
-	// A voter at work may stand like this for a moment too. To be given the
-	// charter of its own cluster again changes nothing there.
+	// A voter in operation can be in this state too, when its snapshot covers the whole log.
+	// Bootstrapping it again with the charter of its own cluster has no effect.
 	if status.Cluster != "" && status.Last == status.SnapshotIndex {
 		founding.Charter = courier.Charter{
 			Cluster: status.Cluster,
@@ -36,11 +36,11 @@
 	return founding
 }
 
-// firstIndex is the index of the state that a new cluster begins with.
+// firstIndex is the log index of the initial state of a new cluster.
 const firstIndex = 1
 
-// Origin is the state of a cluster that lost its majority, to begin another
-// with. The zero value stands for a new beginning.
+// Origin is the state of a cluster that lost its quorum, from which a new cluster starts. The zero
+// value starts with an empty state.
 type Origin struct {
 	Index jury.Index
 	Term  jury.Term
@@ -48,61 +48,60 @@
 	Data []byte
 }
 
-// Bootstrap makes this blank voter one of a new cluster.
-func (c control) Bootstrap(ctx context.Context, charter courier.Charter) error {
-	return c.voter.clerk.BootstrapFrom(ctx, charter.Cluster, charter.Voters, clerk.InitialState{
+// Bootstrap installs the initial state on this blank voter.
+func (c controlServer) Bootstrap(ctx context.Context, charter courier.Charter) error {
+	return c.voter.replica.BootstrapFrom(ctx, charter.Cluster, charter.Voters, clerk.InitialState{
 		Index: charter.Index,
 		Term:  charter.Term,
 		Data:  charter.Data,
 	})
 }
 
-// Bootstrap founds the cluster of all voters that the settings name. Every one
-// of them must answer and be blank, or hold the charter of an earlier bootstrap
-// that was cut off. If one does not, Bootstrap changes nothing and returns a
-// *finding.Error that names each.
+// Bootstrap creates a cluster of all voters in the settings. Each of them must answer and be blank,
+// or hold the charter of an earlier bootstrap that was interrupted. Otherwise Bootstrap changes
+// nothing and returns a *finding.Error with each voter that prevents it.
 //
-// A voter that lost its disk is blank too, but the others are not: a bootstrap
-// in the place of a replacement is refused and does no harm. Only when all disks
-// are lost does it found a new cluster, and whoever knew the old one refuses to
-// follow it until it is restarted.
+// A voter that lost its disk is blank too, but the others are not, so a bootstrap run by mistake in
+// place of a voter replacement is refused and does no harm. Only if all disks are lost does
+// Bootstrap create a new cluster. Instances that followed the old cluster then refuse to follow the
+// new one until they are restarted.
 func (v *Voter) Bootstrap(ctx context.Context) error {
 	return v.BootstrapFrom(ctx, Origin{})
 }
 
-// BootstrapFrom is Bootstrap with the state of a cluster that lost its majority.
-// The new cluster has a name of its own: a voter of the old one that comes back
-// is not listened to, and instances that followed the old one must be restarted.
+// BootstrapFrom is Bootstrap with the state of a cluster that lost its quorum. The new cluster has
+// a new ID: voters of the old cluster that come back are ignored, and instances that followed the
+// old cluster must be restarted.
 func (v *Voter) BootstrapFrom(ctx context.Context, origin Origin) error {
-	foundings, err := v.foundings(ctx)
+	foundings, err := v.collectFoundings(ctx)
 	if err != nil {
 		return err
 	}
-	charter, err := charterOf(foundings, origin)
+	charter, err := newCharter(foundings, origin)
 	if err != nil {
 		return err
 	}
 	for _, voter := range v.options.Voters {
-		if err := v.bootstrapAt(ctx, voter, charter); err != nil {
+		if err := v.bootstrapVoter(ctx, voter, charter); err != nil {
 			return errors.Wrapf(err, "chamber: voter %s; run the bootstrap again", voter.Name)
 		}
 	}
 	return v.Control().Bootstrap(ctx, charter)
 }
 
-// bootstrapTimeout bounds the writing of a voter's first state. It is synced several times:
-// with the time of a usual call, a voter on a busy disk carried the bootstrap out and was
-// reported as one that did not answer.
+// bootstrapTimeout bounds the call that writes the initial state of a voter, which takes several
+// syncs. With the timeout of other calls, a voter on a busy disk completed the bootstrap and was
+// still reported as not answering.
 const bootstrapTimeout = 3 * time.Second
 
-func (v *Voter) bootstrapAt(ctx context.Context, voter VoterAddress, charter courier.Charter) error {
+func (v *Voter) bootstrapVoter(ctx context.Context, voter VoterAddress, charter courier.Charter) error {
 	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	return v.options.Calls.Bootstrap(ctx, voter.InnerAddress, charter)
 }
 
-// foundings asks all voters, this one included.
-func (v *Voter) foundings(ctx context.Context) ([]courier.Founding, error) {
+// collectFoundings collects the Founding of every voter, including this one.
+func (v *Voter) collectFoundings(ctx context.Context) ([]courier.Founding, error) {
 	var findings finding.List
 	foundings := []courier.Founding{v.Control().Founding()}
 	for _, voter := range v.options.Voters {
@@ -116,8 +115,9 @@
 	return foundings, findings.Err()
 }
 
-// charterOf returns the charter for voters that told what they hold.
-func charterOf(foundings []courier.Founding, origin Origin) (courier.Charter, error) {
+// newCharter returns the charter for the voters that reported foundings. If one of them prevents the
+// bootstrap, newCharter returns a *finding.Error.
+func newCharter(foundings []courier.Founding, origin Origin) (courier.Charter, error) {
 	var findings finding.List
 	charter := courier.Charter{}
 	identities := make([]jury.Identity, 0, len(foundings))
@@ -149,13 +149,13 @@
 	if err := findings.Err(); err != nil {
 		return courier.Charter{}, err
 	}
-	return complete(charter, identities, origin)
+	return completeCharter(charter, identities, origin)
 }
 
-// complete fills in what a charter lacks. The cluster's name follows from its
-// voters and its first state: bootstraps of the same voters that run at once
-// found one cluster, and those of other voters never the same.
-func complete(charter courier.Charter, identities []jury.Identity, origin Origin) (courier.Charter, error) {
+// completeCharter sets the fields of a charter that are still missing. The cluster ID is derived
+// from the voters and the initial state, so that concurrent bootstraps of the same voters create
+// one cluster, and bootstraps of different voters never share one.
+func completeCharter(charter courier.Charter, identities []jury.Identity, origin Origin) (courier.Charter, error) {
 	charter.Voters = identities
 	charter.Index, charter.Term, charter.Data = origin.Index, origin.Term, origin.Data
 	if origin.Index == 0 {
@@ -171,9 +171,9 @@
 	return charter, nil
 }
 
-// clusterID returns the name of the cluster that a charter founds. Identities
-// hold a number that was drawn with the data folder, so that no two sets of
-// voters have one name.
+// clusterID returns the ID of the cluster that a charter creates. Each identity contains a random
+// number that was generated with the data folder, so that different sets of voters have different
+// IDs.
 func clusterID(charter courier.Charter) string {
 	sum := sha256.New()
 	for _, identity := range charter.Voters {
--- a/internal/chamber/bootstrap_test.go
+++ b/internal/chamber/bootstrap_test.go
@@ -16,11 +16,11 @@
 	"github.com/lovagelift/lovagelift/internal/standin"
 )
 
-// slowVoter is a blank voter whose disk takes a while to write the first state.
+// slowVoter is a blank voter whose disk takes writeDelay to write the initial state.
 type slowVoter struct {
 	courier.Control
-	name string
-	disk time.Duration
+	name       string
+	writeDelay time.Duration
 }
 
 func (v *slowVoter) Founding() courier.Founding {
@@ -29,7 +29,7 @@
 
 func (v *slowVoter) Bootstrap(ctx context.Context, _ courier.Charter) error {
 	select {
-	case <-time.After(v.disk):
+	case <-time.After(v.writeDelay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -38,7 +38,7 @@
 
 func (v *slowVoter) Deliver(jury.Message) {}
 
-// listen has v answer calls, and returns its address.
+// listen serves calls to v and returns the address.
 func (v *slowVoter) listen() string {
 	listener, err := standin.Listen()
 	Expect(err).NotTo(HaveOccurred())
@@ -49,27 +49,26 @@
 }
 
 var _ = Describe("Bootstrap", func() {
-	// An operator founds a cluster while the disks are busy: a voter needs longer for its
-	// first state, which is synced several times, than a call between instances may take.
-	// The bootstrap was given up although the voter carried it out, and had to be run again
-	// until all disks were fast enough at once.
-	It("waits for a voter whose disk is slower than a call may take", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		slow := &slowVoter{name: "b", disk: 2 * callTimeout}
+	// Writing the initial state takes several syncs, which on a busy disk take longer than the
+	// timeout of other calls. With that timeout, the bootstrap failed although the voter completed
+	// it, and had to be repeated until all disks were fast enough in the same run.
+	It("waits for a voter whose disk takes longer than the timeout of other calls", SpecTimeout(specTimeout), func(ctx SpecContext) {
+		slow := &slowVoter{name: "b", writeDelay: 2 * callTimeout}
 		calls := courier.NewPool(courier.DialTCP, callTimeout)
 		DeferCleanup(calls.Close)
 		voter, err := chamber.NewVoter(chamber.VoterOptions{
 			Options: chamber.Options{
 				Self: "a", Voters: []chamber.VoterAddress{{Name: "b", InnerAddress: slow.listen()}}, Calls: calls,
-				RenewEvery: heartbeat, Lease: lease, Now: time.Now, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+				RenewEvery: heartbeat, Lease: configLease, Now: time.Now, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 			},
 			Folder: GinkgoT().TempDir(), Heartbeats: calls, Entries: calls, Heartbeat: heartbeat,
 			ElectionTimeout: electionTimeout, Identities: func() []jury.Identity { return nil }, Docket: docket.DefaultLimits(),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() {
-			ended, cancel := context.WithCancel(context.Background())
+			canceled, cancel := context.WithCancel(context.Background())
 			cancel()
-			voter.Close(ended)
+			voter.Close(canceled)
 		})
 		Expect(voter.Bootstrap(ctx)).To(Succeed())
 	})
--- a/internal/chamber/chamber.go
+++ b/internal/chamber/chamber.go
@@ -1,7 +1,6 @@
-// Package chamber is an instance's part in the replicated state (control
-// plane): on a voter a replica of the log, elsewhere a follower of the voters'
-// configuration. Both hold the configuration in force and have commands carried
-// out.
+// Package chamber is the control plane of an instance, backed by the replicated state: a voter runs
+// a replica of the log, and any other instance is a follower that fetches the configuration from
+// the voters. Both publish the configuration in force and propose commands.
 package chamber
 
 import (
@@ -20,71 +19,71 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Chamber is an instance's part in the replicated state. Its methods are safe
-// for concurrent use. It is a *Voter or a *Follower.
+// Chamber is the control plane of an instance, a *Voter or a *Follower. Its methods are safe for
+// concurrent use.
 type Chamber interface {
-	// Gazette returns what holds the configuration in force.
+	// Gazette returns the publisher of the configuration in force.
 	Gazette() *gazette.Gazette
-	// Fresh tells whether the instance holds its configuration lease at now:
-	// nothing newer than the gazette's latest was in force a lease ago.
+	// Fresh reports whether the instance holds its configuration lease at now: whether the latest
+	// published configuration was still in force less than Options.Lease ago.
 	Fresh(now time.Time) bool
-	// Propose has command carried out. If it certainly is not and never will be,
-	// Propose returns an error that is ErrNotAccepted; any other error leaves
-	// that open.
+	// Propose replicates and applies command. If the command was not applied and never will be, the
+	// error matches ErrNotAccepted. After any other error, the outcome is unknown.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
-	// Lookup returns what is recorded of a request. If no voter can confirm that
-	// it is up to date, Lookup returns an error.
+	// Lookup returns the idempotency record of a request. If no voter can confirm that its state is
+	// up to date, Lookup returns an error.
 	Lookup(ctx context.Context, key docket.Key) (docket.Answer, error)
-	// Quarantine returns what is known of requests in quarantine. It must not be changed.
+	// Quarantine returns the known requests in quarantine. The caller must not modify the result.
 	Quarantine(now time.Time) quarantine.News
-	// Leader returns the leader that is known of, and its fencing number. Both
-	// are zero if none is.
+	// Leader returns the current leader and its fencing number. Both are zero if no leader is
+	// known.
 	Leader() (jury.Identity, jury.Term)
-	// ChangeVoters adds a voter or removes one. If it certainly did not happen,
-	// ChangeVoters returns an error that is ErrNotAccepted.
+	// ChangeVoters adds or removes a voter. If the change was certainly not made, the error matches
+	// ErrNotAccepted.
 	ChangeVoters(ctx context.Context, change courier.VotersChange) error
-	// Identity returns the identity of a voter, empty elsewhere.
+	// Identity returns the identity of a voter. It is empty on a follower.
 	Identity() jury.Identity
-	// Close ends the part, handing over a leadership before ctx ends.
+	// Close shuts the control plane down. A leader transfers its leadership first, unless ctx ends
+	// before.
 	Close(ctx context.Context)
 }
 
-// ErrNotAccepted means that a command is not carried out and never will be
-// unless it is proposed again.
+// ErrNotAccepted means that a command was not applied and never will be, unless it is proposed
+// again.
 var ErrNotAccepted = errors.New("chamber: the command was not accepted")
 
-// VoterAddress names an instance that is a voter.
+// VoterAddress is the name and address of an instance that is a voter.
 type VoterAddress struct {
 	Name         string
 	InnerAddress string
 }
 
-// Options is what both kinds of Chamber need.
+// Options are the options that Voter and Follower share.
 type Options struct {
 	// Self is the name of this instance.
 	Self string
-	// Voters are the other instances that are voters.
+	// Voters are the other voters in the settings.
 	Voters []VoterAddress
-	// Address returns the inner address of an instance that Voters does not name,
-	// because it joined later. Nil stands for none.
+	// Address returns the inner address of an instance that joined later and is therefore not in
+	// Voters. It may be nil.
 	Address func(instance string) (string, bool)
-	// Calls carries proposals, look-ups and configurations.
+	// Calls carries proposals, lookups and configuration requests.
 	Calls *courier.Pool
-	// RenewEvery is how often the configuration is confirmed.
+	// RenewEvery is the interval at which the configuration is confirmed.
 	RenewEvery time.Duration
-	// Lease is how long a confirmed configuration is used.
+	// Lease is how long a configuration remains valid after it was confirmed.
 	Lease time.Duration
 	Now   func() time.Time
 	Log   zerolog.Logger
-	// Metrics is where a voter reports; nowhere if nil.
+	// Metrics receives the metrics of a voter. If it is nil, none are reported.
 	Metrics tally.Scope
 }
 
-// retryEvery is the time between two tries of a proposal whose fate is open.
-const retryEvery = 50 * time.Millisecond
+// retryInterval is the time between two attempts to make a proposal or a lookup.
+const retryInterval = 50 * time.Millisecond
 
-// errorOf returns the error that a proposal's fate stands for.
-func errorOf(proposed courier.Proposed) error {
+// proposalError returns the error for a proposal's fate, nil for success.
+func proposalError(proposed courier.Proposed) error {
 	switch proposed.Fate {
 	case courier.FateCarriedOut:
 		return nil
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -16,65 +16,66 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Follower is the part of an instance that is no voter. It keeps nothing on
-// disk: it admits work only once a voter has confirmed the configuration.
+// Follower is the control plane of an instance that is not a voter. It stores nothing on disk, so
+// it admits work only once a voter has confirmed the configuration.
 type Follower struct {
 	options Options
 	gazette *gazette.Gazette
 
 	mu sync.Mutex
-	// asOf is the latest time at which all that was in force is in the gazette.
-	// It never goes back.
-	asOf time.Time
-	// cluster is the one followed, empty until the first answer.
-	cluster string
-	// next is the voter to ask first.
-	next int
-	// news are of requests in quarantine, as of newsAt.
-	news   quarantine.News
-	newsAt time.Time
+	// freshAsOf is the latest time for which the gazette is known to hold the configuration that
+	// was in force then. It never decreases.
+	freshAsOf time.Time
+	// clusterID is the cluster that is followed, empty until the first answer.
+	clusterID string
+	// nextVoter is the index of the voter to ask next, modulo the number of voters.
+	nextVoter int
+	// quarantineNews are the known requests in quarantine, as of quarantineNewsAt.
+	quarantineNews   quarantine.News
+	quarantineNewsAt time.Time
 
-	stop context.CancelFunc
-	done sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// NewFollower returns a Follower that has started to follow.
+// NewFollower starts a Follower.
 func NewFollower(options Options) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{options: options, gazette: gazette.New(), stop: cancel}
-	f.done.Go(func() { f.follow(ctx) })
+	f := &Follower{options: options, gazette: gazette.New(), cancel: cancel}
+	f.goroutines.Go(func() { f.run(ctx) })
 	return f
 }
 
-// Gazette returns what holds the configuration in force.
+// Gazette returns the publisher of the configuration in force.
 func (f *Follower) Gazette() *gazette.Gazette {
 	return f.gazette
 }
 
-// Identity returns nothing: a follower is no voter.
+// Identity returns "", since a follower is not a voter.
 func (f *Follower) Identity() jury.Identity {
 	return ""
 }
 
-// Leader returns nothing: a follower asks any voter.
+// Leader returns zero values, since a follower does not track the leader and sends its calls to any
+// voter.
 func (f *Follower) Leader() (jury.Identity, jury.Term) {
 	return "", 0
 }
 
-// Fresh tells whether the follower holds its configuration lease.
+// Fresh reports whether the follower holds its configuration lease.
 func (f *Follower) Fresh(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.asOf.IsZero() && now.Sub(f.asOf) < f.options.Lease
+	return !f.freshAsOf.IsZero() && now.Sub(f.freshAsOf) < f.options.Lease
 }
 
-// Close stops following.
+// Close stops the follower.
 func (f *Follower) Close(context.Context) {
-	f.stop()
-	f.done.Wait()
+	f.cancel()
+	f.goroutines.Wait()
 }
 
-func (f *Follower) follow(ctx context.Context) {
+func (f *Follower) run(ctx context.Context) {
 	ticker := time.NewTicker(f.options.RenewEvery)
 	defer ticker.Stop()
 	for {
@@ -87,14 +88,14 @@
 	}
 }
 
-// renew asks the voters in turn until one confirms.
+// renew asks one voter after another until one confirms the configuration.
 func (f *Follower) renew(ctx context.Context) {
 	for range f.options.Voters {
-		voter := f.voter()
-		asked := f.options.Now()
-		answer, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.gazette.Latest().Revision, f.newsMark())
+		voter := f.currentVoter()
+		requestedAt := f.options.Now()
+		configuration, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.gazette.Latest().Revision, f.quarantineMark())
 		if err == nil {
-			err = f.take(asked, answer)
+			err = f.applyConfiguration(requestedAt, configuration)
 		}
 		if err == nil {
 			return
@@ -103,155 +104,153 @@
 			return
 		}
 		f.options.Log.Debug().Err(err).Str("voter", voter.Name).Msg("configuration not confirmed")
-		f.skip(voter)
+		f.skipVoter(voter)
 	}
 }
 
-// take puts a voter's answer into force.
+// applyConfiguration publishes a voter's configuration and renews the lease.
 //
-// The freshness counts back from the moment of asking: an answer that was held
-// up on its way would otherwise prolong the lease by as long, and the instance
-// would go on under a configuration that was replaced meanwhile.
-func (f *Follower) take(asked time.Time, answer courier.Configuration) error {
-	if err := f.join(answer.Cluster); err != nil {
+// The lease counts from the time of the request. If it counted from the arrival of the answer, a
+// delayed answer would extend the lease by its delay, and the instance would continue to use a
+// configuration that was replaced in the meantime.
+func (f *Follower) applyConfiguration(requestedAt time.Time, configuration courier.Configuration) error {
+	if err := f.bindCluster(configuration.Cluster); err != nil {
 		return err
 	}
-	if answer.View != nil {
-		if err := f.gazette.Publish(answer.View); err != nil {
+	if configuration.View != nil {
+		if err := f.gazette.Publish(configuration.View); err != nil {
 			return err
 		}
 	}
-	if !answer.Confirmed {
-		return errors.New("chamber: the voter itself is not up to date")
+	if !configuration.Confirmed {
+		return errors.New("chamber: the voter has not confirmed that its own state is up to date")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if answer.Quarantine != nil {
-		f.news, f.newsAt = *answer.Quarantine, asked
+	if configuration.Quarantine != nil {
+		f.quarantineNews, f.quarantineNewsAt = *configuration.Quarantine, requestedAt
 	}
-	if asOf := asked.Add(-answer.Age); asOf.After(f.asOf) {
-		f.asOf = asOf
+	if asOf := requestedAt.Add(-configuration.Age); asOf.After(f.freshAsOf) {
+		f.freshAsOf = asOf
 	}
 	return nil
 }
 
-// newsMark returns the mark of the news of requests in quarantine.
-func (f *Follower) newsMark() uint64 {
+// quarantineMark returns the mark of the latest quarantine news.
+func (f *Follower) quarantineMark() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.news.Mark
+	return f.quarantineNews.Mark
 }
 
-// Quarantine returns what a voter told last of requests in quarantine.
+// Quarantine returns the latest quarantine news from a voter.
 func (f *Follower) Quarantine(now time.Time) quarantine.News {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.news.Aged(now.Sub(f.newsAt))
+	return f.quarantineNews.Aged(now.Sub(f.quarantineNewsAt))
 }
 
-// join holds the follower to the first cluster it heard of. After all voters
-// lost their disks and a new cluster was founded, the follower's configuration
-// would go back to the beginning, which is what must never happen unnoticed: it
-// stays stale until an operator restarts it.
-func (f *Follower) join(cluster string) error {
+// bindCluster binds the follower to the first cluster that it hears of. If all voters lost their
+// disks and a new cluster was created, following it would silently reset the configuration.
+// Instead, the follower stays stale until an operator restarts it.
+func (f *Follower) bindCluster(cluster string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case cluster == "":
 		return errors.New("chamber: the voter belongs to no cluster yet")
-	case f.cluster == "":
-		f.cluster = cluster
-	case f.cluster != cluster:
-		return errors.Newf("chamber: the voter belongs to cluster %s, this instance to %s; restart it to follow the other",
-			cluster, f.cluster)
+	case f.clusterID == "":
+		f.clusterID = cluster
+	case f.clusterID != cluster:
+		return errors.Newf("chamber: the voter belongs to cluster %s, but this instance follows %s; restart this instance to follow the voter's cluster",
+			cluster, f.clusterID)
 	}
 	return nil
 }
 
-func (f *Follower) voter() VoterAddress {
+func (f *Follower) currentVoter() VoterAddress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.options.Voters[f.next%len(f.options.Voters)]
+	return f.options.Voters[f.nextVoter%len(f.options.Voters)]
 }
 
-// skip makes the voter after this one the first to ask.
-func (f *Follower) skip(voter VoterAddress) {
+// skipVoter moves on to the next voter, unless another goroutine has already done so.
+func (f *Follower) skipVoter(voter VoterAddress) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.options.Voters[f.next%len(f.options.Voters)] == voter {
-		f.next++
+	if f.options.Voters[f.nextVoter%len(f.options.Voters)] == voter {
+		f.nextVoter++
 	}
 }
 
-// tryTimeout bounds one try of a proposal or look-up, so that a voter that went
-// silent leaves time to ask another.
-const tryTimeout = time.Second
+// attemptTimeout bounds one attempt to make a proposal or a lookup, so that after a voter that does
+// not answer there is time to ask another.
+const attemptTimeout = time.Second
 
-// Propose asks the voters in turn until the command's fate is known or ctx ends.
+// Propose asks one voter after another until the outcome of command is known or ctx ends.
 //
-// Commands carry an idempotent identity, so one whose fate is open may be
-// proposed again and counts once.
+// Commands are idempotent, so a command whose outcome is unknown is safe to propose again.
 func (f *Follower) Propose(ctx context.Context, command registry.Command) (registry.Result, error) {
 	data, err := registry.Encode(command)
 	if err != nil {
 		return registry.Result{}, errors.Mark(err, ErrNotAccepted)
 	}
-	open := false
+	outcomeUnknown := false
 	for {
 		proposed := f.proposeOnce(ctx, data)
 		switch {
 		case proposed.Fate == courier.FateCarriedOut:
 			return registry.DecodeResult(proposed.Result)
 		case proposed.Fate == courier.FateUnknown:
-			open = true
-		case !proposed.Passing && !open:
-			return registry.Result{}, errorOf(proposed)
+			outcomeUnknown = true
+		case !proposed.Passing && !outcomeUnknown:
+			return registry.Result{}, proposalError(proposed)
 		}
-		if !pause.For(ctx, retryEvery) {
-			if open {
+		if !pause.For(ctx, retryInterval) {
+			if outcomeUnknown {
 				proposed.Fate = courier.FateUnknown
 			}
-			return registry.Result{}, errorOf(proposed)
+			return registry.Result{}, proposalError(proposed)
 		}
 	}
 }
 
 func (f *Follower) proposeOnce(ctx context.Context, data []byte) courier.Proposed {
-	voter := f.voter()
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	voter := f.currentVoter()
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposed := f.options.Calls.Propose(ctx, voter.InnerAddress, data, false)
 	if proposed.Fate != courier.FateCarriedOut {
-		f.skip(voter)
+		f.skipVoter(voter)
 	}
 	return proposed
 }
 
-// Lookup asks the voters in turn until one confirms its answer or ctx ends.
+// Lookup asks one voter after another until one confirms its answer or ctx ends.
 func (f *Follower) Lookup(ctx context.Context, key docket.Key) (docket.Answer, error) {
 	for {
 		recorded, err := f.lookupOnce(ctx, key)
 		if err == nil && recorded.Known {
 			return recorded.Answer, nil
 		}
-		if !pause.For(ctx, retryEvery) {
+		if !pause.For(ctx, retryInterval) {
 			return docket.Answer{}, errors.CombineErrors(err, errors.New("chamber: no voter could confirm the answer"))
 		}
 	}
 }
 
 func (f *Follower) lookupOnce(ctx context.Context, key docket.Key) (courier.Recorded, error) {
-	voter := f.voter()
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	voter := f.currentVoter()
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	recorded, err := f.options.Calls.Lookup(ctx, voter.InnerAddress, key)
 	if err != nil || !recorded.Known {
-		f.skip(voter)
+		f.skipVoter(voter)
 	}
 	return recorded, err
 }
 
-// ChangeVoters asks the voters in turn until one of them leads and has done it.
+// ChangeVoters asks one voter after another until it reaches the leader and the change is made.
 func (f *Follower) ChangeVoters(ctx context.Context, change courier.VotersChange) error {
 	proposed := courier.Proposed{Fate: courier.FateNotAccepted, Reason: "the settings name no voter"}
 	for _, voter := range f.options.Voters {
@@ -260,5 +259,5 @@
 			break
 		}
 	}
-	return errorOf(proposed)
+	return proposalError(proposed)
 }
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -10,36 +10,37 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// sawLease notes that a lease was taken.
-func (v *Voter) sawLease(take lease.Take) {
-	v.leasing.Lock()
-	defer v.leasing.Unlock()
-	v.sightings.Saw(v.options.Now(), take)
+// recordLease records when this replica saw a lease being taken.
+func (v *Voter) recordLease(take lease.Take) {
+	v.leaseMutex.Lock()
+	defer v.leaseMutex.Unlock()
+	v.leaseSightings.Saw(v.options.Now(), take)
 }
 
-// sawLeases notes that leases came as a whole, with a snapshot.
-func (v *Voter) sawLeases() {
-	v.leasing.Lock()
-	defer v.leasing.Unlock()
-	v.sightings.SawAll(v.options.Now(), v.registry.Leases())
+// recordLeases records the leases of a restored snapshot, which does not say when they were taken.
+func (v *Voter) recordLeases() {
+	v.leaseMutex.Lock()
+	defer v.leaseMutex.Unlock()
+	v.leaseSightings.SawAll(v.options.Now(), v.registry.Leases())
 }
 
-// LeaseFree reports whether this replica has seen no other instance take the lease
-// of upstream within the last wait.
+// LeaseFree reports whether this replica has seen no other instance take the lease of upstream
+// within the last wait.
 func (v *Voter) LeaseFree(now time.Time, upstream string, wait time.Duration) bool {
-	v.leasing.Lock()
-	defer v.leasing.Unlock()
-	return v.sightings.Free(now, upstream, wait)
+	v.leaseMutex.Lock()
+	defer v.leaseMutex.Unlock()
+	return v.leaseSightings.Free(now, upstream, wait)
 }
 
-// TakeLeases takes the leases of upstreams for this instance, and returns those that
-// no other instance took within the last wait: all that was taken before has been
-// seen here when the command has been carried out here. The caller may give orders
-// for a time after it called TakeLeases, which has to be part of the wait of others.
+// TakeLeases takes the leases of upstreams for this instance. It returns the upstreams whose leases
+// no other instance took within the last wait. Once the command is applied here, this replica has
+// seen every earlier take, so that the result takes all of them into account. The caller may send
+// orders for a limited time after it called TakeLeases; the wait that other instances use must
+// include that time.
 //
-// Upstreams that are gone are forgotten on the way.
+// The same command deletes the leases of the upstreams in gone.
 func (v *Voter) TakeLeases(ctx context.Context, upstreams []string, wait time.Duration, gone []string) ([]string, error) {
-	free := v.free(upstreams, wait)
+	free := v.freeUpstreams(upstreams, wait)
 	if len(free) == 0 {
 		return nil, nil
 	}
@@ -47,34 +48,34 @@
 	if err != nil {
 		return nil, err
 	}
-	// Not by way of another leader: only what this replica has carried out itself
-	// shows it who took the leases before.
-	if _, err := v.clerk.ProposeLocal(ctx, command); err != nil {
+	// Don't forward to another leader: only the commands applied on this replica show it who took
+	// the leases before.
+	if _, err := v.replica.ProposeLocal(ctx, command); err != nil {
 		return nil, err
 	}
-	return v.free(free, wait), nil
+	return v.freeUpstreams(free, wait), nil
 }
 
-// free returns the upstreams whose leases nobody else took within the last wait.
-func (v *Voter) free(upstreams []string, wait time.Duration) []string {
+// freeUpstreams returns the upstreams whose leases no other instance took within the last wait.
+func (v *Voter) freeUpstreams(upstreams []string, wait time.Duration) []string {
 	now := v.options.Now()
 	return slices.DeleteFunc(slices.Clone(upstreams), func(upstream string) bool {
 		return !v.LeaseFree(now, upstream, wait)
 	})
 }
 
-// Leases returns who took the lease of each upstream last.
+// Leases returns the instance that last took the lease of each upstream.
 func (v *Voter) Leases() lease.Leases {
 	return v.registry.Leases()
 }
 
-// Leads reports whether this voter leads and has carried out all that earlier
-// leaders committed. term is its fencing number.
+// Leads reports whether this voter is the leader and has applied everything that earlier leaders
+// committed. term is its fencing number.
 func (v *Voter) Leads(now time.Time) (term jury.Term, ok bool) {
-	status := v.clerk.Status()
+	status := v.replica.Status()
 	if status.Role != jury.Leader {
 		return 0, false
 	}
-	asOf, fresh := v.clerk.Freshness()
+	asOf, fresh := v.replica.Freshness()
 	return status.Term, fresh && now.Sub(asOf) < v.options.Lease
 }
--- a/internal/chamber/quarantine.go
+++ b/internal/chamber/quarantine.go
@@ -7,19 +7,20 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// Quarantine returns what this replica knows of requests in quarantine.
+// Quarantine returns the requests in quarantine according to this replica.
 func (v *Voter) Quarantine(now time.Time) quarantine.News {
-	v.telling.Lock()
-	defer v.telling.Unlock()
-	news := v.bulletin.News(now, v.registry.Crashes())
-	for _, change := range v.bulletin.Changes() {
-		v.logQuarantine(change)
+	v.quarantineMutex.Lock()
+	defer v.quarantineMutex.Unlock()
+	news := v.quarantinePublisher.News(now, v.registry.Crashes())
+	for _, change := range v.quarantinePublisher.Changes() {
+		v.logQuarantineChange(change)
 	}
 	return news
 }
 
-// logQuarantine tells why a request is not sent any more, or that it may be again.
-func (v *Voter) logQuarantine(change quarantine.Change) {
+// logQuarantineChange logs that a request entered the quarantine, with the crashes that caused it,
+// or left the quarantine.
+func (v *Voter) logQuarantineChange(change quarantine.Change) {
 	if len(change.Crashes) == 0 {
 		v.options.Log.Info().Stringer(quarantine.FieldDigest, change.Digest).Msg(quarantine.LineLeft)
 		return
@@ -34,35 +35,35 @@
 		Msg(quarantine.LineEntered)
 }
 
-// Quarantined returns the requests in quarantine, and those that are suspected.
+// Quarantined lists the requests in quarantine and those under suspicion.
 func (v *Voter) Quarantined(now time.Time) ([]quarantine.Listing, error) {
 	return v.registry.Crashes().List(now, v.options.Quarantine), nil
 }
 
-// Lift clears requests. If it may not have, it returns an error.
+// Lift lifts the quarantine of requests. After an error, the quarantine may still be in place.
 func (v *Voter) Lift(ctx context.Context, digests []quarantine.Digest) error {
 	_, err := v.Propose(ctx, quarantine.Update{Now: v.options.Now(), Lifted: digests})
 	return err
 }
 
-// RecallCrashes takes back the crashes of upstreams that are heard of later all the same,
-// if this voter leads. heard returns when a lifetime was heard of last, and false if it
-// was not. RecallCrashes is called by one goroutine, twice a second or so.
-func (v *Voter) RecallCrashes(ctx context.Context, heard func(quarantine.Lifetime) (time.Time, bool)) {
+// RecallCrashes retracts the recorded crashes of upstreams that have since shown signs of life. It
+// does so only if this voter is the leader. lastHeard returns when the process of an upstream last
+// showed a sign of life, and false if it never did. RecallCrashes must be called from a single
+// goroutine, about twice a second.
+func (v *Voter) RecallCrashes(ctx context.Context, lastHeard func(quarantine.Lifetime) (time.Time, bool)) {
 	now := v.options.Now()
-	alive := v.recall.Alive(now, v.registry.Crashes(), heard)
+	alive := v.falseCrashDetector.Alive(now, v.registry.Crashes(), lastHeard)
 	if _, leads := v.Leads(now); !leads || len(alive) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err := v.Propose(ctx, quarantine.Update{Now: now, Alive: alive})
 	v.options.Log.Info().Err(err).Int("upstreams", len(alive)).Str("first", alive[0].Upstream).
-		Msg("upstreams were reported as ended, and live")
+		Msg("upstreams that were reported as ended are still alive")
 }
 
-// Crashes returns what this replica has recorded of requests that were at upstreams as
-// those ended.
+// Crashes returns the recorded crashes of upstreams, with the requests that were running there.
 func (v *Voter) Crashes() quarantine.Records {
 	return v.registry.Crashes()
 }
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -25,78 +25,75 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// VoterOptions is what a Voter needs beside Options.
+// VoterOptions are the options of a Voter.
 type VoterOptions struct {
 	Options
-	// Folder is the data folder.
+	// Folder is the path of the data folder.
 	Folder string
-	// Heartbeats carries what must not wait behind entries and snapshots, and
-	// Entries the rest, each on connections of its own.
+	// Heartbeats carries messages that must not wait behind entries and snapshots, and Entries
+	// carries the others. Each has its own connections.
 	Heartbeats *courier.Pool
 	Entries    *courier.Pool
-	// Heartbeat, ElectionTimeout, ClockDrift and OrderFlight are those of
-	// jury.Options.
+	// Heartbeat, ElectionTimeout, ClockDrift and OrderFlight are those of jury.Options.
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
 	ClockDrift      float64
 	OrderFlight     time.Duration
-	// Identities returns the identities of all voters that are known of.
+	// Identities returns the identities of all known voters.
 	Identities func() []jury.Identity
-	// Docket bounds the idempotency records.
+	// Docket limits the idempotency records.
 	Docket docket.Limits
-	// Quarantine says when requests that crash upstreams are quarantined.
+	// Quarantine determines when requests that crash upstreams are quarantined.
 	Quarantine quarantine.Limits
 }
 
-// Voter is the part of an instance that is a voter: a replica of the log.
+// Voter is the control plane of an instance that is a voter. It runs a replica of the log.
 type Voter struct {
 	options  VoterOptions
 	identity jury.Identity
 	gazette  *gazette.Gazette
 	registry *registry.Registry
 	archive  *archive.Archive
-	clerk    *clerk.Replica
+	replica  *clerk.Replica
 	ticker   *time.Ticker
 
-	leasing   sync.Mutex
-	sightings *lease.Sightings
+	leaseMutex     sync.Mutex
+	leaseSightings *lease.Sightings
 
-	telling  sync.Mutex
-	bulletin *quarantine.Bulletin
-	// recall is used by RecallCrashes alone.
-	recall quarantine.Recall
+	quarantineMutex     sync.Mutex
+	quarantinePublisher *quarantine.Bulletin
+	// falseCrashDetector is used only by RecallCrashes.
+	falseCrashDetector quarantine.Recall
 
-	stop context.CancelFunc
-	done sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// heartbeatTicks is how many ticks the clock of the protocol makes in one
-// heartbeat.
-const heartbeatTicks = 4
+// ticksPerHeartbeat is the number of ticks of the consensus protocol per heartbeat interval.
+const ticksPerHeartbeat = 4
 
-// NewVoter opens the data folder and starts the replica. If the folder is
-// damaged or held by another process, NewVoter returns an error that says what
-// to do.
+// NewVoter opens the data folder and starts the replica. If the folder is damaged or in use by
+// another process, NewVoter returns an error that tells the operator what to do.
 func NewVoter(options VoterOptions) (*Voter, error) {
 	store, loaded, err := archive.Open(archive.Options{Folder: options.Folder})
 	if err != nil {
 		return nil, err
 	}
-	logLoaded(options.Log, loaded)
+	logDataFolder(options.Log, loaded)
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
 	}
 	v := &Voter{
-		options:   options,
-		identity:  jury.Identity(fmt.Sprintf("%s/%016x", options.Self, loaded.Number)),
-		gazette:   gazette.New(),
-		registry:  registry.New(),
-		sightings: lease.NewSightings(options.Self),
-		bulletin:  quarantine.NewBulletin(options.Quarantine),
-		archive:   store,
-		ticker:    time.NewTicker(options.Heartbeat / heartbeatTicks),
+		options:             options,
+		identity:            jury.Identity(fmt.Sprintf("%s/%016x", options.Self, loaded.Number)),
+		gazette:             gazette.New(),
+		registry:            registry.New(),
+		leaseSightings:      lease.NewSightings(options.Self),
+		quarantinePublisher: quarantine.NewBulletin(options.Quarantine),
+		archive:             store,
+		ticker:              time.NewTicker(options.Heartbeat / ticksPerHeartbeat),
 	}
-	v.clerk, err = clerk.New(clerk.Options{
+	v.replica, err = clerk.New(clerk.Options{
 		Member: jury.Options{
 			Self:            v.identity,
 			Seed:            rand.Uint64(),
@@ -113,7 +110,7 @@
 		},
 		Store:        store,
 		Transport:    v,
-		StateMachine: machine{v},
+		StateMachine: stateMachine{v},
 		Peers:        options.Identities,
 		Now:          options.Now,
 		Ticks:        v.ticker.C,
@@ -125,67 +122,67 @@
 		return nil, errors.CombineErrors(err, store.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	v.stop = cancel
-	v.done.Go(func() { v.keepDocket(ctx) })
+	v.cancel = cancel
+	v.goroutines.Go(func() { v.runDocketClock(ctx) })
 	return v, nil
 }
 
-// logLoaded tells what an operator should know of the data folder.
-func logLoaded(log zerolog.Logger, loaded archive.Loaded) {
+// logOpened logs the state of the data folder for operators.
+func logDataFolder(log zerolog.Logger, loaded archive.Loaded) {
 	log.Info().Bool("fresh", loaded.Fresh).Str("cluster-id", loaded.ClusterID).
 		Uint64("snapshot-index", uint64(loaded.Snapshot.Index)).Int("entries", len(loaded.Entries)).Msg("data folder opened")
 	if loaded.Cut.Bytes > 0 {
 		log.Warn().Str("file", loaded.Cut.File).Int64("offset", loaded.Cut.Offset).Int64("bytes", loaded.Cut.Bytes).
-			Msg("cut the torn end of the log, which was never acknowledged")
+			Msg("truncated the incomplete end of the log, which was never acknowledged")
 	}
 }
 
-// machine is the replicated state machine of a Voter.
-type machine struct {
+// stateMachine is the replicated state machine of a Voter.
+type stateMachine struct {
 	voter *Voter
 }
 
-// Apply carries out a command and publishes the configuration that it made.
-func (m machine) Apply(index jury.Index, command []byte) ([]byte, error) {
-	result, err := m.voter.registry.Apply(index, command)
+// Apply applies a command and publishes the resulting configuration.
+func (s stateMachine) Apply(index jury.Index, command []byte) ([]byte, error) {
+	result, err := s.voter.registry.Apply(index, command)
 	if err != nil {
 		return nil, err
 	}
 	if result.Lease != nil {
-		m.voter.sawLease(*result.Lease)
+		s.voter.recordLease(*result.Lease)
 	}
-	m.voter.publish()
+	s.voter.publishConfiguration()
 	return result.Encode(), nil
 }
 
-// Snapshot returns the whole state.
-func (m machine) Snapshot() ([]byte, error) {
-	return m.voter.registry.Snapshot()
+// Snapshot returns the encoded state.
+func (s stateMachine) Snapshot() ([]byte, error) {
+	return s.voter.registry.Snapshot()
 }
 
-// Restore takes over a whole state and publishes its configuration.
-func (m machine) Restore(data []byte) error {
-	if err := m.voter.registry.Restore(data); err != nil {
+// Restore replaces the state by a snapshot and publishes its configuration.
+func (s stateMachine) Restore(data []byte) error {
+	if err := s.voter.registry.Restore(data); err != nil {
 		return err
 	}
-	m.voter.sawLeases()
-	m.voter.publish()
+	s.voter.recordLeases()
+	s.voter.publishConfiguration()
 	return nil
 }
 
-// publish puts the replica's configuration into force here.
+// publishConfiguration publishes the configuration in force on this instance.
 //
-// Declarations that a newer program checked may be unreadable here. That ends
-// this instance's freshness, so that it admits nothing under an older revision,
-// but not its vote: otherwise one upgraded instance could have an operator's
-// change stop all voters, and nobody could accept the change that mends it.
-func (v *Voter) publish() {
+// Declarations that a newer version accepted may not be decodable here. In this case the instance
+// is no longer fresh, so that it admits nothing under an older revision, but the voter keeps
+// voting. Otherwise a change accepted by one upgraded instance could stop all voters, and no change
+// that repairs this could be accepted.
+func (v *Voter) publishConfiguration() {
 	if err := v.gazette.Publish(v.registry.View()); err != nil {
-		v.options.Log.Error().Err(err).Msg("the configuration in force can't be read here; upgrade this instance")
+		v.options.Log.Error().Err(err).Msg("cannot decode the configuration in force; upgrade this instance")
 	}
 }
 
-// Gazette returns what holds the configuration in force.
+// Gazette returns the publisher of the configuration in force.
 func (v *Voter) Gazette() *gazette.Gazette {
 	return v.gazette
 }
@@ -195,60 +192,62 @@
 	return v.identity
 }
 
-// Leader returns the leader that the voter follows, and its term.
+// Leader returns the current leader and its term. Both are zero if no leader is known.
 func (v *Voter) Leader() (jury.Identity, jury.Term) {
-	status := v.clerk.Status()
+	status := v.replica.Status()
 	if status.Leader == "" {
 		return "", 0
 	}
 	return status.Leader, status.Term
 }
 
-// OrderRight is that of clerk.Clerk.
+// OrderRight reports whether this voter may send orders to upstreams at now. See
+// clerk.Replica.OrderRight.
 func (v *Voter) OrderRight(now time.Time) (term jury.Term, until time.Time, ok bool) {
-	return v.clerk.OrderRight(now)
+	return v.replica.OrderRight(now)
 }
 
-// Manifest returns what this replica has recorded of engines and orders.
+// Manifest returns the engines and orders according to this replica.
 func (v *Voter) Manifest() manifest.View {
 	return v.registry.Manifest()
 }
 
-// Fresh tells whether the voter holds its configuration lease.
+// Fresh reports whether the voter holds its configuration lease.
 func (v *Voter) Fresh(now time.Time) bool {
-	// What the freshness covers is in the view that is read after it.
-	asOf, ok := v.clerk.Freshness()
+	// Read the freshness before the view: the view then includes everything that the freshness
+	// covers.
+	asOf, ok := v.replica.Freshness()
 	published := v.gazette.Latest().Revision >= v.registry.View().Revision
 	return ok && published && now.Sub(asOf) < v.options.Lease
 }
 
-// Edition returns the document that operators number, as this replica has it.
+// Edition returns the operator-versioned document according to this replica.
 func (v *Voter) Edition() edition.Edition {
 	return v.registry.Edition()
 }
 
-// Reading returns the document that operators number, as this replica has it, and how new
-// it is known to be.
+// Reading returns the operator-versioned document according to this replica, and how current it is
+// known to be.
 func (v *Voter) Reading() (edition.Edition, edition.Reading) {
-	// What the freshness covers is in the document that is read after it.
-	age, confirmed := v.age()
-	held := v.registry.Edition()
-	return held, edition.Reading{Version: held.Version, Confirmed: confirmed, Age: age}
+	// Read the freshness before the document: the document then includes everything that the
+	// freshness covers.
+	age, confirmed := v.stateAge()
+	current := v.registry.Edition()
+	return current, edition.Reading{Version: current.Version, Confirmed: confirmed, Age: age}
 }
 
-// age returns how long ago all that was committed is known to have been applied here. If that
-// was never known, age returns false.
-func (v *Voter) age() (age time.Duration, confirmed bool) {
-	asOf, confirmed := v.clerk.Freshness()
+// stateAge returns the time since the state of this replica was last known to include everything
+// committed. It returns false if that was never known.
+func (v *Voter) stateAge() (age time.Duration, confirmed bool) {
+	asOf, confirmed := v.replica.Freshness()
 	if !confirmed {
 		return 0, false
 	}
 	return max(0, v.options.Now().Sub(asOf)), true
 }
 
-// FreshEdition returns the document that operators number, as of now or later.
-// If the voter can't confirm that it is up to date before ctx ends, FreshEdition
-// returns false.
+// FreshEdition returns the operator-versioned document as of the time of the call or later. It
+// returns false if the voter can't confirm before ctx ends that its state is up to date.
 func (v *Voter) FreshEdition(ctx context.Context) (edition.Edition, bool) {
 	if !v.awaitFresh(ctx, v.options.Now()) {
 		return edition.Edition{}, false
@@ -256,19 +255,21 @@
 	return v.registry.Edition(), true
 }
 
-// Close hands over a leadership and closes the data folder.
+// Close stops the replica, after a transfer of leadership if it is the leader, and closes the data
+// folder.
 func (v *Voter) Close(ctx context.Context) {
-	v.stop()
-	v.done.Wait()
-	v.clerk.Close(ctx)
+	v.cancel()
+	v.goroutines.Wait()
+	v.replica.Close(ctx)
 	v.ticker.Stop()
 	if err := v.archive.Close(); err != nil {
-		v.options.Log.Error().Err(err).Msg("data folder not closed")
+		v.options.Log.Error().Err(err).Msg("cannot close the data folder")
 	}
 }
 
-// keepDocket moves the docket's clock on while this voter leads.
-func (v *Voter) keepDocket(ctx context.Context) {
+// runDocketClock advances the docket's clock periodically while this voter is the leader, and
+// reports the docket's metrics.
+func (v *Voter) runDocketClock(ctx context.Context) {
 	ticker := time.NewTicker(v.options.Docket.MaxStep / 2)
 	defer ticker.Stop()
 	for {
@@ -277,32 +278,32 @@
 			return
 		case <-ticker.C:
 		}
-		v.reportDocket()
-		if v.clerk.Leader() == v.identity {
-			v.ageDocket(ctx)
+		v.reportDocketMetrics()
+		if v.replica.Leader() == v.identity {
+			v.advanceDocketClock(ctx)
 		}
 	}
 }
 
-// ageDocket moves the docket's clock on. A record that expires makes its key a
-// new request, which operators must be able to see.
-func (v *Voter) ageDocket(ctx context.Context) {
-	tryCtx, cancel := context.WithTimeout(ctx, tryTimeout)
+// advanceDocketClock advances the docket's clock, by which records expire. The key of an expired
+// record counts as a new request, so expiries are logged for operators.
+func (v *Voter) advanceDocketClock(ctx context.Context) {
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	result, err := v.Propose(tryCtx, docket.Expire{Now: v.options.Now(), Limits: v.options.Docket})
+	result, err := v.Propose(attemptCtx, docket.Expire{Now: v.options.Now(), Limits: v.options.Docket})
 	if err != nil {
-		v.options.Log.Warn().Err(err).Msg("idempotency records not aged")
+		v.options.Log.Warn().Err(err).Msg("cannot expire idempotency records")
 		return
 	}
-	if aged := result.Docket; aged != nil && aged.Expired+aged.Overdue > 0 {
-		v.options.Log.Info().Int("expired", aged.Expired).Int("overdue", aged.Overdue).
-			Msg("idempotency records expired, or became unknown for want of an outcome")
+	if answer := result.Docket; answer != nil && answer.Expired+answer.Overdue > 0 {
+		v.options.Log.Info().Int("expired", answer.Expired).Int("overdue", answer.Overdue).
+			Msg("idempotency records expired, or became unknown because no outcome was recorded in time")
 	}
 }
 
-// reportDocket reports how full the docket is and what became of its records
-// since it began. All voters report the same.
-func (v *Voter) reportDocket() {
+// reportDocketMetrics reports the size of the docket and its counters, which are part of the
+// replicated state: all voters report the same values.
+func (v *Voter) reportDocketMetrics() {
 	counters, records, responseBytes := v.registry.Docket()
 	scope := v.options.Metrics.SubScope("docket")
 	for name, value := range map[string]float64{
@@ -318,61 +319,61 @@
 	}
 }
 
-// Propose has command carried out by whichever voter leads.
+// Propose proposes command through the current leader.
 //
-// Commands carry an idempotent identity, so one whose fate is open is proposed
-// again until ctx ends, and counts once.
+// Commands are idempotent, so a command whose outcome is unknown is proposed again until ctx ends.
 func (v *Voter) Propose(ctx context.Context, command registry.Command) (registry.Result, error) {
 	data, err := registry.Encode(command)
 	if err != nil {
 		return registry.Result{}, errors.Mark(err, ErrNotAccepted)
 	}
-	open := false
+	outcomeUnknown := false
 	for {
-		tryCtx, cancel := context.WithTimeout(ctx, tryTimeout)
-		result, err := v.clerk.Propose(tryCtx, data)
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		result, err := v.replica.Propose(attemptCtx, data)
 		cancel()
 		if err == nil {
 			return registry.DecodeResult(result)
 		}
-		proposed := proposedOf(nil, err)
-		open = open || proposed.Fate == courier.FateUnknown
-		if !open && !proposed.Passing {
-			return registry.Result{}, errorOf(proposed)
+		proposed := toProposed(nil, err)
+		outcomeUnknown = outcomeUnknown || proposed.Fate == courier.FateUnknown
+		if !outcomeUnknown && !proposed.Passing {
+			return registry.Result{}, proposalError(proposed)
 		}
-		if !pause.For(ctx, retryEvery) {
-			if open {
+		if !pause.For(ctx, retryInterval) {
+			if outcomeUnknown {
 				proposed.Fate = courier.FateUnknown
 			}
-			return registry.Result{}, errorOf(proposed)
+			return registry.Result{}, proposalError(proposed)
 		}
 	}
 }
 
-// ChangeVoters has the leader add a voter or remove one.
+// ChangeVoters asks the leader to add or remove a voter.
 func (v *Voter) ChangeVoters(ctx context.Context, change courier.VotersChange) error {
-	leader := v.clerk.Leader()
+	leader := v.replica.Leader()
 	if leader == v.identity || leader == "" {
-		return errorOf(v.Control().ChangeVoters(ctx, change))
+		return proposalError(v.Control().ChangeVoters(ctx, change))
 	}
-	address, err := v.address(leader)
+	address, err := v.replicaAddress(leader)
 	if err != nil {
 		return errors.Mark(err, ErrNotAccepted)
 	}
-	return errorOf(v.options.Calls.ChangeVoters(ctx, address, change))
+	return proposalError(v.options.Calls.ChangeVoters(ctx, address, change))
 }
 
-// Status returns what the replica knows of itself.
+// Status returns the replica's own status.
 func (v *Voter) Status() jury.Status {
-	return v.clerk.Status()
+	return v.replica.Status()
 }
 
-// Peers returns what a leader knows of the replicas that it replicates to.
+// Peers returns the replication status of the other replicas if this one is the leader.
 func (v *Voter) Peers() []jury.PeerStatus {
-	return v.clerk.Peers()
+	return v.replica.Peers()
 }
 
-// Lookup waits until the voter is known to be up to date as of now.
+// Lookup returns the idempotency record of a request. It first waits until the replica is confirmed
+// to be up to date as of the call.
 func (v *Voter) Lookup(ctx context.Context, key docket.Key) (docket.Answer, error) {
 	if !v.awaitFresh(ctx, v.options.Now()) {
 		return docket.Answer{}, errors.New("chamber: the voter could not confirm that it is up to date")
@@ -380,18 +381,18 @@
 	return v.registry.Lookup(key), nil
 }
 
-// freshPoll is how often a look-up asks whether the replica is up to date. A
-// heartbeat confirms it.
-const freshPoll = 5 * time.Millisecond
+// freshnessPollInterval is the interval at which awaitFresh checks the freshness, which each
+// heartbeat renews.
+const freshnessPollInterval = 5 * time.Millisecond
 
-// awaitFresh waits until the replica has all that was committed at from.
+// awaitFresh waits until the replica's state includes everything that was committed at from.
 func (v *Voter) awaitFresh(ctx context.Context, from time.Time) bool {
 	for {
-		asOf, ok := v.clerk.Freshness()
+		asOf, ok := v.replica.Freshness()
 		if ok && !asOf.Before(from) {
 			return true
 		}
-		if !pause.For(ctx, freshPoll) {
+		if !pause.For(ctx, freshnessPollInterval) {
 			return false
 		}
 	}
--- a/internal/clerk/outbox.go
+++ b/internal/clerk/outbox.go
@@ -7,7 +7,7 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// peerQueueCapacity is the maximum number of queued messages per queue.
+// peerQueueCapacity is the capacity of each queue to a peer, in messages.
 const peerQueueCapacity = 64
 
 // peerQueues are the outgoing queues for one peer. Heartbeats and votes don't wait behind entries
--- a/internal/clerk/view.go
+++ b/internal/clerk/view.go
@@ -39,9 +39,9 @@
 	return r.Status().Leader
 }
 
-// OrderRight reports whether this replica may send orders to upstreams at now. It returns the
-// fencing number term and the latest time at which the permission ends. Callers must check it
-// immediately before each send, with the time of their monotonic clock.
+// OrderRight reports whether this replica may send orders (to load or unload models) to upstreams at
+// now. It returns the fencing number term and the latest time at which the permission ends. Callers
+// must check it immediately before each send, with the time of their monotonic clock.
 //
 // The result is as of the member's last event. That is safe: the lease seen at that event does not
 // end before until, and if the leadership ended since, the next leader waits before it sends its
