--- a/internal/stocking/bench_test.go
+++ b/internal/stocking/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagelift/lovagelift/internal/stocking"
 )
 
-// BenchmarkPlan plans for 140 engines and 242 models, of which 8 are asked for much
-// and 37 a little: what a control instance does eight times a second.
+// BenchmarkPlan plans for 140 engines and 242 models, 8 with high and 37 with low demand.
+// A control instance makes such a plan eight times a second.
 func BenchmarkPlan(b *testing.B) {
 	models := make([]stocking.Model, 0, 242)
 	for i := range 242 {
--- /dev/null
+++ b/internal/stocking/candidate.go
@@ -0,0 +1,128 @@
+package stocking
+
+import (
+	"cmp"
+	"slices"
+)
+
+// candidate is a possible engine for another copy of a model.
+type candidate struct {
+	engine *engineState
+	// victim is the model to unload first, nil if there is room.
+	victim *modelState
+	// costSeconds is the load time plus penalties for the load of the engine and for
+	// unloading the victim.
+	costSeconds float64
+	// fetch reports that the load reads from the weight store.
+	fetch bool
+}
+
+// addCopy orders a copy of a model on the engine where it costs least, if there is one.
+// load is that of the least loaded copy, 0 if there is none.
+func (p *planner) addCopy(m *modelState, reason Reason, load float64) {
+	var best candidate
+	for _, e := range p.engines {
+		c, ok := p.evaluate(m, e, load)
+		if ok && (best.engine == nil || c.costSeconds < best.costSeconds) {
+			best = c
+		}
+	}
+	if best.engine != nil {
+		p.addMove(best, m, reason, load)
+	}
+}
+
+// loadPenaltySeconds is the penalty for an engine load, or for demand lost by the
+// victim, of one engine.
+const loadPenaltySeconds = 10
+
+// lastCopyPenaltySeconds is the penalty for unloading the last copy of an idle model:
+// about the time to load it again.
+const lastCopyPenaltySeconds = 2
+
+// evaluate returns the candidate for a copy of a model on e. It returns false if e can't
+// get one.
+func (p *planner) evaluate(m *modelState, e *engineState, load float64) (c candidate, ok bool) {
+	if e.Closed || e.Narrow || e.Coming != "" || slices.Contains(e.holds, m) {
+		return c, false
+	}
+	if load > 0 && e.load > load*(1-p.options.Gain) {
+		return c, false
+	}
+	c.engine = e
+	loadTime := m.Load
+	switch {
+	case slices.Contains(e.InMemory, m.Name):
+		loadTime = m.WarmLoad
+	case slices.Contains(e.OnDisk, m.Name):
+		loadTime = m.DiskLoad
+	default:
+		c.fetch = true
+	}
+	if c.fetch && p.fetches <= 0 {
+		return c, false
+	}
+	c.costSeconds = loadTime.Seconds() + loadPenaltySeconds*e.load
+	if e.Used+m.Megabytes <= e.Megabytes {
+		return c, true
+	}
+	c.victim = p.victim(m, e)
+	if c.victim == nil {
+		return c, false
+	}
+	c.costSeconds += loadPenaltySeconds * c.victim.Demand / float64(len(c.victim.copies))
+	if len(c.victim.copies) == 1 {
+		c.costSeconds += lastCopyPenaltySeconds
+	}
+	return c, true
+}
+
+// victim returns the model to unload from e to make room for m: the one with the lowest
+// demand for each remaining copy. The last copy of a model is unloaded only if the model
+// is idle and m has demand: on its next request it comes back from the engine's memory
+// or disk within a second or two.
+func (p *planner) victim(m *modelState, e *engineState) *modelState {
+	var chosen, lastResort *modelState
+	lowestLoad := 0.0
+	for _, held := range e.holds {
+		if e.Used-held.Megabytes+m.Megabytes > e.Megabytes {
+			continue
+		}
+		if held.loaded < 2 {
+			if len(held.copies) < 2 && held.Idle && (m.Demand > 0 || m.Waiting > 0) && lastResort == nil {
+				lastResort = held
+			}
+			continue
+		}
+		loadWithout := held.Demand / float64(held.loaded-1)
+		if loadWithout > p.options.Busy/2 && loadWithout >= m.Demand/float64(len(m.copies)+1) {
+			continue
+		}
+		if chosen == nil || loadWithout < lowestLoad {
+			chosen, lowestLoad = held, loadWithout
+		}
+	}
+	return cmp.Or(chosen, lastResort)
+}
+
+// addMove adds a candidate to the plan. If the copy needs room, this plan only unloads
+// the victim and a later one loads the copy: the room is free only once the engine
+// reports it.
+func (p *planner) addMove(c candidate, m *modelState, reason Reason, load float64) {
+	if len(p.moves) >= p.options.Orders {
+		return
+	}
+	c.engine.Closed = true
+	m.copies = append(m.copies, c.engine)
+	m.planned++
+	if c.victim != nil {
+		c.victim.loaded--
+		c.victim.copies = slices.DeleteFunc(c.victim.copies, func(e *engineState) bool { return e == c.engine })
+		p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: c.victim.Name, Unload: true, For: m.Name, Reason: reason, Load: load})
+		return
+	}
+	if c.fetch {
+		p.fetches--
+	}
+	p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: m.Name, Fetch: c.fetch, Reason: reason, Load: load})
+}
--- a/internal/stocking/planner.go
+++ b/internal/stocking/planner.go
@@ -5,92 +5,97 @@
 	"slices"
 )
 
-// planner makes one plan.
+// planner computes one plan.
 type planner struct {
 	options Options
-	// models are those that are known, the one most asked for first.
-	models  []*stocked
-	engines []*station
+	// models is sorted by falling demand, engines by name.
+	models  []*modelState
+	engines []*engineState
 	moves   []Move
+	// fetches is the number of loads from the weight store that may still start.
 	fetches int
-	// pressed says that a model needs a copy now, whether it gets one or not: what
-	// is free is kept for it.
-	pressed bool
+	// urgent reports that a model needs a copy now, whether it gets one or not: free
+	// memory and loads are kept for it.
+	urgent bool
 }
 
-// stocked is a model and the engines that hold it or are loading it.
-type stocked struct {
+// modelState is a model and its copies.
+type modelState struct {
 	*Model
-	copies []*station
-	// present is how many of copies hold it already: the others are loading it.
-	present int
-	// ordered is how many of copies this plan has ordered or makes a place for.
-	ordered int
+	// copies lists the engines that hold the model, are loading it or get it by this
+	// plan.
+	copies []*engineState
+	// loaded is the number of copies that hold the model already.
+	loaded int
+	// planned is the number of copies that this plan loads or makes room for.
+	planned int
 }
 
-// station is an engine that takes requests.
-type station struct {
+// engineState is an engine that takes requests.
+type engineState struct {
 	*Engine
-	// holds are the models of Holds that are known, and load the work that is asked
-	// of the engine, in engines.
-	holds []*stocked
-	load  float64
+	// holds lists the models of Holds that the planner knows. On a narrow engine these
+	// are only models without demand.
+	holds []*modelState
+	// load is the engine's part of the demand, in engines.
+	load float64
 }
 
 func newPlanner(models []Model, engines []Engine, options Options) *planner {
 	p := &planner{options: options, fetches: options.Fetches}
-	known := make(map[string]*stocked, len(models))
+	known := make(map[string]*modelState, len(models))
 	for i := range models {
-		m := &stocked{Model: &models[i]}
+		m := &modelState{Model: &models[i]}
 		known[m.Name] = m
 		p.models = append(p.models, m)
 	}
-	slices.SortFunc(p.models, func(a, b *stocked) int {
+	slices.SortFunc(p.models, func(a, b *modelState) int {
 		return cmp.Or(-cmp.Compare(a.Demand, b.Demand), cmp.Compare(a.Name, b.Name))
 	})
 	for i := range engines {
 		if !engines[i].Leaving {
-			p.engines = append(p.engines, &station{Engine: &engines[i]})
+			p.engines = append(p.engines, &engineState{Engine: &engines[i]})
 		}
 	}
-	slices.SortFunc(p.engines, func(a, b *station) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.engines, func(a, b *engineState) int { return cmp.Compare(a.Name, b.Name) })
 	for _, e := range p.engines {
 		for _, name := range e.Holds {
 			if m := known[name]; m != nil && !(e.Narrow && m.Demand > 0) {
 				e.holds = append(e.holds, m)
 				m.copies = append(m.copies, e)
-				m.present++
+				m.loaded++
 			}
 		}
 		if m := known[e.Coming]; m != nil && !slices.Contains(e.Holds, e.Coming) {
 			m.copies = append(m.copies, e)
 		}
 	}
-	p.share()
+	p.spreadDemand()
 	return p
 }
 
-// busiest returns the highest demand for a model.
-func (p *planner) busiest() float64 {
+// highestDemand returns the demand for the most demanded model.
+func (p *planner) highestDemand() float64 {
 	if len(p.models) == 0 {
 		return 0
 	}
 	return p.models[0].Demand
 }
 
-// shareRounds is how often the demand is shared out anew. Each round moves a part
-// of it to the engines that the last left with less; a few are enough for the
-// small differences that a plan looks at.
-const shareRounds = 6
+// spreadRounds is the number of rounds that spread the demand. Each round shifts some
+// demand to the engines with less load after the round before; a few rounds settle the
+// loads closely enough for a plan.
+const spreadRounds = 6
 
-// leastLoad keeps an engine without work from drawing all of it.
-const leastLoad = 0.05
+// loadOffset is added to loads, in engines, so that an engine without load does not draw
+// all the demand.
+const loadOffset = 0.05
 
-// share works out the loads of engines, with the demand for each model going to
-// the engines that hold it and have least to do, as entry instances choose.
-func (p *planner) share() {
-	next := make(map[*station]float64, len(p.engines))
-	for range shareRounds {
+// spreadDemand computes the engine loads. Like the entry instances, it sends the demand
+// for each model to the least loaded engines that hold it.
+func (p *planner) spreadDemand() {
+	next := make(map[*engineState]float64, len(p.engines))
+	for range spreadRounds {
 		clear(next)
 		for _, m := range p.models {
 			if m.Demand == 0 {
@@ -98,10 +103,10 @@
 			}
 			total := 0.0
 			for _, e := range m.copies {
-				total += 1 / (e.load + leastLoad)
+				total += 1 / (e.load + loadOffset)
 			}
 			for _, e := range m.copies {
-				next[e] += m.Demand / (e.load + leastLoad) / total
+				next[e] += m.Demand / (e.load + loadOffset) / total
 			}
 		}
 		for _, e := range p.engines {
@@ -110,87 +115,91 @@
 	}
 }
 
-// reach brings back models that no engine holds while nothing is pressing.
-func (p *planner) reach() {
+// restoreUnheld orders copies of models that no engine holds or is loading. It runs
+// only if no model needs a copy urgently.
+func (p *planner) restoreUnheld() {
 	for _, m := range p.models {
 		if len(m.copies) == 0 {
-			p.place(m, Unreachable, 0)
+			p.addCopy(m, Unreachable, 0)
 		}
 	}
 }
 
-// riseShare is the part of the busiest model's demand that another model in
-// demand must be able to take over, and risingShare the part from which on a model
-// counts as one of these. Demand moves from the busiest model to the next within
-// seconds, sooner than copies can be loaded.
+// Demand shifts from the most demanded model to another within seconds, faster than
+// copies can be loaded. Spare copies therefore prepare every model with at least
+// shiftTargetShare of the highest demand for demandShiftShare of that demand on top of
+// its own.
 const (
-	riseShare   = 0.5
-	risingShare = 0.1
+	demandShiftShare = 0.5
+	shiftTargetShare = 0.1
 )
 
-// expected returns the demand that the copies of a model are prepared for.
-func (p *planner) expected(m *stocked) float64 {
-	if busiest := p.busiest(); m.Demand >= risingShare*busiest {
-		return m.Demand + riseShare*busiest
+// expectedDemand returns the demand that the copies of a model must be prepared for.
+func (p *planner) expectedDemand(m *modelState) float64 {
+	if highest := p.highestDemand(); m.Demand >= shiftTargetShare*highest {
+		return m.Demand + demandShiftShare*highest
 	}
 	return m.Demand
 }
 
-// need returns how much each copy of a model would have to do if there were others
-// beside it.
-func (p *planner) need(m *stocked, others int) float64 {
-	return (p.expected(m) + leastLoad) / float64(others+1)
+// expectedLoad returns the expected load of a copy of a model, in engines, beside the
+// given number of other copies.
+func (p *planner) expectedLoad(m *modelState, others int) float64 {
+	return (p.expectedDemand(m) + loadOffset) / float64(others+1)
 }
 
-// spareShare is how much less a copy must be needed than the one that takes its
-// place, so that two do not take turns.
-const spareShare = 0.5
-
-// spare prepares for demand that moves on and for engines that are lost, while
-// nothing is pressing: the model whose copies would have most to do gets another.
-func (p *planner) spare() {
-	byNeed := slices.Clone(p.models)
-	slices.SortStableFunc(byNeed, func(a, b *stocked) int {
-		return -cmp.Compare(p.need(a, len(a.copies)), p.need(b, len(b.copies)))
+// maxVictimLoadShare bounds the expected load of the victim's remaining copies, as a
+// share of that of the spare copy. Without the margin two models would replace each other
+// in turn.
+const maxVictimLoadShare = 0.5
+
+// addSpare orders one spare copy, for the model with the highest expected load that can
+// get one, so that shifting demand or a failed engine finds a copy. It runs only if no
+// model needs a copy urgently.
+func (p *planner) addSpare() {
+	byExpectedLoad := slices.Clone(p.models)
+	slices.SortStableFunc(byExpectedLoad, func(a, b *modelState) int {
+		return -cmp.Compare(p.expectedLoad(a, len(a.copies)), p.expectedLoad(b, len(b.copies)))
 	})
-	for _, m := range byNeed {
-		if p.placeSpare(m, p.need(m, len(m.copies))) {
+	for _, m := range byExpectedLoad {
+		if p.tryAddSpare(m, p.expectedLoad(m, len(m.copies))) {
 			return
 		}
 	}
 }
 
-// placeSpare orders a spare copy of a model, and reports whether it did. needed is
-// how much each of its copies would have to do.
-func (p *planner) placeSpare(m *stocked, needed float64) bool {
+// tryAddSpare orders a spare copy of a model if an engine can get one, and reports whether
+// it did. expectedLoad is the expected load of the spare copy. If the copy must be
+// fetched, the whole allowance of fetches must be unused.
+func (p *planner) tryAddSpare(m *modelState, expectedLoad float64) bool {
 	var best candidate
 	for _, e := range p.engines {
-		c, ok := p.weigh(m, e, 0)
-		if !ok || c.fetch && p.fetches < p.options.Fetches || !p.spares(c.victim, needed) {
+		c, ok := p.evaluate(m, e, 0)
+		if !ok || c.fetch && p.fetches < p.options.Fetches || !p.canSpare(c.victim, expectedLoad) {
 			continue
 		}
-		if best.engine == nil || c.cost < best.cost {
+		if best.engine == nil || c.costSeconds < best.costSeconds {
 			best = c
 		}
 	}
 	if best.engine == nil {
 		return false
 	}
-	p.order(best, m, Spare, 0)
+	p.addMove(best, m, Spare, 0)
 	return true
 }
 
-// spares reports whether a model can do without a copy for one that is needed so
-// much. victim may be nil.
-func (p *planner) spares(victim *stocked, needed float64) bool {
+// canSpare reports whether victim may lose a copy to a spare copy with the given expected
+// load. victim may be nil.
+func (p *planner) canSpare(victim *modelState, expectedLoad float64) bool {
 	if victim == nil {
 		return true
 	}
 	others := len(victim.copies) - 1
-	// While nobody asks for anything, the many copies that a model began with are all
-	// that is known of the demand to come.
-	if others == 0 || p.busiest() == 0 {
+	// Without any demand, the initial number of copies is the only sign of the demand to
+	// come.
+	if others == 0 || p.highestDemand() == 0 {
 		return false
 	}
-	return p.need(victim, others-1) <= spareShare*needed
+	return p.expectedLoad(victim, others-1) <= maxVictimLoadShare*expectedLoad
 }
--- /dev/null
+++ b/internal/stocking/shortage.go
@@ -0,0 +1,79 @@
+package stocking
+
+const (
+	// unreachableFactor weights the demand for a model without a copy against that for
+	// an overloaded one: all of its requests are lost, not some.
+	unreachableFactor = 2
+	// waitingLoss is the loss, in engines, for each request that waits for a model
+	// without a copy. Demand alone would not do: for a model with one request in 10 s it
+	// is almost 0.
+	waitingLoss = 0.05
+	// missingLossPerSecond is the loss, in engines, that a model without a copy gains
+	// with each second that requests find none. Within some seconds it comes before
+	// any other model.
+	missingLossPerSecond = 0.2
+)
+
+// shortage is a model that needs another copy now.
+type shortage struct {
+	model  *modelState
+	reason Reason
+	// load is the load of the least loaded copy, in engines, 0 if there is no copy.
+	load float64
+	// loss is an estimate of the work that is lost without the copy, in engines.
+	loss float64
+}
+
+// shortage returns the shortage of a model, counting the copies that this plan has
+// ordered. It returns false if the model needs no copy.
+func (p *planner) shortage(m *modelState) (shortage, bool) {
+	if len(m.copies) == 0 {
+		stake := unreachableFactor*m.Demand + waitingLoss*float64(m.Waiting)
+		if stake > 0 {
+			stake += missingLossPerSecond * m.Missing.Seconds()
+		}
+		return shortage{model: m, reason: Unreachable, loss: stake}, stake > 0
+	}
+	if m.Demand == 0 {
+		return shortage{}, false
+	}
+	// Requests go to the least loaded copy, so they wait only if that one is overloaded.
+	lowestLoad := m.copies[0].load
+	for _, e := range m.copies {
+		lowestLoad = min(lowestLoad, e.load)
+	}
+	lowestLoad *= float64(len(m.copies)-m.planned) / float64(len(m.copies))
+	loss := (lowestLoad - p.options.Busy) * min(float64(len(m.copies)), m.Demand/lowestLoad)
+	return shortage{model: m, reason: Demand, load: lowestLoad, loss: loss}, lowestLoad > p.options.Busy
+}
+
+// relieveShortages orders copies for the models that need them, the one with the highest
+// loss first.
+//
+// Models without a copy do not come before all others: if they do, all four loads go to
+// models with few requests while the most demanded model has one copy of the four that it
+// needs. The share of the owed value that is delivered is then 0.564 instead of 0.603
+// (mean of five days with shifting demand and lost engines, three seeds).
+func (p *planner) relieveShortages() {
+	skipped := map[*modelState]bool{}
+	for len(p.moves) < p.options.Orders {
+		var worst shortage
+		for _, m := range p.models {
+			if skipped[m] {
+				continue
+			}
+			if s, ok := p.shortage(m); ok && (worst.model == nil || s.loss > worst.loss) {
+				worst = s
+			}
+		}
+		if worst.model == nil {
+			return
+		}
+		p.urgent = true
+		before := len(p.moves)
+		p.addCopy(worst.model, worst.reason, worst.load)
+		if len(p.moves) == before {
+			skipped[worst.model] = true
+		}
+	}
+}
--- a/internal/stocking/stocking.go
+++ b/internal/stocking/stocking.go
@@ -1,106 +1,109 @@
-// Package stocking decides which engines hold which models while demand moves
-// within seconds (replica placement).
+// Package stocking plans model replicas: it decides which engines hold which models
+// while demand shifts within seconds.
 //
-// It is pure: what engines hold and what is asked for go in, and the moves that
-// should be ordered now come out. Every plan begins with what is, so that a lost
-// order or a new leader changes nothing but the input.
+// It is pure: it takes the state of the engines and the demand, and returns the moves to
+// order now. Every plan starts from the reported state, so a lost order or a change of
+// leader changes only the input.
 //
-// Package placement plans for declared floors and patient moves, over minutes.
-// Here the models that are asked for change faster than a load takes, and a move
-// is cheap against the requests that it serves.
+// Package placement plans for declared minimums and slow moves, over minutes. Here the
+// demanded models change faster than a load takes, and a move is cheap compared with the
+// requests that it serves.
 package stocking
 
 import (
 	"time"
 )
 
-// Model is what a plan knows of a model.
+// Model describes a model to the planner.
 type Model struct {
 	Name      string
 	Megabytes float64
-	// Demand is the work that is asked for, in engines: 1 keeps one engine busy.
+	// Demand is the requested work, in engines: 1 keeps one engine busy.
 	Demand float64
-	// Waiting is how many requests find no engine that holds the model, and Missing for
-	// how long there has been none for requests.
+	// Waiting is the number of requests that find no engine that holds the model.
+	// Missing is how long requests have found none.
 	Waiting int
 	Missing time.Duration
-	// Idle says that nobody has asked for it for a while.
+	// Idle reports that the model has had no requests for a while.
 	Idle bool
-	// Load is the time of a load from the weight store, WarmLoad of one from the
-	// engine's memory and DiskLoad of one from its disk.
+	// Load is the time of a load from the weight store, WarmLoad from the engine's
+	// memory and DiskLoad from its disk.
 	Load, WarmLoad, DiskLoad time.Duration
 }
 
-// Engine is what a plan knows of an engine.
+// Engine describes an engine to the planner.
 type Engine struct {
 	Name      string
 	Megabytes float64
-	// Used is the memory that weights and adapters take.
+	// Used is the memory of weights and adapters, in megabytes.
 	Used float64
-	// Holds are the models that it can run. Coming is one that is being loaded, or
+	// Holds lists the loaded models. Coming is the model that is being loaded, or
 	// empty.
 	Holds  []string
 	Coming string
-	// Closed says that no order can be given now.
+	// Closed reports that the engine can take no order now.
 	Closed bool
-	// Leaving says that it takes no more requests.
+	// Leaving reports that the engine takes no more requests.
 	Leaving bool
-	// Narrow says that it takes few requests by a limit of its own: its copies count for
-	// models that nobody asks for alone, and it gets no others.
+	// Narrow reports that the engine limits itself to few requests. Its copies count
+	// only for models without demand, and it gets no new ones.
 	Narrow bool
-	// InMemory and OnDisk are models that need not be fetched from the store.
+	// InMemory and OnDisk list models that the engine can load without the weight
+	// store.
 	InMemory []string
 	OnDisk   []string
 }
 
-// Move is an order that should be given now.
+// Move is an order to load or unload a model now.
 type Move struct {
 	Engine string
 	Model  string
-	// Unload says that the model makes way for For, else it is loaded.
+	// Unload reports that the model is unloaded to make room for For. Otherwise it is
+	// loaded.
 	Unload bool
 	For    string
-	// Fetch says that the load takes from the weight store.
+	// Fetch reports that the load reads from the weight store.
 	Fetch  bool
 	Reason Reason
-	// Load is that of the busiest engine for the model, in engines, before the
-	// move.
+	// Load is the load of the least loaded copy before the move, in engines. It is 0
+	// unless Reason is Demand.
 	Load float64
 }
 
-// Reason says what a move is for.
+// Reason is the purpose of a move.
 type Reason string
 
 const (
 	// Unreachable means that no engine holds the model.
 	Unreachable Reason = "unreachable"
-	// Demand means that the engines that hold the model have too much to do.
+	// Demand means that the engines that hold the model are overloaded.
 	Demand Reason = "demand"
-	// Spare means that one engine alone holds the model, and memory is free.
+	// Spare means that no model is short of copies, and that this one gets another in
+	// case demand shifts or an engine fails.
 	Spare Reason = "spare"
 )
 
 // Options configures a plan.
 type Options struct {
-	// Busy is the load of an engine, as a part of what it can do, from which on
-	// its models get another copy.
+	// Busy is the load, as a share of an engine's capacity, above which the models of
+	// an engine get another copy.
 	Busy float64
-	// Gain is by how much a copy must relieve the busiest engine of a model, as a
-	// part of its load.
+	// Gain is how much less loaded than the least loaded copy of a model an engine
+	// must be to get another copy, as a share of the load of that copy.
 	Gain float64
-	// Orders is how many moves are begun at once.
+	// Orders is the maximum number of moves in a plan.
 	Orders int
-	// Fetches is how many loads from the weight store may begin now.
+	// Fetches is the number of loads from the weight store that may start now.
 	Fetches int
 }
 
 // Plan returns the moves to order now, the most urgent first.
 func Plan(models []Model, engines []Engine, options Options) []Move {
 	p := newPlanner(models, engines, options)
-	p.supply()
-	if !p.pressed {
-		p.reach()
-		p.spare()
+	p.relieveShortages()
+	if !p.urgent {
+		p.restoreUnheld()
+		p.addSpare()
 	}
 	return p.moves
 }
--- a/internal/stocking/stocking_test.go
+++ b/internal/stocking/stocking_test.go
@@ -13,7 +13,7 @@
 
 var options = stocking.Options{Busy: 0.45, Gain: 0.3, Orders: 4, Fetches: 2}
 
-// model takes 70 of the 200 GB of an engine: two fit.
+// model returns a model of 70 GB. An engine has 200 GB, so it can hold two.
 func model(name string, demand float64) stocking.Model {
 	return stocking.Model{
 		Name: name, Megabytes: 70_000, Demand: demand, Idle: demand == 0,
@@ -26,12 +26,12 @@
 }
 
 var _ = Describe("Plan", func() {
-	It("moves nothing while no engine has too much to do and no memory is free", func() {
+	It("orders nothing while no engine is overloaded and no memory is free", func() {
 		models := []stocking.Model{model("a", 0.4), model("b", 0.4), model("c", 0.1), model("d", 0.1)}
 		Expect(stocking.Plan(models, []stocking.Engine{engine("1", "a", "c"), engine("2", "b", "d")}, options)).To(BeEmpty())
 	})
 
-	It("gives a model that is asked for too much another copy where memory is free", func() {
+	It("adds a copy of an overloaded model where memory is free", func() {
 		models := []stocking.Model{model("a", 0.9), model("b", 0.1)}
 		moves := stocking.Plan(models, []stocking.Engine{engine("1", "a"), engine("2", "b")}, options)
 		Expect(moves).To(HaveLen(1))
@@ -41,10 +41,10 @@
 		Expect(moves[0].Fetch).To(BeTrue())
 	})
 
-	// The only engine that holds a model is lost, and callers wait. It comes back before
-	// a model that can do with what it has, and before any other once it has been missing
-	// for some seconds: nobody is put off for good by models that are asked for more.
-	DescribeTable("brings back a model that nobody holds",
+	// The only engine that holds model w fails, and requests for w wait. A model with far
+	// more demand may come first, but only for some seconds: otherwise the requests for w
+	// would wait for as long as that demand lasts.
+	DescribeTable("restores a model that no engine holds",
 		func(demand float64, missing time.Duration, first string) {
 			waiting := model("w", 0)
 			waiting.Waiting, waiting.Missing = 3, missing
@@ -57,31 +57,31 @@
 				Expect(moves[0].Reason).To(Equal(stocking.Unreachable))
 			}
 		},
-		Entry("before one that has a copy with too much to do", 0.55, time.Duration(0), "w"),
-		Entry("after one that loses far more", 2.0, time.Duration(0), "a"),
-		Entry("before that too after some seconds", 2.0, 8*time.Second, "w"),
+		Entry("before a slightly overloaded model", 0.55, time.Duration(0), "w"),
+		Entry("after a model with a far higher loss", 2.0, time.Duration(0), "a"),
+		Entry("before that model too after 8 s", 2.0, 8*time.Second, "w"),
 	)
 
-	// An engine in need takes a request a second. Its model has no other copy, and callers
-	// are turned away for as long as the need lasts.
-	It("gives a model another copy whose only one is at an engine that takes few requests", func() {
+	// A narrow engine takes one request a second. If its copy counted as a full one, callers
+	// of a model without another copy would be refused for as long as the engine is narrow.
+	It("adds a copy of a model whose only copy is on a narrow engine", func() {
 		narrow := engine("1", "a", "idle")
 		narrow.Narrow = true
 		moves := stocking.Plan([]stocking.Model{model("a", 0.2), model("idle", 0)}, []stocking.Engine{narrow, engine("2")}, options)
 		Expect(moves).NotTo(BeEmpty())
 		Expect(moves[0].Engine).To(Equal("2"))
 		Expect(moves[0].Model).To(Equal("a"))
-		Expect(moves[0].Reason).To(Equal(stocking.Unreachable), "as good as held by none")
+		Expect(moves[0].Reason).To(Equal(stocking.Unreachable), "the copy on the narrow engine must not count")
 		for _, move := range moves {
-			Expect(move.Model).NotTo(Equal("idle"), "nobody asks for it")
+			Expect(move.Model).NotTo(Equal("idle"), "the model has no demand")
 			Expect(move.Engine).NotTo(Equal("1"))
 		}
 	})
 
-	// One model is asked for most and has six copies; three others have one each, with
-	// twice as much to do as it can carry. In the order of demand, the first takes every
-	// load there is, and the callers of the others are refused for as long as that lasts.
-	It("gives copies to those that lose most, not to the one that is asked for most", func() {
+	// The most demanded model has six copies. Three others have one copy each, with twice
+	// the load that it can carry. In the order of demand the first model would get every
+	// load, and callers of the others would be refused for as long as the demand lasts.
+	It("adds copies of the models with the highest loss, not of the most demanded one", func() {
 		models := []stocking.Model{model("big", 3.2), model("b", 1.8), model("c", 1.8), model("d", 1.8)}
 		engines := []stocking.Engine{
 			engine("1", "big", "b"), engine("2", "big", "c"), engine("3", "big", "d"), engine("4", "big"), engine("5", "big"),
@@ -89,16 +89,16 @@
 		}
 		three := options
 		three.Orders, three.Fetches = 3, 3
-		var given []string
+		var moved []string
 		for _, move := range stocking.Plan(models, engines, three) {
-			given = append(given, move.Model)
+			moved = append(moved, move.Model)
 		}
-		Expect(given).To(ConsistOf("b", "c", "d"))
+		Expect(moved).To(ConsistOf("b", "c", "d"))
 	})
 
-	// The second copy of a model is on its way when its first makes way for another: for
-	// 5 s its callers find none.
-	It("takes no model its only copy while another is being loaded", func() {
+	// If the first copy of a model were unloaded while the second is still loading, callers
+	// would find no copy for 5 s.
+	It("does not unload the only loaded copy of a model while another is loading", func() {
 		coming := engine("2")
 		coming.Coming, coming.Closed = "b", true
 		moves := stocking.Plan([]stocking.Model{model("a", 1.5), model("b", 0.3), model("c", 0.3)},
@@ -106,7 +106,7 @@
 		Expect(moves).NotTo(ContainElement(HaveField("Unload", true)))
 	})
 
-	It("takes a copy in memory before one on disk, and that before the store", func() {
+	It("prefers a load from memory to one from disk, and that to one from the store", func() {
 		models := []stocking.Model{model("a", 0.9)}
 		onDisk, inMemory := engine("2"), engine("3")
 		onDisk.OnDisk, inMemory.InMemory = []string{"a"}, []string{"a"}
@@ -115,16 +115,16 @@
 		Expect(moves[0].Fetch).To(BeFalse())
 	})
 
-	It("fetches nothing from the store beyond its rate", func() {
+	It("fetches from the store only within the limit", func() {
 		none := options
 		none.Fetches = 0
 		Expect(stocking.Plan([]stocking.Model{model("a", 2)}, []stocking.Engine{engine("1", "a"), engine("2")}, none)).To(BeEmpty())
 	})
 
-	// Demand has moved from old to new within seconds. The engines are full: copies
-	// of old make way first, then models that nobody asks for, and never the last
-	// copy of one that somebody asks for.
-	It("lets what is not asked for make way", func() {
+	// Demand has shifted from old to new within seconds, and the engines are full. Copies of
+	// old are unloaded first, then models without demand, and never the last copy of a model
+	// with demand.
+	It("unloads models without demand to make room", func() {
 		models := []stocking.Model{model("new", 2), model("old", 0), model("quiet", 0.05), model("idle", 0)}
 		engines := []stocking.Engine{
 			engine("1", "new", "quiet"), engine("2", "old", "idle"), engine("3", "old", "other"),
@@ -140,94 +140,98 @@
 		Expect(only).To(BeEmpty())
 	})
 
-	// Before the first request, the operator has put the busiest model on most
-	// engines. Its copies must not make way for second ones of the others.
-	It("keeps what the engines began with until somebody asks", func() {
+	// Before the first request, the operator has put the model with the highest expected
+	// demand on most engines. Its copies must not be unloaded for second copies of others.
+	It("keeps the initial copies until there is demand", func() {
 		models := []stocking.Model{model("busy", 0), model("a", 0), model("b", 0)}
 		engines := []stocking.Engine{engine("1", "busy", "a"), engine("2", "busy", "b"), engine("3", "busy", "busy")}
 		Expect(stocking.Plan(models, engines, options)).To(BeEmpty())
 	})
 
-	It("gives no order to an engine that is busy, leaving or full of what is loading", func() {
-		busy, leaving, loading := engine("2"), engine("3"), engine("4", "b")
-		busy.Closed, leaving.Leaving, loading.Coming = true, true, "b"
+	It("orders nothing from an engine that is closed, leaving or loading", func() {
+		closed, leaving, loading := engine("2"), engine("3"), engine("4", "b")
+		closed.Closed, leaving.Leaving, loading.Coming = true, true, "b"
 		Expect(stocking.Plan([]stocking.Model{model("a", 2), model("b", 0)},
-			[]stocking.Engine{engine("1", "a"), busy, leaving, loading}, options)).To(BeEmpty())
+			[]stocking.Engine{engine("1", "a"), closed, leaving, loading}, options)).To(BeEmpty())
 	})
 
-	// Two thirds of the requests are for one model. Every six seconds the demand
-	// moves on to the next, as at the users' worst. A load takes 6 s from the store
-	// and 1 s from a disk. Copies must follow: with those of the beginning alone
-	// the busiest model has 1 engine's worth of places for 2.
+	// Most of the demand is for one model, and it keeps shifting to the next, as in the
+	// worst case that users see. A load takes 6 s from the store and 1 s from elsewhere. The
+	// copies must follow: with the initial ones alone, the most demanded model has one
+	// engine for a demand of two.
 	It("follows demand that moves on", func() {
-		w := newWorld(12, 15)
+		c := newCluster(12, 15)
 		worst := 0.0
 		for second := 0.0; second < 60; second += 0.25 {
 			first := int(second/12) % 5
-			w.demand(fmt.Sprint("m", first), 2)
-			w.demand(fmt.Sprint("m", (first+1)%5), 0.8)
-			w.step(250 * time.Millisecond)
+			c.demand(fmt.Sprint("m", first), 2)
+			c.demand(fmt.Sprint("m", (first+1)%5), 0.8)
+			c.step(250 * time.Millisecond)
 			if int(second)%12 >= 8 {
-				worst = max(worst, w.idlest(fmt.Sprint("m", first)))
+				worst = max(worst, c.loadPerCopy(fmt.Sprint("m", first)))
 			}
-			w.checkMemory()
+			c.checkMemory()
 		}
-		Expect(worst).To(BeNumerically("<", 0.7), "load of the idlest copy of the busiest model 8 s after each move")
-		Expect(w.reachable()).To(BeNumerically(">=", 13), "of 15 models")
+		Expect(worst).To(BeNumerically("<", 0.7), "load per copy of the most demanded model from 8 s after each shift on")
+		Expect(c.heldModels()).To(BeNumerically(">=", 13), "of 15 models")
 	})
 })
 
-// world plays engines that carry out moves.
-type world struct {
+// cluster simulates engines that carry out moves.
+type cluster struct {
 	models  []stocking.Model
 	engines []stocking.Engine
-	// busy is how long each engine still loads.
-	busy    map[string]time.Duration
+	// busyFor is the time that each engine needs to finish its move.
+	busyFor map[string]time.Duration
+	// fetches is the number of loads from the weight store that may start now.
 	fetches float64
 }
 
-// newWorld has the busy model on every engine and the others on one each.
-func newWorld(engines, models int) *world {
-	w := &world{busy: map[string]time.Duration{}}
+// newCluster returns a cluster with model m0 on every engine and each other model on at
+// most one.
+func newCluster(engines, models int) *cluster {
+	c := &cluster{busyFor: map[string]time.Duration{}}
 	for i := range models {
-		w.models = append(w.models, model(fmt.Sprint("m", i), 0))
+		c.models = append(c.models, model(fmt.Sprint("m", i), 0))
 	}
 	for i := range engines {
 		holds := []string{"m0"}
 		if i+1 < models {
 			holds = append(holds, fmt.Sprint("m", i+1))
 		}
-		w.engines = append(w.engines, engine(fmt.Sprint("e", i), holds...))
+		c.engines = append(c.engines, engine(fmt.Sprint("e", i), holds...))
 	}
-	return w
+	return c
 }
 
-func (w *world) demand(name string, demand float64) {
-	for i := range w.models {
-		if w.models[i].Name == name {
-			w.models[i].Demand, w.models[i].Idle = demand, false
+// demand sets the demand for a model in the next step.
+func (c *cluster) demand(name string, demand float64) {
+	for i := range c.models {
+		if c.models[i].Name == name {
+			c.models[i].Demand, c.models[i].Idle = demand, false
 		}
 	}
 }
 
-func (w *world) step(passed time.Duration) {
-	w.fetches = min(w.fetches+1.6*passed.Seconds(), 2)
-	for i := range w.engines {
-		w.finish(&w.engines[i], passed)
+// step finishes moves after the elapsed time, then plans and starts new ones.
+func (c *cluster) step(elapsed time.Duration) {
+	c.fetches = min(c.fetches+1.6*elapsed.Seconds(), 2)
+	for i := range c.engines {
+		c.finish(&c.engines[i], elapsed)
 	}
 	set := options
-	set.Fetches = int(w.fetches)
-	for _, move := range stocking.Plan(w.models, slices.Clone(w.engines), set) {
-		w.carryOut(move)
+	set.Fetches = int(c.fetches)
+	for _, move := range stocking.Plan(c.models, slices.Clone(c.engines), set) {
+		c.start(move)
 	}
-	for i := range w.models {
-		w.models[i].Demand, w.models[i].Idle = 0, true
+	for i := range c.models {
+		c.models[i].Demand, c.models[i].Idle = 0, true
 	}
 }
 
-func (w *world) finish(e *stocking.Engine, passed time.Duration) {
-	w.busy[e.Name] -= passed
-	e.Closed = w.busy[e.Name] > 0
+func (c *cluster) finish(e *stocking.Engine, elapsed time.Duration) {
+	c.busyFor[e.Name] -= elapsed
+	e.Closed = c.busyFor[e.Name] > 0
 	if !e.Closed && e.Coming != "" {
 		e.Holds = append(e.Holds, e.Coming)
 		e.OnDisk = append(e.OnDisk, e.Coming)
@@ -235,32 +239,32 @@
 	}
 }
 
-func (w *world) carryOut(move stocking.Move) {
-	for i := range w.engines {
-		e := &w.engines[i]
+func (c *cluster) start(move stocking.Move) {
+	for i := range c.engines {
+		e := &c.engines[i]
 		if e.Name != move.Engine {
 			continue
 		}
 		if move.Unload {
 			e.Holds = slices.DeleteFunc(slices.Clone(e.Holds), func(name string) bool { return name == move.Model })
 			e.Used -= 70_000
-			w.busy[e.Name] = 500 * time.Millisecond
+			c.busyFor[e.Name] = 500 * time.Millisecond
 			continue
 		}
 		e.Coming = move.Model
 		e.Used += 70_000
-		w.busy[e.Name] = time.Second
+		c.busyFor[e.Name] = time.Second
 		if move.Fetch {
-			w.fetches--
-			w.busy[e.Name] = 6 * time.Second
+			c.fetches--
+			c.busyFor[e.Name] = 6 * time.Second
 		}
 	}
 }
 
-// idlest returns the demand for each copy of a model, as all copies share it.
-func (w *world) idlest(name string) float64 {
+// loadPerCopy returns the load of each copy of a model with a demand of 2, shared evenly.
+func (c *cluster) loadPerCopy(name string) float64 {
 	copies := 0.0
-	for _, e := range w.engines {
+	for _, e := range c.engines {
 		if slices.Contains(e.Holds, name) {
 			copies++
 		}
@@ -268,16 +272,17 @@
 	return 2 / copies
 }
 
-func (w *world) checkMemory() {
+func (c *cluster) checkMemory() {
 	GinkgoHelper()
-	for _, e := range w.engines {
+	for _, e := range c.engines {
 		Expect(e.Used).To(BeNumerically("<=", e.Megabytes))
 	}
 }
 
-func (w *world) reachable() int {
+// heldModels returns the number of models that at least one engine holds.
+func (c *cluster) heldModels() int {
 	held := map[string]bool{}
-	for _, e := range w.engines {
+	for _, e := range c.engines {
 		for _, name := range e.Holds {
 			held[name] = true
 		}
