--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -6,46 +6,48 @@
 )
 
 const (
+	// drainWindow is the time in which the count decays to 1/e.
 	drainWindow = 2 * time.Second
-	// drainTrust is how long a pool must have been backlogged before its own
-	// drain says more than the capacity that the dispatcher computed.
-	drainTrust = 2 * drainWindow
+	// minBacklogTime is how long a pool must have had a backlog before its measured
+	// drain rate is used instead of the capacity that the dispatcher computed.
+	minBacklogTime = 2 * drainWindow
 )
 
-// drain estimates how many tickets a second leave a pool, by an exponentially
-// decaying count.
+// drainEstimator estimates the number of tickets a second that leave a pool, from an
+// exponentially decaying count.
 //
-// The count says nothing while there is no backlog: the pool then drains as
-// slowly as requests come. Trusting it would refuse the start of every burst
-// that follows a quiet time, with idle upstreams at hand.
-type drain struct {
-	count float64
-	at    time.Time
-	// capacity is what the dispatcher last computed from limits and holding
-	// times, in tickets per second, 0 if not known.
-	capacity     float64
+// Without a backlog the count only shows the rate at which requests arrive. Its use as
+// the drain rate would refuse the start of every burst after a quiet time, although
+// upstreams are idle.
+type drainEstimator struct {
+	count     float64
+	updatedAt time.Time
+	// capacity is the rate that the dispatcher last computed from limits and holding
+	// times, in tickets per second, 0 if unknown.
+	capacity float64
+	// backlogSince is zero if no tickets wait.
 	backlogSince time.Time
 }
 
-func (d *drain) decay(now time.Time) {
-	if elapsed := now.Sub(d.at); elapsed > 0 {
+func (d *drainEstimator) decay(now time.Time) {
+	if elapsed := now.Sub(d.updatedAt); elapsed > 0 {
 		d.count *= math.Exp(-elapsed.Seconds() / drainWindow.Seconds())
-		d.at = now
+		d.updatedAt = now
 	}
 }
 
-func (d *drain) took(now time.Time) {
+func (d *drainEstimator) add(now time.Time) {
 	d.decay(now)
 	d.count++
 }
 
-// rate returns tickets per second, 0 if neither the drain nor the capacity is
-// known.
-func (d *drain) rate(now time.Time) float64 {
+// rate returns the drain rate in tickets per second, 0 if neither a measurement nor the
+// capacity is known.
+func (d *drainEstimator) rate(now time.Time) float64 {
 	d.decay(now)
 	measured := d.count / drainWindow.Seconds()
-	trusted := !d.backlogSince.IsZero() && now.Sub(d.backlogSince) >= drainTrust
-	if trusted && measured > 0 || d.capacity <= 0 {
+	reliable := !d.backlogSince.IsZero() && now.Sub(d.backlogSince) >= minBacklogTime
+	if reliable && measured > 0 || d.capacity <= 0 {
 		return measured
 	}
 	return d.capacity
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -4,70 +4,78 @@
 	"time"
 )
 
-// Bounds and steps of a Limit. They are the classic additive increase and
-// multiplicative decrease; docs/DISPATCH.md gives the measurement.
+// A Limit changes by additive increase and multiplicative decrease; docs/DISPATCH.md has
+// the measurement.
 const (
-	limitFloor     = 1.0
-	limitDecrease  = 0.9
-	limitIncrease  = 1.0
-	limitBusyShare = 0.8
-	limitHeadroom  = 0.8
-	reserveShare   = 0.1
+	minLimit = 1.0
+	// limitDecreaseFactor multiplies the limit when a first token misses its goal.
+	limitDecreaseFactor = 0.9
+	// limitIncreasePerRound is the growth over a round, in which as many requests are
+	// answered as the limit allows.
+	limitIncreasePerRound = 1.0
+	// minUsedShare is the share of the limit that must be in use for it to grow.
+	minUsedShare = 0.8
+	// maxGoalShare is the share of its goal within which a first token must come for
+	// the limit to grow.
+	maxGoalShare = 0.8
+	// priorityReserveShare is the share of the limit by which requests of priority 0
+	// may exceed it, and by which all others must stay under it.
+	priorityReserveShare = 0.1
 )
 
-// Limit is the number of requests that this instance keeps open at one upstream
-// at once (an adaptive concurrency limit).
+// Limit is an adaptive concurrency limit: the number of requests that this instance
+// keeps open at one upstream.
 //
-// It grows by about one a round of answers while first tokens come well within
-// the goal and the limit is in use, and shrinks by a fixed share when a first
-// token misses the goal. It shrinks once a round at most, because answers to
-// requests sent before the last cut say nothing about the limit after it.
+// It grows by about one for each round of answers, while first tokens come well within
+// the goal and the limit is in use. It shrinks by a fixed share when a first token misses
+// the goal, at most once a round, because answers to requests sent before the last
+// decrease say nothing about the limit after it.
 //
 // A Limit is an immutable value.
 type Limit struct {
-	// value is at least limitFloor and at most ceiling.
-	value   float64
-	ceiling float64
-	cutAt   time.Time
+	// value is at least minLimit and at most ceiling.
+	value       float64
+	ceiling     float64
+	decreasedAt time.Time
 }
 
-// NewLimit returns a Limit that starts at start and never exceeds ceiling. If
-// start is under 1, it counts as 1. If ceiling is under start, it counts as start.
+// NewLimit returns a Limit that starts at start and never exceeds ceiling. A start under
+// 1 counts as 1, and a ceiling under start counts as start.
 func NewLimit(start, ceiling int) Limit {
-	value := max(float64(start), limitFloor)
+	value := max(float64(start), minLimit)
 	return Limit{value: value, ceiling: max(float64(ceiling), value)}
 }
 
 // Value returns the number of requests that may be open at once.
 func (l Limit) Value() int {
-	return int(max(l.value, limitFloor))
+	return int(max(l.value, minLimit))
 }
 
-// Float returns the exact limit, of which Value is the whole part.
+// Float returns the exact limit. Value is its integer part.
 func (l Limit) Float() float64 {
-	return max(l.value, limitFloor)
+	return max(l.value, minLimit)
 }
 
-// Calm reports whether the limit was not cut in the time before now.
+// Calm reports whether the last decrease of the limit is longer ago than since.
 func (l Limit) Calm(now time.Time, since time.Duration) bool {
-	return now.Sub(l.cutAt) > since
+	return now.Sub(l.decreasedAt) > since
 }
 
-// Room reports whether a request of the given priority may be added to inFlight
-// open ones. Priority 0 may go over the limit by a tenth, at least one, and the
-// others stay a tenth under it, so that a burst of other work can't hold every
-// place when an urgent request comes. One place is always open to all.
+// Room reports whether a request of the given priority may be added to inFlight open ones.
+// Requests of priority 0 may exceed the limit by a tenth, at least by one. All others stay
+// a tenth under it, so that a burst of them can't occupy the whole limit when an urgent
+// request comes. An upstream without open requests has room for any priority.
 func (l Limit) Room(inFlight int, priority uint8) bool {
-	value := max(l.value, limitFloor)
+	value := max(l.value, minLimit)
 	if priority == 0 {
-		return inFlight < int(value+max(1, value*reserveShare))
+		return inFlight < int(value+max(1, value*priorityReserveShare))
 	}
-	return inFlight < max(1, int(value*(1-reserveShare)))
+	return inFlight < max(1, int(value*(1-priorityReserveShare)))
 }
 
-// WithFirstToken returns the Limit that follows from a first token that came
-// took after its request was sent at sentAt, inFlight being the number of
-// requests that were open then. If goal is 0, the Limit stays as it is.
+// WithFirstToken returns the Limit after a first token that took the given time since its
+// request was sent at sentAt. inFlight is the number of requests that were open when the
+// token came. If goal is 0, the Limit stays as it is.
 func (l Limit) WithFirstToken(now, sentAt time.Time, took, goal time.Duration, inFlight int) Limit {
 	if goal <= 0 {
 		return l
@@ -75,38 +83,37 @@
 	if took > goal {
 		return l.WithCut(now, sentAt)
 	}
-	busy := float64(inFlight) >= l.value*limitBusyShare
-	early := float64(took) <= float64(goal)*limitHeadroom
-	if busy && early {
-		l.value = min(l.value+limitIncrease/l.value, l.ceiling)
+	used := float64(inFlight) >= l.value*minUsedShare
+	early := float64(took) <= float64(goal)*maxGoalShare
+	if used && early {
+		l.value = min(l.value+limitIncreasePerRound/l.value, l.ceiling)
 	}
 	return l
 }
 
-// WithAnswer returns the Limit that follows from an answer which says nothing of
-// the time to its first token, but came from an upstream without a queue.
+// WithAnswer returns the Limit after an answer from an upstream without a queue. It is for
+// answers whose time to the first token is unknown or has no goal.
 func (l Limit) WithAnswer(inFlight int) Limit {
-	if float64(inFlight) >= l.value*limitBusyShare {
-		l.value = min(l.value+limitIncrease/l.value, l.ceiling)
+	if float64(inFlight) >= l.value*minUsedShare {
+		l.value = min(l.value+limitIncreasePerRound/l.value, l.ceiling)
 	}
 	return l
 }
 
-// WithCut returns the Limit that follows from a request, sent at sentAt, that
-// the upstream answered too late or refused for want of room.
+// WithCut returns the Limit after a request, sent at sentAt, that the upstream answered
+// too late or refused because it had no room.
 func (l Limit) WithCut(now, sentAt time.Time) Limit {
-	if sentAt.Before(l.cutAt) {
+	if sentAt.Before(l.decreasedAt) {
 		return l
 	}
-	l.value = max(l.value*limitDecrease, limitFloor)
-	l.cutAt = now
+	l.value = max(l.value*limitDecreaseFactor, minLimit)
+	l.decreasedAt = now
 	return l
 }
 
-// WithCeiling returns the Limit bounded by another ceiling. If ceiling is under
-// 1, it counts as 1.
+// WithCeiling returns the Limit with another ceiling. A ceiling under 1 counts as 1.
 func (l Limit) WithCeiling(ceiling int) Limit {
-	l.ceiling = max(float64(ceiling), limitFloor)
+	l.ceiling = max(float64(ceiling), minLimit)
 	l.value = min(l.value, l.ceiling)
 	return l
 }
--- a/internal/admission/flow.go
+++ b/internal/admission/pool.go
@@ -7,33 +7,35 @@
 
 // flow holds the waiting tickets of one service in one pool.
 type flow struct {
-	service *service
+	account *serviceAccount
 	level   int
 	weight  float64
 	// waiting is ordered by StartBy, the earliest first.
 	waiting []Ticket
 }
 
-// service is the fair-share account of one service at one priority, over all
+// serviceAccount is the fair-share account of one service at one priority, over all
 // pools.
-type service struct {
-	// served is the virtual time up to which the service has been served. It
-	// only grows.
-	served float64
+type serviceAccount struct {
+	// virtualTime grows by the cost of each taken ticket. Of the services of a
+	// priority, the one with the lowest virtual time is served next.
+	virtualTime float64
 }
 
-func (f *flow) place(startBy time.Time) int {
-	place, _ := slices.BinarySearchFunc(f.waiting, startBy, func(t Ticket, by time.Time) int {
+// position returns the index in waiting at which a ticket with startBy belongs, after
+// those with the same time.
+func (f *flow) position(startBy time.Time) int {
+	position, _ := slices.BinarySearchFunc(f.waiting, startBy, func(t Ticket, by time.Time) int {
 		if t.StartBy.After(by) {
 			return 1
 		}
 		return -1
 	})
-	return place
+	return position
 }
 
 func (f *flow) insert(t Ticket) {
-	f.waiting = slices.Insert(f.waiting, f.place(t.StartBy), t)
+	f.waiting = slices.Insert(f.waiting, f.position(t.StartBy), t)
 }
 
 func (f *flow) removeAt(i int) Ticket {
@@ -47,16 +49,16 @@
 	flows []*flow
 	// size is the number of tickets in flows.
 	size  int
-	drain drain
-	// returnAt is the latest time at which a refused caller was told to come back.
-	returnAt time.Time
+	drain drainEstimator
+	// retryAt is the latest retry time that a refused caller got.
+	retryAt time.Time
 }
 
-// ahead returns how many waiting tickets go before one of f with startBy: all of
-// higher priority, the earlier ones of f, and of each flow of the same priority
-// its fair share.
+// ahead returns the number of waiting tickets that go before one of f with startBy: all
+// those of higher priority, the earlier ones of f, and the fair share of each other flow
+// of the same priority.
 func (p *pool) ahead(f *flow, startBy time.Time) int {
-	own := f.place(startBy)
+	own := f.position(startBy)
 	total := own
 	for _, other := range p.flows {
 		switch {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,8 +1,8 @@
 // Package admission implements admission control: adaptive concurrency limits,
 // bounded queues, early refusal and fairness between services.
 //
-// It decides only. It takes the present time as an argument, does no I/O and
-// starts no goroutine.
+// The package only makes decisions: it takes the current time as an argument, does no
+// I/O and starts no goroutine.
 package admission
 
 import (
@@ -12,42 +12,42 @@
 
 const (
 	defaultMaxWaiting = 256
-	longestRetryAfter = 30 * time.Second
-	// floorEvery is how many takes may pass over a waiting lower priority before
-	// one goes to it.
-	floorEvery = 16
-	// doubt is how far the predicted wait of a queued ticket must exceed its
-	// patience before it is refused ahead of its StartBy. The drain is an
-	// estimate; without a margin its noise would refuse tickets that make it.
-	doubt = 2.0
+	maxRetryAfter     = 30 * time.Second
+	// maxSkips is the number of takes that may pass over a waiting lower priority
+	// before one goes to it.
+	maxSkips = 16
+	// expiryFactor is the ratio of the predicted wait of a queued ticket to the time
+	// left until its StartBy above which it is refused early. The drain rate is an
+	// estimate; without a margin its noise would refuse tickets that start in time.
+	expiryFactor = 2.0
 )
 
 // Options are the settings of a Queue. The zero value is useful.
 type Options struct {
-	// MaxWaiting is the most tickets that wait in one pool, 256 if 0.
+	// MaxWaiting is the maximum number of tickets that wait in one pool, 256 if 0.
 	MaxWaiting int
 }
 
-// Queue holds the requests that wait for an upstream, in one bounded queue for
-// each pool: by priority, then by weighted fair share between services, then by
-// the earliest StartBy.
+// Queue holds the requests that wait for an upstream, in one bounded queue for each pool.
+// Requests are ordered by priority, then by weighted fair share between services, then
+// by StartBy.
 //
-// Its memory is bounded by the pools and services offered to it, which the
-// caller takes from the configuration in force, times MaxWaiting.
+// Its memory grows with the number of pools and services offered to it, times MaxWaiting.
+// The caller must take their names from the configuration in force.
 //
 // A Queue is not safe for concurrent use.
 type Queue struct {
 	options  Options
 	pools    map[string]*pool
-	services [Priorities]map[string]*service
+	services [Priorities]map[string]*serviceAccount
 	// size is the number of tickets in pools.
 	size int
-	// served is the virtual time of each priority, up to which a service that
-	// had nothing waiting is brought when it comes back.
-	served [Priorities]float64
-	// passed counts the takes over the head of a waiting lower priority since the
-	// last one that went to a lower priority.
-	passed int
+	// virtualTime is the virtual time of each priority. A service that had nothing
+	// waiting starts from there.
+	virtualTime [Priorities]float64
+	// skips counts the takes that passed over a waiting lower priority since the last
+	// take that went to one.
+	skips int
 }
 
 // New returns an empty Queue.
@@ -57,7 +57,7 @@
 	}
 	q := &Queue{options: options, pools: map[string]*pool{}}
 	for i := range q.services {
-		q.services[i] = map[string]*service{}
+		q.services[i] = map[string]*serviceAccount{}
 	}
 	return q
 }
@@ -67,9 +67,9 @@
 	return q.size
 }
 
-// Waiting returns the number of tickets of pool that a request of priority has
-// to let pass. If it is not 0, the request must be offered to the queue even if
-// an upstream has room, or it would overtake them.
+// Waiting returns the number of waiting tickets of pool that have the given priority or a
+// higher one. If it is not 0, a request of that priority must be offered to the queue even
+// if an upstream has room, or it would overtake them.
 func (q *Queue) Waiting(pool string, priority uint8) int {
 	p := q.pools[pool]
 	if p == nil || p.size == 0 {
@@ -85,10 +85,12 @@
 	return total
 }
 
-// Offer queues t, or refuses it at once if it could not start by its StartBy.
-// capacity is how many requests a second the upstreams of the pool can start, 0
-// if not known. If the queue is full, the ticket that would go last gives way; if
-// t goes before others of its service, the first of them that can't make it now.
+// Offer queues t, or refuses it at once if it could not start by its StartBy. capacity is
+// the number of requests a second that the upstreams of the pool can start, 0 if unknown.
+//
+// If the queue is full, t displaces the ticket that would go last. Otherwise, if t delays
+// tickets of its service behind it, it displaces the first one that can no longer start
+// in time.
 func (q *Queue) Offer(now time.Time, t Ticket, capacity float64) Verdict {
 	p := q.pool(t.Pool)
 	f := q.flow(p, t)
@@ -96,86 +98,85 @@
 		p.drain.capacity = capacity
 	}
 	rate := p.drain.rate(now)
-	wait := waitFor(p.ahead(f, t.StartBy)+1, rate)
+	wait := waitTime(p.ahead(f, t.StartBy)+1, rate)
 	if now.Add(wait).After(t.StartBy) {
 		return Verdict{Refused: p.refuse(now, t, CauseTooLate, rate, wait)}
 	}
 	var displaced Refusal
 	if p.size >= q.options.MaxWaiting {
-		last := p.last(f)
-		if last == nil {
+		victim := p.flowToDisplace(f)
+		if victim == nil {
 			return Verdict{Refused: p.refuse(now, t, CauseFull, rate, wait)}
 		}
-		displaced = p.refuse(now, last.removeAt(len(last.waiting)-1), CauseFull, rate, wait)
-		q.leave(p)
+		displaced = p.refuse(now, victim.removeAt(len(victim.waiting)-1), CauseFull, rate, wait)
+		q.noteRemoved(p)
 	}
-	q.enter(now, p, f, t)
-	if i, ok := p.pushedOut(now, f, t, rate); ok && displaced.Cause == 0 {
+	q.enqueue(now, p, f, t)
+	if i, ok := p.firstLate(now, f, t, rate); ok && displaced.Cause == 0 {
 		displaced = p.refuse(now, f.removeAt(i), CauseTooLate, rate, 0)
-		q.leave(p)
+		q.noteRemoved(p)
 	}
 	return Verdict{Queued: true, Displaced: displaced}
 }
 
-// Take removes and returns the ticket that goes next to an upstream which serves
-// pools, of the priority lowest or a higher one. If none waits, Take returns
-// false. Call Expire first, so that no ticket is taken that can't make it.
+// Take removes and returns the next ticket for an upstream that serves pools. Its
+// priority is lowest or a higher one. If none waits, Take returns false. Call Expire
+// first, so that Take returns no ticket that can't start in time.
 //
-// Priorities are strict but for a floor: after floorEvery takes over the head of
-// a lower priority, one goes to the lower that must start first. Without the
-// floor a steady stream of urgent requests would refuse every other request for
-// as long as it lasts. Priorities do not age: a ticket gets old under overload,
-// and ageing would then lift just those that are almost too late over the urgent
-// ones.
+// Priorities are strict, except that after maxSkips takes that passed over a lower
+// priority, one goes to the waiting ticket of lower priority with the earliest StartBy.
+// Otherwise a steady stream of urgent requests would starve all others. Priorities do not
+// age: tickets get old under overload, and ageing would then put those that are almost too
+// late before the urgent ones.
 func (q *Queue) Take(now time.Time, lowest uint8, pools []string) (Ticket, bool) {
 	if q.size == 0 {
 		return Ticket{}, false
 	}
-	h := heads{lowest: Ticket{Priority: lowest}.level()}
+	c := candidates{lowest: Ticket{Priority: lowest}.level()}
 	for _, name := range pools {
 		if p := q.pools[name]; p != nil {
-			h.consider(p)
+			c.consider(p)
 		}
 	}
-	if h.best == nil {
+	if c.best == nil {
 		return Ticket{}, false
 	}
 	for _, name := range pools {
 		if p := q.pools[name]; p != nil {
-			h.considerLower(p)
+			c.considerLower(p)
 		}
 	}
 	switch {
-	case h.lower == nil:
-		return q.take(now, h.bestPool, h.best), true
-	case q.passed >= floorEvery:
-		q.passed = 0
-		return q.take(now, h.lowerPool, h.lower), true
+	case c.lower == nil:
+		return q.take(now, c.bestPool, c.best), true
+	case q.skips >= maxSkips:
+		q.skips = 0
+		return q.take(now, c.lowerPool, c.lower), true
 	default:
-		q.passed++
-		return q.take(now, h.bestPool, h.best), true
+		q.skips++
+		return q.take(now, c.bestPool, c.best), true
 	}
 }
 
 func (q *Queue) take(now time.Time, p *pool, f *flow) Ticket {
 	t := f.removeAt(0)
-	q.leave(p)
-	p.drain.took(now)
-	q.served[f.level] = max(q.served[f.level], f.service.served)
-	f.service.served += t.charge()
+	q.noteRemoved(p)
+	p.drain.add(now)
+	q.virtualTime[f.level] = max(q.virtualTime[f.level], f.account.virtualTime)
+	f.account.virtualTime += t.cost()
 	return t
 }
 
-// Return queues a ticket again that Take has just given out, because its request
-// could not be sent. It is not charged to its service twice.
+// Return queues a ticket again that Take has just returned, because its request could not
+// be sent. Its service gets the cost of the ticket back.
 func (q *Queue) Return(now time.Time, t Ticket) {
 	p := q.pool(t.Pool)
 	f := q.flow(p, t)
-	f.service.served -= t.charge()
-	q.enter(now, p, f, t)
+	f.account.virtualTime -= t.cost()
+	q.enqueue(now, p, f, t)
 }
 
-// Cancel removes the ticket with id from pool, because its caller has gone, and
+// Cancel removes the ticket with id from pool, because its caller has disconnected, and
 // reports whether it was still waiting.
 func (q *Queue) Cancel(pool string, id uint64) bool {
 	p := q.pools[pool]
@@ -186,7 +187,7 @@
 		for i := range f.waiting {
 			if f.waiting[i].ID == id {
 				f.removeAt(i)
-				q.leave(p)
+				q.noteRemoved(p)
 				return true
 			}
 		}
@@ -194,9 +195,9 @@
 	return false
 }
 
-// Expire removes the tickets that can't start by their StartBy any more, and
-// appends their refusals to dst. Besides those whose StartBy has passed, these
-// are the ones that the drain of their pool will not reach in time by far.
+// Expire removes the tickets that can no longer start by their StartBy, and appends their
+// refusals to dst. These are the tickets whose StartBy has passed, and those whose
+// predicted wait exceeds the time that is left by expiryFactor.
 func (q *Queue) Expire(now time.Time, dst []Refusal) []Refusal {
 	for _, p := range q.pools {
 		if p.size > 0 {
@@ -208,8 +209,8 @@
 	return dst
 }
 
-// NextExpiry returns the earliest StartBy of all waiting tickets, at which
-// Expire is to be called. If nothing waits, NextExpiry returns false.
+// NextExpiry returns the earliest StartBy of all waiting tickets, at which the caller
+// should call Expire. If nothing waits, NextExpiry returns false.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	var next time.Time
 	for _, p := range q.pools {
@@ -238,11 +239,11 @@
 	level := t.level()
 	account := q.services[level][t.Service]
 	if account == nil {
-		account = &service{}
+		account = &serviceAccount{}
 		q.services[level][t.Service] = account
 	}
 	for _, f := range p.flows {
-		if f.service == account {
+		if f.account == account {
 			return f
 		}
 	}
@@ -250,33 +251,35 @@
 	if weight <= 0 {
 		weight = 1
 	}
-	f := &flow{service: account, level: level, weight: weight}
+	f := &flow{account: account, level: level, weight: weight}
 	p.flows = append(p.flows, f)
 	return f
 }
 
-func (q *Queue) enter(now time.Time, p *pool, f *flow, t Ticket) {
+func (q *Queue) enqueue(now time.Time, p *pool, f *flow, t Ticket) {
 	if p.size == 0 {
 		p.drain.backlogSince = now
 	}
 	if len(f.waiting) == 0 {
-		// A service that was quiet gets no credit for it. Otherwise its burst
-		// would hold up the others for as long as it had been quiet.
-		f.service.served = max(f.service.served, q.served[f.level])
+		// An idle service gains no credit. Otherwise its next burst would delay the
+		// others for as long as it was idle.
+		f.account.virtualTime = max(f.account.virtualTime, q.virtualTime[f.level])
 	}
 	f.insert(t)
 	p.size++
 	q.size++
 }
 
-func (q *Queue) leave(p *pool) {
-	p.leave()
+func (q *Queue) noteRemoved(p *pool) {
+	p.noteRemoved()
 	q.size--
 }
 
-func waitFor(tickets int, rate float64) time.Duration {
+// waitTime returns the time in which the given number of tickets start at a rate in
+// tickets per second: at most maxRetryAfter, and 0 if the rate is unknown.
+func waitTime(tickets int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(math.Min(float64(tickets)/rate, longestRetryAfter.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(float64(tickets)/rate, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -12,11 +12,11 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func ticket(id uint64, service string, priority uint8, patience time.Duration) admission.Ticket {
-	return admission.Ticket{ID: id, Service: service, Pool: "m", Priority: priority, StartBy: start.Add(patience)}
+func ticket(id uint64, service string, priority uint8, startIn time.Duration) admission.Ticket {
+	return admission.Ticket{ID: id, Service: service, Pool: "m", Priority: priority, StartBy: start.Add(startIn)}
 }
 
-// takeAll returns the ids in the order in which they leave.
+// takeAll returns the IDs of all waiting tickets, in the order in which they are taken.
 func takeAll(q *admission.Queue, now time.Time) []uint64 {
 	var ids []uint64
 	for {
@@ -35,16 +35,16 @@
 		q = admission.New(admission.Options{MaxWaiting: 8})
 	})
 
-	It("serves by priority, then by the earliest start", func() {
+	It("takes tickets by priority, then by StartBy", func() {
 		q.Offer(start, ticket(1, "drafts", 3, 3*time.Second), 0)
 		q.Offer(start, ticket(2, "drafts", 3, time.Second), 0)
 		q.Offer(start, ticket(3, "pings", 0, 5*time.Second), 0)
 		Expect(takeAll(q, start)).To(Equal([]uint64{3, 2, 1}))
 	})
 
-	It("shares a priority between services whatever their number of requests", func() {
-		// A burst of drafts stands in the queue when two summaries come. Without
-		// fair shares, the summaries' callers would wait for all of the burst.
+	It("shares a priority fairly between services, whatever their number of requests", func() {
+		// A burst of drafts waits when two summaries come. Without fair shares, the
+		// summaries would wait for the whole burst.
 		for id := range uint64(6) {
 			q.Offer(start, ticket(id, "drafts", 2, time.Second), 0)
 		}
@@ -53,9 +53,9 @@
 		Expect(takeAll(q, start)[:4]).To(ConsistOf(uint64(0), uint64(1), uint64(10), uint64(11)))
 	})
 
-	It("gives one take in seventeen to a lower priority", func() {
-		// Pings come without end. The clerk's draft would wait until it is too late
-		// if priorities were strict.
+	It("takes one ticket in seventeen from a lower priority", func() {
+		// Pings come continuously. With strict priorities, the draft would wait until
+		// it is too late.
 		q.Offer(start, ticket(1000, "drafts", 5, time.Minute), 0)
 		takes := 0
 		for id := uint64(0); ; id++ {
@@ -72,8 +72,8 @@
 	})
 
 	It("refuses at once what the drain will not reach in time", func() {
-		// The upstreams start two requests a second. The third caller has patience
-		// for one second: it is told now, not after its second has gone by.
+		// The upstreams start two requests a second. The third request must start within
+		// one second and can't: it is refused now, not after that second.
 		Expect(q.Offer(start, ticket(1, "drafts", 2, time.Second), 2).Queued).To(BeTrue())
 		Expect(q.Offer(start, ticket(2, "drafts", 2, time.Second), 2).Queued).To(BeTrue())
 		verdict := q.Offer(start, ticket(3, "drafts", 2, time.Second), 2)
@@ -82,10 +82,10 @@
 		Expect(verdict.Refused.RetryAfter).To(Equal(time.Second))
 	})
 
-	It("refuses at once what a more urgent one of its service pushes back", func() {
-		// Two callers wait, and both can be served in time. A third that must start
-		// before them comes: the last of them can't make it now, and is told now
-		// instead of when its time has passed.
+	It("refuses at once a ticket that an earlier one of its service makes too late", func() {
+		// Two requests wait, and both can start in time. A third that must start before
+		// them comes. One of the two can no longer start in time, and is refused now, not
+		// when its StartBy has passed.
 		q.Offer(start, ticket(1, "drafts", 2, 900*time.Millisecond), 2)
 		q.Offer(start, ticket(2, "drafts", 2, 1100*time.Millisecond), 2)
 		verdict := q.Offer(start, ticket(3, "drafts", 2, 600*time.Millisecond), 2)
@@ -96,8 +96,8 @@
 	})
 
 	It("tells refused callers to come back one after the other", func() {
-		// A hundred callers are refused at the same moment. Told the same time, they
-		// would come back as one burst, most of them to be refused again.
+		// Many callers are refused at the same moment. With the same retry time, they
+		// would come back in one burst, and most would be refused again.
 		var last time.Duration
 		for id := range uint64(20) {
 			verdict := q.Offer(start, ticket(id, "drafts", 2, 0), 2)
@@ -106,7 +106,7 @@
 		}
 	})
 
-	It("gives the place of the lowest priority to a higher one when full", func() {
+	It("displaces a ticket of the lowest priority for a higher one when full", func() {
 		for id := range uint64(8) {
 			q.Offer(start, ticket(id, "drafts", 3, time.Duration(id+1)*time.Second), 0)
 		}
@@ -118,7 +118,7 @@
 		Expect(q.Size()).To(Equal(8))
 	})
 
-	It("takes a place from the service that holds most of a full queue", func() {
+	It("displaces a ticket of the service that holds most of a full queue", func() {
 		for id := range uint64(8) {
 			q.Offer(start, ticket(id, "drafts", 3, time.Minute), 0)
 		}
@@ -127,7 +127,7 @@
 		Expect(verdict.Displaced.Ticket.Service).To(Equal("drafts"))
 	})
 
-	It("refuses a waiting request as soon as its start has passed", func() {
+	It("refuses a waiting ticket as soon as its StartBy has passed", func() {
 		q.Offer(start, ticket(1, "drafts", 2, time.Second), 0)
 		q.Offer(start, ticket(2, "drafts", 2, 3*time.Second), 0)
 		next, ok := q.NextExpiry()
@@ -139,10 +139,10 @@
 		Expect(q.Size()).To(Equal(1))
 	})
 
-	It("refuses ahead of time what a slower drain will not reach", func() {
-		// The upstreams were thought to start 100 a second and start one a second.
-		// The callers at the back learn it after some seconds, not at the end of
-		// their patience.
+	It("refuses tickets early when the pool drains more slowly than expected", func() {
+		// The expected capacity is 100 starts a second, but the upstreams start one a
+		// second. The last callers are refused after some seconds, not only when their
+		// StartBy has passed.
 		q = admission.New(admission.Options{})
 		for id := range uint64(60) {
 			q.Offer(start, ticket(id, "drafts", 2, 20*time.Second), 100)
@@ -160,7 +160,7 @@
 		}
 	})
 
-	It("forgets a caller that has gone", func() {
+	It("removes the ticket of a caller that has disconnected", func() {
 		q.Offer(start, ticket(1, "drafts", 2, time.Second), 0)
 		Expect(q.Cancel("m", 1)).To(BeTrue())
 		Expect(q.Cancel("m", 1)).To(BeFalse())
@@ -171,7 +171,7 @@
 var _ = Describe("Limit", func() {
 	const goal = 500 * time.Millisecond
 
-	It("grows while answers come early and shrinks once a round", func() {
+	It("grows while first tokens come early, and shrinks at most once a round", func() {
 		l := admission.NewLimit(10, 20)
 		for i := range 10 {
 			l = l.WithFirstToken(start.Add(time.Duration(i)), start, goal/5, goal, 10)
@@ -180,17 +180,17 @@
 		l = l.WithFirstToken(start.Add(10), start, goal/5, goal, 10)
 		Expect(l.Value()).To(Equal(11))
 		now := start.Add(time.Second)
-		cut := l.WithFirstToken(now, start, 2*goal, goal, 10)
-		Expect(cut.Value()).To(Equal(9))
-		Expect(cut.WithFirstToken(now.Add(1), start, 2*goal, goal, 10)).To(Equal(cut))
+		decreased := l.WithFirstToken(now, start, 2*goal, goal, 10)
+		Expect(decreased.Value()).To(Equal(9))
+		Expect(decreased.WithFirstToken(now.Add(1), start, 2*goal, goal, 10)).To(Equal(decreased))
 	})
 
-	It("does not grow while it is not in use", func() {
+	It("does not grow while little of it is in use", func() {
 		l := admission.NewLimit(10, 20)
 		Expect(l.WithFirstToken(start, start, goal/5, goal, 1)).To(Equal(l))
 	})
 
-	It("keeps room for priority 0", func() {
+	It("reserves room for priority 0", func() {
 		l := admission.NewLimit(10, 20)
 		Expect(l.Room(8, 3)).To(BeTrue())
 		Expect(l.Room(9, 3)).To(BeFalse())
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Priorities is the number of priorities, 0 being the highest. A Ticket of a
-// lower priority than the last counts as the last.
+// Priorities is the number of priorities. 0 is the highest; numbers above the lowest
+// count as the lowest.
 const Priorities = 10
 
 // Ticket is one request that waits for an upstream.
@@ -11,7 +11,7 @@
 	// ID is unique among the tickets of a Queue.
 	ID uint64
 	// Service is the service that the request belongs to. Services of the same
-	// priority share the drain of a pool by weight.
+	// priority share the capacity of a pool by weight.
 	Service string
 	// Pool names the group of upstreams that can run the request: a model or a
 	// plain service.
@@ -20,19 +20,21 @@
 	// Weight is the share of the service among others of its priority. A weight
 	// of 0 or less counts as 1.
 	Weight float64
-	// Work is the expected work of the request, in any unit that is the same for
-	// all tickets. Work of 0 or less counts as 1.
+	// Work is the expected work of the request, in a unit that is the same for all
+	// tickets. Work of 0 or less counts as 1.
 	Work float64
-	// StartBy is the last time at which starting the request still makes sense:
-	// its goal for the first token can be met, or its deadline if no goal can.
+	// StartBy is the last time at which it makes sense to start the request: its goal
+	// for the first token can still be met, or its deadline if the goal can't.
 	StartBy time.Time
 }
 
+// level returns the priority, bounded to the known ones.
 func (t Ticket) level() int {
 	return min(int(t.Priority), Priorities-1)
 }
 
-func (t Ticket) charge() float64 {
+// cost returns the work of the ticket in relation to the weight of its service.
+func (t Ticket) cost() float64 {
 	work, weight := t.Work, t.Weight
 	if work <= 0 {
 		work = 1
@@ -50,8 +52,7 @@
 const (
 	// CauseTooLate means that the request could not start by its StartBy.
 	CauseTooLate Cause = iota + 1
-	// CauseFull means that the queue of the pool was full of requests that go
-	// first.
+	// CauseFull means that the queue of the pool was full of requests that go first.
 	CauseFull
 )
 
@@ -67,22 +68,22 @@
 	}
 }
 
-// Refusal is the final answer to a request that has not been sent anywhere. Its
-// outcome is not-run, and it is to be given to the caller at once.
+// Refusal is the final answer to a request that was not sent to any upstream. Its outcome
+// is not-run, and the caller should get it at once.
 type Refusal struct {
 	Ticket Ticket
 	Cause  Cause
-	// RetryAfter is when the caller may come back and find room, as far as the
-	// present drain of the pool tells.
+	// RetryAfter is the time after which the caller is likely to find room, by the
+	// current drain rate of the pool.
 	RetryAfter time.Duration
 }
 
-// Verdict answers Queue.Offer.
+// Verdict is the result of Queue.Offer.
 type Verdict struct {
-	// Queued says whether the ticket waits now. If not, Refused is its answer.
+	// Queued reports whether the ticket waits now. If not, Refused is its refusal.
 	Queued  bool
 	Refused Refusal
-	// Displaced is the answer to another ticket that gave up its place, if its
-	// Cause is set.
+	// Displaced is the refusal of another ticket that lost its place, if its Cause is
+	// set.
 	Displaced Refusal
 }
