--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Budgets holds a Budget for each service. Its memory is bounded by the names
-// that the caller passes, which it takes from the configuration in force.
+// Budgets holds a Budget for each service. Its memory grows with the number of service
+// names. The caller must take them from the configuration in force.
 //
 // A Budgets is not safe for concurrent use.
 type Budgets struct {
@@ -11,12 +11,12 @@
 	services map[string]*Budget
 }
 
-// NewBudgets returns a Budgets that makes each Budget with options.
+// NewBudgets returns an empty Budgets that creates each Budget with options.
 func NewBudgets(options Options) *Budgets {
 	return &Budgets{options: options, services: map[string]*Budget{}}
 }
 
-// Of returns the Budget of service.
+// Of returns the Budget of service, which it creates if needed.
 func (b *Budgets) Of(now time.Time, service string) *Budget {
 	budget := b.services[service]
 	if budget == nil {
@@ -26,7 +26,7 @@
 	return budget
 }
 
-// Keep forgets the services for which known returns false.
+// Keep removes the services for which known returns false.
 func (b *Budgets) Keep(known func(service string) bool) {
 	for service := range b.services {
 		if !known(service) {
@@ -35,9 +35,8 @@
 	}
 }
 
-// Resize changes the reserve and the refill of every Budget, as more or fewer
-// instances share what a service may get. What a Budget has beyond the new reserve
-// is lost.
+// Resize changes the reserve and the refill of every Budget, for when more or fewer
+// instances share the retries of a service. Tokens beyond the new reserve are lost.
 func (b *Budgets) Resize(reserve, refill float64) {
 	b.options.Reserve, b.options.Refill = reserve, refill
 	for _, budget := range b.services {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry decides whether a failed attempt at a request is followed by
-// another one (retries).
+// Package retry implements the retry policy and retry budget: it decides whether a failed
+// attempt at a request is followed by another one.
 //
-// It decides only. It takes the present time as an argument, does no I/O and
-// starts no goroutine.
+// The package only makes decisions: it takes the current time as an argument, does no
+// I/O and starts no goroutine.
 package retry
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/lovagelift/lovagelift/internal/outcome"
 )
 
-// AttemptHeader carries the number of the attempt, the first being 1, on every
-// request to an upstream. A request that comes to an instance with it is itself
-// a retry of another instance or of an upstream, and gets one attempt only.
+// AttemptHeader is sent with every request to an upstream. It holds the number of the
+// attempt, starting at 1. A request that arrives at an instance with this header is
+// itself an attempt of another instance or an upstream, and gets one attempt only.
 const AttemptHeader = "Lovagelift-Attempt"
 
-// Verdict says whether to try again, and if not, why.
+// Verdict is the decision on another attempt: Again, or the reason why not.
 type Verdict uint8
 
 // The verdicts.
@@ -25,16 +25,15 @@
 	Again Verdict = iota + 1
 	// MayHaveRun means that the request is not idempotent and may have run.
 	MayHaveRun
-	// AnswerBegun means that the caller has part of the answer.
+	// AnswerBegun means that the caller already has part of the answer.
 	AnswerBegun
 	// AttemptsSpent means that the request has had all its attempts.
 	AttemptsSpent
-	// Stacked means that the request is a retry already.
+	// Stacked means that the request arrived with AttemptHeader.
 	Stacked
 	// TooLate means that another attempt would not end by the deadline.
 	TooLate
-	// BudgetSpent means that retries have reached their share of the requests of
-	// the service.
+	// BudgetSpent means that the retry budget of the service is empty.
 	BudgetSpent
 )
 
@@ -60,34 +59,35 @@
 	}
 }
 
-// Attempt is an attempt that has failed.
+// Attempt is a failed attempt.
 type Attempt struct {
-	// Number counts the attempts at the request, the first being 1.
+	// Number is the number of the attempt, starting at 1.
 	Number int
 	// Outcome says whether the attempt ran at its upstream.
 	Outcome outcome.Outcome
-	// Idempotent says that running the request twice does no harm.
+	// Idempotent reports that the request may run more than once without harm.
 	Idempotent bool
-	// AnswerBegun says that part of the answer has gone to the caller.
+	// AnswerBegun reports that part of the answer was sent to the caller.
 	AnswerBegun bool
-	// Stacked says that the request came in with AttemptHeader.
+	// Stacked reports that the request arrived with AttemptHeader.
 	Stacked bool
-	// Deadline is when the answer is of no use any more, never if zero.
+	// Deadline is the time from which the answer is useless. Zero means no deadline.
 	Deadline time.Time
-	// Needed is the shortest time in which another attempt may end.
+	// Needed is the shortest time in which another attempt can end.
 	Needed time.Duration
 }
 
 // Options are the settings of a Budget. The zero value is useful.
 type Options struct {
-	// Attempts is the most attempts at one request, 3 if 0.
+	// Attempts is the maximum number of attempts at one request, 3 if 0.
 	Attempts int
-	// Share is the part of fresh requests that may be retried, 0.1 if 0.
+	// Share is the number of retries that each new request adds to the budget, 0.1 if
+	// 0.
 	Share float64
-	// Reserve is the number of retries that a service may make at once whatever
-	// its requests, 10 if 0. It carries services of few requests.
+	// Reserve is the maximum number of retries in the budget, 10 if 0. A budget starts
+	// full, so that services with few requests can retry.
 	Reserve float64
-	// Refill is the number of retries that a service gains each second whatever its
+	// Refill is the number of retries that the budget gains each second, independent of
 	// requests, 0.2 if 0.
 	Refill float64
 }
@@ -96,24 +96,24 @@
 	defaultAttempts = 3
 	defaultShare    = 0.1
 	defaultReserve  = 10
-	// defaultRefill keeps a service of few requests from being left without a
-	// retry for long after its reserve was spent.
+	// defaultRefill is in retries per second. It keeps a service with few requests from
+	// staying without retries for long once its reserve is spent.
 	defaultRefill = 0.2
 )
 
-// Budget bounds the retries of one service to a share of its fresh requests (a
-// token bucket).
+// Budget is a token bucket that bounds the retries of one service to a share of its new
+// requests.
 //
-// Without it, a fault that fails every attempt multiplies the load by the number
-// of attempts just when the upstreams can carry least. With it the load grows by
-// Share at most, for as long as the fault lasts.
+// Without it, a fault that fails every attempt multiplies the load by the number of
+// attempts, just when the upstreams can handle the least. With it, the load grows by no
+// more than Share, besides the reserve and the refill, for as long as the fault lasts.
 //
 // A Budget is not safe for concurrent use.
 type Budget struct {
 	options Options
 	// tokens is at most options.Reserve.
-	tokens float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // NewBudget returns a Budget whose reserve is full.
@@ -130,22 +130,22 @@
 	if options.Refill <= 0 {
 		options.Refill = defaultRefill
 	}
-	return &Budget{options: options, tokens: options.Reserve, at: now}
+	return &Budget{options: options, tokens: options.Reserve, refilledAt: now}
 }
 
-// Fresh takes in that a new request has come. Retries are not counted.
+// Fresh adds the share of one new request to the budget. It must not be called for
+// retries.
 func (b *Budget) Fresh() {
 	b.tokens = min(b.tokens+b.options.Share, b.options.Reserve)
 }
 
-// Decide returns whether the attempt a is followed by another, and takes a token
-// if it is.
+// Decide decides whether another attempt follows a, and takes a token if so.
 func (b *Budget) Decide(now time.Time, a Attempt) Verdict {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.tokens = min(b.tokens+elapsed.Seconds()*b.options.Refill, b.options.Reserve)
-		b.at = now
+		b.refilledAt = now
 	}
-	if verdict := a.barred(now, b.options.Attempts); verdict != 0 {
+	if verdict := a.denial(now, b.options.Attempts); verdict != 0 {
 		return verdict
 	}
 	if b.tokens < 1 {
@@ -155,19 +155,19 @@
 	return Again
 }
 
-// barred returns why the request must not be tried again, whatever the budget,
-// or 0.
-func (a *Attempt) barred(now time.Time, most int) Verdict {
+// denial returns the reason why no attempt may follow a, whatever the budget, or 0 if
+// there is none.
+func (a *Attempt) denial(now time.Time, maxAttempts int) Verdict {
 	switch {
 	case !a.Idempotent && a.Outcome != outcome.NotRun:
-		// The request may have run, and be running still. Sent again it could run
-		// twice: a rider would be charged twice.
+		// The request may have run or may still be running. Another attempt could run
+		// it a second time, for example charge a rider twice.
 		return MayHaveRun
 	case a.AnswerBegun:
 		return AnswerBegun
 	case a.Stacked:
 		return Stacked
-	case a.Number >= most:
+	case a.Number >= maxAttempts:
 		return AttemptsSpent
 	case !a.Deadline.IsZero() && now.Add(a.Needed).After(a.Deadline):
 		return TooLate
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,8 +19,8 @@
 		budget = retry.NewBudget(now, retry.Options{})
 	})
 
-	// A booking is sent and its connection breaks. It may have run: whatever else
-	// holds, another attempt could charge the rider twice.
+	// The connection of a booking breaks after the request was sent. It may have run, so
+	// another attempt could charge the rider twice.
 	DescribeTable("tries again only what did not run or is idempotent",
 		func(o outcome.Outcome, idempotent bool, verdict retry.Verdict) {
 			Expect(budget.Decide(now, retry.Attempt{Number: 1, Outcome: o, Idempotent: idempotent})).To(Equal(verdict))
@@ -33,21 +33,22 @@
 		Entry("ran, idempotent", outcome.Ran, true, retry.Again),
 	)
 
-	DescribeTable("keeps from trying again",
+	DescribeTable("denies another attempt",
 		func(a retry.Attempt, verdict retry.Verdict) {
 			a.Idempotent = true
 			Expect(budget.Decide(now, a)).To(Equal(verdict))
 		},
-		Entry("a retry", retry.Attempt{Number: 1, Stacked: true}, retry.Stacked),
-		Entry("the third attempt", retry.Attempt{Number: 3}, retry.AttemptsSpent),
-		Entry("a begun answer", retry.Attempt{Number: 1, AnswerBegun: true}, retry.AnswerBegun),
-		Entry("what can't end in time",
+		Entry("after a request that is itself a retry", retry.Attempt{Number: 1, Stacked: true}, retry.Stacked),
+		Entry("after the third attempt", retry.Attempt{Number: 3}, retry.AttemptsSpent),
+		Entry("after the answer has begun", retry.Attempt{Number: 1, AnswerBegun: true}, retry.AnswerBegun),
+		Entry("that can't end by the deadline",
 			retry.Attempt{Number: 1, Deadline: now.Add(time.Second), Needed: 2 * time.Second}, retry.TooLate),
 	)
 
 	It("bounds what a lasting fault adds to the load", func() {
-		// All upstreams refuse for ten seconds, at a hundred requests a second. With
-		// three attempts each, they would get three times the load.
+		// All upstreams refuse for 10 s, at 100 requests a second. With three attempts for
+		// each request, the load would triple. The budget allows 10 retries from the
+		// reserve, 100 for the requests and 2 by the refill.
 		retries := 0
 		at := now
 		for range 1000 {
@@ -61,7 +62,7 @@
 		Expect(retries).To(BeNumerically("<=", 113))
 	})
 
-	It("is separate for each service", func() {
+	It("is counted separately for each service", func() {
 		budgets := retry.NewBudgets(retry.Options{Reserve: 1})
 		failed := retry.Attempt{Number: 1, Idempotent: true}
 		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
