--- a/internal/routes/check.go
+++ b/internal/routes/checker.go
@@ -7,8 +7,8 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// New returns the table of draft. If draft is wrong, New returns a
-// *finding.Error with everything that is wrong and where.
+// New returns the Table of draft. If draft is invalid, New returns a *finding.Error with
+// all faults and their places.
 func New(draft Draft) (*Table, error) {
 	c := checker{table: &Table{
 		Version:  draft.Version,
@@ -20,42 +20,44 @@
 	for i := range draft.Services {
 		c.service(&draft.Services[i])
 	}
-	places := make(map[string]string, len(draft.Routes))
+	seen := make(map[string]string, len(draft.Routes))
 	for i := range draft.Routes {
-		c.route(&draft.Routes[i], places)
+		c.route(&draft.Routes[i], seen)
 	}
 	return c.table, c.findings.Err()
 }
 
-// checker gathers what is wrong with a draft.
+// checker builds a Table from a draft and collects the faults of the draft.
 type checker struct {
 	table    *Table
 	findings finding.List
 }
 
+// service checks a service and adds it to the table.
 func (c *checker) service(service *Service) {
 	place := finding.Place{File: "service " + service.Name}
 	if service.Name == "" {
 		c.findings.Add(place, "a service has no name", "")
 	}
-	if _, double := c.table.services[service.Name]; double {
+	if _, duplicate := c.table.services[service.Name]; duplicate {
 		c.findings.Add(place, "two services have this name", "")
 	}
 	c.table.services[service.Name] = service
 }
 
-// route checks a route. places holds the routes before it by host and prefix.
-func (c *checker) route(route *Route, places map[string]string) {
+// route checks a route and adds it to the table. seen maps the host and prefix of each
+// route checked before to its name.
+func (c *checker) route(route *Route, seen map[string]string) {
 	place := finding.Place{File: "route " + route.Name}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
 		c.findings.Add(place, fmt.Sprintf("the prefix %q does not begin and end with a slash", route.Prefix), "")
 	}
 	host := strings.ToLower(route.Host)
 	key := host + " " + route.Prefix
-	if other, double := places[key]; double {
+	if other, duplicate := seen[key]; duplicate {
 		c.findings.Add(place, "it has the host and prefix of route "+other, "")
 	}
-	places[key] = route.Name
+	seen[key] = route.Name
 	if route.Timeout <= 0 {
 		c.findings.Add(place, "its timeout is not above 0", "")
 	}
@@ -67,6 +69,7 @@
 	c.table.hosts[host] = append(c.table.hosts[host], route)
 }
 
+// shares checks the shares of a route.
 func (c *checker) shares(place finding.Place, route *Route) {
 	total := 0.0
 	for _, share := range route.Shares {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,5 @@
-// Package routes is the table by which requests find their service (routing
-// table): host and path prefix to a service, with what the operator asks of the
-// answers.
+// Package routes is the routing table of requests: it maps a host and path prefix to
+// services, with the operator's requirements for the answers.
 //
 // A Table is immutable and safe for concurrent use.
 package routes
@@ -11,7 +10,7 @@
 	"time"
 )
 
-// Kind says what may be repeated of a request.
+// Kind says whether requests of a route may run more than once.
 type Kind uint8
 
 const (
@@ -19,8 +18,8 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Stream requests are answered by events. They run at most once, unless the
-	// route is resumable.
+	// Stream requests are answered by a stream of events. They run at most once, unless
+	// the route is resumable.
 	Stream
 )
 
@@ -38,55 +37,56 @@
 	}
 }
 
-// Share is a part of a route's requests.
+// Share is the part of a route's requests that goes to one service.
 type Share struct {
 	Service string
-	// Weight is not negative; those of a route add up to more than 0.
+	// Weight is not negative. The weights of a route add up to more than 0.
 	Weight float64
 }
 
-// Route is where requests of one host under one path prefix go.
+// Route describes the requests of one host under one path prefix.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is kept waiting. It is above 0.
+	// Timeout is the longest time that a request waits for its answer. It is above 0.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is worth most. 0 stands for none.
+	// Objective is the target time for an answer, or for the first event of a stream. 0
+	// means no target.
 	Objective time.Duration
-	// Gap is the longest pause between two events of a stream that is still on
-	// time. 0 stands for none.
+	// Gap is the target for the longest pause between two events of a stream. 0 means no
+	// target.
 	Gap time.Duration
-	// Priority ranks the route, 0 being the most urgent.
+	// Priority is the priority of the requests, 0 being the most urgent.
 	Priority uint8
-	// Attempts is the most upstreams that run one request. It is at least 1.
+	// Attempts is the maximum number of upstreams that may run one request. It is at
+	// least 1.
 	Attempts int
-	// Resumable streams may go on at another upstream.
+	// Resumable reports that a stream may continue at another upstream.
 	Resumable bool
 	// Shares is not empty.
 	Shares []Share
 }
 
-// Repeatable says whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service for a request, by a number drawn from [0, 1).
-func (r *Route) Service(drawn float64) string {
+// Service returns the service for a request, given a random number from [0, 1).
+func (r *Route) Service(random float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
 		total += share.Weight
 	}
-	drawn *= total
+	random *= total
 	for _, share := range r.Shares {
-		if drawn < share.Weight {
+		if random < share.Weight {
 			return share.Service
 		}
-		drawn -= share.Weight
+		random -= share.Weight
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
@@ -94,34 +94,35 @@
 // Model is a model that the engines of a service may hold.
 type Model struct {
 	Name string
-	// Megabytes is the size of the weights, AdapterMegabytes that of each adapter.
+	// Megabytes is the size of the weights, AdapterMegabytes the size of each adapter.
 	Megabytes        float64
 	AdapterMegabytes float64
 	Adapters         int
-	// Load is the time of a load from the weight store, WarmLoad of one from the
-	// engine's memory and DiskLoad of one from its disk.
+	// Load is the time of a load from the weight store, WarmLoad from the engine's
+	// memory and DiskLoad from its disk.
 	Load     time.Duration
 	WarmLoad time.Duration
 	DiskLoad time.Duration
 }
 
-// Engine is what all engines of a service have in common.
+// Engine holds the properties that all engines of a service share.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// Stride is how many tokens an event of a stream holds.
+	// Stride is the number of tokens in an event of a stream.
 	Stride int
-	// KVTokens is the memory of an engine for prompts and answers.
+	// KVTokens is the capacity of an engine's KV cache, in tokens of prompts and
+	// answers.
 	KVTokens int
-	// Megabytes is the memory for weights and adapters.
+	// Megabytes is the memory of an engine for weights and adapters.
 	Megabytes    float64
 	AdapterSlots int
-	// LoadsPerSecond bounds the loads from the weight store over all engines.
+	// LoadsPerSecond limits the loads from the weight store, over all engines.
 	LoadsPerSecond float64
 	Models         []Model
 }
 
-// Model returns the model of that name.
+// Model returns the model with the given name.
 func (e *Engine) Model(name string) (Model, bool) {
 	for _, model := range e.Models {
 		if model.Name == name {
@@ -134,15 +135,16 @@
 // Service is a set of upstreams that answer the same requests.
 type Service struct {
 	Name string
-	// HealthPath is asked to see whether an upstream takes work.
+	// HealthPath is the path that shows whether an upstream accepts work.
 	HealthPath string
-	// Connections is how many an upstream accepts from all callers.
+	// Connections is the number of connections that an upstream accepts from all
+	// callers.
 	Connections int
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send. A field that is 0 stands for no limit.
+// Limits bounds the requests of callers. A field that is 0 means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -150,7 +152,7 @@
 	IdleTime    time.Duration
 }
 
-// Table is the routes and services of one version.
+// Table holds the routes and services of one version of the configuration.
 type Table struct {
 	Version  uint64
 	Limits   Limits
@@ -159,7 +161,7 @@
 	routes   int
 }
 
-// Draft is what a Table is made of.
+// Draft is the unchecked content of a Table.
 type Draft struct {
 	Version  uint64
 	Limits   Limits
@@ -167,22 +169,22 @@
 	Services []Service
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service {
 	return t.services[name]
 }
 
-// Services returns all services, by name.
+// Services returns all services by name.
 func (t *Table) Services() map[string]*Service {
 	return t.services
 }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int {
 	return t.routes
 }
 
-// Match returns the route of host with the longest prefix of path, or nil.
+// Match returns the route of host with the longest prefix that path starts with, or nil.
 func (t *Table) Match(host, path string) *Route {
 	var longest *Route
 	for _, route := range t.hosts[strings.ToLower(host)] {
@@ -193,7 +195,7 @@
 	return longest
 }
 
-// validWeight says whether a weight can be added up.
+// validWeight reports whether a weight is finite and not negative.
 func validWeight(weight float64) bool {
 	return weight >= 0 && !math.IsInf(weight, 1) && !math.IsNaN(weight)
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,6 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/routes"
 )
 
+// draft returns a draft of the given routes, with defaults for the fields that are not set.
 func draft(list ...routes.Route) routes.Draft {
 	for i := range list {
 		list[i].Host = "example.test"
@@ -28,7 +29,7 @@
 }
 
 var _ = Describe("Table", func() {
-	DescribeTable("takes the longest prefix of the host's routes",
+	DescribeTable("matches the route of the host with the longest prefix",
 		func(host, path, name string) {
 			table, err := routes.New(draft(
 				routes.Route{Name: "all", Prefix: "/"},
@@ -45,12 +46,12 @@
 		},
 		Entry("the longest", "example.test", "/drafts/bulk/7", "bulk"),
 		Entry("a shorter one", "example.test", "/drafts/7", "drafts"),
-		Entry("whole parts only", "example.test", "/draftsman", "all"),
+		Entry("whole path segments only", "example.test", "/draftsman", "all"),
 		Entry("any case of the host", "Example.Test", "/drafts/", "drafts"),
 		Entry("another host", "other.test", "/drafts/", ""),
 	)
 
-	It("shares requests out by weight", func() {
+	It("splits requests by weight", func() {
 		route := routes.Route{Shares: []routes.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 		Expect(route.Service(0)).To(Equal("a"))
 		Expect(route.Service(0.89)).To(Equal("a"))
@@ -58,7 +59,7 @@
 		Expect(route.Service(0.9999)).To(Equal("b"))
 	})
 
-	DescribeTable("says what may run twice",
+	DescribeTable("reports whether a request may run more than once",
 		func(route routes.Route, repeatable bool) {
 			Expect(route.Repeatable()).To(Equal(repeatable))
 		},
@@ -68,7 +69,7 @@
 		Entry("resumable stream", routes.Route{Kind: routes.Stream, Resumable: true}, true),
 	)
 
-	It("says everything that is wrong at once", func() {
+	It("reports all faults of a draft at once", func() {
 		_, err := routes.New(draft(
 			routes.Route{Name: "one", Prefix: "/a/"},
 			routes.Route{Name: "two", Prefix: "/a/"},
@@ -80,11 +81,11 @@
 		))
 		var found *finding.Error
 		Expect(errors.As(err, &found)).To(BeTrue())
-		for _, problem := range []string{
+		for _, fault := range []string{
 			"it has the host and prefix of route one", "its timeout is not above 0", `"nobody", which is no service`,
 			"its weights add up to 0", "does not begin and end with a slash", "its kind is not known",
 		} {
-			Expect(err.Error()).To(ContainSubstring(problem))
+			Expect(err.Error()).To(ContainSubstring(fault))
 		}
 	})
 })
