--- a/internal/edition/edition.go
+++ b/internal/edition/edition.go
@@ -1,8 +1,8 @@
-// Package edition keeps the one document that operators number themselves
-// (versioned configuration, the highest version wins).
+// Package edition implements a versioned configuration document. Operators choose the
+// version, and the document with the highest version is in force.
 //
-// It is a pure state machine: replicas that apply the same commands in the same
-// order hold the same document.
+// It is a pure state machine: replicas that apply the same commands in the same order
+// hold the same document.
 package edition
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Put asks for a document to be in force.
+// Put is the command that puts a document in force.
 type Put struct {
-	// Version is the operator's number of the document.
+	// Version is the version that the operator chose.
 	Version uint64 `json:"version"`
-	// Content is the document as the operator sent it. It was checked before it
-	// was proposed: replicas of two program versions that judged it differently
-	// would fork.
+	// Content is the document as the operator sent it. It is validated before it is
+	// proposed, not when it is applied: replicas of two program versions could disagree
+	// on its validity, and their states would diverge.
 	Content []byte `json:"content"`
 }
 
@@ -27,18 +27,18 @@
 type Verdict uint8
 
 const (
-	// Stored means that the document is in force.
+	// Stored means that the document is now in force.
 	Stored Verdict = iota + 1
-	// Held means that this very document was in force already.
+	// Held means that the same document is already in force.
 	Held
-	// Superseded means that a higher version is in force. An operator may send a
-	// change again after losing the answer, when a later one is in force already.
+	// Superseded means that a higher version is in force. An operator who got no answer
+	// to a change may send it again after a later one has taken effect.
 	Superseded
 	// Conflict means that another document is in force under the same version.
 	Conflict
 )
 
-// String returns the word for the verdict in logs.
+// String returns the word for the log.
 func (v Verdict) String() string {
 	switch v {
 	case Stored:
@@ -54,21 +54,22 @@
 	}
 }
 
-// Result is what a Put came to.
+// Result is the result of a Put.
 type Result struct {
 	Verdict Verdict `json:"verdict"`
-	// Version is the one in force after the Put.
+	// Version is the version in force after the Put.
 	Version uint64 `json:"version"`
 }
 
-// Edition is the document in force. It is immutable. The zero value is none.
+// Edition is the document in force. It is immutable. The zero value means that there is
+// none.
 type Edition struct {
 	Version uint64
 	// Content must not be changed.
 	Content []byte
 }
 
-// With returns the document in force after put, and what became of put.
+// With returns the document in force after put, and the result of put.
 func (e Edition) With(put Put) (Edition, Result) {
 	switch {
 	case put.Version > e.Version || e.Content == nil:
@@ -82,13 +83,12 @@
 	}
 }
 
-// Snapshot returns the encoding of the document.
+// Snapshot returns the encoded document and its version.
 func (e Edition) Snapshot() []byte {
 	return parcel.AppendBytes(parcel.AppendUint(nil, e.Version), e.Content)
 }
 
-// Restore returns the document whose Snapshot is data. If data is damaged,
-// Restore returns an error.
+// Restore returns the document whose Snapshot is data, or an error if data is corrupt.
 func Restore(data []byte) (Edition, error) {
 	reader := parcel.NewReader(data)
 	e := Edition{Version: reader.Uint()}
--- a/internal/edition/edition_test.go
+++ b/internal/edition/edition_test.go
@@ -19,24 +19,25 @@
 			Expect(result).To(Equal(edition.Result{Verdict: verdict, Version: version}))
 			Expect(string(after.Content)).To(Equal(content))
 		},
-		Entry("a higher one", put(9, "nine"), edition.Stored, uint64(9), "nine"),
-		// The answer to a change was lost, and the operator sends it again.
-		Entry("the same again", put(7, "seven"), edition.Held, uint64(7), "seven"),
-		// The operator sends again what a later change has replaced.
-		Entry("an older one", put(3, "three"), edition.Superseded, uint64(7), "seven"),
-		// Two operators chose one version. What was acknowledged must stay in force.
-		Entry("another of the same version", put(7, "other"), edition.Conflict, uint64(7), "seven"),
+		Entry("a higher version", put(9, "nine"), edition.Stored, uint64(9), "nine"),
+		// The answer to a change was lost, and the operator sends the change again.
+		Entry("the same document again", put(7, "seven"), edition.Held, uint64(7), "seven"),
+		// The operator sends a change again that a later one has replaced.
+		Entry("a lower version", put(3, "three"), edition.Superseded, uint64(7), "seven"),
+		// Two operators chose the same version. The acknowledged document must stay in
+		// force.
+		Entry("another document with the same version", put(7, "other"), edition.Conflict, uint64(7), "seven"),
 	)
 
-	It("comes back whole from a snapshot", func() {
+	It("is restored unchanged from a snapshot", func() {
 		restored, err := edition.Restore(held.Snapshot())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(restored).To(Equal(held))
 	})
 
-	It("refuses a snapshot that is cut off", func() {
-		whole := held.Snapshot()
-		_, err := edition.Restore(whole[:len(whole)-1])
+	It("rejects a truncated snapshot", func() {
+		snapshot := held.Snapshot()
+		_, err := edition.Restore(snapshot[:len(snapshot)-1])
 		Expect(err).To(HaveOccurred())
 	})
 })
