--- a/internal/gazette/gazette.go
+++ b/internal/gazette/gazette.go
@@ -1,5 +1,5 @@
-// Package gazette publishes the configuration in force to all parts of an
-// instance (configuration cache).
+// Package gazette is the configuration cache of an instance: it holds the configuration in
+// force for all parts of the instance.
 package gazette
 
 import (
@@ -13,15 +13,14 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Issue is the configuration in force at one revision. It is immutable and safe
-// for concurrent use.
+// Issue is the configuration at one revision. It is immutable and safe for concurrent use.
 //
-// A request takes one Issue when it is admitted and uses no other, so that it
-// never sees half of one preset and half of the next.
+// A request uses the Issue that is the latest at its admission until it ends, so that it
+// never sees a mixture of two presets.
 type Issue struct {
 	// Revision is 0 before the first change, when nothing is declared.
 	Revision registry.Revision
-	// Preset is the one preset in force. It is empty only at revision 0.
+	// Preset is the preset in force. It is empty only at revision 0.
 	Preset       declaration.Preset
 	Declarations declaration.Set
 }
@@ -29,10 +28,10 @@
 // Gazette holds the latest Issue. It is safe for concurrent use.
 type Gazette struct {
 	latest atomic.Pointer[Issue]
-	// publishing lets one Publish follow the other, so that a slower one does
-	// not put an older Issue in place of a newer.
-	publishing sync.Mutex
-	// encoded is what the declarations of latest were decoded from.
+	// publishMu serializes calls of Publish, so that a slow one can't replace a newer
+	// Issue by an older one. It guards encoded.
+	publishMu sync.Mutex
+	// encoded is the encoding of the declarations of latest.
 	encoded []byte
 }
 
@@ -48,16 +47,15 @@
 	return g.latest.Load()
 }
 
-// Publish puts the configuration of view in force for this instance. If its
-// revision is not above that in force, Publish does nothing: revisions never go
-// back, whichever way an older view was delayed.
+// Publish makes the configuration of view the latest Issue. If its revision is not above
+// the latest, Publish does nothing: a delayed older view never replaces a newer one.
 //
-// If the declarations of view cannot be decoded, Publish returns an error and
-// leaves the Issue in force as it is. The instance must then admit no new work,
-// as for an expired configuration lease; it most likely needs to be upgraded.
+// If the declarations of view can't be decoded or don't declare its preset, Publish returns
+// an error and keeps the latest Issue. The instance must then admit no new work, as after
+// the end of its configuration lease. Most likely it must be upgraded.
 func (g *Gazette) Publish(view *registry.View) error {
-	g.publishing.Lock()
-	defer g.publishing.Unlock()
+	g.publishMu.Lock()
+	defer g.publishMu.Unlock()
 	if view.Revision <= g.latest.Load().Revision {
 		return nil
 	}
@@ -67,15 +65,15 @@
 	}
 	preset, ok := set.Preset(view.Preset)
 	if !ok {
-		return errors.Newf("gazette: revision %d has preset %q in force, which it does not declare", view.Revision, view.Preset)
+		return errors.Newf("gazette: revision %d: preset %q is in force but not declared", view.Revision, view.Preset)
 	}
 	g.latest.Store(&Issue{Revision: view.Revision, Preset: preset, Declarations: set})
 	g.encoded = view.Declarations
 	return nil
 }
 
-// decode returns the declarations that encoded holds. A change of the preset
-// alone leaves them, so that a replay of hundreds of changes decodes them once.
+// decode decodes declarations. It reuses those of the latest Issue if the encoding is the
+// same: a replay of hundreds of changes of the preset alone then decodes them only once.
 func (g *Gazette) decode(encoded []byte) (declaration.Set, error) {
 	if latest := g.latest.Load(); latest.Revision > 0 && bytes.Equal(encoded, g.encoded) {
 		return latest.Declarations, nil
--- a/internal/gazette/gazette_test.go
+++ b/internal/gazette/gazette_test.go
@@ -14,7 +14,7 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// viewOf returns a view whose preset is named for its revision.
+// viewOf returns a view of a configuration with one preset, named after the revision.
 func viewOf(revision registry.Revision) *registry.View {
 	name := fmt.Sprintf("preset-%d", revision)
 	set, err := declaration.Read(fstest.MapFS{"a.toml": {Data: []byte("[[preset]]\nname = \"" + name + "\"\nfirst = true\n")}}, "decl")
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("Gazette", func() {
-	It("begins with nothing declared and follows the revisions", func() {
+	It("starts at revision 0 and follows the published revisions", func() {
 		g := gazette.New()
 		Expect(*g.Latest()).To(Equal(gazette.Issue{}))
 		Expect(g.Publish(&registry.View{})).To(Succeed())
@@ -35,16 +35,16 @@
 	})
 
 	It("never goes back to an earlier revision", func() {
-		// An instance asks two others for the configuration. The answer of the
-		// one that is behind arrives last. Callers of the new preset must not
-		// meet the old one again.
+		// An instance asks two others for the configuration. The answer of the one that
+		// is behind arrives last. Requests after the change to the new preset must not
+		// see the old one.
 		g := gazette.New()
 		Expect(g.Publish(viewOf(8))).To(Succeed())
 		Expect(g.Publish(viewOf(7))).To(Succeed())
 		Expect(g.Latest().Preset.Name).To(Equal("preset-8"))
 	})
 
-	It("leaves what is in force when it cannot read what follows", func() {
+	It("keeps the latest configuration if it can't use the next one", func() {
 		g := gazette.New()
 		Expect(g.Publish(viewOf(1))).To(Succeed())
 		newer := viewOf(2)
@@ -52,14 +52,14 @@
 		Expect(g.Publish(newer)).To(MatchError(ContainSubstring("gazette: revision 2: declaration: format 2")))
 		undeclared := viewOf(2)
 		undeclared.Preset = "preset-1"
-		Expect(g.Publish(undeclared)).To(MatchError(ContainSubstring(`preset "preset-1" in force, which it does not declare`)))
+		Expect(g.Publish(undeclared)).To(MatchError(ContainSubstring(`preset "preset-1" is in force but not declared`)))
 		Expect(g.Latest().Revision).To(Equal(registry.Revision(1)))
 	})
 
 	It("shows each reader whole issues in rising order", func() {
-		// Two publishers race with views in any order while requests read. Each
-		// request must see the preset of the revision it sees, and none earlier
-		// than one seen before.
+		// Two goroutines publish views in any order while others read. Each Issue must
+		// have the preset of its own revision, and no reader may see a lower revision
+		// than before.
 		const revisions = 50
 		g := gazette.New()
 		var publishers, readers sync.WaitGroup
@@ -98,9 +98,9 @@
 	})
 })
 
-// BenchmarkPublish measures how long a new revision takes to be decoded, checked
-// and in force on one instance, over the number of models with five adapters
-// each, and how many bytes a change of declarations carries to each instance.
+// BenchmarkPublish measures the time to decode, check and publish a new revision at one
+// instance, by the number of models with five adapters each. It also reports the size of
+// a change of the declarations on the wire.
 func BenchmarkPublish(b *testing.B) {
 	for _, models := range []int{20, 200, 1700} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// BenchmarkPublishAgain publishes a revision whose declarations are those of the
-// one before, as after a change of the preset alone.
+// BenchmarkPublishAgain publishes revisions with unchanged declarations, as after a change
+// of the preset alone.
 func BenchmarkPublishAgain(b *testing.B) {
 	for _, models := range []int{20, 1700} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// wireSizes returns the bytes of a change on its way to the voters, and of what
-// is in force on its way to each other instance.
+// wireSizes returns the sizes in bytes of a change as it is sent to the voters, and of the
+// view as it is sent to each other instance.
 func wireSizes(b *testing.B, declarations []byte) (change, view int) {
 	b.Helper()
 	prepared, err := registry.Change{ID: "x", Declarations: declarations}.Prepare(declaration.Check)
@@ -157,6 +157,8 @@
 	return len(command), len(wire)
 }
 
+// manyModels returns encoded declarations of the given number of models, each with one
+// service and five adapters.
 func manyModels(b *testing.B, models int) []byte {
 	b.Helper()
 	text := []byte("[[preset]]\nname = \"ordinary\"\nfirst = true\n")
