--- a/internal/electorate/electorate.go
+++ b/internal/electorate/electorate.go
@@ -1,9 +1,9 @@
-// Package electorate decides which replicas vote (membership of the consensus
-// group), so that a lost voter is replaced without a person.
+// Package electorate decides the membership of the consensus group: it plans which
+// replicas vote, so that a lost voter is replaced without an operator.
 //
-// It is pure: the present time and what the leader knows go in, and at most one
-// change comes out. The agreement itself refuses whatever would be unsafe
-// (package jury); this package only says what to ask for.
+// It is pure: it takes the current time and the knowledge of the leader, and returns at
+// most one change. The consensus protocol itself rejects unsafe changes (package jury);
+// this package only proposes them.
 package electorate
 
 import (
@@ -14,50 +14,49 @@
 
 // Options configures Decide.
 type Options struct {
-	// Least is how many voters there should be at the least. There are more if there
-	// are more replicas: the largest odd number of them. Any majority of the replicas
-	// then holds a majority of the voters, so that it can go on when the rest is cut
-	// off.
+	// Least is the minimum number of voters. With more replicas there are more voters:
+	// the largest odd number that is not above the number of replicas. Any majority of
+	// the replicas then holds a majority of the voters, so that it keeps working when
+	// the rest is cut off.
 	Least int
-	// Patience is how long a voter is silent before another replica takes its
-	// place. It is above the election timeout, or every lost packet would cost a
+	// Patience is how long a voter must be silent before another replica takes its
+	// place. It must be above the election timeout, or every lost packet would cause a
 	// change.
 	Patience time.Duration
 }
 
-// Change adds a voter or removes one. The zero value is no change.
+// Change adds or removes a voter. The zero value is no change.
 type Change struct {
 	Add    jury.Identity
 	Remove jury.Identity
 	Reason Reason
 }
 
-// Reason says what a change is for.
+// Reason is the reason for a change.
 type Reason string
 
 const (
-	// DiskLost means that the voter's instance is there under another identity.
+	// DiskLost means that the instance of the voter runs under another identity.
 	DiskLost Reason = "disk-lost"
 	// TooFew means that there are fewer voters than there should be.
 	TooFew Reason = "too-few"
 	// Replacement means that a voter is silent and another replica can vote.
 	Replacement Reason = "replacement"
-	// Replaced means that a voter is silent and there are enough without it.
+	// Replaced means that a voter is silent and there are enough voters without it.
 	Replaced Reason = "replaced"
 )
 
-// Decide returns the next change that the leader self should ask for, given the
-// voters in force and its peers. since is when its leadership began: before the
-// patience has passed since then, a voter that has not answered yet is not
-// silent.
+// Decide returns the next change that the leader self should propose, given the current
+// voters and its peers. leaderSince is the start of its leadership: silence before that
+// time does not count, so a new leader takes no voter for silent until Patience has passed.
 func Decide(
-	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, since time.Time, options Options,
+	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, leaderSince time.Time, options Options,
 ) Change {
-	g := newGroup(now, self, voters, peers, since, options)
+	g := newGroup(now, self, voters, peers, leaderSince, options)
 	size := max(options.Least, largestOdd(len(voters)+g.learners))
 	switch {
-	case g.lost != "":
-		return Change{Remove: g.lost, Reason: DiskLost}
+	case g.diskLost != "":
+		return Change{Remove: g.diskLost, Reason: DiskLost}
 	case g.learner != "" && len(voters) < size:
 		return Change{Add: g.learner, Reason: TooFew}
 	case g.silent != "" && len(voters) > options.Least && len(voters)%2 == 0:
@@ -74,47 +73,47 @@
 	return n - 1 + n%2
 }
 
-// group is the replicas by what may be done with them. Each field is the first
-// of its kind, or empty.
+// group classifies the replicas. An identity is empty if there is no replica of its kind.
 type group struct {
-	// lost is a voter whose instance answers under another identity.
-	lost jury.Identity
-	// silent is a voter that has not answered for the patience.
+	// diskLost is a voter whose instance answers under another identity.
+	diskLost jury.Identity
+	// silent is a voter that has not answered for Patience.
 	silent jury.Identity
-	// learner is no voter, answers and has caught up.
+	// learner is a replica that does not vote, answers and has caught up.
 	learner jury.Identity
-	// learners is how many answer.
+	// learners is the number of replicas that answer and do not vote, without those that
+	// run on the instance of a voter.
 	learners int
 }
 
 func newGroup(
-	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, since time.Time, options Options,
+	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, leaderSince time.Time, options Options,
 ) group {
 	var g group
-	known := make(map[jury.Identity]jury.PeerStatus, len(peers))
+	statuses := make(map[jury.Identity]jury.PeerStatus, len(peers))
 	for _, peer := range peers {
-		known[peer.Name] = peer
+		statuses[peer.Name] = peer
 	}
-	voting := make(map[jury.Identity]bool, len(voters))
-	instances := make(map[string]jury.Identity, len(voters))
+	votes := make(map[jury.Identity]bool, len(voters))
+	byInstance := make(map[string]jury.Identity, len(voters))
 	for _, voter := range voters {
-		voting[voter] = true
-		instances[voter.Instance()] = voter
-		last := known[voter].Heard
-		if last.Before(since) {
-			last = since
+		votes[voter] = true
+		byInstance[voter.Instance()] = voter
+		lastHeard := statuses[voter].Heard
+		if lastHeard.Before(leaderSince) {
+			lastHeard = leaderSince
 		}
-		if voter != self && g.silent == "" && now.Sub(last) >= options.Patience {
+		if voter != self && g.silent == "" && now.Sub(lastHeard) >= options.Patience {
 			g.silent = voter
 		}
 	}
 	for _, peer := range peers {
-		if voting[peer.Name] || !peer.Answers {
+		if votes[peer.Name] || !peer.Answers {
 			continue
 		}
-		if voter, taken := instances[peer.Name.Instance()]; taken {
-			if voter != self && !known[voter].Answers {
-				g.lost = voter
+		if voter, taken := byInstance[peer.Name.Instance()]; taken {
+			if voter != self && !statuses[voter].Answers {
+				g.diskLost = voter
 			}
 			continue
 		}
