--- a/internal/entries/entries.go
+++ b/internal/entries/entries.go
@@ -1,8 +1,8 @@
-// Package entries implements entry selection for callers: which of the
-// instances' addresses a caller is told to use, and for how long.
+// Package entries implements entry selection: it chooses the instances that a caller should
+// use, and for how long.
 //
-// It decides only. It takes the present time as an argument, does no I/O and
-// starts no goroutine.
+// The package only makes decisions: it takes the current time as an argument, does no
+// I/O and starts no goroutine.
 package entries
 
 import (
@@ -13,58 +13,58 @@
 
 const (
 	defaultCount = 3
-	// keepJitter is the part of the time to keep that is drawn anew for each
-	// answer.
+	// keepJitter is the share of the keep time that is random.
 	keepJitter = 0.3
-	// leastWeight is the weight of an instance that has far more open requests
-	// than the mean. Counts lag, so they move the choice by so much only.
-	leastWeight = 0.5
+	// minWeight is the weight of an instance that has far more open requests than the
+	// mean. The counts lag, so their influence on the choice is limited.
+	minWeight = 0.5
 )
 
-// Instance is what the choice needs to know of an instance.
+// Instance describes an instance to Choose.
 type Instance struct {
 	Name          string
 	Address       string
 	FailureDomain string
-	// Leaving says that it drains or can't confirm its configuration. It is never
-	// named to a caller.
+	// Leaving reports that the instance drains or can't confirm its configuration. It
+	// is never chosen.
 	Leaving bool
-	// Open is the number of requests that it has open.
+	// Open is the number of open requests.
 	Open int
 }
 
-// Options are the settings of Choose. The zero value is useful but for Keep.
+// Options are the settings of Choose. Keep must be set.
 type Options struct {
-	// Count is the most instances that an answer names, 3 if 0.
+	// Count is the maximum number of instances in an answer, 3 if 0.
 	Count int
-	// Keep is the longest time for which a caller keeps an answer. An instance
-	// that drains serves on for that long.
+	// Keep is the longest time for which a caller keeps an answer. A draining instance
+	// keeps serving for that long.
 	Keep time.Duration
 }
 
-// Answer is what a caller is told. The first instance is the one to use, the
-// others are for when it can't be reached.
+// Answer is the answer to a caller. The first instance is the one to use; the others are
+// fallbacks in case it can't be reached.
 type Answer struct {
 	Instances []Instance
-	// Keep is how long to keep the answer: up to three tenths less than
-	// Options.Keep. Callers that asked at the same moment, because an instance was
-	// lost or came back, would otherwise ask again at the same moment for ever.
+	// Keep is the time for which the caller keeps the answer: Options.Keep, shortened by
+	// a random share of up to three tenths. Without it, callers that asked at the same
+	// moment, because an instance was lost or came back, would forever ask again at the
+	// same moment.
 	Keep time.Duration
 }
 
-// Choose returns the instances for the caller that caller names, the one to use
-// first. Those that leave are not among them.
+// Choose returns the instances for the given caller, the one to use first. Leaving
+// instances are not among them.
 //
-// The same caller gets the same ones for as long as they are there, and when one
-// goes its callers spread over all others (weighted rendezvous hashing). Each
-// further one is of another failure domain while there are any, so that the loss
-// of a domain leaves a caller an address to use at once.
+// It uses weighted rendezvous hashing: a caller gets the same instances as long as they
+// are there, and when one leaves, its callers spread over all others. Each further
+// instance is of a failure domain that is not yet in the answer, if there is one, so that
+// after the loss of a domain a caller still has an address to use at once.
 func Choose(now time.Time, caller string, instances []Instance, options Options) Answer {
 	if options.Count <= 0 {
 		options.Count = defaultCount
 	}
 	ranked := rank(caller, instances)
-	answer := Answer{Keep: keep(now, caller, options.Keep)}
+	answer := Answer{Keep: keepTime(now, caller, options.Keep)}
 	for len(ranked) > 0 && len(answer.Instances) < options.Count {
 		i := nextDomain(ranked, answer.Instances)
 		answer.Instances = append(answer.Instances, ranked[i].Instance)
@@ -73,26 +73,27 @@
 	return answer
 }
 
-type scored struct {
+// scoredInstance is an instance with its rendezvous score for a caller.
+type scoredInstance struct {
 	Instance
 	score float64
 }
 
-// rank returns the instances that don't leave, the highest score first.
-func rank(caller string, instances []Instance) []scored {
-	ranked := make([]scored, 0, len(instances))
+// rank returns the instances that are not leaving, by falling score.
+func rank(caller string, instances []Instance) []scoredInstance {
+	ranked := make([]scoredInstance, 0, len(instances))
 	mean := meanOpen(instances)
 	for _, instance := range instances {
 		if instance.Leaving {
 			continue
 		}
 		uniform := fraction(hash(caller, instance.Name))
-		ranked = append(ranked, scored{
+		ranked = append(ranked, scoredInstance{
 			Instance: instance,
 			score:    -weight(instance.Open, mean) / math.Log(uniform),
 		})
 	}
-	slices.SortFunc(ranked, func(a, b scored) int {
+	slices.SortFunc(ranked, func(a, b scoredInstance) int {
 		switch {
 		case a.score > b.score:
 			return -1
@@ -105,9 +106,9 @@
 	return ranked
 }
 
-// nextDomain returns the place of the first of ranked whose failure domain is
-// not among chosen, or 0 if all are.
-func nextDomain(ranked []scored, chosen []Instance) int {
+// nextDomain returns the index of the first ranked instance whose failure domain is not
+// among the chosen ones, or 0 if there is none.
+func nextDomain(ranked []scoredInstance, chosen []Instance) int {
 	for i := range ranked {
 		taken := slices.ContainsFunc(chosen, func(c Instance) bool {
 			return c.FailureDomain == ranked[i].FailureDomain
@@ -119,6 +120,7 @@
 	return 0
 }
 
+// meanOpen returns the mean number of open requests of the instances that are not leaving.
 func meanOpen(instances []Instance) float64 {
 	total, count := 0, 0
 	for _, instance := range instances {
@@ -130,15 +132,17 @@
 	return float64(total) / float64(max(count, 1))
 }
 
-// weight is 1 up to the mean number of open requests, and less above it.
+// weight returns the weight of an instance: 1 up to the mean number of open requests, and
+// falling to minWeight above it.
 func weight(open int, mean float64) float64 {
 	if mean <= 0 || float64(open) <= mean {
 		return 1
 	}
-	return max(mean/float64(open), leastWeight)
+	return max(mean/float64(open), minWeight)
 }
 
-func keep(now time.Time, caller string, longest time.Duration) time.Duration {
-	drawn := fraction(hash(caller, now.Format(time.RFC3339Nano)))
-	return time.Duration(float64(longest) * (1 - keepJitter*drawn))
+// keepTime returns the keep time of an answer: longest, shortened by the jitter.
+func keepTime(now time.Time, caller string, longest time.Duration) time.Duration {
+	random := fraction(hash(caller, now.Format(time.RFC3339Nano)))
+	return time.Duration(float64(longest) * (1 - keepJitter*random))
 }
--- a/internal/entries/entries_test.go
+++ b/internal/entries/entries_test.go
@@ -27,16 +27,16 @@
 		}
 	})
 
-	// firsts counts the callers that are told to use each instance, and returns
-	// which.
-	firsts := func() (counts map[string]int, of []string) {
+	// firsts returns the number of callers whose first instance is each one, and the first
+	// instance of each caller.
+	firsts := func() (counts map[string]int, byCaller []string) {
 		counts = map[string]int{}
 		for c := range callers {
 			first := entries.Choose(now, strconv.Itoa(c), instances, options).Instances[0].Name
 			counts[first]++
-			of = append(of, first)
+			byCaller = append(byCaller, first)
 		}
-		return counts, of
+		return counts, byCaller
 	}
 
 	It("names instances of different failure domains", func() {
@@ -58,9 +58,9 @@
 	})
 
 	It("names no instance that leaves, and moves only its callers, to all others", func() {
-		// An instance drains. Its thousand callers ask again: were they all sent to
-		// the same other one, or were all callers dealt out anew, the reconnects
-		// would delay everyone's requests.
+		// An instance drains, and its 1000 callers ask again. If all of them got the same
+		// other instance, or if all callers were reassigned, the reconnects would delay
+		// the requests of everyone.
 		_, before := firsts()
 		instances[2].Leaving = true
 		counts, after := firsts()
@@ -86,8 +86,8 @@
 	})
 
 	It("spreads the times at which callers ask again", func() {
-		// All callers of a lost instance ask within the same second. Told the same
-		// time to keep, they would ask together again every five seconds.
+		// All callers of a lost instance ask within the same second. With the same keep
+		// time, they would ask again together every five seconds.
 		buckets := map[time.Duration]int{}
 		for c := range 1000 {
 			keep := entries.Choose(now, strconv.Itoa(c), instances, options).Keep
--- a/internal/entries/hash.go
+++ b/internal/entries/hash.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// hash returns a number that is spread evenly over caller and name, the same in
-// all processes: two instances must tell a caller the same.
+// hash returns an evenly distributed hash of caller and name. It is the same in all
+// processes, because all instances must give a caller the same answer.
 func hash(caller, name string) uint64 {
 	text := make([]byte, 0, len(caller)+1+len(name))
 	text = append(text, caller...)
@@ -16,10 +16,10 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// fractionBits is the number of bits that a float64 holds exactly.
+// fractionBits is the number of bits of an integer that a float64 holds exactly.
 const fractionBits = 53
 
-// fraction returns a number over 0 and under 1 that grows with hash.
+// fraction maps hash to a number above 0 and below 1, in the same order.
 func fraction(hash uint64) float64 {
 	return (float64(hash>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
 }
