--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// considerLower updates lower with the flows of p. All pools must have passed consider
-// before.
+// considerLower updates lower with the flows of p. It must be called after consider has
+// seen all pools.
 func (c *candidates) considerLower(p *pool) {
 	for _, f := range p.flows {
 		if len(f.waiting) == 0 || f.level <= c.best.level || f.level > c.lowest {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -42,8 +42,8 @@
 	services [Priorities]map[string]*serviceAccount
 	// size is the number of tickets in pools.
 	size int
-	// virtualTime is the virtual time of each priority. A service that had nothing
-	// waiting starts from there.
+	// virtualTime is the virtual time of each priority. A service that had no waiting
+	// tickets restarts at that time if its own is lower.
 	virtualTime [Priorities]float64
 	// skips counts the takes that passed over a waiting lower priority since the last
 	// take that went to one.
@@ -85,12 +85,13 @@
 	return total
 }
 
-// Offer queues t, or refuses it at once if it could not start by its StartBy. capacity is
-// the number of requests a second that the upstreams of the pool can start, 0 if unknown.
+// Offer queues t, or refuses it at once if it could not start by its StartBy, or if the
+// queue is full and t would go last. capacity is the number of requests a second that the
+// upstreams of the pool can start, 0 if unknown.
 //
-// If the queue is full, t displaces the ticket that would go last. Otherwise, if t delays
-// tickets of its service behind it, it displaces the first one that can no longer start
-// in time.
+// In a full queue, t displaces the ticket that would go last. Otherwise it displaces the
+// first ticket of its service that is behind it and can no longer start in time, if there
+// is one.
 func (q *Queue) Offer(now time.Time, t Ticket, capacity float64) Verdict {
 	p := q.pool(t.Pool)
 	f := q.flow(p, t)
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -23,12 +23,12 @@
 	// Work is the expected work of the request, in a unit that is the same for all
 	// tickets. Work of 0 or less counts as 1.
 	Work float64
-	// StartBy is the last time at which it makes sense to start the request: its goal
-	// for the first token can still be met, or its deadline if the goal can't.
+	// StartBy is the latest useful start: the last time at which the request can still
+	// meet its goal for the first token, or its deadline if it can't meet the goal.
 	StartBy time.Time
 }
 
-// level returns the priority, bounded to the known ones.
+// level returns the priority, at most Priorities-1.
 func (t Ticket) level() int {
 	return min(int(t.Priority), Priorities-1)
 }
--- a/internal/gazette/gazette.go
+++ b/internal/gazette/gazette.go
@@ -15,8 +15,8 @@
 
 // Issue is the configuration at one revision. It is immutable and safe for concurrent use.
 //
-// A request uses the Issue that is the latest at its admission until it ends, so that it
-// never sees a mixture of two presets.
+// A request keeps the Issue that is the latest at its admission, so that it never sees a
+// mixture of two presets.
 type Issue struct {
 	// Revision is 0 before the first change, when nothing is declared.
 	Revision registry.Revision
--- a/internal/stocking/candidate.go
+++ b/internal/stocking/candidate.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// loadPenaltySeconds is the penalty for an engine load, or for demand lost by the
-// victim, of one engine.
+// loadPenaltySeconds is the penalty for each unit of load, in engines: that of the
+// candidate engine and that of the victim's copies.
 const loadPenaltySeconds = 10
 
 // lastCopyPenaltySeconds is the penalty for unloading the last copy of an idle model:
@@ -78,9 +78,12 @@
 }
 
 // victim returns the model to unload from e to make room for m: the one with the lowest
-// demand for each remaining copy. The last copy of a model is unloaded only if the model
-// is idle and m has demand: on its next request it comes back from the engine's memory
-// or disk within a second or two.
+// demand for each remaining copy. A model is kept if its remaining copies would be loaded
+// by more than half of Busy and at least as much as those of m.
+//
+// The last copy of a model is unloaded only if the model is idle and m has demand. On its
+// next request, the model comes back from the engine's memory or disk within a second or
+// two.
 func (p *planner) victim(m *modelState, e *engineState) *modelState {
 	var chosen, lastResort *modelState
 	lowestLoad := 0.0
--- a/internal/stocking/planner.go
+++ b/internal/stocking/planner.go
@@ -74,7 +74,7 @@
 	return p
 }
 
-// highestDemand returns the demand for the most demanded model.
+// highestDemand returns the highest demand for a model.
 func (p *planner) highestDemand() float64 {
 	if len(p.models) == 0 {
 		return 0
@@ -125,10 +125,10 @@
 	}
 }
 
-// Demand shifts from the most demanded model to another within seconds, faster than
-// copies can be loaded. Spare copies therefore prepare every model with at least
-// shiftTargetShare of the highest demand for demandShiftShare of that demand on top of
-// its own.
+// Demand shifts from the model with the highest demand to another within seconds, faster
+// than copies can be loaded. The expected demand of each model that has at least
+// shiftTargetShare of the highest demand is therefore its own demand plus demandShiftShare
+// of the highest.
 const (
 	demandShiftShare = 0.5
 	shiftTargetShare = 0.1
@@ -153,9 +153,9 @@
 // in turn.
 const maxVictimLoadShare = 0.5
 
-// addSpare orders one spare copy, for the model with the highest expected load that can
-// get one, so that shifting demand or a failed engine finds a copy. It runs only if no
-// model needs a copy urgently.
+// addSpare orders one spare copy, in case demand shifts or an engine fails. It goes to the
+// model with the highest expected load that can get one. addSpare runs only if no model
+// needs a copy urgently.
 func (p *planner) addSpare() {
 	byExpectedLoad := slices.Clone(p.models)
 	slices.SortStableFunc(byExpectedLoad, func(a, b *modelState) int {
@@ -169,8 +169,8 @@
 }
 
 // tryAddSpare orders a spare copy of a model if an engine can get one, and reports whether
-// it did. expectedLoad is the expected load of the spare copy. If the copy must be
-// fetched, the whole allowance of fetches must be unused.
+// it did. expectedLoad is the expected load of the spare copy. A copy from the weight store
+// is ordered only if the plan contains no other fetch.
 func (p *planner) tryAddSpare(m *modelState, expectedLoad float64) bool {
 	var best candidate
 	for _, e := range p.engines {
--- a/internal/stocking/shortage.go
+++ b/internal/stocking/shortage.go
@@ -1,8 +1,8 @@
 package stocking
 
 const (
-	// unreachableFactor weights the demand for a model without a copy against that for
-	// an overloaded one: all of its requests are lost, not some.
+	// unreachableFactor is the weight of the demand for a model without a copy,
+	// compared with an overloaded model: all of its requests are lost, not only some.
 	unreachableFactor = 2
 	// waitingLoss is the loss, in engines, for each request that waits for a model
 	// without a copy. Demand alone would not do: for a model with one request in 10 s it
@@ -28,11 +28,11 @@
 // ordered. It returns false if the model needs no copy.
 func (p *planner) shortage(m *modelState) (shortage, bool) {
 	if len(m.copies) == 0 {
-		stake := unreachableFactor*m.Demand + waitingLoss*float64(m.Waiting)
-		if stake > 0 {
-			stake += missingLossPerSecond * m.Missing.Seconds()
+		loss := unreachableFactor*m.Demand + waitingLoss*float64(m.Waiting)
+		if loss > 0 {
+			loss += missingLossPerSecond * m.Missing.Seconds()
 		}
-		return shortage{model: m, reason: Unreachable, loss: stake}, stake > 0
+		return shortage{model: m, reason: Unreachable, loss: loss}, loss > 0
 	}
 	if m.Demand == 0 {
 		return shortage{}, false
@@ -42,6 +42,7 @@
 	for _, e := range m.copies {
 		lowestLoad = min(lowestLoad, e.load)
 	}
+	// The planned copies will take their part of the load.
 	lowestLoad *= float64(len(m.copies)-m.planned) / float64(len(m.copies))
 	loss := (lowestLoad - p.options.Busy) * min(float64(len(m.copies)), m.Demand/lowestLoad)
 	return shortage{model: m, reason: Demand, load: lowestLoad, loss: loss}, lowestLoad > p.options.Busy
@@ -50,10 +51,10 @@
 // relieveShortages orders copies for the models that need them, the one with the highest
 // loss first.
 //
-// Models without a copy do not come before all others: if they do, all four loads go to
-// models with few requests while the most demanded model has one copy of the four that it
-// needs. The share of the owed value that is delivered is then 0.564 instead of 0.603
-// (mean of five days with shifting demand and lost engines, three seeds).
+// Models without a copy do not always come first. If they did, all four loads could go to
+// models with few requests, while the model with the highest demand has one copy of the
+// four that it needs. The delivered share of the value owed is 0.564 by that rule and 0.603
+// by this one (mean of five days with shifting demand and lost engines, three seeds).
 func (p *planner) relieveShortages() {
 	skipped := map[*modelState]bool{}
 	for len(p.moves) < p.options.Orders {
--- a/internal/stocking/stocking.go
+++ b/internal/stocking/stocking.go
@@ -6,8 +6,8 @@
 // leader changes only the input.
 //
 // Package placement plans for declared minimums and slow moves, over minutes. Here the
-// demanded models change faster than a load takes, and a move is cheap compared with the
-// requests that it serves.
+// demand moves between models faster than a load takes, and a move is cheap compared with
+// the requests that it serves.
 package stocking
 
 import (
@@ -88,8 +88,8 @@
 	// Busy is the load, as a share of an engine's capacity, above which the models of
 	// an engine get another copy.
 	Busy float64
-	// Gain is how much less loaded than the least loaded copy of a model an engine
-	// must be to get another copy, as a share of the load of that copy.
+	// Gain is the minimum relief by a copy for an overloaded model: an engine gets one
+	// only if its load is lower than that of the least loaded copy by this share.
 	Gain float64
 	// Orders is the maximum number of moves in a plan.
 	Orders int
--- a/internal/stocking/stocking_test.go
+++ b/internal/stocking/stocking_test.go
@@ -78,10 +78,11 @@
 		}
 	})
 
-	// The most demanded model has six copies. Three others have one copy each, with twice
-	// the load that it can carry. In the order of demand the first model would get every
-	// load, and callers of the others would be refused for as long as the demand lasts.
-	It("adds copies of the models with the highest loss, not of the most demanded one", func() {
+	// The model with the highest demand has six copies. Three others have one copy each,
+	// with twice the load that it can carry. In the order of demand the first model would
+	// get every load, and callers of the others would be refused for as long as the demand
+	// lasts.
+	It("adds copies of the models with the highest loss, not of the one with the highest demand", func() {
 		models := []stocking.Model{model("big", 3.2), model("b", 1.8), model("c", 1.8), model("d", 1.8)}
 		engines := []stocking.Engine{
 			engine("1", "big", "b"), engine("2", "big", "c"), engine("3", "big", "d"), engine("4", "big"), engine("5", "big"),
@@ -148,7 +149,7 @@
 		Expect(stocking.Plan(models, engines, options)).To(BeEmpty())
 	})
 
-	It("orders nothing from an engine that is closed, leaving or loading", func() {
+	It("orders no move on an engine that is closed, leaving or loading", func() {
 		closed, leaving, loading := engine("2"), engine("3"), engine("4", "b")
 		closed.Closed, leaving.Leaving, loading.Coming = true, true, "b"
 		Expect(stocking.Plan([]stocking.Model{model("a", 2), model("b", 0)},
@@ -157,8 +158,8 @@
 
 	// Most of the demand is for one model, and it keeps shifting to the next, as in the
 	// worst case that users see. A load takes 6 s from the store and 1 s from elsewhere. The
-	// copies must follow: with the initial ones alone, the most demanded model has one
-	// engine for a demand of two.
+	// copies must follow: with the initial ones alone, the model with the highest demand
+	// has one engine for a demand of two.
 	It("follows demand that moves on", func() {
 		c := newCluster(12, 15)
 		worst := 0.0
@@ -172,7 +173,7 @@
 			}
 			c.checkMemory()
 		}
-		Expect(worst).To(BeNumerically("<", 0.7), "load per copy of the most demanded model from 8 s after each shift on")
+		Expect(worst).To(BeNumerically("<", 0.7), "load per copy of the model with the highest demand, from 8 s after each shift on")
 		Expect(c.heldModels()).To(BeNumerically(">=", 13), "of 15 models")
 	})
 })
