--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -92,7 +92,7 @@
 // In a full queue, t displaces the ticket that would go last. Otherwise it displaces the
 // first ticket of its service that is behind it and can no longer start in time, if there
 // is one.
-func (q *Queue) Offer(now time.Time, t Ticket, capacity float64) Verdict {
+func (q *Queue) Offer(now time.Time, t Ticket, capacity float64) OfferResult {
 	p := q.pool(t.Pool)
 	f := q.flow(p, t)
 	if capacity > 0 {
@@ -101,13 +101,13 @@
 	rate := p.drain.rate(now)
 	wait := waitTime(p.ahead(f, t.StartBy)+1, rate)
 	if now.Add(wait).After(t.StartBy) {
-		return Verdict{Refused: p.refuse(now, t, CauseTooLate, rate, wait)}
+		return OfferResult{Refused: p.refuse(now, t, CauseTooLate, rate, wait)}
 	}
 	var displaced Refusal
 	if p.size >= q.options.MaxWaiting {
 		victim := p.flowToDisplace(f)
 		if victim == nil {
-			return Verdict{Refused: p.refuse(now, t, CauseFull, rate, wait)}
+			return OfferResult{Refused: p.refuse(now, t, CauseFull, rate, wait)}
 		}
 		displaced = p.refuse(now, victim.removeAt(len(victim.waiting)-1), CauseFull, rate, wait)
 		q.noteRemoved(p)
@@ -117,7 +117,7 @@
 		displaced = p.refuse(now, f.removeAt(i), CauseTooLate, rate, 0)
 		q.noteRemoved(p)
 	}
-	return Verdict{Queued: true, Displaced: displaced}
+	return OfferResult{Queued: true, Displaced: displaced}
 }
 
 // Take removes and returns the next ticket for an upstream that serves pools. Its
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -76,10 +76,10 @@
 		// one second and can't: it is refused now, not after that second.
 		Expect(q.Offer(start, ticket(1, "drafts", 2, time.Second), 2).Queued).To(BeTrue())
 		Expect(q.Offer(start, ticket(2, "drafts", 2, time.Second), 2).Queued).To(BeTrue())
-		verdict := q.Offer(start, ticket(3, "drafts", 2, time.Second), 2)
-		Expect(verdict.Queued).To(BeFalse())
-		Expect(verdict.Refused.Cause).To(Equal(admission.CauseTooLate))
-		Expect(verdict.Refused.RetryAfter).To(Equal(time.Second))
+		result := q.Offer(start, ticket(3, "drafts", 2, time.Second), 2)
+		Expect(result.Queued).To(BeFalse())
+		Expect(result.Refused.Cause).To(Equal(admission.CauseTooLate))
+		Expect(result.Refused.RetryAfter).To(Equal(time.Second))
 	})
 
 	It("refuses at once a ticket that an earlier one of its service makes too late", func() {
@@ -88,10 +88,10 @@
 		// when its StartBy has passed.
 		q.Offer(start, ticket(1, "drafts", 2, 900*time.Millisecond), 2)
 		q.Offer(start, ticket(2, "drafts", 2, 1100*time.Millisecond), 2)
-		verdict := q.Offer(start, ticket(3, "drafts", 2, 600*time.Millisecond), 2)
-		Expect(verdict.Queued).To(BeTrue())
-		Expect(verdict.Displaced.Ticket.ID).To(Equal(uint64(1)))
-		Expect(verdict.Displaced.Cause).To(Equal(admission.CauseTooLate))
+		result := q.Offer(start, ticket(3, "drafts", 2, 600*time.Millisecond), 2)
+		Expect(result.Queued).To(BeTrue())
+		Expect(result.Displaced.Ticket.ID).To(Equal(uint64(1)))
+		Expect(result.Displaced.Cause).To(Equal(admission.CauseTooLate))
 		Expect(takeAll(q, start)).To(Equal([]uint64{3, 2}))
 	})
 
@@ -100,9 +100,9 @@
 		// would come back in one burst, and most would be refused again.
 		var last time.Duration
 		for id := range uint64(20) {
-			verdict := q.Offer(start, ticket(id, "drafts", 2, 0), 2)
-			Expect(verdict.Refused.RetryAfter).To(BeNumerically(">=", last+500*time.Millisecond))
-			last = verdict.Refused.RetryAfter
+			result := q.Offer(start, ticket(id, "drafts", 2, 0), 2)
+			Expect(result.Refused.RetryAfter).To(BeNumerically(">=", last+500*time.Millisecond))
+			last = result.Refused.RetryAfter
 		}
 	})
 
@@ -110,10 +110,10 @@
 		for id := range uint64(8) {
 			q.Offer(start, ticket(id, "drafts", 3, time.Duration(id+1)*time.Second), 0)
 		}
-		verdict := q.Offer(start, ticket(100, "pings", 0, time.Second), 0)
-		Expect(verdict.Queued).To(BeTrue())
-		Expect(verdict.Displaced.Ticket.ID).To(Equal(uint64(7)))
-		Expect(verdict.Displaced.Cause).To(Equal(admission.CauseFull))
+		result := q.Offer(start, ticket(100, "pings", 0, time.Second), 0)
+		Expect(result.Queued).To(BeTrue())
+		Expect(result.Displaced.Ticket.ID).To(Equal(uint64(7)))
+		Expect(result.Displaced.Cause).To(Equal(admission.CauseFull))
 		Expect(q.Offer(start, ticket(101, "drafts", 3, time.Minute), 0).Refused.Cause).To(Equal(admission.CauseFull))
 		Expect(q.Size()).To(Equal(8))
 	})
@@ -122,9 +122,9 @@
 		for id := range uint64(8) {
 			q.Offer(start, ticket(id, "drafts", 3, time.Minute), 0)
 		}
-		verdict := q.Offer(start, ticket(100, "summaries", 3, time.Minute), 0)
-		Expect(verdict.Queued).To(BeTrue())
-		Expect(verdict.Displaced.Ticket.Service).To(Equal("drafts"))
+		result := q.Offer(start, ticket(100, "summaries", 3, time.Minute), 0)
+		Expect(result.Queued).To(BeTrue())
+		Expect(result.Displaced.Ticket.Service).To(Equal("drafts"))
 	})
 
 	It("refuses a waiting ticket as soon as its StartBy has passed", func() {
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -78,8 +78,8 @@
 	RetryAfter time.Duration
 }
 
-// Verdict is the result of Queue.Offer.
-type Verdict struct {
+// OfferResult is the result of Queue.Offer.
+type OfferResult struct {
 	// Queued reports whether the ticket waits now. If not, Refused is its refusal.
 	Queued  bool
 	Refused Refusal
--- a/internal/entries/entries.go
+++ b/internal/entries/entries.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	defaultCount = 3
+	defaultMaxInstances = 3
 	// keepJitter is the share of the keep time that is random.
 	keepJitter = 0.3
 	// minWeight is the weight of an instance that has far more open requests than the
@@ -34,8 +34,8 @@
 
 // Options are the settings of Choose. Keep must be set.
 type Options struct {
-	// Count is the maximum number of instances in an answer, 3 if 0.
-	Count int
+	// MaxInstances is the maximum number of instances in an answer, 3 if 0.
+	MaxInstances int
 	// Keep is the longest time for which a caller keeps an answer. A draining instance
 	// keeps serving for that long.
 	Keep time.Duration
@@ -60,12 +60,12 @@
 // instance is of a failure domain that is not yet in the answer, if there is one, so that
 // after the loss of a domain a caller still has an address to use at once.
 func Choose(now time.Time, caller string, instances []Instance, options Options) Answer {
-	if options.Count <= 0 {
-		options.Count = defaultCount
+	if options.MaxInstances <= 0 {
+		options.MaxInstances = defaultMaxInstances
 	}
 	ranked := rank(caller, instances)
 	answer := Answer{Keep: keepTime(now, caller, options.Keep)}
-	for len(ranked) > 0 && len(answer.Instances) < options.Count {
+	for len(ranked) > 0 && len(answer.Instances) < options.MaxInstances {
 		i := nextDomain(ranked, answer.Instances)
 		answer.Instances = append(answer.Instances, ranked[i].Instance)
 		ranked = slices.Delete(ranked, i, i+1)
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -26,8 +26,8 @@
 	return budget
 }
 
-// Keep removes the services for which known returns false.
-func (b *Budgets) Keep(known func(service string) bool) {
+// Retain removes the services for which known returns false.
+func (b *Budgets) Retain(known func(service string) bool) {
 	for service := range b.services {
 		if !known(service) {
 			delete(b.services, service)
@@ -37,10 +37,10 @@
 
 // Resize changes the reserve and the refill of every Budget, for when more or fewer
 // instances share the retries of a service. Tokens beyond the new reserve are lost.
-func (b *Budgets) Resize(reserve, refill float64) {
-	b.options.Reserve, b.options.Refill = reserve, refill
+func (b *Budgets) Resize(reserve, refillPerSecond float64) {
+	b.options.Reserve, b.options.RefillPerSecond = reserve, refillPerSecond
 	for _, budget := range b.services {
-		budget.options.Reserve, budget.options.Refill = reserve, refill
+		budget.options.Reserve, budget.options.RefillPerSecond = reserve, refillPerSecond
 		budget.tokens = min(budget.tokens, reserve)
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -29,8 +29,8 @@
 	AnswerBegun
 	// AttemptsSpent means that the request has had all its attempts.
 	AttemptsSpent
-	// Stacked means that the request arrived with AttemptHeader.
-	Stacked
+	// AlreadyRetry means that the request arrived with AttemptHeader.
+	AlreadyRetry
 	// TooLate means that another attempt would not end by the deadline.
 	TooLate
 	// BudgetSpent means that the retry budget of the service is empty.
@@ -48,7 +48,7 @@
 		return "answer-begun"
 	case AttemptsSpent:
 		return "attempts-spent"
-	case Stacked:
+	case AlreadyRetry:
 		return "retry-of-a-retry"
 	case TooLate:
 		return "too-late"
@@ -73,8 +73,8 @@
 	Stacked bool
 	// Deadline is the time from which the answer is useless. Zero means no deadline.
 	Deadline time.Time
-	// Needed is the shortest time in which another attempt can end.
-	Needed time.Duration
+	// MinDuration is the shortest time in which another attempt can end.
+	MinDuration time.Duration
 }
 
 // Options are the settings of a Budget. The zero value is useful.
@@ -87,18 +87,18 @@
 	// Reserve is the maximum number of retries in the budget, 10 if 0. A budget starts
 	// full, so that services with few requests can retry.
 	Reserve float64
-	// Refill is the number of retries that the budget gains each second, independent of
-	// requests, 0.2 if 0.
-	Refill float64
+	// RefillPerSecond is the number of retries that the budget gains each second,
+	// independent of requests, 0.2 if 0.
+	RefillPerSecond float64
 }
 
 const (
 	defaultAttempts = 3
 	defaultShare    = 0.1
 	defaultReserve  = 10
-	// defaultRefill is in retries per second. It keeps a service with few requests from
-	// staying without retries for long once its reserve is spent.
-	defaultRefill = 0.2
+	// defaultRefillPerSecond keeps a service with few requests from staying without
+	// retries for long once its reserve is spent.
+	defaultRefillPerSecond = 0.2
 )
 
 // Budget is a token bucket that bounds the retries of one service to a share of its new
@@ -127,8 +127,8 @@
 	if options.Reserve <= 0 {
 		options.Reserve = defaultReserve
 	}
-	if options.Refill <= 0 {
-		options.Refill = defaultRefill
+	if options.RefillPerSecond <= 0 {
+		options.RefillPerSecond = defaultRefillPerSecond
 	}
 	return &Budget{options: options, tokens: options.Reserve, refilledAt: now}
 }
@@ -142,7 +142,7 @@
 // Decide decides whether another attempt follows a, and takes a token if so.
 func (b *Budget) Decide(now time.Time, a Attempt) Verdict {
 	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
-		b.tokens = min(b.tokens+elapsed.Seconds()*b.options.Refill, b.options.Reserve)
+		b.tokens = min(b.tokens+elapsed.Seconds()*b.options.RefillPerSecond, b.options.Reserve)
 		b.refilledAt = now
 	}
 	if verdict := a.denial(now, b.options.Attempts); verdict != 0 {
@@ -166,10 +166,10 @@
 	case a.AnswerBegun:
 		return AnswerBegun
 	case a.Stacked:
-		return Stacked
+		return AlreadyRetry
 	case a.Number >= maxAttempts:
 		return AttemptsSpent
-	case !a.Deadline.IsZero() && now.Add(a.Needed).After(a.Deadline):
+	case !a.Deadline.IsZero() && now.Add(a.MinDuration).After(a.Deadline):
 		return TooLate
 	default:
 		return 0
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -38,11 +38,11 @@
 			a.Idempotent = true
 			Expect(budget.Decide(now, a)).To(Equal(verdict))
 		},
-		Entry("after a request that is itself a retry", retry.Attempt{Number: 1, Stacked: true}, retry.Stacked),
+		Entry("after a request that is itself a retry", retry.Attempt{Number: 1, Stacked: true}, retry.AlreadyRetry),
 		Entry("after the third attempt", retry.Attempt{Number: 3}, retry.AttemptsSpent),
 		Entry("after the answer has begun", retry.Attempt{Number: 1, AnswerBegun: true}, retry.AnswerBegun),
 		Entry("that can't end by the deadline",
-			retry.Attempt{Number: 1, Deadline: now.Add(time.Second), Needed: 2 * time.Second}, retry.TooLate),
+			retry.Attempt{Number: 1, Deadline: now.Add(time.Second), MinDuration: 2 * time.Second}, retry.TooLate),
 	)
 
 	It("bounds what a lasting fault adds to the load", func() {
@@ -68,7 +68,7 @@
 		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
 		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.BudgetSpent))
 		Expect(budgets.Of(now, "pings").Decide(now, failed)).To(Equal(retry.Again))
-		budgets.Keep(func(service string) bool { return service == "pings" })
+		budgets.Retain(func(service string) bool { return service == "pings" })
 		Expect(budgets.Of(now, "pings").Decide(now, failed)).To(Equal(retry.BudgetSpent))
 		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
 	})
