--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Budgets holds a Budget for each service. Its memory is bounded by the names
-// that the caller passes, which it takes from the configuration in force.
+// Budgets holds a Budget for each service. Its memory grows with the number of service
+// names. The caller must take them from the configuration in force.
 //
 // A Budgets is not safe for concurrent use.
 type Budgets struct {
@@ -11,12 +11,12 @@
 	services map[string]*Budget
 }
 
-// NewBudgets returns a Budgets that makes each Budget with options.
+// NewBudgets returns an empty Budgets that creates each Budget with options.
 func NewBudgets(options Options) *Budgets {
 	return &Budgets{options: options, services: map[string]*Budget{}}
 }
 
-// Of returns the Budget of service.
+// Of returns the Budget of service, which it creates if needed.
 func (b *Budgets) Of(now time.Time, service string) *Budget {
 	budget := b.services[service]
 	if budget == nil {
@@ -26,8 +26,8 @@
 	return budget
 }
 
-// Keep forgets the services for which known returns false.
-func (b *Budgets) Keep(known func(service string) bool) {
+// Retain removes the services for which known returns false.
+func (b *Budgets) Retain(known func(service string) bool) {
 	for service := range b.services {
 		if !known(service) {
 			delete(b.services, service)
@@ -35,13 +35,12 @@
 	}
 }
 
-// Resize changes the reserve and the refill of every Budget, as more or fewer
-// instances share what a service may get. What a Budget has beyond the new reserve
-// is lost.
-func (b *Budgets) Resize(reserve, refill float64) {
-	b.options.Reserve, b.options.Refill = reserve, refill
+// Resize changes the reserve and the refill of every Budget, for when more or fewer
+// instances share the retries of a service. Tokens beyond the new reserve are lost.
+func (b *Budgets) Resize(reserve, refillPerSecond float64) {
+	b.options.Reserve, b.options.RefillPerSecond = reserve, refillPerSecond
 	for _, budget := range b.services {
-		budget.options.Reserve, budget.options.Refill = reserve, refill
+		budget.options.Reserve, budget.options.RefillPerSecond = reserve, refillPerSecond
 		budget.tokens = min(budget.tokens, reserve)
 	}
 }
