--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,32 +1,32 @@
-// Package outcome defines what a caller is told about whether its request ran.
+// Package outcome defines the request outcomes that are reported to callers: whether a request
+// ran.
 //
-// The three words are a promise. Every place that answers a caller takes them
-// from here.
+// Callers rely on these values to decide whether they may send a request again. All code that
+// responds to callers uses this package.
 package outcome
 
 import "github.com/cockroachdb/errors"
 
-// Header is the response header that carries an Outcome to the caller.
+// Header is the response header with the Outcome.
 const Header = "Lovagelift-Outcome"
 
-// Outcome says whether a request was run by an upstream.
+// Outcome is whether an upstream ran a request.
 //
-// The zero value is Unknown, so that an outcome nobody decided never promises
-// anything.
+// The zero value is Unknown, so that an unset outcome promises nothing.
 type Outcome uint8
 
 const (
 	// Unknown means that an upstream may or may not have run the request.
 	Unknown Outcome = iota
-	// NotRun means that no upstream has run the request, nor ever will: no byte
-	// of it can have reached one, or the upstream said that it refused it
-	// before running.
+	// NotRun means that no upstream has run the request or will run it: either no byte of it
+	// can have reached an upstream, or the upstream reported that it refused the request before
+	// running it.
 	NotRun
-	// Ran means that an upstream ran the request, wholly or in part.
+	// Ran means that an upstream ran the request, completely or partially.
 	Ran
 )
 
-// String returns the word that is sent to callers: "not-run", "unknown" or "ran".
+// String returns the value sent to callers: "not-run", "unknown" or "ran".
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -38,23 +38,22 @@
 	}
 }
 
-// Parse returns the Outcome that word names. If word is none of the three
-// words, Parse returns an error.
-func Parse(word string) (Outcome, error) {
+// Parse is the inverse of String. It returns an error for any other text.
+func Parse(text string) (Outcome, error) {
 	for _, o := range []Outcome{Unknown, NotRun, Ran} {
-		if o.String() == word {
+		if o.String() == text {
 			return o, nil
 		}
 	}
-	return Unknown, errors.Newf("outcome: %q is none of not-run, unknown and ran", word)
+	return Unknown, errors.Newf("outcome: %q is none of not-run, unknown and ran", text)
 }
 
-// MarshalText returns the word that is sent to callers.
+// MarshalText returns the value sent to callers.
 func (o Outcome) MarshalText() ([]byte, error) {
 	return []byte(o.String()), nil
 }
 
-// UnmarshalText sets o to the Outcome that text names.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	parsed, err := Parse(string(text))
 	if err != nil {
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -8,12 +8,12 @@
 )
 
 var _ = Describe("Outcome", func() {
-	It("promises nothing unless somebody decided", func() {
-		var undecided outcome.Outcome
-		Expect(undecided.String()).To(Equal("unknown"))
+	It("is unknown if it is not set", func() {
+		var unset outcome.Outcome
+		Expect(unset.String()).To(Equal("unknown"))
 	})
 
-	DescribeTable("is read back from its word",
+	DescribeTable("is parsed from its text",
 		func(o outcome.Outcome) {
 			parsed, err := outcome.Parse(o.String())
 			Expect(err).NotTo(HaveOccurred())
@@ -24,7 +24,7 @@
 		Entry("ran", outcome.Ran),
 	)
 
-	It("refuses any other word", func() {
+	It("rejects any other text", func() {
 		_, err := outcome.Parse("maybe")
 		Expect(err).To(MatchError(ContainSubstring("maybe")))
 	})
