--- a/internal/desk/attempts.go
+++ b/internal/desk/attempts.go
@@ -44,12 +44,12 @@
 	if err != nil {
 		return s.finalRefusal(task, err)
 	}
-	// This frees the slot if relaying panics. Otherwise relayResponse has already released it.
+	// Free the slot even if relaying panics. Otherwise relayResponse releases it first.
 	defer proxied.slot.release(dispatch.FailureCanceled)
 	return s.relayResponse(c, task, proxied)
 }
 
-// proxiedAnswer is an upstream's response that is being relayed to the caller.
+// proxiedResponse is an upstream's response that is being relayed to the caller.
 type proxiedResponse struct {
 	response *shuttle.Answer
 	slot     *slot
@@ -140,7 +140,8 @@
 	response := proxied.response
 	c.Response().Header().Set(outcome.Header, outcome.Ran.String())
 	if isEventStream(response) {
-		// With a Content-Length, no event could be added to report a stream that ends early.
+		// An event stream may turn out to be incomplete only at its end. With a Content-Length,
+		// no event could then be added to report that.
 		response.Header.Del("Content-Length")
 	}
 	shuttle.Head(c.Response(), response)
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -65,7 +65,7 @@
 	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64
 	// MaxPrefetchBytes is the maximum size of a response that is read in full before any of it
-	// is sent to the caller. A larger response is streamed.
+	// is sent to the caller. Larger responses and event streams are relayed as they arrive.
 	MaxPrefetchBytes int64
 	// Deadline is the time limit of a request whose service sets none.
 	Deadline time.Duration
