--- a/internal/desk/overload_test.go
+++ b/internal/desk/overload_test.go
@@ -123,8 +123,9 @@
 		Expect(engines[other].runCount()).To(Equal(5))
 	})
 
-	// One engine receives the request and dies, the other refuses the connection. The outcome
-	// must be that of the first attempt, which may have run.
+	// One engine receives the request and dies, the other refuses the connection. Whichever is
+	// tried last, the outcome must be unknown, as the engine that died may have run the
+	// request.
 	It("tells what may have run, whichever attempt came last", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		dying := newFakeUpstream(closeWithoutAnswer)
 		server.setUpstreams(dying.address(), closedAddress())
