--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -14,7 +14,7 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-func command(index jury.Index, term jury.Term) jury.Entry {
+func commandEntry(index jury.Index, term jury.Term) jury.Entry {
 	return jury.Entry{Index: index, Term: term, Kind: jury.EntryCommand, Data: []byte(fmt.Sprint(index))}
 }
 
@@ -25,14 +25,14 @@
 		options = archive.Options{Folder: filepath.Join(GinkgoT().TempDir(), "state", "voter"), SegmentBytes: 400}
 	})
 
-	It("comes back with what it took", func() {
+	It("restores the hard state, snapshot and entries after a restart", func() {
 		a, loaded, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(loaded.Fresh).To(BeTrue())
 		Expect(loaded.Number).NotTo(BeZero())
 		var entries []jury.Entry
 		for i := jury.Index(1); i <= 100; i++ {
-			entries = append(entries, command(i, 1))
+			entries = append(entries, commandEntry(i, 1))
 			Expect(a.Append(jury.HardState{Term: 1, Vote: "kgn-a/1"}, 0, entries[i-1:])).To(Succeed())
 		}
 		snapshot := jury.Snapshot{Index: 90, Term: 1, Voters: []jury.Identity{"kgn-a/1"}, Data: []byte("state")}
@@ -41,9 +41,9 @@
 		Expect(a.Close()).To(Succeed())
 		Expect(a.Append(jury.HardState{Term: 1}, 0, nil)).To(MatchError(archive.ErrClosed))
 
-		again, reloaded, err := archive.Open(options)
+		reopened, reloaded, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		defer again.Close()
+		defer reopened.Close()
 		Expect(reloaded).To(Equal(archive.Loaded{
 			Number:    loaded.Number,
 			HardState: jury.HardState{Term: 1, Vote: "kgn-a/1"},
@@ -55,33 +55,33 @@
 		Expect(len(logs)).To(BeNumerically("<", 5))
 	})
 
-	// The protocol grows a field and the disk drops it: a voter that restarts
-	// believes something else than it promised.
-	It("keeps every field of what it is given", func() {
+	// If a field is added to the protocol but not to the encoding, a restarted
+	// voter has a different state from the one that it acknowledged.
+	It("stores every field of the hard state, the snapshot and the entries", func() {
 		a, _, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		hard := jury.HardState{Term: 9, Vote: "kgn-b/2"}
+		hardState := jury.HardState{Term: 9, Vote: "kgn-b/2"}
 		snapshot := jury.Snapshot{Index: 3, Term: 7, Cluster: "parish-courts", Voters: []jury.Identity{"kgn-a/1", "kgn-b/2"}, Data: []byte("state")}
 		entry := jury.Entry{Index: 4, Term: 8, Kind: jury.EntryVoters, Data: []byte("kgn-c/3")}
-		for _, value := range []any{hard, snapshot, entry} {
+		for _, value := range []any{hardState, snapshot, entry} {
 			fields := reflect.ValueOf(value)
 			for i := range fields.NumField() {
 				Expect(fields.Field(i).IsZero()).To(BeFalse(), "set %s.%s here", fields.Type(), fields.Type().Field(i).Name)
 			}
 		}
 		Expect(a.SaveSnapshot(snapshot)).To(Succeed())
-		Expect(a.Append(hard, 0, []jury.Entry{entry})).To(Succeed())
+		Expect(a.Append(hardState, 0, []jury.Entry{entry})).To(Succeed())
 		Expect(a.Close()).To(Succeed())
 		a, loaded, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		defer a.Close()
-		Expect(loaded.HardState).To(Equal(hard))
+		Expect(loaded.HardState).To(Equal(hardState))
 		Expect(loaded.Snapshot).To(Equal(snapshot))
 		Expect(loaded.Entries).To(Equal([]jury.Entry{entry}))
 	})
 
-	// An operator starts the instance a second time by mistake. Two processes
-	// that append to one log would each acknowledge what the other overwrites.
+	// An operator starts an instance twice by mistake. Two processes appending to
+	// the same log would overwrite each other's acknowledged records.
 	It("refuses a second process, and a first one that ended leaves no lock", func() {
 		a, _, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 		Expect(a.Close()).To(Succeed())
 	})
 
-	It("keeps the number and the cluster id that it was given first", func() {
+	It("keeps its number and its first cluster ID", func() {
 		a, first, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.ClusterID).To(BeEmpty())
@@ -122,34 +122,34 @@
 		Expect(a.Close()).To(Succeed())
 	})
 
-	It("refuses a batch that doesn't follow, and takes the next one that does", func() {
+	It("rejects a batch that leaves a gap, and accepts a valid one afterwards", func() {
 		a, _, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		defer a.Close()
-		hard := jury.HardState{Term: 2}
-		Expect(a.Append(hard, 0, []jury.Entry{command(2, 2)})).To(MatchError(ContainSubstring("entry 2 where entry 1 comes next")))
-		Expect(a.Append(hard, 0, []jury.Entry{command(1, 2), command(2, 2)})).To(Succeed())
-		Expect(a.Append(hard, 0, []jury.Entry{command(2, 2)})).To(MatchError(ContainSubstring("entry 2 where entry 3 comes next")))
+		hardState := jury.HardState{Term: 2}
+		Expect(a.Append(hardState, 0, []jury.Entry{commandEntry(2, 2)})).To(MatchError(ContainSubstring("entry 2 where entry 1 comes next")))
+		Expect(a.Append(hardState, 0, []jury.Entry{commandEntry(1, 2), commandEntry(2, 2)})).To(Succeed())
+		Expect(a.Append(hardState, 0, []jury.Entry{commandEntry(2, 2)})).To(MatchError(ContainSubstring("entry 2 where entry 3 comes next")))
 		Expect(a.Append(jury.HardState{Term: 1}, 0, nil)).To(MatchError(ContainSubstring("term 1 after term 2")))
 		Expect(a.SaveSnapshot(jury.Snapshot{Index: 1, Term: 2})).To(Succeed())
 		Expect(a.SaveSnapshot(jury.Snapshot{Index: 1, Term: 2})).To(MatchError(ContainSubstring("after the one at 1")))
-		Expect(a.Append(hard, 1, nil)).To(MatchError(ContainSubstring("which the snapshot at 1 holds")))
+		Expect(a.Append(hardState, 1, nil)).To(MatchError(ContainSubstring("which the snapshot at 1 holds")))
 		Expect(a.Compact(2)).To(MatchError(ContainSubstring("above the snapshot at 1")))
-		Expect(a.Append(hard, 2, []jury.Entry{command(2, 2)})).To(Succeed())
+		Expect(a.Append(hardState, 2, []jury.Entry{commandEntry(2, 2)})).To(Succeed())
 		Expect(a.Failed()).NotTo(HaveOccurred())
 	})
 
-	It("appends while a snapshot is written", func() {
+	It("appends while a snapshot is being written", func() {
 		a, _, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Append(jury.HardState{Term: 1}, 0, []jury.Entry{command(1, 1)})).To(Succeed())
+		Expect(a.Append(jury.HardState{Term: 1}, 0, []jury.Entry{commandEntry(1, 1)})).To(Succeed())
 		var group sync.WaitGroup
 		group.Go(func() {
 			defer GinkgoRecover()
 			Expect(a.SaveSnapshot(jury.Snapshot{Index: 1, Term: 1, Data: make([]byte, 1<<20)})).To(Succeed())
 		})
 		for i := jury.Index(2); i <= 20; i++ {
-			Expect(a.Append(jury.HardState{Term: 1}, 0, []jury.Entry{command(i, 1)})).To(Succeed())
+			Expect(a.Append(jury.HardState{Term: 1}, 0, []jury.Entry{commandEntry(i, 1)})).To(Succeed())
 		}
 		group.Wait()
 		Expect(a.Close()).To(Succeed())
--- a/internal/archive/batch.go
+++ b/internal/archive/batch.go
@@ -5,23 +5,25 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// batch is the payload of one record of the log: all that one Append made
-// durable. As one batch is one record, a crash keeps it whole or not at all.
+// batch is the payload of one log record: the changes of one Append. Because a
+// batch is one record, it is either complete or absent after a crash.
 type batch struct {
-	hard jury.HardState
-	// baseIndex and baseTerm are those of a snapshot that the log didn't lead
-	// up to: all entries before this batch go. Both are 0 otherwise.
+	hardState jury.HardState
+	// baseIndex and baseTerm are the index and term of a snapshot whose last
+	// entry the log didn't contain. They replace all entries of earlier batches.
+	// Both are 0 in other batches.
 	baseIndex jury.Index
 	baseTerm  jury.Term
-	// truncateFrom is the first index that the batch takes off the log before
-	// it adds entries, or 0.
+	// truncateFrom is the lowest index that is removed from the log before
+	// entries are appended. It is 0 if nothing is removed.
 	truncateFrom jury.Index
 	entries      []jury.Entry
 }
 
-func (b batch) append(buffer []byte) []byte {
-	buffer = parcel.AppendUint(buffer, uint64(b.hard.Term))
-	buffer = parcel.AppendBytes(buffer, b.hard.Vote)
+// encode appends the encoded batch to buffer.
+func (b batch) encode(buffer []byte) []byte {
+	buffer = parcel.AppendUint(buffer, uint64(b.hardState.Term))
+	buffer = parcel.AppendBytes(buffer, b.hardState.Vote)
 	buffer = parcel.AppendUint(buffer, uint64(b.baseIndex))
 	buffer = parcel.AppendUint(buffer, uint64(b.baseTerm))
 	buffer = parcel.AppendUint(buffer, uint64(b.truncateFrom))
@@ -30,10 +32,10 @@
 		return buffer
 	}
 	buffer = parcel.AppendUint(buffer, uint64(b.entries[0].Index))
-	for _, e := range b.entries {
-		buffer = parcel.AppendUint(buffer, uint64(e.Term))
-		buffer = append(buffer, byte(e.Kind))
-		buffer = parcel.AppendBytes(buffer, e.Data)
+	for _, entry := range b.entries {
+		buffer = parcel.AppendUint(buffer, uint64(entry.Term))
+		buffer = append(buffer, byte(entry.Kind))
+		buffer = parcel.AppendBytes(buffer, entry.Data)
 	}
 	return buffer
 }
@@ -41,8 +43,8 @@
 func decodeBatch(payload []byte) (batch, error) {
 	r := parcel.NewReader(payload)
 	var b batch
-	b.hard.Term = jury.Term(r.Uint())
-	b.hard.Vote = jury.Identity(r.String())
+	b.hardState.Term = jury.Term(r.Uint())
+	b.hardState.Vote = jury.Identity(r.String())
 	b.baseIndex = jury.Index(r.Uint())
 	b.baseTerm = jury.Term(r.Uint())
 	b.truncateFrom = jury.Index(r.Uint())
--- a/internal/archive/bench_test.go
+++ b/internal/archive/bench_test.go
@@ -11,8 +11,8 @@
 
 const entryBytes = 200
 
-// BenchmarkBareSync writes as many bytes as BenchmarkAppend to a plain file and
-// syncs it: the most that the disk gives.
+// BenchmarkBareSync writes and syncs as many bytes of entry data as
+// BenchmarkAppend to a plain file. It is the upper bound for BenchmarkAppend.
 func BenchmarkBareSync(b *testing.B) {
 	for _, size := range []int{1, 64} {
 		b.Run(fmt.Sprintf("batch=%d", size), func(b *testing.B) {
@@ -45,7 +45,7 @@
 			batch := make([]jury.Entry, size)
 			next := jury.Index(1)
 			for b.Loop() {
-				fill(batch, next)
+				fillBatch(batch, next)
 				if err := a.Append(jury.HardState{Term: 1, Vote: "kgn-a/1"}, 0, batch); err != nil {
 					b.Fatal(err)
 				}
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkOpen reads a log without a snapshot.
+// BenchmarkOpen opens a data folder with a log but without a snapshot.
 func BenchmarkOpen(b *testing.B) {
 	for _, entries := range []int{1_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -67,7 +67,7 @@
 			}
 			batch := make([]jury.Entry, 100)
 			for next := 1; next <= entries; next += len(batch) {
-				fill(batch, jury.Index(next))
+				fillBatch(batch, jury.Index(next))
 				if err := a.Append(jury.HardState{Term: 1, Vote: "kgn-a/1"}, 0, batch); err != nil {
 					b.Fatal(err)
 				}
@@ -84,7 +84,7 @@
 	}
 }
 
-func fill(batch []jury.Entry, first jury.Index) {
+func fillBatch(batch []jury.Entry, first jury.Index) {
 	for i := range batch {
 		batch[i] = jury.Entry{Index: first + jury.Index(i), Term: 1, Kind: jury.EntryCommand, Data: make([]byte, entryBytes)}
 	}
--- a/internal/archive/crashfs_test.go
+++ b/internal/archive/crashfs_test.go
@@ -15,48 +15,51 @@
 )
 
 var (
-	errCrashed  = errors.New("crashed")
-	errBadBlock = errors.New("input/output error")
+	errCrashed = errors.New("crashed")
+	errIO      = errors.New("input/output error")
 )
 
-// inode is the content of a file, which may have several names over time.
+// inode is a file's content, independent of its name.
 type inode struct {
 	data []byte
-	// synced is how many bytes of data were there at the last good Sync.
-	synced int
-	// lost are the ranges that a failed Sync marked as clean. They can be read
-	// until the machine crashes, and no later Sync writes them.
-	lost [][2]int
+	// syncedBytes is the length of data at the last successful Sync.
+	syncedBytes int
+	// lostRanges are the byte ranges [start, end) that a failed Sync marked as
+	// clean. They can be read until the machine crashes, and no later Sync writes
+	// them.
+	lostRanges [][2]int
 }
 
-// rename is a change of names that no SyncFolder has made durable yet.
-type rename struct {
+// nameChange is the creation, renaming or removal of a file. from is empty for a
+// creation, and to for a removal.
+type nameChange struct {
 	from, to string
 	node     *inode
 }
 
-// crashFS is a file system in memory that keeps what was synced apart from what
-// was not. Each byte written and each other call is one step; at step limit the
-// machine crashes and every call fails.
+// crashFS is an in-memory file system that simulates crashes of the machine. It
+// tracks which data and file names were synced. Each byte written and each other
+// changing call is one step. After crashStep steps, all of these calls fail.
 type crashFS struct {
-	mutex   sync.Mutex
-	names   map[string]*inode
-	durable map[string]*inode
-	pending []rename
-	locked  bool
-	steps   int
-	// limit is the step of the crash, or 0 for none.
-	limit   int
-	crashed bool
-	// failSync is the number of Sync calls after which one fails, or 0.
-	failSync int
-	// room is the bytes that are left on the disk, if bounded.
-	room    int
-	bounded bool
+	mutex           sync.Mutex
+	files           map[string]*inode
+	durableFiles    map[string]*inode
+	unsyncedChanges []nameChange
+	locked          bool
+	steps           int
+	// crashStep is the last step before the crash. If it is 0, there is no crash.
+	crashStep int
+	crashed   bool
+	// failSyncAfter counts down with each File.Sync. The call that reaches 0
+	// fails. If it is 0, no call fails.
+	failSyncAfter int
+	// freeBytes is the free space on the disk if limitedSpace is set.
+	freeBytes    int
+	limitedSpace bool
 }
 
 func newCrashFS() *crashFS {
-	return &crashFS{names: map[string]*inode{}, durable: map[string]*inode{}}
+	return &crashFS{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
 func (c *crashFS) step() error {
@@ -64,86 +67,87 @@
 		return errCrashed
 	}
 	c.steps++
-	if c.limit > 0 && c.steps > c.limit {
+	if c.crashStep > 0 && c.steps > c.crashStep {
 		c.crashed = true
 		return errCrashed
 	}
 	return nil
 }
 
-// unsynced says which part of what was not synced a crash leaves.
-type unsynced int
+// unsyncedOutcome selects which unsynced changes survive a crash.
+type unsyncedOutcome int
 
 const (
-	loseAll unsynced = iota
-	keepAll
-	keepSome
+	dropUnsynced unsyncedOutcome = iota
+	keepUnsynced
+	keepRandomPart
 )
 
-// crash returns the file system as the machine finds it after a power cut.
-func (c *crashFS) crash(kept unsynced, random *rand.Rand) *crashFS {
-	names := map[string]*inode{}
-	for name, node := range c.durable {
-		names[name] = node
+// crash returns a copy of the file system as it is after a power failure.
+func (c *crashFS) crash(outcome unsyncedOutcome, random *rand.Rand) *crashFS {
+	files := map[string]*inode{}
+	for name, node := range c.durableFiles {
+		files[name] = node
 	}
-	for _, change := range c.pending {
-		if kept == keepAll || kept == keepSome && random.IntN(2) == 0 {
-			applyRename(names, change)
+	for _, change := range c.unsyncedChanges {
+		if outcome == keepUnsynced || outcome == keepRandomPart && random.IntN(2) == 0 {
+			applyNameChange(files, change)
 		}
 	}
 	after := newCrashFS()
-	for name, node := range names {
-		copied := &inode{data: survivors(node, kept, random)}
-		copied.synced = len(copied.data)
-		after.names[name] = copied
-		after.durable[name] = copied
+	for name, node := range files {
+		copied := &inode{data: dataAfterCrash(node, outcome, random)}
+		copied.syncedBytes = len(copied.data)
+		after.files[name] = copied
+		after.durableFiles[name] = copied
 	}
 	return after
 }
 
-// survivors returns the bytes of node after a power cut. Of the bytes that were
-// not synced, any number may be there, with blocks of zeros among them.
-func survivors(node *inode, kept unsynced, random *rand.Rand) []byte {
+// dataAfterCrash returns the content of node after a power failure. For
+// keepRandomPart, it keeps a random number of the unsynced bytes and may zero a
+// block among them.
+func dataAfterCrash(node *inode, outcome unsyncedOutcome, random *rand.Rand) []byte {
 	data := append([]byte(nil), node.data...)
-	for _, lost := range node.lost {
-		clear(data[lost[0]:min(lost[1], len(data))])
+	for _, lostRange := range node.lostRanges {
+		clear(data[lostRange[0]:min(lostRange[1], len(data))])
 	}
-	tail := len(data) - node.synced
-	switch kept {
-	case loseAll:
-		return data[:node.synced]
-	case keepAll:
-	case keepSome:
-		data = data[:node.synced+random.IntN(tail+1)]
-		if hole := len(data) - node.synced; hole > 0 && random.IntN(2) == 0 {
-			start := node.synced + random.IntN(hole)
+	unsyncedBytes := len(data) - node.syncedBytes
+	switch outcome {
+	case dropUnsynced:
+		return data[:node.syncedBytes]
+	case keepUnsynced:
+	case keepRandomPart:
+		data = data[:node.syncedBytes+random.IntN(unsyncedBytes+1)]
+		if keptBytes := len(data) - node.syncedBytes; keptBytes > 0 && random.IntN(2) == 0 {
+			start := node.syncedBytes + random.IntN(keptBytes)
 			clear(data[start:min(start+16, len(data))])
 		}
 	}
 	return data
 }
 
-func applyRename(names map[string]*inode, change rename) {
+func applyNameChange(files map[string]*inode, change nameChange) {
 	if change.from != "" {
-		delete(names, change.from)
+		delete(files, change.from)
 	}
 	if change.to != "" {
-		names[change.to] = change.node
+		files[change.to] = change.node
 	}
 }
 
-// restart returns the same running machine after the process ended: nothing is
-// lost, and the lock is free.
+// restart returns c after a restart of the process: no data is lost, the lock is
+// released, and no more faults are injected.
 func (c *crashFS) restart() *crashFS {
 	c.locked = false
-	c.failSync = 0
-	c.bounded = false
+	c.failSyncAfter = 0
+	c.limitedSpace = false
 	return c
 }
 
-func (c *crashFS) change(r rename) {
-	applyRename(c.names, r)
-	c.pending = append(c.pending, r)
+func (c *crashFS) changeName(change nameChange) {
+	applyNameChange(c.files, change)
+	c.unsyncedChanges = append(c.unsyncedChanges, change)
 }
 
 func (c *crashFS) MakeFolder(string) error { return nil }
@@ -164,7 +168,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var names []string
-	for path := range c.names {
+	for path := range c.files {
 		names = append(names, filepath.Base(path))
 	}
 	sort.Strings(names)
@@ -174,7 +178,7 @@
 func (c *crashFS) ReadFile(path string) ([]byte, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	node, ok := c.names[path]
+	node, ok := c.files[path]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
@@ -188,14 +192,14 @@
 		return nil, err
 	}
 	node := &inode{}
-	c.change(rename{to: path, node: node})
+	c.changeName(nameChange{to: path, node: node})
 	return &crashFile{fs: c, node: node}, nil
 }
 
 func (c *crashFS) Append(path string) (archive.File, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	node, ok := c.names[path]
+	node, ok := c.files[path]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
@@ -208,7 +212,7 @@
 	if err := c.step(); err != nil {
 		return err
 	}
-	c.change(rename{from: from, to: to, node: c.names[from]})
+	c.changeName(nameChange{from: from, to: to, node: c.files[from]})
 	return nil
 }
 
@@ -218,7 +222,7 @@
 	if err := c.step(); err != nil {
 		return err
 	}
-	c.change(rename{from: path})
+	c.changeName(nameChange{from: path})
 	return nil
 }
 
@@ -228,10 +232,10 @@
 	if err := c.step(); err != nil {
 		return err
 	}
-	for _, change := range c.pending {
-		applyRename(c.durable, change)
+	for _, change := range c.unsyncedChanges {
+		applyNameChange(c.durableFiles, change)
 	}
-	c.pending = nil
+	c.unsyncedChanges = nil
 	return nil
 }
 
@@ -247,10 +251,10 @@
 		if err := f.fs.step(); err != nil {
 			return i, err
 		}
-		if f.fs.bounded && f.fs.room == 0 {
+		if f.fs.limitedSpace && f.fs.freeBytes == 0 {
 			return i, syscall.ENOSPC
 		}
-		f.fs.room--
+		f.fs.freeBytes--
 		f.node.data = append(f.node.data, b[i])
 	}
 	return len(b), nil
@@ -278,14 +282,14 @@
 	if err := f.fs.step(); err != nil {
 		return err
 	}
-	if f.fs.failSync > 0 {
-		f.fs.failSync--
-		if f.fs.failSync == 0 {
-			f.node.lost = append(f.node.lost, [2]int{f.node.synced, len(f.node.data)})
-			return errBadBlock
+	if f.fs.failSyncAfter > 0 {
+		f.fs.failSyncAfter--
+		if f.fs.failSyncAfter == 0 {
+			f.node.lostRanges = append(f.node.lostRanges, [2]int{f.node.syncedBytes, len(f.node.data)})
+			return errIO
 		}
 	}
-	f.node.synced = len(f.node.data)
+	f.node.syncedBytes = len(f.node.data)
 	return nil
 }
 
--- a/internal/archive/disk.go
+++ b/internal/archive/disk.go
@@ -14,7 +14,7 @@
 	fileMode   = 0o600
 )
 
-// Disk is the FS of the operating system.
+// Disk is the operating system's file system.
 type Disk struct{}
 
 var _ FS = Disk{}
@@ -42,8 +42,8 @@
 	return d.SyncFolder(parent)
 }
 
-// Lock implements FS. The operating system lets go of the lock when the process
-// ends, however it ends.
+// Lock implements FS. The operating system also releases the lock when the
+// process exits or crashes.
 func (Disk) Lock(path string) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
--- a/internal/archive/errors.go
+++ b/internal/archive/errors.go
@@ -7,43 +7,45 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrLocked says that another process has the data folder open.
+// ErrLocked is returned if another process has the data folder open.
 var ErrLocked = errors.New("the data folder is in use by another process")
 
-// ErrClosed says that the archive was closed.
+// ErrClosed is returned by calls after Close.
 var ErrClosed = errors.New("archive: closed")
 
-// DamageError says that a file of the data folder doesn't hold what was
-// written, and that it is not the torn end that a crash leaves. Open returns it
-// and changes no file.
-type DamageError struct {
-	// File is the path of the damaged file.
+// CorruptionError is returned by Open if a file in the data folder is missing or
+// its content is not what was written, other than the torn tail that a crash
+// leaves. Open changes no file in this case.
+type CorruptionError struct {
+	// File is the path of the damaged or missing file, or of the data folder if
+	// no segment is left.
 	File string
 	// Offset is the byte in File at which the damage starts.
 	Offset int64
-	// Problem says what was found there.
+	// Problem describes the damage.
 	Problem string
-	// Advice says what the operator does next.
+	// Advice tells the operator how to recover.
 	Advice string
 }
 
-// Error returns the place, the problem and the advice.
-func (e *DamageError) Error() string {
+// Error returns a message with the file, the offset, the problem and the advice.
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("archive: %s: byte %d: %s; %s", e.File, e.Offset, e.Problem, e.Advice)
 }
 
-// FailedError says that the disk failed an operation. The archive takes nothing
-// more from then on; only a new Open finds out what the disk holds.
-type FailedError struct {
+// DiskError is returned if a change to the data folder failed. It stops the
+// archive, because the content of the disk is unknown until the next Open.
+type DiskError struct {
 	// Operation is the operation that failed, such as "sync".
 	Operation string
-	// Path is the file or folder that it failed on.
+	// Path is the file or folder of the operation.
 	Path  string
 	Cause error
 }
 
-// Error returns the operation, the path and the cause.
-func (e *FailedError) Error() string {
+// Error returns a message with the operation, the path, the cause and the advice
+// for the operator.
+func (e *DiskError) Error() string {
 	advice := "restart the instance to go on from what the disk holds"
 	if e.DiskFull() {
 		advice = "make room on the disk, then restart the instance"
@@ -51,20 +53,19 @@
 	return fmt.Sprintf("archive: %s %s: %v; %s", e.Operation, e.Path, e.Cause, advice)
 }
 
-// Unwrap returns the cause.
-func (e *FailedError) Unwrap() error {
+// Unwrap returns e.Cause.
+func (e *DiskError) Unwrap() error {
 	return e.Cause
 }
 
-// DiskFull says whether the cause was that the disk, or the user's share of it,
-// is full.
-func (e *FailedError) DiskFull() bool {
+// DiskFull reports whether the cause is a full disk or an exceeded disk quota.
+func (e *DiskError) DiskFull() bool {
 	return errors.IsAny(e.Cause, syscall.ENOSPC, syscall.EDQUOT)
 }
 
-// The advice of a DamageError.
+// Values of CorruptionError.Advice.
 const (
-	adviceReplace = "don't delete or edit single files; move the whole folder away and bring the instance back as a new voter (see operators/data-folder.md)"
-	adviceNewer   = "start the version that wrote it, or a newer one"
-	adviceFolder  = "give the instance the folder that it wrote, whole; files of two folders don't mix"
+	adviceReplaceVoter = "don't delete or edit single files; move the whole folder away and bring the instance back as a new voter (see operators/data-folder.md)"
+	adviceUpgrade      = "start the version that wrote it, or a newer one"
+	adviceWholeFolder  = "give the instance the folder that it wrote, whole; files of two folders don't mix"
 )
--- a/internal/archive/export_test.go
+++ b/internal/archive/export_test.go
@@ -2,17 +2,17 @@
 
 import "encoding/binary"
 
-// SetVersion makes the first record of data one of another version.
-func SetVersion(data []byte, number uint64, version byte) {
+// SetRecordVersion changes the version of the first record in data.
+func SetRecordVersion(data []byte, folderNumber uint64, version byte) {
 	data[3] = version
-	binary.LittleEndian.PutUint32(data[20:], newSeal(number).checksum(data[:20]))
+	binary.LittleEndian.PutUint32(data[20:], newRecordCodec(folderNumber).checksum(data[:20]))
 }
 
-// LastRecord returns the offset of the last record in data.
-func LastRecord(data []byte, number uint64) int {
+// LastRecordOffset returns the offset of the last intact record in data.
+func LastRecordOffset(data []byte, folderNumber uint64) int {
 	offset := 0
 	for {
-		_, length, ok, _ := newSeal(number).next(data[offset:])
+		_, length, ok, _ := newRecordCodec(folderNumber).decode(data[offset:])
 		if !ok || offset+length == len(data) {
 			return offset
 		}
@@ -20,8 +20,8 @@
 	}
 }
 
-// DecodeAny decodes payload as each kind of record.
-func DecodeAny(payload []byte) {
+// DecodePayload decodes payload as a batch and as a snapshot.
+func DecodePayload(payload []byte) {
 	_, _ = decodeBatch(payload)
 	_, _ = decodeSnapshot(payload)
 }
--- a/internal/archive/fs.go
+++ b/internal/archive/fs.go
@@ -2,41 +2,41 @@
 
 import "io"
 
-// FS is the part of a file system that an Archive needs. Disk is the real one;
-// tests put one in its place that crashes, tears writes and fills up.
+// FS is the file system that an Archive uses. Disk is the implementation for
+// production. Tests use one that simulates crashes, torn writes and a full disk.
 //
-// A name that was created, renamed or removed lasts only after SyncFolder, and
-// the bytes of a file only after its Sync.
+// Creating, renaming and removing a file is durable only after SyncFolder, and
+// the content of a file only after File.Sync.
 type FS interface {
-	// MakeFolder creates the folder and its parents, where missing, and syncs
-	// each new name.
+	// MakeFolder durably creates the folder and its parents where they are
+	// missing.
 	MakeFolder(folder string) error
-	// Lock takes an exclusive lock on path until the result is closed. If
-	// another process holds it, Lock returns an error that is ErrLocked.
+	// Lock acquires an exclusive lock on path. Closing the result releases it.
+	// If another process holds the lock, the error wraps ErrLocked.
 	Lock(path string) (io.Closer, error)
-	// List returns the names of the files in folder, sorted.
+	// List returns the sorted names of the regular files in folder.
 	List(folder string) ([]string, error)
-	// ReadFile returns all bytes of the file.
+	// ReadFile returns the content of the file.
 	ReadFile(path string) ([]byte, error)
-	// Create makes a new empty file for writing, replacing any at path.
+	// Create creates an empty file for writing, replacing an existing one.
 	Create(path string) (File, error)
 	// Append opens an existing file for writing at its end.
 	Append(path string) (File, error)
-	// Rename gives the file at from the name to, replacing any at to.
+	// Rename renames a file, replacing an existing one at to.
 	Rename(from, to string) error
-	// Remove deletes the file.
+	// Remove deletes a file.
 	Remove(path string) error
-	// SyncFolder makes the names in folder durable.
+	// SyncFolder makes created, renamed and removed files in folder durable.
 	SyncFolder(folder string) error
 }
 
-// File is a file that is written.
+// File is a file that is open for writing.
 type File interface {
 	io.Writer
-	// WriterAt is used only on files that Create returned.
+	// WriterAt is used only on files returned by Create.
 	io.WriterAt
-	// Sync makes the bytes written so far durable. After an error the state of
-	// these bytes is not known, and a later Sync says nothing about them.
+	// Sync makes the bytes written so far durable. If it returns an error, it is
+	// unknown which of these bytes are durable, even if a later Sync succeeds.
 	Sync() error
 	Close() error
 }
--- a/internal/archive/open.go
+++ b/internal/archive/open.go
@@ -10,11 +10,11 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// Open locks the data folder and reads it. The caller must Close the Archive.
+// Open locks and reads the data folder. The caller must close the Archive.
 //
-// If another process holds the folder, Open returns an error that is ErrLocked.
-// If a file is damaged, Open returns a *DamageError and has changed nothing. A
-// torn end of the last log file is cut off; Loaded.Cut tells of it.
+// If another process has the folder open, the error wraps ErrLocked. If a file is
+// damaged, Open returns a *CorruptionError and changes nothing. Open removes a
+// torn tail of the last segment and reports it in Loaded.Cut.
 func Open(o Options) (*Archive, Loaded, error) {
 	if o.FS == nil {
 		o.FS = Disk{}
@@ -38,92 +38,93 @@
 	return a, loaded, nil
 }
 
-// listing is the names in the data folder, by kind, each sorted.
-type listing struct {
-	identity  bool
-	segments  []string
-	snapshots []string
-	temporary []string
+// folderContents lists the files in the data folder by kind. Each list is sorted
+// by name.
+type folderContents struct {
+	hasIdentity bool
+	segments    []string
+	snapshots   []string
+	temporary   []string
 }
 
-func (a *Archive) list() (listing, error) {
+func (a *Archive) listFolder() (folderContents, error) {
 	names, err := a.fs.List(a.folder)
 	if err != nil {
-		return listing{}, errors.Wrap(err, "archive: list the data folder")
+		return folderContents{}, errors.Wrap(err, "archive: list the data folder")
 	}
-	var l listing
+	var contents folderContents
 	for _, name := range names {
 		_, isSegment := parseName(segmentPrefix, name)
 		_, isSnapshot := parseName(snapshotPrefix, name)
 		switch {
 		case name == identityName:
-			l.identity = true
+			contents.hasIdentity = true
 		case isSegment:
-			l.segments = append(l.segments, name)
+			contents.segments = append(contents.segments, name)
 		case isSnapshot:
-			l.snapshots = append(l.snapshots, name)
+			contents.snapshots = append(contents.snapshots, name)
 		case strings.HasSuffix(name, temporarySuffix):
-			l.temporary = append(l.temporary, name)
+			contents.temporary = append(contents.temporary, name)
 		}
 	}
-	return l, nil
+	return contents, nil
 }
 
 func (a *Archive) load() (Loaded, error) {
-	l, err := a.list()
+	contents, err := a.listFolder()
 	if err != nil {
 		return Loaded{}, err
 	}
-	loaded, err := a.loadIdentity(l)
+	loaded, err := a.loadIdentity(contents)
 	if err != nil {
 		return Loaded{}, err
 	}
-	snapshot, snapshotSequence, err := a.loadSnapshot(l)
+	snapshot, snapshotSequence, err := a.loadSnapshot(contents)
 	if err != nil {
 		return Loaded{}, err
 	}
-	scan, err := a.replay(l, snapshot.Index != 0)
+	tail, err := a.replay(contents, snapshot.Index != 0)
 	if err != nil {
 		return Loaded{}, err
 	}
-	if err := a.follows(snapshot, snapshotSequence); err != nil {
+	if err := a.checkSnapshot(snapshot, snapshotSequence); err != nil {
 		return Loaded{}, err
 	}
-	if err := a.reaches(l, scan, a.readMark()); err != nil {
+	if err := a.checkHighWater(contents, tail, a.readHighWater()); err != nil {
 		return Loaded{}, err
 	}
-	// From here on nothing is damaged, and files may change.
-	if err := a.restart(l, scan); err != nil {
+	// No corruption was found, so files may be changed from here on.
+	if err := a.prepareAppend(contents, tail); err != nil {
 		return Loaded{}, err
 	}
 	if snapshot.Index != 0 {
-		if err := a.adopt(snapshot, jury.Snapshot{}); err != nil {
+		if err := a.applySnapshot(snapshot, jury.Snapshot{}); err != nil {
 			return Loaded{}, err
 		}
 	}
-	loaded.HardState = a.journal.hard
+	loaded.HardState = a.log.hardState
 	loaded.Snapshot = snapshot
-	loaded.Entries = a.journal.entries
-	loaded.Cut = scan.cut
-	a.journal.forgetData()
+	loaded.Entries = a.log.entries
+	loaded.Cut = tail.torn
+	a.log.dropEntryData()
 	return loaded, nil
 }
 
-// loadIdentity reads the identity file, or makes it if the folder is new.
-func (a *Archive) loadIdentity(l listing) (Loaded, error) {
+// loadIdentity reads the identity file, or creates it in a new folder.
+func (a *Archive) loadIdentity(contents folderContents) (Loaded, error) {
 	path := a.path(identityName)
-	if !l.identity {
-		if len(l.segments)+len(l.snapshots) > 0 {
-			return Loaded{}, &DamageError{File: path, Problem: "the file is missing, though the folder holds a log", Advice: adviceReplace}
+	if !contents.hasIdentity {
+		if len(contents.segments)+len(contents.snapshots) > 0 {
+			return Loaded{}, &CorruptionError{File: path, Problem: "the file is missing, though the folder holds a log", Advice: adviceReplaceVoter}
 		}
-		drawn, err := drawIdentity()
+		created, err := newIdentity()
 		if err != nil {
 			return Loaded{}, err
 		}
-		if err := writeFile(a.fs, a.folder, identityName, drawn.encode()); err != nil {
+		if err := writeFile(a.fs, a.folder, identityName, created.encode()); err != nil {
 			return Loaded{}, err
 		}
-		loaded, err := a.adoptIdentity(path, drawn.encode())
+		loaded, err := a.parseIdentity(path, created.encode())
 		loaded.Fresh = true
 		return loaded, err
 	}
@@ -131,221 +132,227 @@
 	if err != nil {
 		return Loaded{}, errors.Wrap(err, "archive: read the identity file")
 	}
-	return a.adoptIdentity(path, text)
+	return a.parseIdentity(path, text)
 }
 
-func (a *Archive) adoptIdentity(path string, text []byte) (Loaded, error) {
-	identifier, number, err := decodeIdentity(text)
+// parseIdentity decodes the identity file and initializes a.identity and a.codec
+// from it.
+func (a *Archive) parseIdentity(path string, text []byte) (Loaded, error) {
+	id, folderNumber, err := decodeIdentity(text)
 	if err != nil {
-		return Loaded{}, damage(path, 0, err)
+		return Loaded{}, newCorruptionError(path, 0, err)
 	}
-	a.identity = identifier
-	a.seal = newSeal(number)
-	return Loaded{Number: number, ClusterID: identifier.ClusterID}, nil
+	a.identity = id
+	a.codec = newRecordCodec(folderNumber)
+	return Loaded{Number: folderNumber, ClusterID: id.ClusterID}, nil
 }
 
-// damage returns a DamageError for err. Its advice is to start a newer program
-// if that is what is missing.
-func damage(path string, offset int64, err error) *DamageError {
-	advice := adviceReplace
-	if errors.HasType(err, newerError{}) {
-		advice = adviceNewer
-	}
-	return &DamageError{File: path, Offset: offset, Problem: err.Error(), Advice: advice}
+// newCorruptionError returns a CorruptionError for err. The advice is to upgrade
+// if err is an unsupportedVersionError, and to replace the voter otherwise.
+func newCorruptionError(path string, offset int64, err error) *CorruptionError {
+	advice := adviceReplaceVoter
+	if errors.HasType(err, unsupportedVersionError{}) {
+		advice = adviceUpgrade
+	}
+	return &CorruptionError{File: path, Offset: offset, Problem: err.Error(), Advice: advice}
 }
 
-// loadSnapshot reads the newest snapshot and the sequence number that the log
-// had reached when it was saved.
-func (a *Archive) loadSnapshot(l listing) (s jury.Snapshot, sequence uint64, err error) {
-	if len(l.snapshots) == 0 {
+// loadSnapshot returns the newest snapshot and the sequence number of the last
+// log record at the time it was saved.
+func (a *Archive) loadSnapshot(contents folderContents) (s jury.Snapshot, sequence uint64, err error) {
+	if len(contents.snapshots) == 0 {
 		return jury.Snapshot{}, 0, nil
 	}
-	path := a.path(l.snapshots[len(l.snapshots)-1])
+	path := a.path(contents.snapshots[len(contents.snapshots)-1])
 	data, err := a.fs.ReadFile(path)
 	if err != nil {
 		return jury.Snapshot{}, 0, errors.Wrap(err, "archive: read the snapshot")
 	}
-	r, length, ok, err := a.seal.next(data)
+	rec, length, ok, err := a.codec.decode(data)
 	switch {
 	case err != nil:
-		return jury.Snapshot{}, 0, damage(path, 0, err)
+		return jury.Snapshot{}, 0, newCorruptionError(path, 0, err)
 	case !ok:
-		return jury.Snapshot{}, 0, damage(path, 0, errors.New("the snapshot's checksum doesn't match"))
+		return jury.Snapshot{}, 0, newCorruptionError(path, 0, errors.New("the snapshot's checksum doesn't match"))
 	case length != len(data):
-		return jury.Snapshot{}, 0, damage(path, int64(length), errors.New("bytes follow the snapshot"))
+		return jury.Snapshot{}, 0, newCorruptionError(path, int64(length), errors.New("bytes follow the snapshot"))
 	}
-	s, err = decodeSnapshot(r.payload)
+	s, err = decodeSnapshot(rec.payload)
 	if err != nil {
-		return jury.Snapshot{}, 0, damage(path, headerBytes, err)
+		return jury.Snapshot{}, 0, newCorruptionError(path, headerBytes, err)
 	}
-	return s, r.sequence, nil
+	return s, rec.sequence, nil
 }
 
-// scan is what reading the log files found out about the last one.
-type scan struct {
-	// sound is the bytes of the last file that hold whole records.
-	sound []byte
-	cut   Cut
+// tailScan describes the last segment after the replay.
+type tailScan struct {
+	// valid is the content of the segment up to the torn tail.
+	valid []byte
+	torn  TornTail
 }
 
-// replay reads all log files into the journal.
-func (a *Archive) replay(l listing, compacted bool) (scan, error) {
-	var result scan
-	for i, name := range l.segments {
+// replay applies the records of all segments to a.log. hasSnapshot reports
+// whether the folder contains a snapshot, without which the first segment must
+// start at record 1. replay returns the scan of the last segment.
+func (a *Archive) replay(contents folderContents, hasSnapshot bool) (tailScan, error) {
+	var tail tailScan
+	for i, name := range contents.segments {
 		path := a.path(name)
-		first, _ := parseName(segmentPrefix, name)
-		if i == 0 && first > 1 {
-			if !compacted {
-				return scan{}, &DamageError{File: path, Problem: "the log files before it are missing, and so is the snapshot", Advice: adviceFolder}
+		firstSequence, _ := parseName(segmentPrefix, name)
+		if i == 0 && firstSequence > 1 {
+			if !hasSnapshot {
+				return tailScan{}, &CorruptionError{File: path, Problem: "the log files before it are missing, and so is the snapshot", Advice: adviceWholeFolder}
 			}
-			a.journal.sequence = first - 1
-			a.journal.partial = true
+			a.log.sequence = firstSequence - 1
+			a.log.prefixCompacted = true
 		}
-		if first != a.journal.sequence+1 {
-			return scan{}, &DamageError{
+		if firstSequence != a.log.sequence+1 {
+			return tailScan{}, &CorruptionError{
 				File:    path,
-				Problem: fmt.Sprintf("starts at record %d where record %d comes next: a log file is missing", first, a.journal.sequence+1),
-				Advice:  adviceFolder,
+				Problem: fmt.Sprintf("starts at record %d where record %d comes next: a log file is missing", firstSequence, a.log.sequence+1),
+				Advice:  adviceWholeFolder,
 			}
 		}
 		data, err := a.fs.ReadFile(path)
 		if err != nil {
-			return scan{}, errors.Wrap(err, "archive: read the log")
+			return tailScan{}, errors.Wrap(err, "archive: read the log")
 		}
-		result, err = a.replaySegment(name, data, i == len(l.segments)-1)
+		tail, err = a.replaySegment(name, data, i == len(contents.segments)-1)
 		if err != nil {
-			return scan{}, err
+			return tailScan{}, err
 		}
 	}
-	return result, nil
+	return tail, nil
 }
 
-// replaySegment adds the records of one log file to the journal. Bytes after
-// the last whole record are a torn end if the file is the last one and no whole
-// record follows: a batch is one record, and each is synced before the next is
-// written, so that a crash can tear one record only.
-func (a *Archive) replaySegment(name string, data []byte, last bool) (scan, error) {
+// replaySegment applies the records of one segment to a.log. Bytes after the
+// last valid record are a torn tail if the segment is the last one and no valid
+// record follows them. A crash can tear only one record, because each one is
+// synced before the next is written.
+func (a *Archive) replaySegment(name string, data []byte, isLast bool) (tailScan, error) {
 	path := a.path(name)
 	a.segments = append(a.segments, segment{name: name})
 	current := &a.segments[len(a.segments)-1]
 	offset := 0
 	for offset < len(data) {
-		r, length, ok, err := a.seal.next(data[offset:])
+		rec, length, ok, err := a.codec.decode(data[offset:])
 		if err != nil {
-			return scan{}, damage(path, int64(offset), err)
+			return tailScan{}, newCorruptionError(path, int64(offset), err)
 		}
 		if !ok {
 			break
 		}
-		if r.sequence != a.journal.sequence+1 {
-			return scan{}, damage(path, int64(offset), errors.Newf("record %d where record %d comes next", r.sequence, a.journal.sequence+1))
+		if rec.sequence != a.log.sequence+1 {
+			return tailScan{}, newCorruptionError(path, int64(offset), errors.Newf("record %d where record %d comes next", rec.sequence, a.log.sequence+1))
 		}
-		b, err := decodeBatch(r.payload)
+		b, err := decodeBatch(rec.payload)
 		if err == nil {
-			err = a.journal.check(b)
+			err = a.log.validate(b)
 		}
 		if err != nil {
-			return scan{}, damage(path, int64(offset), err)
+			return tailScan{}, newCorruptionError(path, int64(offset), err)
 		}
-		a.journal.add(b)
-		current.note(b, int64(length))
+		a.log.apply(b)
+		current.addRecord(b, int64(length))
 		offset += length
 	}
 	if offset == len(data) {
-		return scan{sound: data}, nil
+		return tailScan{valid: data}, nil
 	}
-	if !last {
-		return scan{}, damage(path, int64(offset), errors.New("no whole record here, though later log files follow"))
+	if !isLast {
+		return tailScan{}, newCorruptionError(path, int64(offset), errors.New("no whole record here, though later log files follow"))
 	}
-	if next := a.seal.find(data[offset+1:]); next >= 0 {
-		return scan{}, damage(path, int64(offset), errors.Newf("no whole record here, though one follows at byte %d", offset+1+next))
+	if nextOffset := a.codec.indexRecord(data[offset+1:]); nextOffset >= 0 {
+		return tailScan{}, newCorruptionError(path, int64(offset), errors.Newf("no whole record here, though one follows at byte %d", offset+1+nextOffset))
 	}
-	cut := Cut{File: path, Offset: int64(offset), Bytes: int64(len(data) - offset)}
-	return scan{sound: data[:offset], cut: cut}, nil
+	torn := TornTail{File: path, Offset: int64(offset), Bytes: int64(len(data) - offset)}
+	return tailScan{valid: data[:offset], torn: torn}, nil
 }
 
-// reaches returns a DamageError if the log ends before the marked record, which
-// was synced.
-func (a *Archive) reaches(l listing, found scan, marked uint64) error {
-	if a.journal.sequence >= marked {
+// checkHighWater returns a CorruptionError if the log ends before the record of
+// the high-water mark, which was synced.
+func (a *Archive) checkHighWater(contents folderContents, tail tailScan, highWater uint64) error {
+	if a.log.sequence >= highWater {
 		return nil
 	}
 	path, offset := a.folder, int64(0)
-	if n := len(l.segments); n > 0 {
-		path, offset = a.path(l.segments[n-1]), int64(len(found.sound))
+	if n := len(contents.segments); n > 0 {
+		path, offset = a.path(contents.segments[n-1]), int64(len(tail.valid))
 	}
-	return damage(path, offset, errors.Newf("the log ends with record %d, though record %d was synced", a.journal.sequence, marked))
+	return newCorruptionError(path, offset, errors.Newf("the log ends with record %d, though record %d was synced", a.log.sequence, highWater))
 }
 
-// follows returns a DamageError if log files are missing that the snapshot
-// relies on.
-func (a *Archive) follows(s jury.Snapshot, sequence uint64) error {
-	if a.journal.snapshot.Index > s.Index {
-		return &DamageError{
-			File:    a.path(numberedName(snapshotPrefix, uint64(a.journal.snapshot.Index))),
+// checkSnapshot returns a CorruptionError if the snapshot and the log don't fit
+// together: the snapshot from which the log starts is missing, or segments
+// between the snapshot and the log are missing.
+func (a *Archive) checkSnapshot(s jury.Snapshot, sequence uint64) error {
+	if a.log.snapshot.Index > s.Index {
+		return &CorruptionError{
+			File:    a.path(numberedName(snapshotPrefix, uint64(a.log.snapshot.Index))),
 			Problem: "is missing, though the log starts from it",
-			Advice:  adviceFolder,
+			Advice:  adviceWholeFolder,
 		}
 	}
 	if s.Index == 0 {
 		return nil
 	}
 	path := a.path(numberedName(snapshotPrefix, uint64(s.Index)))
-	if a.journal.sequence < sequence {
-		return &DamageError{
+	if a.log.sequence < sequence {
+		return &CorruptionError{
 			File:    path,
-			Problem: fmt.Sprintf("was saved after record %d, but the log ends with record %d: a log file is missing", sequence, a.journal.sequence),
-			Advice:  adviceFolder,
+			Problem: fmt.Sprintf("was saved after record %d, but the log ends with record %d: a log file is missing", sequence, a.log.sequence),
+			Advice:  adviceWholeFolder,
 		}
 	}
-	if n := len(a.journal.entries); n > 0 && a.journal.snapshot.Index == 0 && a.journal.entries[0].Index > s.Index+1 {
-		return &DamageError{
+	if n := len(a.log.entries); n > 0 && a.log.snapshot.Index == 0 && a.log.entries[0].Index > s.Index+1 {
+		return &CorruptionError{
 			File:    path,
-			Problem: fmt.Sprintf("holds the entries up to %d, but the log starts with entry %d: a log file is missing", s.Index, a.journal.entries[0].Index),
-			Advice:  adviceFolder,
+			Problem: fmt.Sprintf("holds the entries up to %d, but the log starts with entry %d: a log file is missing", s.Index, a.log.entries[0].Index),
+			Advice:  adviceWholeFolder,
 		}
 	}
 	return nil
 }
 
-// restart makes the log ready for appending and removes what crashes left over.
-func (a *Archive) restart(l listing, found scan) error {
-	leftovers := l.temporary
-	if n := len(l.snapshots); n > 0 {
-		leftovers = append(leftovers, l.snapshots[:n-1]...)
+// prepareAppend removes temporary files and old snapshots that a crash left
+// behind, and opens the log and the high-water mark for writing.
+func (a *Archive) prepareAppend(contents folderContents, tail tailScan) error {
+	leftovers := contents.temporary
+	if n := len(contents.snapshots); n > 0 {
+		leftovers = append(leftovers, contents.snapshots[:n-1]...)
 	}
 	for _, name := range leftovers {
-		if err := a.remove(name); err != nil {
+		if err := a.removeFile(name); err != nil {
 			return err
 		}
 	}
-	if err := a.reopen(found); err != nil {
+	if err := a.reopenLastSegment(tail); err != nil {
 		return err
 	}
-	mark, err := a.fs.Create(a.path(markName))
+	file, err := a.fs.Create(a.path(highWaterName))
 	if err != nil {
-		return a.fail("create", a.path(markName), err)
+		return a.failOperation("create", a.path(highWaterName), err)
 	}
-	a.mark = mark
-	return a.writeMark()
+	a.highWaterFile = file
+	return a.writeHighWater()
 }
 
-// reopen opens the last log file for appending.
-func (a *Archive) reopen(found scan) error {
+// reopenLastSegment rewrites the last segment without its torn tail and opens it
+// for appending.
+func (a *Archive) reopenLastSegment(tail tailScan) error {
 	if len(a.segments) == 0 {
 		return nil
 	}
-	// The last file is written anew. This cuts off its torn end, and it makes
-	// its records durable if an fsync of the process before had failed: such
-	// records can be read from memory without being on the disk, and no later
-	// fsync of the same file would bring them there.
+	// Rewriting also makes records durable for which an earlier fsync failed.
+	// They can be read from the page cache without being on the disk, and no
+	// later fsync of the same file would write them.
 	name := a.segments[len(a.segments)-1].name
-	if err := writeFile(a.fs, a.folder, name, found.sound); err != nil {
-		return a.failWith(err)
+	if err := writeFile(a.fs, a.folder, name, tail.valid); err != nil {
+		return a.recordFailure(err)
 	}
 	file, err := a.fs.Append(filepath.Join(a.folder, name))
 	if err != nil {
-		return a.fail("open", a.path(name), err)
+		return a.failOperation("open", a.path(name), err)
 	}
 	a.active = file
 	return nil
--- a/internal/archive/snapshot.go
+++ b/internal/archive/snapshot.go
@@ -9,8 +9,8 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Names of the files in the data folder. Numbers in names are hexadecimal and
-// of one length, so that names sort like their numbers.
+// Names of the files in the data folder. Numbers in names are hexadecimal with a
+// fixed width, so that sorting by name sorts by number.
 const (
 	lockName        = "lock"
 	identityName    = "identity"
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("%s%016x", prefix, number)
 }
 
-// parseName returns the number in name. If name is not of that prefix, ok is
-// false.
+// parseName returns the number in a name that numberedName built with prefix. ok
+// is false for any other name.
 func parseName(prefix, name string) (number uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) != 16 {
