--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -329,9 +329,9 @@
 	return nil
 }
 
-// Failed returns the *DiskError that stopped the archive, ErrClosed after Close,
+// Err returns the *DiskError that stopped the archive, ErrClosed after Close,
 // or nil.
-func (a *Archive) Failed() error {
+func (a *Archive) Err() error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.failure
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -136,7 +136,7 @@
 		Expect(a.Append(hardState, 1, nil)).To(MatchError(ContainSubstring("which the snapshot at 1 holds")))
 		Expect(a.Compact(2)).To(MatchError(ContainSubstring("above the snapshot at 1")))
 		Expect(a.Append(hardState, 2, []jury.Entry{commandEntry(2, 2)})).To(Succeed())
-		Expect(a.Failed()).NotTo(HaveOccurred())
+		Expect(a.Err()).NotTo(HaveOccurred())
 	})
 
 	It("appends while a snapshot is being written", func() {
--- a/internal/archive/crash_test.go
+++ b/internal/archive/crash_test.go
@@ -140,7 +140,7 @@
 		Expect(diskError.DiskFull()).To(BeFalse())
 		Expect(a.Append(jury.HardState{Term: 2}, 0, nil)).To(MatchError(diskError))
 		Expect(a.SaveSnapshot(jury.Snapshot{Index: 1, Term: 1})).To(MatchError(diskError))
-		Expect(a.Failed()).To(MatchError(diskError))
+		Expect(a.Err()).To(MatchError(diskError))
 		Expect(a.Close()).To(Succeed())
 
 		a, loaded, err := openArchive(fs.restart())
--- a/internal/docket/answer.go
+++ b/internal/docket/answer.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// State is what is recorded of a request.
+// State is the recorded state of a request.
 type State uint8
 
-// The states of a record.
+// States of a record.
 const (
 	// StateInFlight means that a claimant may be sending the request.
 	StateInFlight State = iota + 1
-	// StateNotRun means that the claimant has given up without sending a byte.
-	// The key may be claimed again.
+	// StateNotRun means that the claimant gave up without sending a byte. The key
+	// can be claimed again.
 	StateNotRun
 	// StateCompleted means that an upstream ran the request.
 	StateCompleted
-	// StateUnknown means that an upstream may have run the request. The key is
-	// never claimed again. The claimant may still record StateCompleted.
+	// StateUnknown means that an upstream may have run the request. The key can't
+	// be claimed again, but the claimant can still record StateCompleted.
 	StateUnknown
 )
 
-// String returns the word for the state in logs.
+// String returns the name of the state for logs.
 func (s State) String() string {
 	switch s {
 	case StateInFlight:
@@ -35,36 +35,38 @@
 	}
 }
 
-// Verdict is the docket's decision on a command.
+// Verdict is the outcome of a command or a Lookup.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
-	// VerdictGranted: the claimant may send the request, once.
+	// VerdictGranted means that the claimant may send the request once.
 	VerdictGranted Verdict = iota + 1
-	// VerdictInProgress: another claimant may be sending the request. Ask again
-	// later.
+	// VerdictInProgress means that another claimant may be sending the request.
+	// The caller should retry later.
 	VerdictInProgress
-	// VerdictCompleted: the request ran. Answer.Response is the answer, or nil
-	// if it was not kept.
+	// VerdictCompleted means that the request ran. Answer.Response is the
+	// upstream's response, or nil if it was not kept.
 	VerdictCompleted
-	// VerdictUnknown: the request may have run.
+	// VerdictUnknown means that the request may have run.
 	VerdictUnknown
-	// VerdictMismatch: the key was used for a request with another fingerprint.
+	// VerdictMismatch means that the key belongs to a request with another
+	// fingerprint.
 	VerdictMismatch
-	// VerdictFull: there is no room for another record. Nothing was claimed.
+	// VerdictFull means that Limits.MaxRecords is reached. No record was added.
 	VerdictFull
-	// VerdictRecorded: the record is as the command says, perhaps since an
-	// earlier one.
+	// VerdictRecorded means that the command was applied, now or by an earlier
+	// duplicate. From Lookup, it means that the request was not run.
 	VerdictRecorded
-	// VerdictStale: the command comes from a claimant or attempt that no longer
-	// holds the claim, or contradicts a final state. Nothing was changed.
+	// VerdictStale means that the claimant or attempt of the command no longer
+	// owns the claim, or that the command contradicts the recorded state. Nothing
+	// was changed.
 	VerdictStale
-	// VerdictNone: there is no such record.
+	// VerdictNone means that the key has no record.
 	VerdictNone
 )
 
-// String returns the word for the verdict in logs.
+// String returns the name of the verdict for logs.
 func (v Verdict) String() string {
 	names := [...]string{"", "granted", "in-progress", "completed", "unknown", "mismatch", "full", "recorded", "stale", "none"}
 	if int(v) >= len(names) {
@@ -73,20 +75,22 @@
 	return names[v]
 }
 
-// Answer is what the docket answers to a command or a Lookup.
+// Answer is the result of a command or a Lookup.
 type Answer struct {
 	Verdict Verdict `json:"verdict"`
 	// Attempt counts the claims granted for the key, from 1.
 	Attempt uint32 `json:"attempt,omitempty"`
 	// Owner is the claimant of the last attempt.
 	Owner Claimant `json:"owner,omitzero"`
-	// Wait is, for VerdictInProgress, the longest time until the record is in
-	// another state, and for VerdictFull the time until a record expires.
+	// Wait is, for VerdictInProgress, the maximum time until the state of the
+	// record changes. For VerdictFull, it is the time until the next record
+	// expires.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Response is shared and must not be changed.
+	// Response is shared with the docket and must not be modified.
 	Response *Response `json:"response,omitempty"`
-	// Expired and Overdue count, for Expire and Abandon, the records dropped
-	// and the claims that became unknown.
+	// Expired is the number of records that Expire removed.
 	Expired int `json:"expired,omitempty"`
+	// Overdue is the number of claims that Expire or Abandon changed to
+	// StateUnknown.
 	Overdue int `json:"overdue,omitempty"`
 }
--- a/internal/docket/command.go
+++ b/internal/docket/command.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Command is a change of the docket: Claim, Record, Expire or Abandon.
+// Command changes a Docket. It is a Claim, Record, Expire or Abandon.
 type Command interface {
 	isCommand()
 }
@@ -12,67 +12,68 @@
 func (Expire) isCommand()  {}
 func (Abandon) isCommand() {}
 
-// Claimant names one request that an instance holds. A claim that the instance
-// proposes twice has the same Claimant, and counts once.
+// Claimant identifies one request at an instance. If the instance proposes a
+// claim twice, both have the same Claimant and count as one.
 type Claimant struct {
 	Instance string `json:"instance"`
-	// Incarnation grows with every start of the instance.
+	// Incarnation increases with every start of the instance.
 	Incarnation uint64 `json:"incarnation"`
-	// Request is never used twice in an incarnation.
+	// Request is unique within the incarnation.
 	Request uint64 `json:"request"`
 }
 
-// Claim asks for the right to send a request once. It must be committed before
-// the first byte of the request leaves.
+// Claim requests the permission to send a request once. It must be committed
+// before the first byte of the request is sent.
 type Claim struct {
 	Key         Key         `json:"key"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Claimant    Claimant    `json:"claimant"`
-	// Timeout is how long the claimant may take, from now on, until it records
-	// what came of the request. The claimant sends nothing after it, by its own
-	// clock, counted from before it proposed the claim.
+	// Timeout is the time that the claimant has to record the outcome of the
+	// request, counted from when the claim is applied. The claimant sends nothing
+	// after the timeout on its own clock, counted from before it proposed the
+	// claim.
 	Timeout time.Duration `json:"timeout"`
 }
 
-// Record says what came of a claimed request.
+// Record stores the outcome of a claimed request.
 type Record struct {
 	Key      Key      `json:"key"`
 	Claimant Claimant `json:"claimant"`
-	// Attempt is the one that the claim's answer gave. It is 0 if the claimant
-	// never got an answer, which only StateNotRun may go with: the claimant has
-	// sent nothing, nor ever will.
+	// Attempt is Answer.Attempt of the granted claim. It is 0 if the claimant
+	// received no answer to its claim. It has then sent nothing and never will, so
+	// State must be StateNotRun.
 	Attempt uint32 `json:"attempt,omitempty"`
-	// Fingerprint is that of the claim.
+	// Fingerprint is the fingerprint of the claim.
 	Fingerprint Fingerprint `json:"fingerprint"`
 	// State is StateNotRun, StateCompleted or StateUnknown.
 	State State `json:"state"`
-	// Response is the upstream's answer, if State is StateCompleted. It may be
-	// nil if the answer is too large to keep.
+	// Response is the upstream's response if State is StateCompleted. It is nil if
+	// the response is too large to keep.
 	Response *Response `json:"response,omitempty"`
 }
 
-// Expire moves the docket's clock on and drops the records whose retention has
-// run out. The leader proposes it every Limits.MaxStep at the longest.
+// Expire advances the docket's clock and removes the records whose retention has
+// ended. The leader proposes it at least once every Limits.MaxStep.
 type Expire struct {
-	// Now is the leader's time. Only its distance from the Now before counts,
-	// up to Limits.MaxStep: a clock that is set wrong by a day makes no record
-	// expire a day early.
+	// Now is the leader's wall clock. The docket's clock advances by the difference
+	// from the previous Now, but by Limits.MaxStep at most. So if a leader's clock
+	// is a day ahead, no record expires a day early.
 	Now time.Time `json:"now"`
-	// Limits are in force from this command on, so that all replicas have the
-	// same ones whatever their settings say.
+	// Limits apply from this command on. They are part of the command so that all
+	// replicas use the same limits even if their settings differ.
 	Limits Limits `json:"limits"`
 }
 
-// Abandon says that an instance has come back as a new incarnation. What its
-// earlier incarnations had in flight is unknown from then on, without waiting
-// for the timeout.
+// Abandon reports that an instance restarted as a new incarnation. In-flight
+// claims of its earlier incarnations change to StateUnknown without waiting for
+// their timeout.
 type Abandon struct {
 	Instance string `json:"instance"`
-	// Incarnation is the new one.
+	// Incarnation is the new incarnation.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Response is an upstream's answer, kept to be given again.
+// Response is an upstream's response, which is replayed to duplicate requests.
 type Response struct {
 	Status  int      `json:"status"`
 	Headers []Header `json:"headers,omitempty"`
@@ -85,14 +86,14 @@
 	Value string `json:"value"`
 }
 
-// size returns the bytes that the response takes in memory, roughly.
+// size estimates the memory use of the response in bytes.
 func (r *Response) size() int64 {
 	if r == nil {
 		return 0
 	}
-	size := responseBytes + len(r.Body)
+	size := responseOverheadBytes + len(r.Body)
 	for _, h := range r.Headers {
-		size += headerBytes + len(h.Name) + len(h.Value)
+		size += headerOverheadBytes + len(h.Name) + len(h.Value)
 	}
 	return int64(size)
 }
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -1,9 +1,9 @@
-// Package docket keeps what is known of non-idempotent requests: idempotency
-// records, the deduplication store.
+// Package docket is the deduplication store of non-idempotent requests. It keeps
+// an idempotency record for each key.
 //
-// It is a pure state machine. Equal commands in equal order give equal dockets
-// on every replica: it has a clock of its own, which only commands move, and
-// limits that commands carry.
+// It is a deterministic state machine: the same commands in the same order
+// produce the same state on every replica. Its clock is advanced only by
+// commands, and its limits are set by commands.
 package docket
 
 import (
@@ -13,45 +13,48 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Docket is the records of all keys. It is not safe for concurrent use.
+// Docket is a set of idempotency records by key. It is not safe for concurrent
+// use.
 type Docket struct {
 	limits  Limits
-	records map[Key]*entry
-	// order holds every record of records.
-	order queue
-	// responses are the records that had a response when they completed, oldest
-	// first. Those that expired since have none any more.
-	responses     []*entry
+	records map[Key]*storedRecord
+	// byLastChange contains all records, least recently changed first.
+	byLastChange recordList
+	// withResponse are the records that were stored with a response, oldest
+	// first. It may still contain removed records, whose response is nil.
+	withResponse []*storedRecord
+	// responseBytes is the estimated memory use of all kept responses.
 	responseBytes int64
-	// clock is the time that the docket has counted. It never goes back, and
-	// stands still while there is no leader, so that records are kept longer,
-	// never shorter.
+	// clock is the sum of the time steps of all Expire commands. It never goes
+	// back. Without a leader it stops, which can only lengthen the retention of
+	// records.
 	clock time.Duration
-	// reported is the Now of the last Expire.
-	reported time.Time
-	counters Counters
+	// leaderTime is the Now of the last Expire.
+	leaderTime time.Time
+	counters   Counters
 }
 
-// Counters count since the docket began, on all replicas alike.
+// Counters are totals since the docket was created. They are part of the
+// replicated state.
 type Counters struct {
 	// Granted counts the claims granted.
 	Granted uint64 `json:"granted"`
-	// Refused counts the claims refused because there was no room.
+	// Refused counts the claims refused because of Limits.MaxRecords.
 	Refused uint64 `json:"refused"`
-	// Expired counts the records dropped because their retention ran out. The
-	// same key is a new request from then on.
+	// Expired counts the records removed at the end of their retention. A later
+	// request with the same key counts as a new one.
 	Expired uint64 `json:"expired"`
-	// Overdue counts the claims that became unknown because their claimant
-	// recorded nothing in time, or came back as a new incarnation.
+	// Overdue counts the claims that changed to StateUnknown because the claimant
+	// recorded no outcome in time or its instance restarted.
 	Overdue uint64 `json:"overdue"`
-	// ResponsesDropped counts the responses that were not kept, or not to the
-	// end, for want of room.
+	// ResponsesDropped counts the responses of completed requests that were
+	// missing or too large to keep, and those evicted before their record expired.
 	ResponsesDropped uint64 `json:"responses-dropped"`
 }
 
 // New returns an empty docket with DefaultLimits.
 func New() *Docket {
-	return &Docket{limits: DefaultLimits(), records: map[Key]*entry{}}
+	return &Docket{limits: DefaultLimits(), records: map[Key]*storedRecord{}}
 }
 
 // Len returns the number of records.
@@ -59,12 +62,12 @@
 	return len(d.records)
 }
 
-// ResponseBytes returns the bytes that the kept responses take in memory.
+// ResponseBytes returns the estimated memory use of the kept responses in bytes.
 func (d *Docket) ResponseBytes() int64 {
 	return d.responseBytes
 }
 
-// Counters returns the counters.
+// Counters returns the current counters.
 func (d *Docket) Counters() Counters {
 	return d.counters
 }
@@ -74,143 +77,146 @@
 	return d.limits
 }
 
-// Apply carries a command out.
+// Apply applies a command and returns its result.
 func (d *Docket) Apply(command Command) Answer {
 	switch c := command.(type) {
 	case Claim:
-		return d.claim(c)
+		return d.applyClaim(c)
 	case Record:
-		return d.record(c)
+		return d.applyRecord(c)
 	case Expire:
-		return d.expire(c)
+		return d.applyExpire(c)
 	case Abandon:
-		return d.abandon(c)
+		return d.applyAbandon(c)
 	default:
 		panic(errors.AssertionFailedf("docket: command %T", command))
 	}
 }
 
-// Lookup returns what is recorded of key: VerdictNone, VerdictInProgress,
-// VerdictCompleted, VerdictUnknown, or VerdictRecorded if the request was not
-// run.
+// Lookup returns the state of the record for key. The verdict is VerdictNone,
+// VerdictInProgress, VerdictCompleted, VerdictUnknown, or VerdictRecorded if the
+// request was not run.
 func (d *Docket) Lookup(key Key) Answer {
 	r, ok := d.records[key]
 	switch {
 	case !ok:
 		return Answer{Verdict: VerdictNone}
 	case r.state == StateNotRun:
-		return Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.owner}
+		return Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.claimant}
 	default:
-		return d.known(r)
+		return d.answerFor(r)
 	}
 }
 
-// claim grants a claim if nobody else can have sent a byte of the request: the
-// key is new, or the claimant before recorded that it gave up. A claim whose
-// timeout has passed is never granted to another claimant. The paused or
-// partitioned owner's bytes may still be on their way, so that a second run
-// would break at-most-once, which no timeout can rule out.
-func (d *Docket) claim(c Claim) Answer {
+// applyClaim grants a claim if no other claimant can have sent a byte of the
+// request: the key is new, or the previous claimant recorded StateNotRun. A claim
+// whose timeout has passed is never granted to another claimant. Its owner may be
+// paused or partitioned with bytes still in transit, so a second run would
+// violate at-most-once execution whatever the timeout.
+func (d *Docket) applyClaim(c Claim) Answer {
 	r, ok := d.records[c.Key]
 	if !ok {
 		if len(d.records) >= d.limits.MaxRecords {
 			d.counters.Refused++
-			return Answer{Verdict: VerdictFull, Wait: d.untilExpiry()}
+			return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
 		}
-		r = &entry{key: c.Key, fingerprint: c.Fingerprint, state: StateNotRun}
+		r = &storedRecord{key: c.Key, fingerprint: c.Fingerprint, state: StateNotRun}
 		d.records[c.Key] = r
-		d.order.push(r)
+		d.byLastChange.pushBack(r)
 		return d.grant(r, c)
 	}
 	switch {
 	case r.fingerprint != c.Fingerprint:
 		return Answer{Verdict: VerdictMismatch}
-	case r.owner == c.Claimant && r.state == StateInFlight:
-		// The claimant proposed its claim twice.
-		return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.owner}
-	case r.owner == c.Claimant:
-		// The claim was delayed until after its claimant had given up.
-		return Answer{Verdict: VerdictStale, Attempt: r.attempt, Owner: r.owner}
+	case r.claimant == c.Claimant && r.state == StateInFlight:
+		// This is a duplicate of the granted claim.
+		return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.claimant}
+	case r.claimant == c.Claimant:
+		// The claim arrived after its claimant had recorded an outcome or after it
+		// became unknown.
+		return Answer{Verdict: VerdictStale, Attempt: r.attempt, Owner: r.claimant}
 	case r.state == StateNotRun:
 		return d.grant(r, c)
 	default:
-		return d.known(r)
+		return d.answerFor(r)
 	}
 }
 
-func (d *Docket) grant(r *entry, c Claim) Answer {
-	r.owner = intern(c.Claimant)
+func (d *Docket) grant(r *storedRecord, c Claim) Answer {
+	r.claimant = internInstance(c.Claimant)
 	r.attempt++
 	r.state = StateInFlight
-	r.until = d.clock + min(max(c.Timeout, 0), d.limits.MaxTimeout) + d.limits.Grace
-	d.touch(r)
+	r.unknownAfter = d.clock + min(max(c.Timeout, 0), d.limits.MaxTimeout) + d.limits.Grace
+	d.markChanged(r)
 	d.counters.Granted++
-	return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.owner}
+	return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.claimant}
 }
 
-// known answers with the state of a record that isn't StateNotRun.
-func (d *Docket) known(r *entry) Answer {
-	answer := Answer{Attempt: r.attempt, Owner: r.owner}
+// answerFor returns the state of a record in any state but StateNotRun.
+func (d *Docket) answerFor(r *storedRecord) Answer {
+	answer := Answer{Attempt: r.attempt, Owner: r.claimant}
 	switch {
 	case r.state == StateCompleted:
 		answer.Verdict = VerdictCompleted
 		answer.Response = r.response
-	case r.state == StateInFlight && d.clock <= r.until:
+	case r.state == StateInFlight && d.clock <= r.unknownAfter:
 		answer.Verdict = VerdictInProgress
-		answer.Wait = r.until - d.clock
+		answer.Wait = r.unknownAfter - d.clock
 	default:
 		answer.Verdict = VerdictUnknown
 	}
 	return answer
 }
 
-func (d *Docket) record(c Record) Answer {
+func (d *Docket) applyRecord(c Record) Answer {
 	r, ok := d.records[c.Key]
 	if !ok {
-		return d.withdraw(c)
+		return d.recordWithdrawal(c)
 	}
-	withdrawn := c.Attempt == 0 && c.State == StateNotRun
-	if r.owner != c.Claimant || r.attempt != c.Attempt && !withdrawn {
-		return Answer{Verdict: VerdictStale, Attempt: r.attempt, Owner: r.owner}
+	isWithdrawal := c.Attempt == 0 && c.State == StateNotRun
+	if r.claimant != c.Claimant || r.attempt != c.Attempt && !isWithdrawal {
+		return Answer{Verdict: VerdictStale, Attempt: r.attempt, Owner: r.claimant}
 	}
-	answer := Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.owner}
+	answer := Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.claimant}
 	switch {
 	case r.state == c.State:
 		return answer
 	case r.state == StateInFlight && c.State > StateInFlight && c.State <= StateUnknown:
 	case r.state == StateUnknown && c.State == StateCompleted:
-		// The claimant knows better, late. Who was told unknown was told no lie.
+		// The outcome arrived late. Answers of VerdictUnknown before it were still
+		// correct.
 	default:
 		answer.Verdict = VerdictStale
 		return answer
 	}
 	r.state = c.State
-	d.touch(r)
+	d.markChanged(r)
 	if c.State == StateCompleted {
-		d.keep(r, c.Response)
+		d.storeResponse(r, c.Response)
 	}
 	return answer
 }
 
-// withdraw notes that a claimant gave up before it learned whether its claim
-// was granted. If the claim is yet to come, it finds the record and is stale;
-// otherwise it would hold the key until its timeout, for a request that nobody
-// sends.
-func (d *Docket) withdraw(c Record) Answer {
+// recordWithdrawal records that a claimant gave up before it received an answer
+// to its claim, if the claim hasn't arrived yet. With this record, the claim is
+// stale when it arrives. Otherwise it would block the key until its timeout
+// although nobody sends the request.
+func (d *Docket) recordWithdrawal(c Record) Answer {
 	if c.State != StateNotRun {
 		return Answer{Verdict: VerdictNone}
 	}
 	if len(d.records) >= d.limits.MaxRecords {
-		return Answer{Verdict: VerdictFull, Wait: d.untilExpiry()}
+		return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
 	}
-	r := &entry{key: c.Key, fingerprint: c.Fingerprint, owner: intern(c.Claimant), state: StateNotRun, touched: d.clock}
+	r := &storedRecord{key: c.Key, fingerprint: c.Fingerprint, claimant: internInstance(c.Claimant), state: StateNotRun, changedAt: d.clock}
 	d.records[c.Key] = r
-	d.order.push(r)
-	return Answer{Verdict: VerdictRecorded, Owner: r.owner}
+	d.byLastChange.pushBack(r)
+	return Answer{Verdict: VerdictRecorded, Owner: r.claimant}
 }
 
-// keep attaches a response to r, dropping older ones for room.
-func (d *Docket) keep(r *entry, response *Response) {
+// storeResponse adds a response to r and evicts older ones to stay within the
+// limits.
+func (d *Docket) storeResponse(r *storedRecord, response *Response) {
 	size := response.size()
 	if response == nil || len(response.Body) > d.limits.MaxBodyBytes || size > d.limits.MaxResponseBytes {
 		d.counters.ResponsesDropped++
@@ -218,14 +224,14 @@
 	}
 	r.response = response
 	d.responseBytes += size
-	d.responses = append(d.responses, r)
-	d.trimResponses()
+	d.withResponse = append(d.withResponse, r)
+	d.evictResponses()
 }
 
-// trimResponses drops the oldest responses until the rest fit.
-func (d *Docket) trimResponses() {
-	for len(d.responses) > 0 {
-		oldest := d.responses[0]
+// evictResponses drops the oldest responses until Limits.MaxResponseBytes is met.
+func (d *Docket) evictResponses() {
+	for len(d.withResponse) > 0 {
+		oldest := d.withResponse[0]
 		if oldest.response != nil {
 			if d.responseBytes <= d.limits.MaxResponseBytes {
 				return
@@ -233,32 +239,36 @@
 			d.dropResponse(oldest)
 			d.counters.ResponsesDropped++
 		}
-		d.responses[0] = nil
-		d.responses = d.responses[1:]
+		d.withResponse[0] = nil
+		d.withResponse = d.withResponse[1:]
 	}
 }
 
-func (d *Docket) dropResponse(r *entry) {
+func (d *Docket) dropResponse(r *storedRecord) {
 	d.responseBytes -= r.response.size()
 	r.response = nil
 }
 
-func (d *Docket) touch(r *entry) {
-	r.touched = d.clock
-	d.order.remove(r)
-	d.order.push(r)
+// markChanged sets the time of the last change and moves r to the end of
+// byLastChange.
+func (d *Docket) markChanged(r *storedRecord) {
+	r.changedAt = d.clock
+	d.byLastChange.remove(r)
+	d.byLastChange.pushBack(r)
 }
 
-// intern makes all claimants of an instance share the memory of its name.
-func intern(c Claimant) Claimant {
+// internInstance interns the instance name, so that all claimants of an instance
+// share its memory.
+func internInstance(c Claimant) Claimant {
 	c.Instance = unique.Make(c.Instance).Value()
 	return c
 }
 
-// untilExpiry returns the time until the record touched longest ago expires.
-func (d *Docket) untilExpiry() time.Duration {
-	if d.order.first == nil {
+// timeUntilExpiry returns the time until the least recently changed record
+// expires.
+func (d *Docket) timeUntilExpiry() time.Duration {
+	if d.byLastChange.first == nil {
 		return d.limits.Retention
 	}
-	return max(0, d.order.first.touched+d.limits.Retention-d.clock)
+	return max(0, d.byLastChange.first.changedAt+d.limits.Retention-d.clock)
 }
--- a/internal/docket/expiry.go
+++ b/internal/docket/expiry.go
@@ -1,47 +1,53 @@
 package docket
 
-// expire moves the clock on, gives up overdue claims and drops old records.
-func (d *Docket) expire(c Expire) Answer {
-	step := c.Now.Sub(d.reported)
-	if d.reported.IsZero() {
+// applyExpire updates the limits, advances the clock, and removes the records
+// whose retention has ended. In-flight records are not removed. They change to
+// StateUnknown or, if they aren't overdue yet, stay in flight, and their
+// retention starts again.
+func (d *Docket) applyExpire(c Expire) Answer {
+	step := c.Now.Sub(d.leaderTime)
+	if d.leaderTime.IsZero() {
 		step = 0
 	}
-	d.reported = c.Now
+	d.leaderTime = c.Now
 	if c.Limits.Valid() {
 		d.limits = c.Limits
 	}
 	d.clock += min(max(step, 0), d.limits.MaxStep)
 	answer := Answer{Verdict: VerdictRecorded}
-	for r := d.order.first; r != nil && r.touched+d.limits.Retention <= d.clock; r = d.order.first {
+	for r := d.byLastChange.first; r != nil && r.changedAt+d.limits.Retention <= d.clock; r = d.byLastChange.first {
 		switch {
 		case r.state != StateInFlight:
-			d.drop(r)
+			d.removeRecord(r)
 			answer.Expired++
-		case r.until < d.clock:
-			d.giveUp(r)
+		case r.unknownAfter < d.clock:
+			d.markUnknown(r)
 			answer.Overdue++
 		default:
-			d.touch(r)
+			d.markChanged(r)
 		}
 	}
-	d.trimResponses()
+	d.evictResponses()
 	d.counters.Expired += uint64(answer.Expired)
 	d.counters.Overdue += uint64(answer.Overdue)
 	return answer
 }
 
-// abandon gives up the claims of an instance's earlier incarnations.
-func (d *Docket) abandon(c Abandon) Answer {
+// applyAbandon changes the in-flight claims of an instance's earlier incarnations
+// to StateUnknown.
+func (d *Docket) applyAbandon(c Abandon) Answer {
 	answer := Answer{Verdict: VerdictRecorded}
-	last := d.order.last
-	for r := d.order.first; r != nil; {
+	// Changed records move to the end of the list, so the loop stops after the
+	// record that is last at the start.
+	last := d.byLastChange.last
+	for r := d.byLastChange.first; r != nil; {
 		next := r.next
-		end := r == last
-		if r.state == StateInFlight && r.owner.Instance == c.Instance && r.owner.Incarnation < c.Incarnation {
-			d.giveUp(r)
+		isLast := r == last
+		if r.state == StateInFlight && r.claimant.Instance == c.Instance && r.claimant.Incarnation < c.Incarnation {
+			d.markUnknown(r)
 			answer.Overdue++
 		}
-		if end {
+		if isLast {
 			break
 		}
 		r = next
@@ -50,15 +56,15 @@
 	return answer
 }
 
-func (d *Docket) giveUp(r *entry) {
+func (d *Docket) markUnknown(r *storedRecord) {
 	r.state = StateUnknown
-	d.touch(r)
+	d.markChanged(r)
 }
 
-func (d *Docket) drop(r *entry) {
+func (d *Docket) removeRecord(r *storedRecord) {
 	if r.response != nil {
 		d.dropResponse(r)
 	}
-	d.order.remove(r)
+	d.byLastChange.remove(r)
 	delete(d.records, r.key)
 }
--- a/internal/docket/export_test.go
+++ b/internal/docket/export_test.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// ClockAtEnd sets the clock to the last moment it can count.
-func ClockAtEnd(d *Docket) {
+// SetMaxClock sets the clock to its maximum value.
+func SetMaxClock(d *Docket) {
 	d.clock = math.MaxInt64
 }
 
-// TouchedLater makes the last record one that changes in the future.
-func TouchedLater(d *Docket) {
-	d.order.last.touched = d.clock + 1
+// SetFutureChange sets the last change of the last record to the future.
+func SetFutureChange(d *Docket) {
+	d.byLastChange.last.changedAt = d.clock + 1
 }
 
-// KeyTwice gives the last record a twin.
-func KeyTwice(d *Docket) {
-	last := d.order.last
-	twin := *last
-	d.order.push(&twin)
-	d.records[Key{}] = &twin
+// DuplicateLastRecord adds a second record with the key of the last one.
+func DuplicateLastRecord(d *Docket) {
+	last := d.byLastChange.last
+	duplicate := *last
+	d.byLastChange.pushBack(&duplicate)
+	d.records[Key{}] = &duplicate
 }
 
-// NoLimits takes all limits off.
-func NoLimits(d *Docket) {
+// ClearLimits sets all limits to 0.
+func ClearLimits(d *Docket) {
 	d.limits = Limits{}
 }
--- a/internal/docket/fuzz_test.go
+++ b/internal/docket/fuzz_test.go
@@ -8,15 +8,15 @@
 	"github.com/lovagelift/lovagelift/internal/docket"
 )
 
-// FuzzRestore puts any bytes in the place of a snapshot. What Restore takes must
-// come back as the same docket from its own snapshot.
+// FuzzRestore restores arbitrary bytes. If Restore accepts them, a snapshot of the
+// restored docket must restore to the same state.
 func FuzzRestore(f *testing.F) {
 	d := docket.New()
-	d.Apply(docket.Expire{Now: start, Limits: docket.DefaultLimits()})
+	d.Apply(docket.Expire{Now: startTime, Limits: docket.DefaultLimits()})
 	f.Add(d.Snapshot(nil))
-	d.Apply(docket.Claim{Key: seat, Fingerprint: body, Claimant: here, Timeout: time.Minute})
+	d.Apply(docket.Claim{Key: bookingKey, Fingerprint: bookingFingerprint, Claimant: claimant1, Timeout: time.Minute})
 	f.Add(d.Snapshot(nil))
-	d.Apply(docket.Record{Key: seat, Claimant: here, Attempt: 1, State: docket.StateCompleted, Response: &docket.Response{
+	d.Apply(docket.Record{Key: bookingKey, Claimant: claimant1, Attempt: 1, State: docket.StateCompleted, Response: &docket.Response{
 		Status: 201, Headers: []docket.Header{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte("yes"),
 	}})
 	f.Add(d.Snapshot(nil))
@@ -25,11 +25,11 @@
 		if err != nil {
 			return
 		}
-		first := restored.Snapshot(nil)
-		again, err := docket.Restore(first)
-		if err != nil || !bytes.Equal(again.Snapshot(nil), first) {
+		snapshot := restored.Snapshot(nil)
+		restoredAgain, err := docket.Restore(snapshot)
+		if err != nil || !bytes.Equal(restoredAgain.Snapshot(nil), snapshot) {
 			t.Fatal(err)
 		}
-		again.Apply(docket.Expire{Now: start, Limits: docket.DefaultLimits()})
+		restoredAgain.Apply(docket.Expire{Now: startTime, Limits: docket.DefaultLimits()})
 	})
 }
--- a/internal/docket/key.go
+++ b/internal/docket/key.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key names a record: the digest of a service and a caller's idempotency key.
-// A digest is of one size however long the key is, and nothing that a caller
-// wrote into a key lies in the log.
+// Key identifies a record. It is a digest of a service and a caller's idempotency
+// key. The digest has a fixed size and keeps the content of callers' keys out of
+// the replicated log.
 type Key [sha256.Size]byte
 
-// KeyOf returns the Key of a caller's idempotency key within a service.
+// KeyOf returns the Key for an idempotency key of a service.
 func KeyOf(service, key string) Key {
 	return Key(digest([]byte(service), []byte(key)))
 }
@@ -28,11 +28,12 @@
 	return decodeHex(k[:], text, "key")
 }
 
-// Fingerprint tells whether two requests with one Key are the same request.
+// Fingerprint is a digest of a request. Requests with the same Key must have the
+// same Fingerprint.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the Fingerprint of a request from its parts, such as
-// method, path and body.
+// FingerprintOf returns the Fingerprint of a request with the given parts, such as
+// its method, path and body.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	sum := digest(parts...)
 	return Fingerprint(sum[:len(Fingerprint{})])
@@ -48,8 +49,8 @@
 	return decodeHex(f[:], text, "fingerprint")
 }
 
-// digest hashes the parts, each behind its length, so that no two lists of
-// parts hash the same bytes.
+// digest hashes the parts, each preceded by its length, so that different lists
+// of parts never produce the same hash input.
 func digest(parts ...[]byte) []byte {
 	hash := sha256.New()
 	var length [8]byte
@@ -61,12 +62,12 @@
 	return hash.Sum(nil)
 }
 
-func decodeHex(to, text []byte, what string) error {
-	if len(text) != hex.EncodedLen(len(to)) {
-		return errors.Newf("docket: a %s has %d hexadecimal digits, not %d", what, hex.EncodedLen(len(to)), len(text))
+func decodeHex(destination, text []byte, name string) error {
+	if len(text) != hex.EncodedLen(len(destination)) {
+		return errors.Newf("docket: a %s has %d hexadecimal digits, not %d", name, hex.EncodedLen(len(destination)), len(text))
 	}
-	if _, err := hex.Decode(to, text); err != nil {
-		return errors.Newf("docket: %s: %v", what, err)
+	if _, err := hex.Decode(destination, text); err != nil {
+		return errors.Newf("docket: %s: %v", name, err)
 	}
 	return nil
 }
--- a/internal/docket/limits.go
+++ b/internal/docket/limits.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// Limits bound the docket.
+// Limits are the limits of a Docket.
 type Limits struct {
-	// Retention is how long a record is kept after its last change. It must
-	// exceed the longest time after which a caller may send a request again:
-	// once a record is gone, the same key is a new request.
+	// Retention is the time that a record is kept after its last change. It must
+	// exceed the longest time after which a caller may resend a request, because
+	// a key without a record counts as a new request.
 	Retention time.Duration `json:"retention"`
-	// Grace is added to the timeout of a claim before it counts as unknown.
+	// Grace is added to the timeout of a claim. The claim counts as unknown after
+	// both.
 	Grace time.Duration `json:"grace"`
-	// MaxTimeout bounds the timeout of a claim.
+	// MaxTimeout is the maximum timeout of a claim. Longer ones are shortened.
 	MaxTimeout time.Duration `json:"max-timeout"`
-	// MaxStep bounds how far one Expire moves the docket's clock.
+	// MaxStep is the maximum time by which one Expire advances the docket's clock.
 	MaxStep time.Duration `json:"max-step"`
-	// MaxRecords bounds the records. When it is reached, new keys are refused;
-	// no record is dropped before its time.
+	// MaxRecords is the maximum number of records. When it is reached, new keys
+	// are refused. Records are never removed before the end of their retention.
 	MaxRecords int `json:"max-records"`
-	// MaxResponseBytes bounds what all kept responses take in memory. When it
-	// is reached, the oldest responses are dropped; their records stay.
+	// MaxResponseBytes is the maximum memory use of all kept responses. When it is
+	// exceeded, the oldest responses are dropped, but their records are kept.
 	MaxResponseBytes int64 `json:"max-response-bytes"`
-	// MaxBodyBytes bounds the body of a kept response.
+	// MaxBodyBytes is the maximum size of the body of a kept response.
 	MaxBodyBytes int `json:"max-body-bytes"`
 }
 
-// maxTime bounds every duration, so that sums of them never overflow.
-const maxTime = 20 * 365 * 24 * time.Hour
+// maxDuration is the maximum duration in Limits. It prevents overflow when
+// durations are added.
+const maxDuration = 20 * 365 * 24 * time.Hour
 
-// Valid tells whether all limits but those of responses are above 0, and no time
-// is above 20 years. A docket keeps its limits when an Expire brings invalid
-// ones: without a retention all records would expire at once, and every resend
-// would run again.
+// Valid reports whether the limits for responses are not negative, all others are
+// positive, and no duration exceeds 20 years. A Docket ignores invalid limits in
+// an Expire. With a retention of 0, all records would expire at once and every
+// resent request would run again.
 func (l Limits) Valid() bool {
 	for _, d := range []time.Duration{l.Retention, l.Grace, l.MaxTimeout, l.MaxStep} {
-		if d <= 0 || d > maxTime {
+		if d <= 0 || d > maxDuration {
 			return false
 		}
 	}
 	return l.MaxRecords > 0 && l.MaxResponseBytes >= 0 && l.MaxBodyBytes >= 0
 }
 
-// DefaultLimits returns the limits for the users' sizes of today.
+// DefaultLimits returns limits for the sizes of current deployments.
 //
-// Retention is four days: a clerk's page that is left open on the evening
-// before a weekend with a holiday is sent again after 88 hours at most (Friday
-// 17:00 to Tuesday 09:00). The other figures keep the docket of a voter below
-// 64 MB; docs/MEASURES.md has the bytes for a record.
+// Retention is four days, because a web page that is left open over a weekend
+// with a holiday may resend its request after up to 88 hours (Friday 17:00 to
+// Tuesday 09:00). The other limits keep the docket of a voter below 64 MB. See
+// docs/MEASURES.md for the bytes per record.
 func DefaultLimits() Limits {
 	return Limits{
 		Retention:        96 * time.Hour,
@@ -58,9 +60,9 @@
 	}
 }
 
-// The bytes that parts of the docket take beside what callers sent, as
-// measured by BenchmarkMemory.
+// Estimated memory use of a response and of a header field, without their
+// content. BenchmarkMemory reports the actual memory use.
 const (
-	responseBytes = 64
-	headerBytes   = 32
+	responseOverheadBytes = 64
+	headerOverheadBytes   = 32
 )
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -11,113 +11,117 @@
 	"github.com/lovagelift/lovagelift/internal/docket"
 )
 
-// network hands commands to a docket late, doubled and out of order, and the
-// answers back late or never.
-type network struct {
+// simulation delivers commands to a docket late, more than once and out of order.
+// Some answers to claims are lost.
+type simulation struct {
 	random  *rand.Rand
 	docket  *docket.Docket
 	now     time.Time
 	limits  docket.Limits
-	waiting []docket.Command
-	// holders are in the order in which their requests came.
-	holders []*holder
-	// runs counts, for each key, the claimants that sent its request.
-	runs map[docket.Key]int
+	pending []docket.Command
+	// requests are indexed by Claimant.Request.
+	requests []*request
+	// sends is the number of claimants that sent the request of a key.
+	sends map[docket.Key]int
 }
 
-// holder is one request at an instance.
-type holder struct {
+// request is one request at an instance.
+type request struct {
 	claim docket.Claim
-	// done says that the holder has sent the request or given it up.
-	done bool
+	// finished is set when the request was sent or given up.
+	finished bool
 }
 
-func (n *network) step() {
-	switch n.random.IntN(6) {
+func (s *simulation) step() {
+	switch s.random.IntN(6) {
 	case 0, 1:
-		n.arrive()
+		s.startRequest()
 	case 2:
-		n.now = n.now.Add(time.Duration(n.random.IntN(40)) * time.Second)
-		n.docket.Apply(docket.Expire{Now: n.now, Limits: n.limits})
+		s.now = s.now.Add(time.Duration(s.random.IntN(40)) * time.Second)
+		s.docket.Apply(docket.Expire{Now: s.now, Limits: s.limits})
 	case 3:
-		n.giveUp()
+		s.abandonRequest()
 	default:
-		n.deliver()
+		s.deliverCommand()
 	}
 }
 
-// arrive brings a request to an instance, which proposes to claim its key.
-func (n *network) arrive() {
-	by := docket.Claimant{Instance: fmt.Sprintf("entry-%d", n.random.IntN(3)), Request: uint64(len(n.holders))}
+// startRequest adds a request at an instance, which proposes a claim once or
+// twice.
+func (s *simulation) startRequest() {
+	claimant := docket.Claimant{Instance: fmt.Sprintf("entry-%d", s.random.IntN(3)), Request: uint64(len(s.requests))}
 	claim := docket.Claim{
-		Key:      docket.KeyOf("booking", fmt.Sprint(n.random.IntN(4))),
-		Claimant: by,
-		Timeout:  time.Duration(n.random.IntN(60)) * time.Second,
+		Key:      docket.KeyOf("booking", fmt.Sprint(s.random.IntN(4))),
+		Claimant: claimant,
+		Timeout:  time.Duration(s.random.IntN(60)) * time.Second,
 	}
-	n.holders = append(n.holders, &holder{claim: claim})
-	n.waiting = append(n.waiting, claim)
-	if n.random.IntN(3) == 0 {
-		n.waiting = append(n.waiting, claim)
+	s.requests = append(s.requests, &request{claim: claim})
+	s.pending = append(s.pending, claim)
+	if s.random.IntN(3) == 0 {
+		s.pending = append(s.pending, claim)
 	}
 }
 
-// giveUp makes a holder that has sent nothing tell its caller not-run.
-func (n *network) giveUp() {
-	for _, h := range n.holders {
-		if !h.done {
-			h.done = true
-			n.waiting = append(n.waiting, docket.Record{Key: h.claim.Key, Claimant: h.claim.Claimant, State: docket.StateNotRun})
+// abandonRequest gives up the oldest unfinished request and proposes its
+// withdrawal.
+func (s *simulation) abandonRequest() {
+	for _, r := range s.requests {
+		if !r.finished {
+			r.finished = true
+			s.pending = append(s.pending, docket.Record{Key: r.claim.Key, Claimant: r.claim.Claimant, State: docket.StateNotRun})
 			return
 		}
 	}
 }
 
-// deliver commits a command and perhaps brings back the answer.
-func (n *network) deliver() {
-	if len(n.waiting) == 0 {
+// deliverCommand applies a random pending command. If it grants a claim and the
+// answer isn't lost, the request is sent, and its outcome is proposed up to twice.
+func (s *simulation) deliverCommand() {
+	if len(s.pending) == 0 {
 		return
 	}
-	at := n.random.IntN(len(n.waiting))
-	command := n.waiting[at]
-	n.waiting = append(n.waiting[:at], n.waiting[at+1:]...)
-	answer := n.docket.Apply(command)
+	at := s.random.IntN(len(s.pending))
+	command := s.pending[at]
+	s.pending = append(s.pending[:at], s.pending[at+1:]...)
+	answer := s.docket.Apply(command)
 	claim, ok := command.(docket.Claim)
-	if !ok || answer.Verdict != docket.VerdictGranted || n.random.IntN(4) == 0 {
+	if !ok || answer.Verdict != docket.VerdictGranted || s.random.IntN(4) == 0 {
 		return
 	}
-	h := n.holders[claim.Claimant.Request]
-	if h.done {
+	r := s.requests[claim.Claimant.Request]
+	if r.finished {
 		return
 	}
-	h.done = true
-	n.runs[claim.Key]++
+	r.finished = true
+	s.sends[claim.Key]++
 	record := docket.Record{Key: claim.Key, Claimant: claim.Claimant, Attempt: answer.Attempt, State: docket.StateCompleted}
-	if n.random.IntN(3) == 0 {
+	if s.random.IntN(3) == 0 {
 		record.State = docket.StateUnknown
 	}
-	for range n.random.IntN(3) {
-		n.waiting = append(n.waiting, record)
+	for range s.random.IntN(3) {
+		s.pending = append(s.pending, record)
 	}
 }
 
 var _ = Describe("any order of commands", func() {
-	// Callers resend four keys through three instances; claims and records come
-	// late, twice, out of order or not at all; claimants give up, or send and
-	// never say so; the clock runs past the timeouts. A key that two claimants
-	// send is a rider charged twice.
+	// Callers resend requests with four keys through three instances. Claims and
+	// records arrive late, twice, out of order or not at all. Claimants give up, or
+	// send the request and never record its outcome. The clock passes the timeouts.
+	// If two claimants sent the request of a key, a customer could be charged
+	// twice.
 	It("lets at most one claimant send a request", func() {
 		for seed := range uint64(300) {
-			n := &network{
+			s := &simulation{
 				random: rand.New(rand.NewPCG(seed, 3)),
 				docket: docket.New(),
-				now:    start,
+				now:    startTime,
 				limits: docket.DefaultLimits(),
-				runs:   map[docket.Key]int{},
+				sends:  map[docket.Key]int{},
 			}
 			for range 200 {
-				n.step()
-				for key, runs := range n.runs {
-					Expect(runs).To(BeNumerically("<=", 1), "seed %d, key %x", seed, key[:4])
+				s.step()
+				for key, sends := range s.sends {
+					Expect(sends).To(BeNumerically("<=", 1), "seed %d, key %x", seed, key[:4])
 				}
 			}
 		}
@@ -125,65 +129,67 @@
 
 	It("gives the same docket with and without a snapshot in between", func() {
 		for seed := range uint64(100) {
-			whole, restored := docket.New(), docket.New()
+			reference, restored := docket.New(), docket.New()
 			random := rand.New(rand.NewPCG(seed, 4))
-			now := start
+			now := startTime
 			for range 150 {
-				command := drawCommand(random, &now)
-				Expect(restored.Apply(command)).To(Equal(whole.Apply(command)), "seed %d", seed)
+				command := randomCommand(random, &now)
+				Expect(restored.Apply(command)).To(Equal(reference.Apply(command)), "seed %d", seed)
 				if random.IntN(10) == 0 {
 					var err error
 					restored, err = docket.Restore(restored.Snapshot(nil))
 					Expect(err).NotTo(HaveOccurred())
 				}
-				Expect(restored.Snapshot(nil)).To(Equal(whole.Snapshot(nil)), "seed %d", seed)
-				Expect(restored.ResponseBytes()).To(Equal(whole.ResponseBytes()))
+				Expect(restored.Snapshot(nil)).To(Equal(reference.Snapshot(nil)), "seed %d", seed)
+				Expect(restored.ResponseBytes()).To(Equal(reference.ResponseBytes()))
 			}
 		}
 	})
 
-	It("restores no empty snapshot with an impossible clock or limits", func() {
-		for _, spoil := range []func(*docket.Docket){docket.ClockAtEnd, docket.NoLimits} {
+	It("rejects a snapshot without records that has an invalid clock or limits", func() {
+		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.ClearLimits} {
 			f := newFixture()
-			spoil(f.Docket)
+			corrupt(f.Docket)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).To(MatchError(ContainSubstring("impossible times")))
 		}
 	})
 
-	// A clock about to overflow would make no record's expiry later than its last
-	// change, so that Expire never ended; a key twice would lose a record.
-	It("restores no snapshot that no docket can have", func() {
-		for _, spoil := range []func(*docket.Docket){docket.ClockAtEnd, docket.TouchedLater, docket.KeyTwice} {
+	// With a clock about to overflow, the expiry of every record would be before
+	// its last change, so Expire would never return. A duplicate key would lose a
+	// record.
+	It("rejects a snapshot with an impossible state", func() {
+		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.SetFutureChange, docket.DuplicateLastRecord} {
 			f := newFixture()
-			f.claim(here)
+			f.claim(claimant1)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).NotTo(HaveOccurred())
-			spoil(f.Docket)
+			corrupt(f.Docket)
 			_, err = docket.Restore(f.Snapshot(nil))
 			Expect(err).To(HaveOccurred())
 		}
 	})
 
-	It("restores no snapshot that was cut or is of a newer format", func() {
+	It("rejects a snapshot that is truncated or has a newer format", func() {
 		f := newFixture()
-		f.claim(here)
-		f.record(here, 1, docket.StateCompleted, &docket.Response{Status: 200, Headers: []docket.Header{{Name: "A", Value: "b"}}, Body: []byte("c")})
-		whole := f.Snapshot(nil)
-		for cut := range whole {
-			_, err := docket.Restore(whole[:cut])
+		f.claim(claimant1)
+		f.record(claimant1, 1, docket.StateCompleted, &docket.Response{Status: 200, Headers: []docket.Header{{Name: "A", Value: "b"}}, Body: []byte("c")})
+		snapshot := f.Snapshot(nil)
+		for length := range snapshot {
+			_, err := docket.Restore(snapshot[:length])
 			Expect(err).To(HaveOccurred())
 		}
-		whole[0]++
-		_, err := docket.Restore(whole)
+		snapshot[0]++
+		_, err := docket.Restore(snapshot)
 		Expect(err).To(MatchError("docket: snapshot format 2, of which this program knows 1"))
 	})
 })
 
-// drawCommand draws any command, with limits so low that each is met.
-func drawCommand(random *rand.Rand, now *time.Time) docket.Command {
+// randomCommand returns a random command. Its limits are low enough to be
+// reached.
+func randomCommand(random *rand.Rand, now *time.Time) docket.Command {
 	key := docket.KeyOf("booking", fmt.Sprint(random.IntN(8)))
-	by := docket.Claimant{Instance: fmt.Sprintf("entry-%d", random.IntN(2)), Incarnation: 1}
+	claimant := docket.Claimant{Instance: fmt.Sprintf("entry-%d", random.IntN(2)), Incarnation: 1}
 	switch random.IntN(8) {
 	case 0:
 		*now = now.Add(time.Duration(random.IntN(20)-3) * time.Second)
@@ -193,15 +199,15 @@
 		limits.MaxResponseBytes = 400
 		return docket.Expire{Now: *now, Limits: limits}
 	case 1:
-		return docket.Abandon{Instance: by.Instance, Incarnation: uint64(random.IntN(3))}
+		return docket.Abandon{Instance: claimant.Instance, Incarnation: uint64(random.IntN(3))}
 	case 2, 3, 4:
 		state := docket.State(2 + random.IntN(3))
-		record := docket.Record{Key: key, Claimant: by, Attempt: uint32(random.IntN(2)), State: state}
+		record := docket.Record{Key: key, Claimant: claimant, Attempt: uint32(random.IntN(2)), State: state}
 		if random.IntN(2) == 0 {
 			record.Response = &docket.Response{Status: 200, Body: make([]byte, random.IntN(200))}
 		}
 		return record
 	default:
-		return docket.Claim{Key: key, Claimant: by, Timeout: time.Duration(random.IntN(60)) * time.Second}
+		return docket.Claim{Key: key, Claimant: claimant, Timeout: time.Duration(random.IntN(60)) * time.Second}
 	}
 }
--- /dev/null
+++ b/internal/docket/record_list.go
@@ -0,0 +1,51 @@
+package docket
+
+import "time"
+
+// storedRecord is the idempotency record of one key. It is an element of a
+// recordList.
+type storedRecord struct {
+	key         Key
+	fingerprint Fingerprint
+	claimant    Claimant
+	attempt     uint32
+	state       State
+	// unknownAfter is the time on the docket's clock after which an in-flight
+	// record counts as unknown.
+	unknownAfter time.Duration
+	// changedAt is the time of the last change on the docket's clock.
+	changedAt time.Duration
+	// response is nil unless state is StateCompleted.
+	response *Response
+	// previous and next are the neighbors in the list.
+	previous, next *storedRecord
+}
+
+// recordList is a doubly linked list of records, least recently changed first.
+type recordList struct {
+	first, last *storedRecord
+}
+
+func (q *recordList) pushBack(r *storedRecord) {
+	r.previous, r.next = q.last, nil
+	if q.last == nil {
+		q.first = r
+	} else {
+		q.last.next = r
+	}
+	q.last = r
+}
+
+func (q *recordList) remove(r *storedRecord) {
+	if r.previous == nil {
+		q.first = r.next
+	} else {
+		r.previous.next = r.next
+	}
+	if r.next == nil {
+		q.last = r.previous
+	} else {
+		r.next.previous = r.previous
+	}
+	r.previous, r.next = nil, nil
+}
--- a/internal/docket/snapshot.go
+++ b/internal/docket/snapshot.go
@@ -8,75 +8,78 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-const snapshotFormat = 1
+const snapshotFormatVersion = 1
 
-// Snapshot appends the whole docket to buffer. Equal dockets give equal bytes.
+// Snapshot appends the encoded state of the docket to buffer. Equal dockets have
+// equal encodings.
 func (d *Docket) Snapshot(buffer []byte) []byte {
-	buffer = parcel.AppendUint(buffer, snapshotFormat)
+	buffer = parcel.AppendUint(buffer, snapshotFormatVersion)
 	buffer = appendLimits(buffer, d.limits)
 	buffer = parcel.AppendUint(buffer, uint64(d.clock))
-	buffer = parcel.AppendUint(buffer, nanoseconds(d.reported))
-	for _, counter := range d.counters.all() {
+	buffer = parcel.AppendUint(buffer, unixNanoseconds(d.leaderTime))
+	for _, counter := range d.counters.inSnapshotOrder() {
 		buffer = parcel.AppendUint(buffer, *counter)
 	}
 	buffer = parcel.AppendUint(buffer, uint64(len(d.records)))
-	for r := d.order.first; r != nil; r = r.next {
-		buffer = appendEntry(buffer, r)
+	for r := d.byLastChange.first; r != nil; r = r.next {
+		buffer = appendRecord(buffer, r)
 	}
 	return buffer
 }
 
-// Restore returns the docket whose Snapshot is data. If data is of a newer
-// format or damaged, Restore returns an error.
+// Restore returns the docket that Snapshot encoded as data. It returns an error if
+// data has another format version or is damaged.
 func Restore(data []byte) (*Docket, error) {
-	r := parcel.NewReader(data)
-	if format := r.Uint(); format != snapshotFormat {
-		return nil, errors.Newf("docket: snapshot format %d, of which this program knows %d", format, snapshotFormat)
-	}
-	d := &Docket{limits: readLimits(r)}
-	d.clock = time.Duration(r.Uint())
-	d.reported = moment(r.Uint())
-	for _, counter := range d.counters.all() {
-		*counter = r.Uint()
-	}
-	count := r.Count()
-	d.records = make(map[Key]*entry, count)
+	reader := parcel.NewReader(data)
+	if format := reader.Uint(); format != snapshotFormatVersion {
+		return nil, errors.Newf("docket: snapshot format %d, of which this program knows %d", format, snapshotFormatVersion)
+	}
+	d := &Docket{limits: readLimits(reader)}
+	d.clock = time.Duration(reader.Uint())
+	d.leaderTime = unixTime(reader.Uint())
+	for _, counter := range d.counters.inSnapshotOrder() {
+		*counter = reader.Uint()
+	}
+	count := reader.Count()
+	d.records = make(map[Key]*storedRecord, count)
 	for range count {
-		e := readEntry(r)
-		if !d.follows(e) {
-			r.Fail()
+		r := readRecord(reader)
+		if !d.isValidNext(r) {
+			reader.Fail()
 			break
 		}
-		d.records[e.key] = e
-		d.order.push(e)
-		if e.response != nil {
-			d.responses = append(d.responses, e)
-			d.responseBytes += e.response.size()
+		d.records[r.key] = r
+		d.byLastChange.pushBack(r)
+		if r.response != nil {
+			d.withResponse = append(d.withResponse, r)
+			d.responseBytes += r.response.size()
 		}
 	}
-	if err := r.End(); err != nil {
+	if err := reader.End(); err != nil {
 		return nil, errors.Wrap(err, "docket: snapshot")
 	}
-	if !d.limits.Valid() || d.clock < 0 || d.clock > maxTime*4 {
+	if !d.limits.Valid() || d.clock < 0 || d.clock > maxDuration*4 {
 		return nil, errors.New("docket: snapshot with impossible times")
 	}
 	return d, nil
 }
 
-// follows tells whether e can stand in a snapshot behind the entries so far.
-func (d *Docket) follows(e *entry) bool {
-	if _, twice := d.records[e.key]; twice || e.state < StateInFlight || e.state > StateUnknown {
+// isValidNext reports whether r is a valid next record of the snapshot that is
+// being restored.
+func (d *Docket) isValidNext(r *storedRecord) bool {
+	if _, duplicate := d.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
 		return false
 	}
-	earliest := time.Duration(0)
-	if d.order.last != nil {
-		earliest = d.order.last.touched
+	minChangedAt := time.Duration(0)
+	if d.byLastChange.last != nil {
+		minChangedAt = d.byLastChange.last.changedAt
 	}
-	return e.touched >= earliest && e.touched <= d.clock && e.until >= 0 && e.until <= d.clock+2*maxTime
+	return r.changedAt >= minChangedAt && r.changedAt <= d.clock && r.unknownAfter >= 0 && r.unknownAfter <= d.clock+2*maxDuration
 }
 
-// all returns the counters in the order of the snapshot.
-func (c *Counters) all() []*uint64 {
+// inSnapshotOrder returns pointers to the counters in the order in which the
+// snapshot encodes them.
+func (c *Counters) inSnapshotOrder() []*uint64 {
 	return []*uint64{&c.Granted, &c.Refused, &c.Expired, &c.Overdue, &c.ResponsesDropped}
 }
 
@@ -90,71 +93,73 @@
 	return parcel.AppendUint(buffer, uint64(l.MaxBodyBytes))
 }
 
-func readLimits(r *parcel.Reader) Limits {
+func readLimits(reader *parcel.Reader) Limits {
 	return Limits{
-		Retention:        time.Duration(r.Uint()),
-		Grace:            time.Duration(r.Uint()),
-		MaxTimeout:       time.Duration(r.Uint()),
-		MaxStep:          time.Duration(r.Uint()),
-		MaxRecords:       int(r.Uint()),
-		MaxResponseBytes: int64(r.Uint()),
-		MaxBodyBytes:     int(r.Uint()),
+		Retention:        time.Duration(reader.Uint()),
+		Grace:            time.Duration(reader.Uint()),
+		MaxTimeout:       time.Duration(reader.Uint()),
+		MaxStep:          time.Duration(reader.Uint()),
+		MaxRecords:       int(reader.Uint()),
+		MaxResponseBytes: int64(reader.Uint()),
+		MaxBodyBytes:     int(reader.Uint()),
 	}
 }
 
-func appendEntry(buffer []byte, e *entry) []byte {
-	buffer = append(buffer, e.key[:]...)
-	buffer = append(buffer, e.fingerprint[:]...)
-	buffer = parcel.AppendBytes(buffer, e.owner.Instance)
-	buffer = parcel.AppendUint(buffer, e.owner.Incarnation)
-	buffer = parcel.AppendUint(buffer, e.owner.Request)
-	buffer = parcel.AppendUint(buffer, uint64(e.attempt))
-	buffer = append(buffer, byte(e.state))
-	buffer = parcel.AppendUint(buffer, uint64(e.until))
-	buffer = parcel.AppendUint(buffer, uint64(e.touched))
-	if e.response == nil {
+func appendRecord(buffer []byte, r *storedRecord) []byte {
+	buffer = append(buffer, r.key[:]...)
+	buffer = append(buffer, r.fingerprint[:]...)
+	buffer = parcel.AppendBytes(buffer, r.claimant.Instance)
+	buffer = parcel.AppendUint(buffer, r.claimant.Incarnation)
+	buffer = parcel.AppendUint(buffer, r.claimant.Request)
+	buffer = parcel.AppendUint(buffer, uint64(r.attempt))
+	buffer = append(buffer, byte(r.state))
+	buffer = parcel.AppendUint(buffer, uint64(r.unknownAfter))
+	buffer = parcel.AppendUint(buffer, uint64(r.changedAt))
+	if r.response == nil {
 		return append(buffer, 0)
 	}
 	buffer = append(buffer, 1)
-	buffer = parcel.AppendUint(buffer, uint64(e.response.Status))
-	buffer = parcel.AppendUint(buffer, uint64(len(e.response.Headers)))
-	for _, h := range e.response.Headers {
+	buffer = parcel.AppendUint(buffer, uint64(r.response.Status))
+	buffer = parcel.AppendUint(buffer, uint64(len(r.response.Headers)))
+	for _, h := range r.response.Headers {
 		buffer = parcel.AppendBytes(buffer, h.Name)
 		buffer = parcel.AppendBytes(buffer, h.Value)
 	}
-	return parcel.AppendBytes(buffer, e.response.Body)
+	return parcel.AppendBytes(buffer, r.response.Body)
 }
 
-func readEntry(r *parcel.Reader) *entry {
-	e := &entry{}
-	copy(e.key[:], r.Fixed(len(e.key)))
-	copy(e.fingerprint[:], r.Fixed(len(e.fingerprint)))
-	e.owner = intern(Claimant{Instance: r.String(), Incarnation: r.Uint(), Request: r.Uint()})
-	e.attempt = uint32(r.Uint())
-	e.state = State(r.Byte())
-	e.until = time.Duration(r.Uint())
-	e.touched = time.Duration(r.Uint())
-	if r.Byte() == 0 {
-		return e
-	}
-	e.response = &Response{Status: int(r.Uint())}
-	for range r.Count() {
-		e.response.Headers = append(e.response.Headers, Header{Name: r.String(), Value: r.String()})
-	}
-	// A copy, so that one kept body doesn't keep the whole snapshot in memory.
-	e.response.Body = append([]byte(nil), r.Bytes()...)
-	return e
+func readRecord(reader *parcel.Reader) *storedRecord {
+	r := &storedRecord{}
+	copy(r.key[:], reader.Fixed(len(r.key)))
+	copy(r.fingerprint[:], reader.Fixed(len(r.fingerprint)))
+	r.claimant = internInstance(Claimant{Instance: reader.String(), Incarnation: reader.Uint(), Request: reader.Uint()})
+	r.attempt = uint32(reader.Uint())
+	r.state = State(reader.Byte())
+	r.unknownAfter = time.Duration(reader.Uint())
+	r.changedAt = time.Duration(reader.Uint())
+	if reader.Byte() == 0 {
+		return r
+	}
+	r.response = &Response{Status: int(reader.Uint())}
+	for range reader.Count() {
+		r.response.Headers = append(r.response.Headers, Header{Name: reader.String(), Value: reader.String()})
+	}
+	// Copy the body, because a slice of the snapshot would keep all of it in
+	// memory.
+	r.response.Body = append([]byte(nil), reader.Bytes()...)
+	return r
 }
 
-// nanoseconds returns t in Unix nanoseconds, and 0 for the zero time.
-func nanoseconds(t time.Time) uint64 {
+// unixNanoseconds returns t as Unix time in nanoseconds, or 0 for the zero time.
+func unixNanoseconds(t time.Time) uint64 {
 	if t.IsZero() {
 		return 0
 	}
 	return uint64(t.UnixNano())
 }
 
-func moment(nanoseconds uint64) time.Time {
+// unixTime is the inverse of unixNanoseconds.
+func unixTime(nanoseconds uint64) time.Time {
 	if nanoseconds == 0 {
 		return time.Time{}
 	}
