--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -17,7 +17,7 @@
 )
 
 // DefaultSegmentBytes is the size at which the log continues in a new segment.
-// Open rewrites only the last segment.
+// Open rewrites at most one segment, the last one.
 const DefaultSegmentBytes = 4 << 20
 
 // maxRetainedBufferBytes limits the capacity of the write buffer that is reused
@@ -37,9 +37,9 @@
 
 // Loaded is the state that Open read from the data folder.
 type Loaded struct {
-	// Fresh reports whether Open created the identity file. The votes and
-	// acknowledgements of an earlier data folder of this instance, if there was
-	// one, are unknown.
+	// Fresh reports whether Open created the identity file. If so, nothing is
+	// known about votes and acknowledgements that this instance may have sent
+	// before.
 	Fresh bool
 	// Number is a random number that identifies the data folder. It is generated
 	// with the identity file.
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -122,7 +122,7 @@
 		Expect(a.Close()).To(Succeed())
 	})
 
-	It("rejects a batch that leaves a gap, and accepts a valid one afterwards", func() {
+	It("rejects invalid calls, and accepts a valid one afterwards", func() {
 		a, _, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		defer a.Close()
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -90,10 +90,10 @@
 }
 
 func randomSnapshot(random *rand.Rand, m model) operation {
-	at := random.IntN(len(m.entries))
-	entry := m.entries[at]
+	position := random.IntN(len(m.entries))
+	entry := m.entries[position]
 	m.snapshot = jury.Snapshot{Index: entry.Index, Term: entry.Term, Cluster: "parish-courts", Voters: []jury.Identity{"kgn-a/1", "kgn-b/2"}, Data: []byte("state of the machine")}
-	m.entries = m.entries[at+1:]
+	m.entries = m.entries[position+1:]
 	snapshot := m.snapshot
 	return operation{name: "snapshot", after: m, call: func(a *archive.Archive) error { return a.SaveSnapshot(snapshot) }}
 }
--- a/internal/archive/snapshot.go
+++ b/internal/archive/snapshot.go
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("%s%016x", prefix, number)
 }
 
-// parseName returns the number in a name that numberedName built with prefix. ok
-// is false for any other name.
+// parseName returns the number in a name that numberedName returned. ok is false
+// if name doesn't consist of prefix and 16 hexadecimal digits.
 func parseName(prefix, name string) (number uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) != 16 {
--- a/internal/docket/command.go
+++ b/internal/docket/command.go
@@ -47,8 +47,8 @@
 	Fingerprint Fingerprint `json:"fingerprint"`
 	// State is StateNotRun, StateCompleted or StateUnknown.
 	State State `json:"state"`
-	// Response is the upstream's response if State is StateCompleted. It is nil if
-	// the response is too large to keep.
+	// Response is the upstream's response if State is StateCompleted. It may be
+	// nil if the response is too large to keep.
 	Response *Response `json:"response,omitempty"`
 }
 
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -152,7 +152,7 @@
 	return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.claimant}
 }
 
-// answerFor returns the state of a record in any state but StateNotRun.
+// answerFor returns the state of a record in any state except StateNotRun.
 func (d *Docket) answerFor(r *storedRecord) Answer {
 	answer := Answer{Attempt: r.attempt, Owner: r.claimant}
 	switch {
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -80,9 +80,9 @@
 	if len(s.pending) == 0 {
 		return
 	}
-	at := s.random.IntN(len(s.pending))
-	command := s.pending[at]
-	s.pending = append(s.pending[:at], s.pending[at+1:]...)
+	index := s.random.IntN(len(s.pending))
+	command := s.pending[index]
+	s.pending = append(s.pending[:index], s.pending[index+1:]...)
 	answer := s.docket.Apply(command)
 	claim, ok := command.(docket.Claim)
 	if !ok || answer.Verdict != docket.VerdictGranted || s.random.IntN(4) == 0 {
--- a/internal/docket/record_list.go
+++ b/internal/docket/record_list.go
@@ -26,24 +26,24 @@
 	first, last *storedRecord
 }
 
-func (q *recordList) pushBack(r *storedRecord) {
-	r.previous, r.next = q.last, nil
-	if q.last == nil {
-		q.first = r
+func (l *recordList) pushBack(r *storedRecord) {
+	r.previous, r.next = l.last, nil
+	if l.last == nil {
+		l.first = r
 	} else {
-		q.last.next = r
+		l.last.next = r
 	}
-	q.last = r
+	l.last = r
 }
 
-func (q *recordList) remove(r *storedRecord) {
+func (l *recordList) remove(r *storedRecord) {
 	if r.previous == nil {
-		q.first = r.next
+		l.first = r.next
 	} else {
 		r.previous.next = r.next
 	}
 	if r.next == nil {
-		q.last = r.previous
+		l.last = r.previous
 	} else {
 		r.next.previous = r.previous
 	}
