--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -12,11 +12,10 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// snapshotEvery is how many commands the log holds behind the last snapshot at
-// the most.
+// snapshotEvery is the number of commands between two snapshots.
 const snapshotEvery = 10_000
 
-func encoded(b *testing.B, command registry.Command) []byte {
+func encodeCommand(b *testing.B, command registry.Command) []byte {
 	data, err := registry.Encode(command)
 	if err != nil {
 		b.Fatal(err)
@@ -24,26 +23,27 @@
 	return data
 }
 
-// fill writes a log of that many changes. The state is compacted if compact.
-func fill(b *testing.B, folder string, changes int, compact bool) {
-	a, _, err := archive.Open(archive.Options{Folder: folder})
+// writeLog writes a log of count changes, with snapshots and compaction if
+// compact is set.
+func writeLog(b *testing.B, folder string, count int, compact bool) {
+	log, _, err := archive.Open(archive.Options{Folder: folder})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer a.Close()
+	defer log.Close()
 	r := registry.New()
-	first, err := declare("first", 0, "ordinary peak").Prepare(check)
+	first, err := declareChange("first", 0, "ordinary peak").Prepare(validateDeclarations)
 	if err != nil {
 		b.Fatal(err)
 	}
 	var batch []jury.Entry
-	for i := 1; i <= changes; i++ {
+	for i := 1; i <= count; i++ {
 		command := first
 		if i > 1 {
-			command = choose(fmt.Sprint("change ", i), registry.Revision(i-1), []string{"ordinary", "peak"}[i%2])
-			command.Now = start.Add(time.Duration(i) * time.Second)
+			command = presetChange(fmt.Sprint("change ", i), registry.Revision(i-1), []string{"ordinary", "peak"}[i%2])
+			command.Now = startTime.Add(time.Duration(i) * time.Second)
 		}
-		entry := jury.Entry{Index: jury.Index(i), Term: 1, Kind: jury.EntryCommand, Data: encoded(b, command)}
+		entry := jury.Entry{Index: jury.Index(i), Term: 1, Kind: jury.EntryCommand, Data: encodeCommand(b, command)}
 		if _, err := r.Apply(entry.Index, entry.Data); err != nil {
 			b.Fatal(err)
 		}
@@ -51,52 +51,54 @@
 		if i%100 != 0 {
 			continue
 		}
-		if err := a.Append(jury.HardState{Term: 1}, 0, batch); err != nil {
+		if err := log.Append(jury.HardState{Term: 1}, 0, batch); err != nil {
 			b.Fatal(err)
 		}
 		batch = nil
-		// A change before the end, so that there is something to replay.
+		// Half an interval before the end of the log, which leaves entries to replay.
 		if compact && i%snapshotEvery == snapshotEvery/2 {
-			save(b, a, r, entry.Index)
+			saveSnapshot(b, log, r, entry.Index)
 		}
 	}
 }
 
-func save(b *testing.B, a *archive.Archive, r *registry.Registry, index jury.Index) {
+func saveSnapshot(b *testing.B, log *archive.Archive, r *registry.Registry, index jury.Index) {
 	data, err := r.Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := a.SaveSnapshot(jury.Snapshot{Index: index, Term: 1, Data: data}); err != nil {
+	if err := log.SaveSnapshot(jury.Snapshot{Index: index, Term: 1, Data: data}); err != nil {
 		b.Fatal(err)
 	}
-	if err := a.Compact(index); err != nil {
+	if err := log.Compact(index); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// BenchmarkRestart opens the data folder and brings the state back, after so
-// many changes, with snapshots every snapshotEvery changes and with none.
+// BenchmarkRestart opens the data folder and recovers the state, for logs of
+// different lengths, with and without snapshots.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1_000, 100_000} {
 		for _, compact := range []bool{true, false} {
 			b.Run(fmt.Sprintf("changes=%d/snapshots=%v", changes, compact), func(b *testing.B) {
 				folder := b.TempDir()
-				fill(b, folder, changes, compact)
+				writeLog(b, folder, changes, compact)
 				for b.Loop() {
-					restart(b, folder, registry.Revision(changes))
+					restartFrom(b, folder, registry.Revision(changes))
 				}
 			})
 		}
 	}
 }
 
-func restart(b *testing.B, folder string, expected registry.Revision) {
-	a, loaded, err := archive.Open(archive.Options{Folder: folder})
+// restartFrom recovers the state from the folder and fails unless it is at the
+// expected revision.
+func restartFrom(b *testing.B, folder string, expected registry.Revision) {
+	log, loaded, err := archive.Open(archive.Options{Folder: folder})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer a.Close()
+	defer log.Close()
 	r := registry.New()
 	if loaded.Snapshot.Index > 0 {
 		if err := r.Restore(loaded.Snapshot.Data); err != nil {
@@ -113,7 +115,7 @@
 	}
 }
 
-// BenchmarkApplyClaim applies a claim and its record, decoding included.
+// BenchmarkApplyClaim decodes and applies a claim and its record.
 func BenchmarkApplyClaim(b *testing.B) {
 	r := registry.New()
 	index := jury.Index(0)
@@ -121,18 +123,18 @@
 	limits.MaxRecords = 1 << 30
 	apply := func(command registry.Command) {
 		index++
-		if _, err := r.Apply(index, encoded(b, command)); err != nil {
+		if _, err := r.Apply(index, encodeCommand(b, command)); err != nil {
 			b.Fatal(err)
 		}
 	}
-	apply(docket.Expire{Now: start, Limits: limits})
+	apply(docket.Expire{Now: startTime, Limits: limits})
 	body := make([]byte, 200)
 	b.ReportAllocs()
 	for b.Loop() {
 		key := docket.KeyOf("booking", fmt.Sprint(index))
-		by := docket.Claimant{Instance: "entry-1", Incarnation: 1, Request: uint64(index)}
-		apply(docket.Claim{Key: key, Claimant: by, Timeout: time.Minute})
-		apply(docket.Record{Key: key, Claimant: by, Attempt: 1, State: docket.StateCompleted, Response: &docket.Response{Status: 200, Body: body}})
+		claimant := docket.Claimant{Instance: "entry-1", Incarnation: 1, Request: uint64(index)}
+		apply(docket.Claim{Key: key, Claimant: claimant, Timeout: time.Minute})
+		apply(docket.Record{Key: key, Claimant: claimant, Attempt: 1, State: docket.StateCompleted, Response: &docket.Response{Status: 200, Body: body}})
 	}
 }
 
@@ -141,14 +143,14 @@
 	r := registry.New()
 	limits := docket.DefaultLimits()
 	apply := func(index int, command registry.Command) {
-		if _, err := r.Apply(jury.Index(index), encoded(b, command)); err != nil {
+		if _, err := r.Apply(jury.Index(index), encodeCommand(b, command)); err != nil {
 			b.Fatal(err)
 		}
 	}
-	apply(1, docket.Expire{Now: start, Limits: limits})
+	apply(1, docket.Expire{Now: startTime, Limits: limits})
 	for i := range limits.MaxRecords {
-		by := docket.Claimant{Instance: "entry-1", Incarnation: 1, Request: uint64(i)}
-		apply(i+2, docket.Claim{Key: docket.KeyOf("booking", fmt.Sprint(i)), Claimant: by, Timeout: time.Minute})
+		claimant := docket.Claimant{Instance: "entry-1", Incarnation: 1, Request: uint64(i)}
+		apply(i+2, docket.Claim{Key: docket.KeyOf("booking", fmt.Sprint(i)), Claimant: claimant, Timeout: time.Minute})
 	}
 	var size int
 	for b.Loop() {
@@ -161,8 +163,8 @@
 	b.ReportMetric(float64(size), "B")
 }
 
-// BenchmarkApplyPut applies a document of 300 routes, as a voter that starts does for each
-// change behind its snapshot.
+// BenchmarkApplyPut decodes and applies a document of 300 routes. A starting voter
+// does this for each change after its snapshot.
 func BenchmarkApplyPut(b *testing.B) {
 	r := registry.New()
 	var content []byte
@@ -175,7 +177,7 @@
 	for b.Loop() {
 		b.StopTimer()
 		index++
-		command := encoded(b, edition.Put{Version: uint64(index), Content: content})
+		command := encodeCommand(b, edition.Put{Version: uint64(index), Content: content})
 		b.StartTimer()
 		if _, err := r.Apply(index, command); err != nil {
 			b.Fatal(err)
--- a/internal/registry/change.go
+++ b/internal/registry/change.go
@@ -12,64 +12,68 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Revision numbers the configurations that were in force, from 1. Revision 0
-// is the empty one before the first change.
+// Revision is the sequence number of an applied configuration, starting at 1.
+// Revision 0 is the empty configuration before the first change.
 type Revision uint64
 
-// Bounds of what a change keeps in the replicated state for good.
+// Size limits of the texts that a change stores in the replicated state.
 const (
 	MaxChangeIDBytes = 128
-	MaxByBytes       = 128
+	MaxOperatorBytes = 128
 	MaxSummaryBytes  = 512
 )
 
-// Change asks for another configuration. It comes into force as a whole, in one
-// revision, or not at all.
+// Change is a request to replace the configuration. It is applied atomically as
+// one revision, or rejected.
 type Change struct {
-	// ID is the same when the change is sent again.
+	// ID is the idempotency key: retries of a change carry the same ID.
 	ID string `json:"id"`
-	// Expected is the revision that the operator has seen. The change applies
-	// only if it is still in force.
+	// Expected is the revision on which the operator based the change. The change
+	// is applied only while that revision is current.
 	Expected Revision `json:"expected"`
-	// Declarations are the new ones in canonical encoding, or empty to leave
-	// them.
+	// Declarations are the new declarations in canonical encoding. If empty, the
+	// current ones remain.
 	Declarations []byte `json:"declarations,omitempty"`
-	// Presets are the names of the presets that Declarations declare, the one
-	// to start with first. Prepare fills them in.
+	// Presets are the names of the presets in Declarations, the default first.
+	// Prepare sets them.
 	Presets []string `json:"presets,omitempty"`
-	// Preset is the one to be in force, or empty to leave it.
+	// Preset is the preset to activate. If empty, the active preset remains, or
+	// the default one becomes active if there is none.
 	Preset string `json:"preset,omitempty"`
-	// By is the operator, Summary what changes in one line.
-	By      string `json:"by"`
+	// By is the operator's name.
+	By string `json:"by"`
+	// Summary describes the change in one line.
 	Summary string `json:"summary"`
-	// Now is the time at the instance that took the change.
+	// Now is the time at which an instance received the change, on that instance's
+	// clock.
 	Now time.Time `json:"now"`
 }
 
-// Check returns the names of the presets that declarations declare, the one to
-// start with first. If the declarations are wrong, it returns an error that
-// lists all that is wrong. It must be a pure function.
-type Check func(declarations []byte) (presets []string, err error)
+// DeclarationsValidator validates declarations and returns the names of their
+// presets, the default first. For invalid declarations it returns an error that
+// lists every problem. It must be a pure function.
+type DeclarationsValidator func(declarations []byte) (presets []string, err error)
 
-// Prepare returns c ready to be encoded and proposed. If its declarations don't
-// pass check or its texts are too long, Prepare returns an error.
+// Prepare validates c and returns it ready to be encoded and proposed. It
+// returns an error if the declarations are invalid, the ID is missing, or the
+// ID or the operator's name is too long. A Summary that is too long is truncated.
 //
-// The check takes place here, once, and not when replicas apply the change:
-// replicas of two versions that judge it differently would fork. Whatever was
-// committed applies on all.
-func (c Change) Prepare(check Check) (Change, error) {
+// Validation happens once, before the change is proposed. Replicas don't repeat
+// it when they apply the change: replicas that run different versions could
+// come to different results, and their states would diverge.
+func (c Change) Prepare(validate DeclarationsValidator) (Change, error) {
 	switch {
 	case c.ID == "" || len(c.ID) > MaxChangeIDBytes:
 		return c, errors.Newf("registry: the change id has %d bytes, not 1 to %d", len(c.ID), MaxChangeIDBytes)
-	case len(c.By) > MaxByBytes:
-		return c, errors.Newf("registry: the operator's name has %d bytes, of at most %d", len(c.By), MaxByBytes)
+	case len(c.By) > MaxOperatorBytes:
+		return c, errors.Newf("registry: the operator's name has %d bytes, of at most %d", len(c.By), MaxOperatorBytes)
 	}
 	c.Summary = c.Summary[:min(len(c.Summary), MaxSummaryBytes)]
 	c.Presets = nil
 	if len(c.Declarations) == 0 {
 		return c, nil
 	}
-	presets, err := check(c.Declarations)
+	presets, err := validate(c.Declarations)
 	if err != nil {
 		return c, err
 	}
@@ -77,7 +81,8 @@
 	return c, nil
 }
 
-// digest tells a change that is sent again from another one under the same ID.
+// digest returns a hash of the requested configuration. It distinguishes a retry
+// from a different change with the same ID.
 func (c Change) digest() string {
 	content := parcel.AppendUint(nil, uint64(c.Expected))
 	content = parcel.AppendBytes(content, c.Declarations)
@@ -86,22 +91,24 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Verdict is the decision on a Change.
+// Verdict is the outcome of a Change.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// VerdictApplied: the change is in force.
+	// VerdictApplied means that the change was applied.
 	VerdictApplied Verdict = iota + 1
-	// VerdictConflict: another change came first. Answer.Since tells which.
+	// VerdictConflict means that Change.Expected is not the current revision.
+	// Answer.Since lists the changes applied since.
 	VerdictConflict
-	// VerdictRefused: the change can't apply. Answer.Reason tells why.
+	// VerdictRefused means that the change is invalid in the current state, for the
+	// reason in Answer.Reason.
 	VerdictRefused
-	// VerdictReused: the ID was used for another change.
+	// VerdictReused means that the ID belongs to a different change.
 	VerdictReused
 )
 
-// String returns the word for the verdict in logs.
+// String returns the verdict's name in logs.
 func (v Verdict) String() string {
 	names := [...]string{"", "applied", "conflict", "refused", "reused"}
 	if int(v) >= len(names) {
@@ -110,21 +117,22 @@
 	return names[v]
 }
 
-// Answer is the answer to a Change.
+// Answer is the result of a Change.
 type Answer struct {
 	Verdict Verdict `json:"verdict"`
-	// Revision is the one in force: the change's own if it was applied.
+	// Revision is the current revision after the decision. If the change was
+	// applied, it is the revision that the change created.
 	Revision Revision `json:"revision"`
-	// Preset is the one in force.
+	// Preset is the active preset after the decision.
 	Preset string `json:"preset"`
-	// Since lists, for VerdictConflict, the changes after the expected
-	// revision, newest first, as far as they are kept and up to maxSince.
+	// Since lists, for VerdictConflict, up to maxConflictChanges retained changes
+	// that were applied after Change.Expected, newest first.
 	Since []Applied `json:"since,omitempty"`
-	// Reason is, unless the change was applied, one sentence.
+	// Reason explains in one sentence why the change was not applied.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Applied says who changed what.
+// Applied is the audit record of an applied change.
 type Applied struct {
 	Revision Revision  `json:"revision"`
 	ID       string    `json:"id"`
@@ -133,7 +141,7 @@
 	At       time.Time `json:"at"`
 }
 
-// String returns the change in one line.
+// String formats the change in one line.
 func (a Applied) String() string {
 	return fmt.Sprintf("revision %d by %s at %s: %s", a.Revision, a.By, a.At.UTC().Format(time.RFC3339), a.Summary)
 }
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -14,30 +14,31 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// commandFormat is the newest format of commands that this program knows. It
-// grows with every new kind of command and every new field. An instance
-// proposes a newer command only when all voters run a program that knows it.
-const commandFormat = 5
+// newestCommandFormat is the newest command format that this version supports.
+// Every new kind of command and every new field increments it. An instance
+// proposes a command in a newer format only when all voters support that format.
+const newestCommandFormat = 5
 
-// baseFormat is the format of commands that every program knows. A command is
-// encoded in the oldest format that has its kind, so that voters that are not
-// upgraded yet can carry it out.
-const baseFormat = 1
+// baseCommandFormat is the command format that every version supports. A command
+// is encoded in the oldest format that includes its kind, so that voters that are
+// not yet upgraded can apply it.
+const baseCommandFormat = 1
 
-// The formats that the kinds of command came with which not every program knows.
+// The formats that introduced further kinds of command.
 const (
-	manifestFormat = 2
-	editionFormat  = 3
-	leaseFormat    = 4
-	// quarantineFormat is that of a quarantine.Update.
-	quarantineFormat = 5
+	manifestCommandFormat = 2
+	editionCommandFormat  = 3
+	leaseCommandFormat    = 4
+	// quarantineCommandFormat introduced quarantine.Update.
+	quarantineCommandFormat = 5
 )
 
-// Command is what the replicated log carries: a Change, an edition.Put, a lease.Take, a
-// quarantine.Update, or one of the commands of packages docket and manifest.
+// Command is a state machine command in the replicated log: a Change, an
+// edition.Put, a lease.Take, a quarantine.Update, or a command of package docket
+// or manifest.
 type Command any
 
-// envelope is the encoding of a command. One field is set beside Format.
+// envelope is the encoding of a command. Exactly one field besides Format is set.
 type envelope struct {
 	Format  int             `json:"format"`
 	Change  *Change         `json:"change,omitempty"`
@@ -45,19 +46,19 @@
 	Record  *docket.Record  `json:"record,omitempty"`
 	Expire  *docket.Expire  `json:"expire,omitempty"`
 	Abandon *docket.Abandon `json:"abandon,omitempty"`
-	// Manifest is the encoding of a manifest.Command. It came with format 2.
+	// Manifest is an encoded manifest.Command, since format 2.
 	Manifest json.RawMessage `json:"manifest,omitempty"`
-	// Edition came with format 3. Its content is packed.
+	// Edition is present since format 3. Its content is compressed by Pack.
 	Edition *edition.Put `json:"edition,omitempty"`
-	// Lease came with format 4.
+	// Lease is present since format 4.
 	Lease *lease.Take `json:"lease,omitempty"`
-	// Quarantine came with format 5.
+	// Quarantine is present since format 5.
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"`
 }
 
-// Encode returns a command's bytes for the log.
+// Encode returns the encoding of a command for the replicated log.
 func Encode(command Command) ([]byte, error) {
-	e := envelope{Format: baseFormat}
+	e := envelope{Format: baseCommandFormat}
 	switch c := command.(type) {
 	case Change:
 		if c.ID == "" || len(c.Declarations) > 0 && len(c.Presets) == 0 {
@@ -82,18 +83,18 @@
 		if err != nil {
 			return nil, err
 		}
-		e.Format, e.Manifest = manifestFormat, encoded
+		e.Format, e.Manifest = manifestCommandFormat, encoded
 	case edition.Put:
 		packed, err := Pack(c.Content)
 		if err != nil {
 			return nil, err
 		}
 		c.Content = packed
-		e.Format, e.Edition = editionFormat, &c
+		e.Format, e.Edition = editionCommandFormat, &c
 	case lease.Take:
-		e.Format, e.Lease = leaseFormat, &c
+		e.Format, e.Lease = leaseCommandFormat, &c
 	case quarantine.Update:
-		e.Format, e.Quarantine = quarantineFormat, &c
+		e.Format, e.Quarantine = quarantineCommandFormat, &c
 	default:
 		return nil, errors.AssertionFailedf("registry: command %T", command)
 	}
@@ -101,25 +102,25 @@
 	return data, errors.Wrap(err, "registry: encode command")
 }
 
-// formatOnly reads the format of an envelope whatever else is in it.
-type formatOnly struct {
+// formatHeader decodes the format of an envelope and ignores all other fields.
+type formatHeader struct {
 	Format *int `json:"format"`
 }
 
-// NewerError says that a command or snapshot comes from a newer program.
-type NewerError struct {
-	// What is the thing that is not known here.
-	What string
+// NewerVersionError reports a command or snapshot that a newer version wrote.
+type NewerVersionError struct {
+	// Subject is the unsupported format or section.
+	Subject string
 }
 
-// Error names the thing and gives the advice to upgrade.
-func (e *NewerError) Error() string {
-	return fmt.Sprintf("registry: %s comes from a newer program; upgrade this instance", e.What)
+// Error names the unsupported subject and advises an upgrade.
+func (e *NewerVersionError) Error() string {
+	return fmt.Sprintf("registry: %s comes from a newer program; upgrade this instance", e.Subject)
 }
 
-// Decode returns the command whose encoding is data. If data comes from a newer
-// program, Decode returns a *NewerError. A voter decodes every command that
-// another instance proposes, so that none enters the log that voters of its own
+// Decode returns the command encoded in data. If a newer version wrote data,
+// Decode returns a *NewerVersionError. A voter decodes every command that another
+// instance proposes, which keeps commands out of the log that voters of its
 // version can't apply.
 func Decode(data []byte) (Command, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -127,11 +128,11 @@
 	var e envelope
 	err := decoder.Decode(&e)
 	if err != nil {
-		// A newer format may have fields of which only Format can be read here.
-		_ = json.Unmarshal(data, &formatOnly{Format: &e.Format})
+		// A newer format may have unknown fields. Decode its Format alone.
+		_ = json.Unmarshal(data, &formatHeader{Format: &e.Format})
 	}
-	if e.Format > commandFormat {
-		return nil, &NewerError{What: fmt.Sprintf("command format %d", e.Format)}
+	if e.Format > newestCommandFormat {
+		return nil, &NewerVersionError{Subject: fmt.Sprintf("command format %d", e.Format)}
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: decode command")
@@ -149,6 +150,7 @@
 	return e.command()
 }
 
+// command returns the only command in the envelope.
 func (e envelope) command() (Command, error) {
 	var commands []Command
 	if e.Change != nil {
@@ -188,20 +190,20 @@
 	return commands[0], nil
 }
 
-// Result is what applying a command gave. One field is set.
+// Result is the result of an applied command. Exactly one field is set.
 type Result struct {
 	Change   *Answer          `json:"change,omitempty"`
 	Docket   *docket.Answer   `json:"docket,omitempty"`
 	Manifest *manifest.Result `json:"manifest,omitempty"`
 	Edition  *edition.Result  `json:"edition,omitempty"`
-	// Lease is the command itself, which is always carried out.
+	// Lease is the applied lease.Take itself, which never fails.
 	Lease *lease.Take `json:"lease,omitempty"`
-	// Quarantine is the revision after a quarantine.Update.
+	// Quarantine is the revision of the crash records after a quarantine.Update.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 }
 
-// Encode returns the result's bytes, to be sent to the instance that proposed
-// the command.
+// Encode returns the encoding of the result, which is sent to the instance that
+// proposed the command.
 func (r Result) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -210,7 +212,7 @@
 	return data
 }
 
-// DecodeResult returns the result whose Encode is data.
+// DecodeResult is the inverse of Result.Encode.
 func DecodeResult(data []byte) (Result, error) {
 	var r Result
 	err := json.Unmarshal(data, &r)
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// maxAnswers bounds the answers kept for changes that are sent again. At
-	// 1,000 changes a day they last ten days.
-	maxAnswers = 10_000
-	// answerAge is how long an answer is kept. Losing one is harmless, as its
-	// change expects a revision that is no longer in force.
-	answerAge = 30 * 24 * time.Hour
-	// maxSince bounds the changes that a conflict lists.
-	maxSince = 8
+	// maxKeptAnswers limits the number of answers kept for retried changes. At
+	// 1,000 changes a day they cover ten days.
+	maxKeptAnswers = 10_000
+	// answerRetention is how long an answer is kept. A retry after its answer was
+	// dropped is still not applied twice, because the change expects a revision
+	// that is no longer current.
+	answerRetention = 30 * 24 * time.Hour
+	// maxConflictChanges limits the number of changes listed in a conflict.
+	maxConflictChanges = 8
 )
 
-// configuration is the replicated configuration.
+// configuration is the replicated configuration with its recent changes.
 type configuration struct {
 	revision     Revision
 	preset       string
 	presets      []string
 	declarations []byte
-	// applied are the last maxSince changes that came into force, oldest first.
-	applied []Applied
-	// answers are what changes were answered, oldest first.
-	answers []answered
-	// byID holds the same answers.
-	byID map[string]answered
-	// latest is the latest Change.Now.
-	latest time.Time
+	// recentChanges are the last maxConflictChanges applied changes, oldest first.
+	recentChanges []Applied
+	// answers are the retained answers to changes, oldest first.
+	answers []recordedAnswer
+	// answersByID indexes answers by change ID.
+	answersByID map[string]recordedAnswer
+	// latestTime is the latest Change.Now. Retention of answers is measured by it.
+	latestTime time.Time
 }
 
-// answered is the first answer to a change.
-type answered struct {
+// recordedAnswer is the original answer to a change.
+type recordedAnswer struct {
 	ID     string    `json:"id"`
 	Digest string    `json:"digest"`
 	At     time.Time `json:"at"`
@@ -42,31 +43,32 @@
 }
 
 func newConfiguration() *configuration {
-	return &configuration{byID: map[string]answered{}}
+	return &configuration{answersByID: map[string]recordedAnswer{}}
 }
 
-// apply decides a change. A change that was decided before gets its first
-// answer again.
+// apply executes a change and records the answer. A retry gets the original
+// answer.
 func (c *configuration) apply(change Change) Answer {
 	digest := change.digest()
-	if first, ok := c.byID[change.ID]; ok {
-		if first.Digest == digest {
-			return first.Answer
+	if previous, ok := c.answersByID[change.ID]; ok {
+		if previous.Digest == digest {
+			return previous.Answer
 		}
-		return c.answer(VerdictReused, fmt.Sprintf("the change id %q was used for another change at %s", change.ID, first.At.UTC().Format(time.RFC3339)))
+		return c.answer(VerdictReused, fmt.Sprintf("the change id %q was used for another change at %s", change.ID, previous.At.UTC().Format(time.RFC3339)))
 	}
 	answer := c.decide(change)
-	if change.Now.After(c.latest) {
-		c.latest = change.Now
+	if change.Now.After(c.latestTime) {
+		c.latestTime = change.Now
 	}
-	c.remember(answered{ID: change.ID, Digest: digest, At: c.latest, Answer: answer})
+	c.keepAnswer(recordedAnswer{ID: change.ID, Digest: digest, At: c.latestTime, Answer: answer})
 	return answer
 }
 
+// decide applies a change that is not a retry, or rejects it.
 func (c *configuration) decide(change Change) Answer {
 	if change.Expected != c.revision {
 		answer := c.answer(VerdictConflict, fmt.Sprintf("revision %d is in force, not %d", c.revision, change.Expected))
-		for _, a := range slices.Backward(c.applied) {
+		for _, a := range slices.Backward(c.recentChanges) {
 			if a.Revision > change.Expected {
 				answer.Since = append(answer.Since, a)
 			}
@@ -88,7 +90,7 @@
 		preset = presets[0]
 	}
 	if !slices.Contains(presets, preset) {
-		return c.answer(VerdictRefused, notDeclared(preset, presets, change))
+		return c.answer(VerdictRefused, undeclaredPresetReason(preset, presets, change))
 	}
 	c.revision++
 	c.preset = preset
@@ -96,12 +98,13 @@
 	if len(change.Declarations) > 0 {
 		c.declarations = change.Declarations
 	}
-	c.applied = append(c.applied, Applied{Revision: c.revision, ID: change.ID, By: change.By, Summary: change.Summary, At: change.Now})
-	c.applied = c.applied[max(0, len(c.applied)-maxSince):]
+	c.recentChanges = append(c.recentChanges, Applied{Revision: c.revision, ID: change.ID, By: change.By, Summary: change.Summary, At: change.Now})
+	c.recentChanges = c.recentChanges[max(0, len(c.recentChanges)-maxConflictChanges):]
 	return c.answer(VerdictApplied, "")
 }
 
-func notDeclared(preset string, presets []string, change Change) string {
+// undeclaredPresetReason explains why preset can't become active.
+func undeclaredPresetReason(preset string, presets []string, change Change) string {
 	if len(presets) == 0 {
 		return "there are no declarations yet, so there is no preset"
 	}
@@ -111,46 +114,48 @@
 	return fmt.Sprintf("preset %q is none of the declared ones %q", preset, presets)
 }
 
+// answer returns an answer with the current revision and preset.
 func (c *configuration) answer(verdict Verdict, reason string) Answer {
 	return Answer{Verdict: verdict, Revision: c.revision, Preset: c.preset, Reason: reason}
 }
 
-// remember keeps an answer and drops those that are too old or too many.
-func (c *configuration) remember(a answered) {
+// keepAnswer records an answer and drops the oldest ones beyond the retention
+// limits.
+func (c *configuration) keepAnswer(a recordedAnswer) {
 	c.answers = append(c.answers, a)
-	c.byID[a.ID] = a
-	for len(c.answers) > maxAnswers || c.answers[0].At.Add(answerAge).Before(c.latest) {
-		delete(c.byID, c.answers[0].ID)
-		c.answers[0] = answered{}
+	c.answersByID[a.ID] = a
+	for len(c.answers) > maxKeptAnswers || c.answers[0].At.Add(answerRetention).Before(c.latestTime) {
+		delete(c.answersByID, c.answers[0].ID)
+		c.answers[0] = recordedAnswer{}
 		c.answers = c.answers[1:]
 	}
 }
 
-// configurationState is configuration in a snapshot.
-type configurationState struct {
-	Revision     Revision   `json:"revision"`
-	Preset       string     `json:"preset"`
-	Presets      []string   `json:"presets"`
-	Declarations []byte     `json:"declarations"`
-	Applied      []Applied  `json:"applied"`
-	Answers      []answered `json:"answers"`
-	Latest       time.Time  `json:"latest"`
+// configurationSnapshot is the snapshot encoding of a configuration.
+type configurationSnapshot struct {
+	Revision     Revision         `json:"revision"`
+	Preset       string           `json:"preset"`
+	Presets      []string         `json:"presets"`
+	Declarations []byte           `json:"declarations"`
+	Applied      []Applied        `json:"applied"`
+	Answers      []recordedAnswer `json:"answers"`
+	Latest       time.Time        `json:"latest"`
 }
 
-func (c *configuration) state() configurationState {
-	return configurationState{
+func (c *configuration) snapshot() configurationSnapshot {
+	return configurationSnapshot{
 		Revision: c.revision, Preset: c.preset, Presets: c.presets, Declarations: c.declarations,
-		Applied: c.applied, Answers: c.answers, Latest: c.latest,
+		Applied: c.recentChanges, Answers: c.answers, Latest: c.latestTime,
 	}
 }
 
-func (s configurationState) restore() *configuration {
+func (s configurationSnapshot) restore() *configuration {
 	c := &configuration{
 		revision: s.Revision, preset: s.Preset, presets: s.Presets, declarations: s.Declarations,
-		applied: s.Applied, answers: s.Answers, latest: s.Latest, byID: make(map[string]answered, len(s.Answers)),
+		recentChanges: s.Applied, answers: s.Answers, latestTime: s.Latest, answersByID: make(map[string]recordedAnswer, len(s.Answers)),
 	}
 	for _, a := range s.Answers {
-		c.byID[a.ID] = a
+		c.answersByID[a.ID] = a
 	}
 	return c
 }
--- a/internal/registry/export_test.go
+++ b/internal/registry/export_test.go
@@ -1,15 +1,16 @@
 package registry
 
-// MaxAnswers is maxAnswers.
-const MaxAnswers = maxAnswers
+// MaxKeptAnswers is maxKeptAnswers.
+const MaxKeptAnswers = maxKeptAnswers
 
-// Answers returns the number of answers that are kept.
-func (r *Registry) Answers() int {
-	if len(r.configuration.answers) != len(r.configuration.byID) {
+// KeptAnswers returns the number of kept answers, or -1 if the list and the index
+// of answers differ in length.
+func (r *Registry) KeptAnswers() int {
+	if len(r.configuration.answers) != len(r.configuration.answersByID) {
 		return -1
 	}
 	return len(r.configuration.answers)
 }
 
-// MaxUnpacked is maxUnpacked.
-const MaxUnpacked = maxUnpacked
+// MaxUnpackedBytes is maxUnpackedBytes.
+const MaxUnpackedBytes = maxUnpackedBytes
--- a/internal/registry/pack.go
+++ b/internal/registry/pack.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// packedMark is the first byte of packed declarations. The canonical encoding
-	// of declarations, which is JSON, never begins with it.
-	packedMark = 0x01
-	// packAbove is the size from which declarations are packed.
-	packAbove = 4 << 10
-	// maxUnpacked bounds what packed declarations may grow to. Those of 1,700
-	// models with five adapters each take 2 MB.
-	maxUnpacked = 32 << 20
+	// packedMarker is the first byte of compressed data. The uncompressed data is
+	// JSON, which never begins with this byte.
+	packedMarker = 0x01
+	// minPackBytes is the minimum size of data that Pack compresses.
+	minPackBytes = 4 << 10
+	// maxUnpackedBytes limits the size of decompressed data. The declarations of
+	// 1,700 models with five adapters each take 2 MB.
+	maxUnpackedBytes = 32 << 20
 )
 
-// Pack returns declarations compressed, or as they are if they are small.
+// Pack returns data compressed, or unchanged if it is smaller than minPackBytes.
 //
-// Declarations name the same keys over and over. At 1,000 changes a day of 1,700
-// models they alone would take what control may cost a node in network traffic;
-// packed they take a fraction. Packing stands in the encoding of commands and
-// views alone: what replicas hold and compare is the plain bytes, so that two
-// programs may pack differently.
+// Declarations repeat the same keys many times. With 1,700 models and 1,000
+// changes a day, uncompressed declarations alone would use up a node's network
+// budget for control traffic; compressed ones take a fraction of it. Only the
+// encodings of commands and views are compressed. Replicas store and compare the
+// uncompressed bytes, so that two versions may compress differently.
 func Pack(data []byte) ([]byte, error) {
-	if len(data) < packAbove {
+	if len(data) < minPackBytes {
 		return data, nil
 	}
 	var packed bytes.Buffer
-	packed.WriteByte(packedMark)
+	packed.WriteByte(packedMarker)
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: pack")
@@ -45,19 +45,19 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack returns the declarations that Pack was given. If data is cut off, damaged or
-// would grow beyond all bounds, Unpack returns an error.
+// Unpack is the inverse of Pack. It returns an error if data is truncated or
+// corrupt, or would decompress to more than maxUnpackedBytes.
 func Unpack(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packedMark {
+	if len(data) == 0 || data[0] != packedMarker {
 		return data, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(data[1:]))
-	unpacked, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	unpacked, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: unpack")
 	}
-	if len(unpacked) > maxUnpacked {
-		return nil, errors.Newf("registry: unpack: more than %d bytes", maxUnpacked)
+	if len(unpacked) > maxUnpackedBytes {
+		return nil, errors.Newf("registry: unpack: more than %d bytes", maxUnpackedBytes)
 	}
 	return unpacked, nil
 }
--- a/internal/registry/pack_test.go
+++ b/internal/registry/pack_test.go
@@ -11,21 +11,20 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// large returns declarations of that many bytes, as package check of these tests
-// knows them, for one preset.
-func large(size int) string {
+// paddedDeclarations returns declarations of one preset, padded with size spaces.
+func paddedDeclarations(size int) string {
 	return "ordinary" + strings.Repeat(" ", size)
 }
 
-func gobbed(view *registry.View) []byte {
+func gobEncode(view *registry.View) []byte {
 	var wire bytes.Buffer
 	ExpectWithOffset(1, gob.NewEncoder(&wire).Encode(view)).To(Succeed())
 	return wire.Bytes()
 }
 
 var _ = Describe("large declarations", func() {
-	It("take a fraction of their size in the log and come out as they were", func() {
-		prepared, err := declare("one", 0, large(50_000)).Prepare(check)
+	It("are compressed in the log and decoded unchanged", func() {
+		prepared, err := declareChange("one", 0, paddedDeclarations(50_000)).Prepare(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := registry.Encode(prepared)
 		Expect(err).NotTo(HaveOccurred())
@@ -35,26 +34,26 @@
 		Expect(decoded).To(Equal(prepared))
 	})
 
-	It("reach other instances as they were, small ones too", func() {
+	It("are sent to other instances unchanged, as are small ones", func() {
 		for _, size := range []int{1, 50_000} {
 			r := newReplica()
-			r.change(declare("one", 0, large(size)))
-			wire := gobbed(r.View())
-			Expect(gobbed(r.View())).To(Equal(wire), "the second time")
+			r.change(declareChange("one", 0, paddedDeclarations(size)))
+			wire := gobEncode(r.View())
+			Expect(gobEncode(r.View())).To(Equal(wire), "from the cache")
 			var view registry.View
 			Expect(gob.NewDecoder(bytes.NewReader(wire)).Decode(&view)).To(Succeed())
 			Expect(view.Revision).To(Equal(r.View().Revision))
 			Expect(view.Preset).To(Equal("ordinary"))
 			Expect(view.Declarations).To(Equal(r.View().Declarations))
-			Expect(view.At).To(Equal(start))
+			Expect(view.At).To(Equal(startTime))
 			if size > 1 {
 				Expect(len(wire)).To(BeNumerically("<", len(view.Declarations)/2))
 			}
 		}
 	})
 
-	It("are refused when a byte is missing at any place", func() {
-		prepared, err := declare("one", 0, large(6_000)).Prepare(check)
+	It("are rejected when truncated at any byte", func() {
+		prepared, err := declareChange("one", 0, paddedDeclarations(6_000)).Prepare(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := registry.Encode(prepared)
 		Expect(err).NotTo(HaveOccurred())
@@ -70,8 +69,8 @@
 		}
 	})
 
-	It("are refused when they would grow beyond all bounds", func() {
-		zeros, err := registry.Pack(make([]byte, registry.MaxUnpacked+1))
+	It("are rejected when they would decompress beyond the size limit", func() {
+		zeros, err := registry.Pack(make([]byte, registry.MaxUnpackedBytes+1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(zeros)).To(BeNumerically("<", 1<<20))
 		_, err = registry.Unpack(zeros)
--- a/internal/registry/quarantine_test.go
+++ b/internal/registry/quarantine_test.go
@@ -19,7 +19,8 @@
 		}},
 	}
 
-	// Every voter that starts anew must know what it knew, or a request crashes three more.
+	// A restarted voter must keep its crash records, or counting starts over and the
+	// same request can crash three more upstreams.
 	It("are there again after a snapshot, and go on counting", func() {
 		r := registry.New()
 		command, err := registry.Encode(update)
@@ -29,16 +30,16 @@
 		Expect(result.Quarantine).To(Equal(uint64(1)))
 		snapshot, err := r.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		other := registry.New()
-		Expect(other.Restore(snapshot)).To(Succeed())
-		Expect(other.Crashes()).To(Equal(r.Crashes()))
-		_, err = other.Apply(2, command)
+		restored := registry.New()
+		Expect(restored.Restore(snapshot)).To(Succeed())
+		Expect(restored.Crashes()).To(Equal(r.Crashes()))
+		_, err = restored.Apply(2, command)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(other.Crashes().Cases()).To(Equal(r.Crashes().Cases()), "the same report again")
+		Expect(restored.Crashes().Cases()).To(Equal(r.Crashes().Cases()), "the same report again")
 	})
 
-	// A voter that was not upgraded yet can't read the section.
-	It("leave a snapshot without any as it was before there were any", func() {
+	// A voter that is not yet upgraded can't read the quarantine section.
+	It("add no section to a snapshot while there are none", func() {
 		snapshot, err := registry.New().Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(snapshot)).NotTo(ContainSubstring("quarantine"))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,11 @@
-// Package registry is the replicated state machine: the configuration in force,
-// the edition that operators number themselves, the docket of non-idempotent
-// requests, the manifest of engines and orders, the leases of upstreams, and the records
-// of requests that were at upstreams as those ended.
+// Package registry is the replicated state machine. Its state consists of the
+// current configuration, the edition (a document whose versions operators assign),
+// the docket of non-idempotent requests, the manifest of engines and of the orders
+// to them, the leases of upstreams, and the crash records: which requests were in
+// flight at upstreams that crashed.
 //
-// It is deterministic. Replicas that apply the same commands in the same order
-// hold the same state, and their snapshots have equal bytes.
+// The state machine is deterministic. Replicas that apply the same commands in
+// the same order have equal states, and their snapshots are equal byte for byte.
 package registry
 
 import (
@@ -21,90 +22,90 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// Registry is one replica of the state. Its methods are safe for concurrent
-// use; Apply, Snapshot and Restore are called by one goroutine, in the order of
-// the log.
+// Registry is one replica of the state machine. Its methods are safe for
+// concurrent use, except that Apply, Snapshot and Restore must be called by a
+// single goroutine in log order.
 type Registry struct {
 	mutex sync.RWMutex
-	// applied is the index of the last command.
+	// applied is the log index of the last applied command.
 	applied       jury.Index
 	configuration *configuration
 	docket        *docket.Docket
 	manifest      *manifest.Manifest
-	// view is the one of configuration, for readers that take no lock.
+	// view is the view of configuration for lock-free readers.
 	view atomic.Pointer[View]
-	// edition is the document that operators number, for readers that take no
-	// lock.
+	// edition is replaced as a whole, for lock-free readers.
 	edition atomic.Pointer[edition.Edition]
 	leases  lease.Leases
-	// crashes are for readers that take no lock.
-	crashes atomic.Pointer[quarantine.Records]
+	// crashRecords is replaced as a whole, for lock-free readers.
+	crashRecords atomic.Pointer[quarantine.Records]
 }
 
-// New returns the empty state.
+// New returns a replica with the empty state.
 func New() *Registry {
 	r := &Registry{configuration: newConfiguration(), docket: docket.New(), manifest: manifest.New()}
 	r.view.Store(r.configuration.view())
 	r.edition.Store(&edition.Edition{})
-	r.crashes.Store(&quarantine.Records{})
+	r.crashRecords.Store(&quarantine.Records{})
 	return r
 }
 
-// Edition returns the document that operators number. It takes no lock.
+// Edition returns the current edition without locking.
 func (r *Registry) Edition() edition.Edition {
 	return *r.edition.Load()
 }
 
-// View returns the configuration in force. It takes no lock and makes no copy.
+// View returns the current configuration without locking or copying.
 func (r *Registry) View() *View {
 	return r.view.Load()
 }
 
-// Lookup returns what is recorded of a non-idempotent request.
+// Lookup returns the docket's record of a non-idempotent request.
 func (r *Registry) Lookup(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.docket.Lookup(key)
 }
 
-// Docket returns the docket's counters, its number of records and the bytes
-// that its responses take.
+// Docket returns the counters of the docket, its number of records and the size
+// of its stored responses in bytes.
 func (r *Registry) Docket() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.docket.Counters(), r.docket.Len(), r.docket.ResponseBytes()
 }
 
-// Crashes returns the records of requests that were at upstreams as those ended. It takes
-// no lock.
+// Crashes returns the records of requests that were in flight at upstreams that
+// crashed, without locking.
 func (r *Registry) Crashes() quarantine.Records {
-	return *r.crashes.Load()
+	return *r.crashRecords.Load()
 }
 
-// Leases returns who took the lease of each upstream last.
+// Leases returns the last recorded holder of each upstream's lease.
 func (r *Registry) Leases() lease.Leases {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.leases
 }
 
-// Manifest returns what is recorded of engines and orders.
+// Manifest returns the recorded state of engines and of the orders to them.
 func (r *Registry) Manifest() manifest.View {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.manifest.View()
 }
 
-// Applied returns the index of the last command that was applied.
+// Applied returns the log index of the last applied command.
 func (r *Registry) Applied() jury.Index {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.applied
 }
 
-// Apply carries out the committed command at index. After an error the replica
-// must stop: to skip a command that others carry out would fork the state. A
-// *NewerError says that it must be upgraded first.
+// Apply applies the committed command at index. After an error the replica must
+// stop, because skipping a command that other replicas apply would make the
+// states diverge. A *NewerVersionError means that the instance must be upgraded
+// first.
 func (r *Registry) Apply(index jury.Index, command []byte) (Result, error) {
 	decoded, err := Decode(command)
 	if err != nil {
@@ -137,8 +138,8 @@
 		r.leases = r.leases.With(c)
 		return Result{Lease: &c}, nil
 	case quarantine.Update:
-		next := r.crashes.Load().With(c)
-		r.crashes.Store(&next)
+		next := r.crashRecords.Load().With(c)
+		r.crashRecords.Store(&next)
 		return Result{Quarantine: next.Revision()}, nil
 	default:
 		return Result{}, errors.AssertionFailedf("registry: command %T", decoded)
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -15,9 +15,9 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// The names in a snapshot.
+// The header and the section names of a snapshot.
 const (
-	snapshotName         = "lovagelift-registry"
+	snapshotMagic        = "lovagelift-registry"
 	snapshotFormat       = 1
 	configurationSection = "configuration"
 	docketSection        = "docket"
@@ -27,14 +27,14 @@
 	quarantineSection    = "quarantine"
 )
 
-// section is a named part of a snapshot.
+// section is one named section of a snapshot.
 type section struct {
 	name string
 	data []byte
 }
 
-// Snapshot returns the whole state. Equal states give equal bytes. A snapshot is
-// a list of named sections, so that later versions add their own.
+// Snapshot returns the encoded state. Equal states have equal encodings. A
+// snapshot is a list of named sections, so that later versions can add sections.
 func (r *Registry) Snapshot() ([]byte, error) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: snapshot")
 	}
-	buffer := parcel.AppendBytes(nil, snapshotName)
+	buffer := parcel.AppendBytes(nil, snapshotMagic)
 	buffer = parcel.AppendUint(buffer, snapshotFormat)
 	buffer = parcel.AppendUint(buffer, uint64(r.applied))
 	buffer = parcel.AppendUint(buffer, uint64(len(sections)))
@@ -53,32 +53,32 @@
 	return buffer, nil
 }
 
-// sections returns the parts of a snapshot. Those that not every program knows are left
-// out while they are empty, so that one from before them can read it.
+// sections returns the sections of a snapshot. Sections that were added in later
+// versions are omitted while empty, so that older versions can read the snapshot.
 func (r *Registry) sections() ([]section, error) {
-	configuration, err := json.Marshal(r.configuration.state())
+	configuration, err := json.Marshal(r.configuration.snapshot())
 	if err != nil {
 		return nil, err
 	}
 	sections := []section{{configurationSection, configuration}, {docketSection, r.docket.Snapshot(nil)}}
-	if held := r.edition.Load(); held.Content != nil {
-		sections = append(sections, section{editionSection, held.Snapshot()})
+	if current := r.edition.Load(); current.Content != nil {
+		sections = append(sections, section{editionSection, current.Snapshot()})
 	}
 	if len(r.leases.Upstreams()) > 0 {
 		sections = append(sections, section{leaseSection, r.leases.Snapshot()})
 	}
-	if crashes := r.crashes.Load(); !crashes.Empty() {
+	if crashes := r.crashRecords.Load(); !crashes.Empty() {
 		sections = append(sections, section{quarantineSection, crashes.Snapshot()})
 	}
 	if r.manifest.Empty() {
 		return sections, nil
 	}
-	orders, err := r.manifest.Snapshot()
-	return append(sections, section{manifestSection, orders}), err
+	manifestData, err := r.manifest.Snapshot()
+	return append(sections, section{manifestSection, manifestData}), err
 }
 
-// state is what the sections of a snapshot hold.
-type state struct {
+// snapshotState is the decoded content of a snapshot.
+type snapshotState struct {
 	configuration *configuration
 	docket        *docket.Docket
 	manifest      *manifest.Manifest
@@ -87,13 +87,13 @@
 	crashes       quarantine.Records
 }
 
-// read takes over what a section holds.
-func (s *state) read(name string, data []byte) (err error) {
+// decodeSection decodes one section into s.
+func (s *snapshotState) decodeSection(name string, data []byte) (err error) {
 	switch name {
 	case configurationSection:
-		var held configurationState
-		err = json.Unmarshal(data, &held)
-		s.configuration = held.restore()
+		var decoded configurationSnapshot
+		err = json.Unmarshal(data, &decoded)
+		s.configuration = decoded.restore()
 	case docketSection:
 		s.docket, err = docket.Restore(data)
 	case manifestSection:
@@ -107,43 +107,44 @@
 	case "":
 		err = parcel.ErrShort
 	default:
-		err = &NewerError{What: fmt.Sprintf("snapshot section %q", name)}
+		err = &NewerVersionError{Subject: fmt.Sprintf("snapshot section %q", name)}
 	}
 	return errors.Wrapf(err, "registry: snapshot section %q", name)
 }
 
-// Restore takes over the state of a Snapshot. If data is damaged or comes from
-// a newer program, Restore returns an error and leaves the state as it is.
+// Restore replaces the state by that of a Snapshot. If data is corrupt or was
+// written by a newer version, Restore returns an error and leaves the state
+// unchanged.
 func (r *Registry) Restore(data []byte) error {
 	reader := parcel.NewReader(data)
-	if name := reader.String(); name != snapshotName {
-		return errors.New("registry: this is no snapshot of a registry")
+	if magic := reader.String(); magic != snapshotMagic {
+		return errors.New("registry: data is not a registry snapshot")
 	}
 	if format := reader.Uint(); format > snapshotFormat {
-		return &NewerError{What: fmt.Sprintf("snapshot format %d", format)}
+		return &NewerVersionError{Subject: fmt.Sprintf("snapshot format %d", format)}
 	}
 	applied := jury.Index(reader.Uint())
-	held := state{manifest: manifest.New()}
+	restored := snapshotState{manifest: manifest.New()}
 	for range reader.Count() {
-		if err := held.read(reader.String(), reader.Bytes()); err != nil {
+		if err := restored.decodeSection(reader.String(), reader.Bytes()); err != nil {
 			return err
 		}
 	}
 	if err := reader.End(); err != nil {
 		return errors.Wrap(err, "registry: snapshot")
 	}
-	if held.configuration == nil || held.docket == nil {
+	if restored.configuration == nil || restored.docket == nil {
 		return errors.New("registry: snapshot without configuration or docket")
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.applied = applied
-	r.configuration = held.configuration
-	r.docket = held.docket
-	r.manifest = held.manifest
-	r.edition.Store(&held.edition)
-	r.leases = held.leases
-	r.crashes.Store(&held.crashes)
-	r.view.Store(held.configuration.view())
+	r.configuration = restored.configuration
+	r.docket = restored.docket
+	r.manifest = restored.manifest
+	r.edition.Store(&restored.edition)
+	r.leases = restored.leases
+	r.crashRecords.Store(&restored.crashes)
+	r.view.Store(restored.configuration.view())
 	return nil
 }
