--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -8,47 +8,50 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Account is what is and may be taken of one accelerator, in bytes. Resident,
-// Reserved and Possible do not overlap, and their sum never exceeds Memory.
+// Account is the memory account of one accelerator, in bytes. Resident, Reserved
+// and Possible do not overlap, and their sum never exceeds Memory.
 type Account struct {
-	// Memory is what the accelerator has.
+	// Memory is the capacity of the accelerator.
 	Memory int64
-	// Resident is what the engine has reported, the role included.
+	// Resident is the memory in use according to the engine's reports, including
+	// that of its role.
 	Resident int64
-	// Reserved is what orders of the present leader will take beyond that.
+	// Reserved is the further memory that open orders of the current leader need.
 	Reserved int64
-	// Possible is what orders may take beyond that whose answer was lost, or that
-	// an earlier leader gave.
+	// Possible is the further memory that doubtful orders may use.
 	Possible int64
 }
 
-// Worst returns the most that may be taken.
+// Worst returns the maximum memory that may be in use.
 func (a Account) Worst() int64 {
-	return add(a.Resident, add(a.Reserved, a.Possible))
+	return saturatingAdd(a.Resident, saturatingAdd(a.Reserved, a.Possible))
 }
 
-// Free returns what an order may take.
+// Free returns the memory that is available to a new order.
 func (a Account) Free() int64 {
 	return a.Memory - a.Worst()
 }
 
-// RoomError says that an order may overcommit an accelerator.
-type RoomError struct {
+// InsufficientMemoryError reports that an accelerator may be overcommitted.
+type InsufficientMemoryError struct {
 	Accelerator string
-	Account     Account
-	// Needed is what the order takes beyond the account, in bytes.
+	// Account is the account before the rejected order, or the stored account that
+	// can't be decoded because it is overcommitted.
+	Account Account
+	// Needed is the memory in bytes that the rejected order adds to the worst case,
+	// or 0 for a stored account.
 	Needed int64
 }
 
-// Error returns the arithmetic.
-func (e *RoomError) Error() string {
+// Error itemizes the account and the memory that the order needs.
+func (e *InsufficientMemoryError) Error() string {
 	return fmt.Sprintf("ledger: %s has %d bytes: %d resident, %d reserved and %d possible leave %d, %d are needed",
 		e.Accelerator, e.Account.Memory, e.Account.Resident, e.Account.Reserved, e.Account.Possible,
 		e.Account.Free(), e.Needed)
 }
 
-// Account returns the account of the accelerator. If the engine has none of that
-// name, Account returns false.
+// Account returns the account of the named accelerator, or false if the engine
+// has no such accelerator.
 func (l Ledger) Account(name string) (Account, bool) {
 	i := slices.IndexFunc(l.accelerators, func(a accelerator) bool { return a.Name == name })
 	if i < 0 {
@@ -58,94 +61,98 @@
 	for i, r := range l.resident {
 		switch {
 		case !slices.Contains(r.Accelerators, name):
-		case !r.Leaving:
-			account.Resident = add(account.Resident, r.Bytes)
-		case !l.leavesBefore(i, name):
-			account.Resident = add(account.Resident, l.loads(r.Thing, name).resident)
+		case !r.Unloading:
+			account.Resident = saturatingAdd(account.Resident, r.Bytes)
+		case !l.hasEarlierResident(i, name):
+			account.Resident = saturatingAdd(account.Resident, l.artifactBounds(r.Artifact, name).resident)
 		}
 	}
 	for i, o := range l.open {
-		loaded, loads := loadedBy(o.Order)
-		if loads && slices.Contains(o.Order.Accelerators, name) && !l.loadedBefore(i, loaded, name) {
-			account = account.with(l.loads(loaded, name))
+		loaded, loads := loadedArtifact(o.Order)
+		if loads && slices.Contains(o.Order.Accelerators, name) && !l.hasEarlierLoad(i, loaded, name) {
+			account = account.withBounds(l.artifactBounds(loaded, name))
 		}
 	}
-	account.Resident = add(account.Resident, l.roleBytes)
-	return account.with(l.roles()), true
+	account.Resident = saturatingAdd(account.Resident, l.roleBytes)
+	return account.withBounds(l.roleBounds()), true
 }
 
-// span is what one thing, or the role, takes of an accelerator: by the
-// inventory, at most if the orders of the present leader take effect, and at
-// most if any order does. None is less than the one before.
-type span struct {
+// memoryBounds is the memory in bytes that one artifact, or the role, uses on an
+// accelerator: resident is its size in the inventory, reserved its maximum size if
+// only orders that are not doubtful take effect, and possible its maximum size if
+// any open order takes effect. No value is less than the one before it.
+type memoryBounds struct {
 	resident, reserved, possible int64
 }
 
-// with returns the account with what the orders may take beyond the residents.
-func (a Account) with(s span) Account {
-	a.Reserved = add(a.Reserved, s.reserved-s.resident)
-	a.Possible = add(a.Possible, s.possible-s.reserved)
+// withBounds returns the account with the memory that orders may use beyond the
+// resident size.
+func (a Account) withBounds(bounds memoryBounds) Account {
+	a.Reserved = saturatingAdd(a.Reserved, bounds.reserved-bounds.resident)
+	a.Possible = saturatingAdd(a.Possible, bounds.possible-bounds.reserved)
 	return a
 }
 
-// widened returns the span with an order that takes bytes.
-func (s span) widened(bytes int64, doubtful bool) span {
+// withOrder returns the bounds extended by an order that needs the given bytes.
+func (b memoryBounds) withOrder(bytes int64, doubtful bool) memoryBounds {
 	if !doubtful {
-		s.reserved = max(s.reserved, bytes)
+		b.reserved = max(b.reserved, bytes)
 	}
-	s.possible = max(s.possible, s.reserved, bytes)
-	return s
+	b.possible = max(b.possible, b.reserved, bytes)
+	return b
 }
 
-// leavesBefore tells whether a resident before the i-th is the same thing. What
-// leaves may stand there as any of several orders loaded it.
-func (l Ledger) leavesBefore(i int, name string) bool {
+// hasEarlierResident reports whether a resident before the i-th is the same
+// artifact on the accelerator. An artifact that is being unloaded may be listed
+// once for each order that may have loaded it, but counts once.
+func (l Ledger) hasEarlierResident(i int, acceleratorName string) bool {
 	return slices.ContainsFunc(l.resident[:i], func(r resident) bool {
-		return r.Thing == l.resident[i].Thing && slices.Contains(r.Accelerators, name)
+		return r.Artifact == l.resident[i].Artifact && slices.Contains(r.Accelerators, acceleratorName)
 	})
 }
 
-// loadedBefore tells whether an order before the i-th loads the same thing.
-func (l Ledger) loadedBefore(i int, t thing, name string) bool {
+// hasEarlierLoad reports whether an open order before the i-th loads the same
+// artifact on the accelerator.
+func (l Ledger) hasEarlierLoad(i int, t artifact, acceleratorName string) bool {
 	return slices.ContainsFunc(l.open[:i], func(o openOrder) bool {
-		loaded, loads := loadedBy(o.Order)
-		return loads && loaded == t && slices.Contains(o.Order.Accelerators, name)
+		loaded, loads := loadedArtifact(o.Order)
+		return loads && loaded == t && slices.Contains(o.Order.Accelerators, acceleratorName)
 	})
 }
 
-// loads returns what a thing takes. It is loaded once at most, so it counts once,
-// at the greatest size that it may have.
-func (l Ledger) loads(t thing, name string) span {
-	var s span
+// artifactBounds returns the bounds of an artifact on the accelerator. An engine
+// loads an artifact at most once, so it counts once, at its maximum possible size.
+func (l Ledger) artifactBounds(t artifact, acceleratorName string) memoryBounds {
+	var bounds memoryBounds
 	for _, r := range l.resident {
-		if r.Thing == t && slices.Contains(r.Accelerators, name) {
-			most := max(s.resident, r.Bytes)
-			s = span{most, most, most}
+		if r.Artifact == t && slices.Contains(r.Accelerators, acceleratorName) {
+			size := max(bounds.resident, r.Bytes)
+			bounds = memoryBounds{size, size, size}
 		}
 	}
 	for _, o := range l.open {
-		loaded, loads := loadedBy(o.Order)
-		if loads && loaded == t && slices.Contains(o.Order.Accelerators, name) {
-			s = s.widened(o.Order.MemoryBytes, o.Doubtful)
+		loaded, loads := loadedArtifact(o.Order)
+		if loads && loaded == t && slices.Contains(o.Order.Accelerators, acceleratorName) {
+			bounds = bounds.withOrder(o.Order.MemoryBytes, o.Doubtful)
 		}
 	}
-	return s
+	return bounds
 }
 
-// roles returns what the role takes. Roles replace each other, so the greatest
-// counts.
-func (l Ledger) roles() span {
-	s := span{l.roleBytes, l.roleBytes, l.roleBytes}
+// roleBounds returns the bounds of the role. An engine has one role at a time, so
+// only the maximum over all possible roles counts.
+func (l Ledger) roleBounds() memoryBounds {
+	bounds := memoryBounds{l.roleBytes, l.roleBytes, l.roleBytes}
 	for _, o := range l.open {
 		if o.Order.Kind == upstreamapi.OrderChangeRole {
-			s = s.widened(o.Order.MemoryBytes, o.Doubtful)
+			bounds = bounds.withOrder(o.Order.MemoryBytes, o.Doubtful)
 		}
 	}
-	return s
+	return bounds
 }
 
-// overcommitted returns the first accelerator of which more may be taken than it
-// has, or false.
+// overcommitted returns the first accelerator whose worst case exceeds its memory,
+// or false.
 func (l Ledger) overcommitted() (string, bool) {
 	for _, a := range l.accelerators {
 		if account, _ := l.Account(a.Name); account.Worst() > account.Memory {
@@ -155,31 +162,31 @@
 	return "", false
 }
 
-// add returns a + b, neither of which is negative, or the greatest number if the
-// sum exceeds it. A report of absurd sizes must not wrap around to a small sum.
-func add(a, b int64) int64 {
+// saturatingAdd returns a + b for non-negative values, or math.MaxInt64 if the sum
+// overflows. Absurd sizes in a report must not wrap around to a small sum.
+func saturatingAdd(a, b int64) int64 {
 	if a > math.MaxInt64-b {
 		return math.MaxInt64
 	}
 	return a + b
 }
 
-// loadedBy returns what the order loads. If it loads nothing, loadedBy returns
-// false.
-func loadedBy(order upstreamapi.Order) (thing, bool) {
+// loadedArtifact returns the artifact that the order loads, or false if it loads
+// none.
+func loadedArtifact(order upstreamapi.Order) (artifact, bool) {
 	switch order.Kind {
 	case upstreamapi.OrderLoadModel, upstreamapi.OrderChangeVersion:
-		return thing{Model: order.Model, Version: order.Version}, true
+		return artifact{Model: order.Model, Version: order.Version}, true
 	case upstreamapi.OrderLoadAdapter:
-		return thing{Model: order.Model, Version: order.Version, Adapter: order.Adapter}, true
+		return artifact{Model: order.Model, Version: order.Version, Adapter: order.Adapter}, true
 	default:
-		return thing{}, false
+		return artifact{}, false
 	}
 }
 
-// removes tells whether the order may take the thing out of memory. Adapters go
-// with their model.
-func removes(order upstreamapi.Order, t thing) bool {
+// mayRemove reports whether the order may remove the artifact from memory. Removing
+// a model also removes its adapters.
+func mayRemove(order upstreamapi.Order, t artifact) bool {
 	if order.Model != t.Model {
 		return false
 	}
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// full returns the account of an engine with two accelerators, 10 models of 4
+// fullLedger returns the ledger of an engine with two accelerators, 10 models of 4
 // adapters each, and 10 open orders.
-func full(b *testing.B) ledger.Ledger {
+func fullLedger(b *testing.B) ledger.Ledger {
 	b.Helper()
 	names := []string{"a0", "a1"}
 	report := upstreamapi.Announcement{Incarnation: 1, Revision: 1}
@@ -39,7 +39,7 @@
 }
 
 func BenchmarkAccount(b *testing.B) {
-	l := full(b)
+	l := fullLedger(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if a, _ := l.Account("a1"); a.Free() <= 0 {
@@ -49,7 +49,7 @@
 }
 
 func BenchmarkWithOrder(b *testing.B) {
-	l := full(b)
+	l := fullLedger(b)
 	order := upstreamapi.Order{
 		ID: "o11", Number: 11, Fencing: 1, Incarnation: 1, Kind: upstreamapi.OrderLoadModel,
 		Model: "n11", Accelerators: []string{"a0"}, MemoryBytes: 1 << 10,
--- a/internal/ledger/contradiction.go
+++ b/internal/ledger/contradiction.go
@@ -8,23 +8,23 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// contradiction is a finding in a report, at a JSON path.
+// contradiction returns a finding at a JSON path in a report.
 func contradiction(path, problem string) finding.Finding {
 	return finding.Finding{Place: finding.Place{File: path}, Problem: problem}
 }
 
-// contradictionsOf returns what a later inventory of the same incarnation says
-// that cannot be by the account. Adopting an inventory without any never makes
-// the worst case greater.
-func (l Ledger) contradictionsOf(inventory upstreamapi.Inventory) []finding.Finding {
+// findContradictions compares the account with a later inventory of the same
+// incarnation and returns the reported facts that the account rules out. Adopting
+// an inventory without contradictions never increases the worst case.
+func (l Ledger) findContradictions(inventory upstreamapi.Inventory) []finding.Finding {
 	found := l.changedAccelerators(inventory)
-	found = append(found, l.unknownResidents(inventory)...)
-	found = append(found, l.missing(inventory)...)
-	found = append(found, l.foreignOrders(inventory.UnderWay)...)
-	found = append(found, l.overused(inventory.Accelerators)...)
-	if role := l.roles().possible; inventory.RoleMemoryBytes > role {
+	found = append(found, l.unorderedResidents(inventory)...)
+	found = append(found, l.missingResidents(inventory)...)
+	found = append(found, l.unknownOrders(inventory.UnderWay)...)
+	found = append(found, l.overusedAccelerators(inventory.Accelerators)...)
+	if maxRoleBytes := l.roleBounds().possible; inventory.RoleMemoryBytes > maxRoleBytes {
 		found = append(found, contradiction("$.role-memory-bytes",
-			fmt.Sprintf("the role takes %d bytes and may take %d", inventory.RoleMemoryBytes, role)))
+			fmt.Sprintf("the role takes %d bytes and may take %d", inventory.RoleMemoryBytes, maxRoleBytes)))
 	}
 	if l.traits.HonoursExpiry && inventory.Clock.Before(l.clock) {
 		found = append(found, contradiction("$.load.clock",
@@ -33,9 +33,9 @@
 	return found
 }
 
-// unfitting returns what a report says that does not fit in itself, or not with
-// the open orders.
-func (l Ledger) unfitting(announcement upstreamapi.Announcement) []finding.Finding {
+// inconsistencies returns the contradictions between parts of the announcement from
+// which l was built, and between the announcement and the open orders.
+func (l Ledger) inconsistencies(announcement upstreamapi.Announcement) []finding.Finding {
 	var found []finding.Finding
 	for i, r := range announcement.Resident {
 		for _, name := range r.Accelerators {
@@ -50,11 +50,11 @@
 				fmt.Sprintf("%d bytes are or may be taken of %d", account.Worst(), a.Bytes)))
 		}
 	}
-	found = append(found, l.foreignOrders(announcement.UnderWay)...)
-	return append(found, l.overused(announcement.Accelerators)...)
+	found = append(found, l.unknownOrders(announcement.UnderWay)...)
+	return append(found, l.overusedAccelerators(announcement.Accelerators)...)
 }
 
-// changedAccelerators finds accelerators that came, went or changed in size.
+// changedAccelerators checks that no accelerator was added, removed or resized.
 func (l Ledger) changedAccelerators(inventory upstreamapi.Inventory) []finding.Finding {
 	var reported []accelerator
 	for _, a := range inventory.Accelerators {
@@ -66,52 +66,55 @@
 	return []finding.Finding{contradiction("$.accelerators", "the accelerators have changed without a restart")}
 }
 
-// unknownResidents finds what nobody ordered, and what is greater than ordered.
-func (l Ledger) unknownResidents(inventory upstreamapi.Inventory) []finding.Finding {
+// unorderedResidents finds reported artifacts that no order loaded, and models that
+// use more memory than ordered.
+func (l Ledger) unorderedResidents(inventory upstreamapi.Inventory) []finding.Finding {
 	var found []finding.Finding
 	for i, reported := range inventory.Resident {
 		path := fmt.Sprintf("$.resident[%d]", i)
-		sum := int64(0)
+		allowedBytes := int64(0)
 		unknown := false
-		for _, t := range thingsOf(reported) {
-			bytes, may := l.known(t, reported.Accelerators)
-			if !may {
+		for _, t := range reportedArtifacts(reported) {
+			bytes, allowed := l.maxKnownBytes(t, reported.Accelerators)
+			if !allowed {
 				found = append(found, contradiction(path, fmt.Sprintf("%s is loaded there and was not ordered", t)))
 				unknown = true
 			}
-			sum = add(sum, bytes)
+			allowedBytes = saturatingAdd(allowedBytes, bytes)
 		}
-		if !unknown && reported.MemoryBytes > sum {
+		if !unknown && reported.MemoryBytes > allowedBytes {
 			found = append(found, contradiction(path+".memory-bytes",
-				fmt.Sprintf("%d bytes are taken, %d were ordered", reported.MemoryBytes, sum)))
+				fmt.Sprintf("%d bytes are taken, %d were ordered", reported.MemoryBytes, allowedBytes)))
 		}
 	}
 	return found
 }
 
-// missing finds what has gone although no order may have taken it out.
-func (l Ledger) missing(inventory upstreamapi.Inventory) []finding.Finding {
-	present := map[thing]bool{}
+// missingResidents finds artifacts that disappeared although no open order may have
+// removed them.
+func (l Ledger) missingResidents(inventory upstreamapi.Inventory) []finding.Finding {
+	reportedSet := map[artifact]bool{}
 	for _, reported := range inventory.Resident {
-		for _, t := range thingsOf(reported) {
-			present[t] = true
+		for _, t := range reportedArtifacts(reported) {
+			reportedSet[t] = true
 		}
 	}
 	var found []finding.Finding
 	for _, r := range l.resident {
-		ordered := slices.ContainsFunc(l.open, func(o openOrder) bool { return removes(o.Order, r.Thing) })
-		if !present[r.Thing] && !r.Leaving && !ordered {
-			found = append(found, contradiction("$.resident", fmt.Sprintf("%s is gone and was not unloaded", r.Thing)))
+		mayBeUnloaded := slices.ContainsFunc(l.open, func(o openOrder) bool { return mayRemove(o.Order, r.Artifact) })
+		if !reportedSet[r.Artifact] && !r.Unloading && !mayBeUnloaded {
+			found = append(found, contradiction("$.resident", fmt.Sprintf("%s is gone and was not unloaded", r.Artifact)))
 		}
 	}
 	return found
 }
 
-// foreignOrders finds orders under way that are not open.
-func (l Ledger) foreignOrders(orders []upstreamapi.OrderUnderWay) []finding.Finding {
+// unknownOrders finds orders that the engine reports as running and that are not
+// open.
+func (l Ledger) unknownOrders(orders []upstreamapi.OrderUnderWay) []finding.Finding {
 	var found []finding.Finding
 	for i, order := range orders {
-		if l.index(order.ID) < 0 {
+		if l.openIndex(order.ID) < 0 {
 			found = append(found, contradiction(fmt.Sprintf("$.under-way[%d]", i),
 				fmt.Sprintf("the order %s was not given, or is over", order.ID)))
 		}
@@ -119,8 +122,9 @@
 	return found
 }
 
-// overused finds accelerators of which more is taken than may be.
-func (l Ledger) overused(reported []upstreamapi.Accelerator) []finding.Finding {
+// overusedAccelerators finds accelerators whose reported usage exceeds the worst
+// case.
+func (l Ledger) overusedAccelerators(reported []upstreamapi.Accelerator) []finding.Finding {
 	var found []finding.Finding
 	for i, a := range reported {
 		account, known := l.Account(a.Name)
--- a/internal/ledger/fake_test.go
+++ b/internal/ledger/fake_test.go
@@ -7,50 +7,51 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-
-const capacity = 100
-
-// engine is a fake at the interface. It does as it is told without a look at its
-// memory, so that an order too many shows as an overcommit.
-type engine struct {
-	fencing     upstreamapi.Fencing
-	expiry      bool
-	incarnation uint64
-	revision    uint64
-	clock       time.Time
-	highest     uint64
-	// models are by model@version.
-	models    map[string]*model
+var startTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+
+// acceleratorBytes is the memory of the fake engine's accelerator.
+const acceleratorBytes = 100
+
+// fakeEngine simulates an engine at its API. It executes orders without checking
+// its memory, so that an excess order shows as an overcommit.
+type fakeEngine struct {
+	fencingMode    upstreamapi.Fencing
+	honoursExpiry  bool
+	incarnation    uint64
+	revision       uint64
+	clock          time.Time
+	highestFencing uint64
+	// models is keyed by model@version.
+	models    map[string]*fakeModel
 	role      upstreamapi.Role
 	roleBytes int64
 	states    map[string]upstreamapi.OrderState
-	// underWay are in the order of arrival.
+	// underWay are the running orders in the order of their arrival.
 	underWay []upstreamapi.Order
-	// leaving is what unloads under way still hold, by order.
-	leaving map[string]int64
+	// unloadingBytes is the memory not yet freed by running unloads, by order ID.
+	unloadingBytes map[string]int64
 }
 
-type model struct {
+type fakeModel struct {
 	name, version string
 	bytes         int64
 	adapters      map[string]int64
 }
 
-func newEngine(fencing upstreamapi.Fencing, expiry bool) *engine {
-	e := &engine{fencing: fencing, expiry: expiry, clock: start}
+func newEngine(fencing upstreamapi.Fencing, expiry bool) *fakeEngine {
+	e := &fakeEngine{fencingMode: fencing, honoursExpiry: expiry, clock: startTime}
 	e.restart()
 	return e
 }
 
-func (e *engine) restart() {
+func (e *fakeEngine) restart() {
 	e.incarnation++
-	e.revision, e.highest, e.roleBytes = 1, 0, 0
-	e.models, e.role, e.underWay = map[string]*model{}, "", nil
-	e.states, e.leaving = map[string]upstreamapi.OrderState{}, map[string]int64{}
+	e.revision, e.highestFencing, e.roleBytes = 1, 0, 0
+	e.models, e.role, e.underWay = map[string]*fakeModel{}, "", nil
+	e.states, e.unloadingBytes = map[string]upstreamapi.OrderState{}, map[string]int64{}
 }
 
-func (m *model) total() int64 {
+func (m *fakeModel) totalBytes() int64 {
 	sum := m.bytes
 	for _, bytes := range m.adapters {
 		sum += bytes
@@ -58,83 +59,86 @@
 	return sum
 }
 
-// used returns what is taken of the one accelerator.
-func (e *engine) used() int64 {
+// usedBytes returns the memory in use on the accelerator.
+func (e *fakeEngine) usedBytes() int64 {
 	sum := e.roleBytes
 	for _, m := range e.models {
-		sum += m.total()
+		sum += m.totalBytes()
 	}
 	for _, order := range e.underWay {
-		sum += e.held(order)
+		sum += e.extraBytes(order)
 	}
 	return sum
 }
 
-// held returns what an order that is under way takes beyond models and role.
-func (e *engine) held(order upstreamapi.Order) int64 {
+// extraBytes returns the memory that a running order uses in addition to that of the
+// models and the role.
+func (e *fakeEngine) extraBytes(order upstreamapi.Order) int64 {
 	switch order.Kind {
 	case upstreamapi.OrderLoadModel, upstreamapi.OrderLoadAdapter, upstreamapi.OrderChangeVersion:
 		return order.MemoryBytes
 	case upstreamapi.OrderChangeRole:
 		return max(order.MemoryBytes-e.roleBytes, 0)
 	default:
-		return e.leaving[order.ID]
+		return e.unloadingBytes[order.ID]
 	}
 }
 
-func (e *engine) take(order upstreamapi.Order) upstreamapi.OrderAnswer {
+// receive starts an order unless its ID is known, and answers it.
+func (e *fakeEngine) receive(order upstreamapi.Order) upstreamapi.OrderAnswer {
 	if _, known := e.states[order.ID]; !known {
 		e.revision++
-		e.states[order.ID] = e.judge(order)
-		e.highest = max(e.highest, order.Fencing)
+		e.states[order.ID] = e.initialState(order)
+		e.highestFencing = max(e.highestFencing, order.Fencing)
 		if e.states[order.ID] == upstreamapi.OrderRunning {
-			e.begin(order)
+			e.beginOrder(order)
 		}
 	}
 	return e.answer(order.ID)
 }
 
-func (e *engine) judge(order upstreamapi.Order) upstreamapi.OrderState {
-	at := e.models[order.Model+"@"+order.Version]
-	from := e.models[order.Model+"@"+order.FromVersion]
-	busy := slices.ContainsFunc(e.underWay, func(o upstreamapi.Order) bool { return o.Model == order.Model })
+// initialState returns the state of an order on arrival.
+func (e *fakeEngine) initialState(order upstreamapi.Order) upstreamapi.OrderState {
+	target := e.models[order.Model+"@"+order.Version]
+	source := e.models[order.Model+"@"+order.FromVersion]
+	modelBusy := slices.ContainsFunc(e.underWay, func(o upstreamapi.Order) bool { return o.Model == order.Model })
 	switch {
 	case order.Incarnation != e.incarnation:
 		return upstreamapi.OrderRefusedIncarnation
-	case e.fencing == upstreamapi.FencingChecked && order.Fencing < e.highest:
+	case e.fencingMode == upstreamapi.FencingChecked && order.Fencing < e.highestFencing:
 		return upstreamapi.OrderRefusedStaleFencing
-	case e.expiry && !order.NotAfter.IsZero() && e.clock.After(order.NotAfter):
+	case e.honoursExpiry && !order.NotAfter.IsZero() && e.clock.After(order.NotAfter):
 		return upstreamapi.OrderRefusedExpired
-	case busy:
+	case modelBusy:
 		return upstreamapi.OrderRefusedInvalid
-	case order.Kind == upstreamapi.OrderLoadModel && at != nil, order.Kind == upstreamapi.OrderUnloadModel && at == nil:
+	case order.Kind == upstreamapi.OrderLoadModel && target != nil, order.Kind == upstreamapi.OrderUnloadModel && target == nil:
 		return upstreamapi.OrderDone
-	case order.Kind == upstreamapi.OrderLoadAdapter && at == nil, order.Kind == upstreamapi.OrderUnloadAdapter && at == nil:
+	case order.Kind == upstreamapi.OrderLoadAdapter && target == nil, order.Kind == upstreamapi.OrderUnloadAdapter && target == nil:
 		return upstreamapi.OrderRefusedInvalid
-	case order.Kind == upstreamapi.OrderLoadAdapter && at.adapters[order.Adapter] > 0:
+	case order.Kind == upstreamapi.OrderLoadAdapter && target.adapters[order.Adapter] > 0:
 		return upstreamapi.OrderDone
-	case order.Kind == upstreamapi.OrderChangeVersion && (at != nil || from == nil):
+	case order.Kind == upstreamapi.OrderChangeVersion && (target != nil || source == nil):
 		return upstreamapi.OrderRefusedInvalid
 	}
 	return upstreamapi.OrderRunning
 }
 
-func (e *engine) begin(order upstreamapi.Order) {
+func (e *fakeEngine) beginOrder(order upstreamapi.Order) {
 	e.underWay = append(e.underWay, order)
 	key := order.Model + "@" + order.Version
 	switch order.Kind {
 	case upstreamapi.OrderUnloadModel:
-		e.leaving[order.ID] = e.models[key].total()
+		e.unloadingBytes[order.ID] = e.models[key].totalBytes()
 		delete(e.models, key)
 	case upstreamapi.OrderUnloadAdapter:
-		e.leaving[order.ID] = e.models[key].adapters[order.Adapter]
+		e.unloadingBytes[order.ID] = e.models[key].adapters[order.Adapter]
 		delete(e.models[key].adapters, order.Adapter)
 	default:
 	}
 }
 
-// finish puts the i-th order under way in force.
-func (e *engine) finish(i int) {
+// finishOrder completes the i-th running order.
+func (e *fakeEngine) finishOrder(i int) {
 	order := e.underWay[i]
 	e.underWay = slices.Delete(e.underWay, i, i+1)
 	e.revision++
@@ -145,31 +149,31 @@
 		delete(e.models, order.Model+"@"+order.FromVersion)
 		fallthrough
 	case upstreamapi.OrderLoadModel:
-		e.models[key] = &model{order.Model, order.Version, order.MemoryBytes, map[string]int64{}}
+		e.models[key] = &fakeModel{order.Model, order.Version, order.MemoryBytes, map[string]int64{}}
 	case upstreamapi.OrderLoadAdapter:
 		e.models[key].adapters[order.Adapter] = order.MemoryBytes
 	case upstreamapi.OrderChangeRole:
 		e.role, e.roleBytes = order.Role, order.MemoryBytes
 	default:
-		delete(e.leaving, order.ID)
+		delete(e.unloadingBytes, order.ID)
 	}
 }
 
-func (e *engine) report() upstreamapi.Announcement {
-	used := e.used()
+func (e *fakeEngine) announce() upstreamapi.Announcement {
+	used := e.usedBytes()
 	a := upstreamapi.Announcement{
 		Name: "engine-1", Incarnation: e.incarnation, Revision: e.revision, Kind: upstreamapi.KindEngine,
-		Fencing:      e.fencing,
-		Accelerators: []upstreamapi.Accelerator{{Name: "a0", MemoryBytes: capacity, UsedBytes: &used}},
-		Role:         e.role, RoleMemoryBytes: e.roleBytes, HighestFencing: e.highest,
+		Fencing:      e.fencingMode,
+		Accelerators: []upstreamapi.Accelerator{{Name: "a0", MemoryBytes: acceleratorBytes, UsedBytes: &used}},
+		Role:         e.role, RoleMemoryBytes: e.roleBytes, HighestFencing: e.highestFencing,
 		Load: upstreamapi.Load{Clock: e.clock},
 	}
-	if e.expiry {
+	if e.honoursExpiry {
 		a.Capabilities = append(a.Capabilities, upstreamapi.CapabilityOrderExpiry)
 	}
 	for _, m := range e.models {
 		r := upstreamapi.Resident{
-			Model: m.name, Version: m.version, Accelerators: []string{"a0"}, MemoryBytes: m.total(),
+			Model: m.name, Version: m.version, Accelerators: []string{"a0"}, MemoryBytes: m.totalBytes(),
 		}
 		for name := range m.adapters {
 			r.Adapters = append(r.Adapters, name)
@@ -178,14 +182,14 @@
 	}
 	for _, order := range e.underWay {
 		a.UnderWay = append(a.UnderWay, upstreamapi.OrderUnderWay{
-			ID: order.ID, Accelerators: []string{"a0"}, MemoryBytes: e.held(order),
+			ID: order.ID, Accelerators: []string{"a0"}, MemoryBytes: e.extraBytes(order),
 		})
 	}
 	return a
 }
 
-func (e *engine) answer(id string) upstreamapi.OrderAnswer {
-	a := e.report()
+func (e *fakeEngine) answer(id string) upstreamapi.OrderAnswer {
+	a := e.announce()
 	state, known := e.states[id]
 	if !known {
 		state = upstreamapi.OrderUnknown
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -7,30 +7,30 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Holding is a version of a model, or an adapter beside one, that an engine has
-// in memory.
+// Holding is a model version, or an adapter of one, that is in an engine's memory.
 type Holding struct {
 	Model   string
 	Version string
 	// Adapter is empty for the model itself.
 	Adapter string
-	// Accelerators are those that it takes Bytes of, each.
+	// Accelerators are the names of the accelerators that hold it.
 	Accelerators []string
-	Bytes        int64
+	// Bytes is the memory that it uses on each of Accelerators.
+	Bytes int64
 }
 
-// Holdings returns what the engine holds to serve requests, by its last report.
-// What is on its way out is left out.
+// Holdings returns the models and adapters that are available to serve requests
+// according to the engine's last report. Those being unloaded are excluded.
 func (l Ledger) Holdings() []Holding {
 	holdings := make([]Holding, 0, len(l.resident))
 	for _, r := range l.resident {
-		if r.Leaving {
+		if r.Unloading {
 			continue
 		}
 		holdings = append(holdings, Holding{
-			Model:        r.Thing.Model,
-			Version:      r.Thing.Version,
-			Adapter:      r.Thing.Adapter,
+			Model:        r.Artifact.Model,
+			Version:      r.Artifact.Version,
+			Adapter:      r.Artifact.Adapter,
 			Accelerators: r.Accelerators,
 			Bytes:        r.Bytes,
 		})
@@ -47,23 +47,22 @@
 	return names
 }
 
-// Doubtful tells whether the order is open and its answer was lost, or an earlier
-// leader gave it.
+// Doubtful reports whether the order is open and doubtful: its answer was lost, or
+// an earlier leader sent it.
 func (l Ledger) Doubtful(id string) bool {
-	i := l.index(id)
+	i := l.openIndex(id)
 	return i >= 0 && l.open[i].Doubtful
 }
 
-// RemovedBy tells whether the order may take the holding out of memory. Adapters
-// go with their model.
+// RemovedBy reports whether the order may remove the holding from memory. Removing
+// a model also removes its adapters.
 func (h Holding) RemovedBy(order upstreamapi.Order) bool {
-	return removes(order, thing{Model: h.Model, Version: h.Version, Adapter: h.Adapter})
+	return mayRemove(order, artifact{Model: h.Model, Version: h.Version, Adapter: h.Adapter})
 }
 
-// Loads returns what the order may bring into memory. If it loads nothing, Loads
-// returns false.
+// Loads returns the holding that the order loads, or false if it loads none.
 func Loads(order upstreamapi.Order) (Holding, bool) {
-	t, loads := loadedBy(order)
+	t, loads := loadedArtifact(order)
 	return Holding{
 		Model:        t.Model,
 		Version:      t.Version,
@@ -73,31 +72,32 @@
 	}, loads
 }
 
-// Revision returns that of the inventory that was last adopted.
+// Revision returns the revision of the last adopted inventory.
 func (l Ledger) Revision() uint64 {
 	return l.revision
 }
 
-// Clock returns the latest time on the engine's clock in what the account has
-// taken in.
+// Clock returns the latest time of the engine's clock in the accepted reports.
 func (l Ledger) Clock() time.Time {
 	return l.clock
 }
 
-// Learns tells whether the announcement changes more of the account than the
-// time on the engine's clock.
+// Learns reports whether the announcement changes the account in more than the
+// engine's clock.
 func (l Ledger) Learns(announcement upstreamapi.Announcement) bool {
-	return l.differs(l.WithReport(announcement))
+	return l.differsIgnoringClock(l.WithReport(announcement))
 }
 
-// LearnsFrom tells whether the answer changes more of the account than the time
-// on the engine's clock.
+// LearnsFrom reports whether the answer changes the account in more than the
+// engine's clock.
 func (l Ledger) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
-	return l.differs(l.WithAnswer(answer))
+	return l.differsIgnoringClock(l.WithAnswer(answer))
 }
 
-func (l Ledger) differs(next Ledger) bool {
-	same := func(a, b openOrder) bool { return a.Order.ID == b.Order.ID && a.Doubtful == b.Doubtful }
-	return next.incarnation != l.incarnation || next.revision != l.revision ||
-		len(next.contradictions) != len(l.contradictions) || !slices.EqualFunc(next.open, l.open, same)
+// differsIgnoringClock reports whether other, which results from a report or an
+// answer, differs from l in more than the engine's clock.
+func (l Ledger) differsIgnoringClock(other Ledger) bool {
+	sameOrder := func(a, b openOrder) bool { return a.Order.ID == b.Order.ID && a.Doubtful == b.Doubtful }
+	return other.incarnation != l.incarnation || other.revision != l.revision ||
+		len(other.contradictions) != len(l.contradictions) || !slices.EqualFunc(other.open, l.open, sameOrder)
 }
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -9,17 +9,18 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// WithReport takes an announcement of the engine. One that is older than the
-// account is ignored, and one that contradicts it is kept as contradictions.
+// WithReport returns the account updated by an announcement of the engine. An
+// announcement older than the account is ignored. If the announcement contradicts
+// the account, only the contradictions are recorded.
 //
-// A new incarnation holds nothing that an order to an earlier one has loaded,
-// and refuses such orders, so the account begins anew.
+// A new incarnation holds nothing that was loaded before its restart and refuses
+// orders meant for earlier incarnations, so the account starts over.
 func (l Ledger) WithReport(announcement upstreamapi.Announcement) Ledger {
 	switch {
 	case announcement.Incarnation < l.incarnation:
 		return l
 	case announcement.Incarnation > l.incarnation:
-		return l.restarted(announcement, nil)
+		return l.rebuilt(announcement, nil)
 	case TraitsOf(announcement) != l.traits && len(l.contradictions) == 0:
 		next := l
 		next.contradictions = []finding.Finding{contradiction("$.fencing",
@@ -29,17 +30,17 @@
 	return l.withInventory(announcement.Inventory())
 }
 
-// WithAnswer takes what the engine answered to an order, or to a question after
-// one. If the answer is final, the order is over: the engine remembers it and
-// will not carry it out again.
+// WithAnswer returns the account updated by the engine's answer to an order or to
+// a status query. A final answer closes the order: the engine remembers the order
+// and does not execute it again.
 func (l Ledger) WithAnswer(answer upstreamapi.OrderAnswer) Ledger {
 	if answer.Incarnation != l.incarnation {
 		return l
 	}
-	// The inventory goes first: what the order loaded must count as resident
-	// before it no longer counts as possible.
+	// Adopt the inventory before closing the order: the artifact that the order
+	// loaded must count as resident before it stops counting as possible.
 	next := l.withInventory(answer.Inventory())
-	i := next.index(answer.ID)
+	i := next.openIndex(answer.ID)
 	if i < 0 || len(next.contradictions) > 0 {
 		return next
 	}
@@ -53,10 +54,11 @@
 	return next
 }
 
-// WithAccepted takes an announcement that contradicts the account for the truth,
-// because an operator said so. Open orders count on. If the announcement is not
-// of the present incarnation, or what it reports does not fit together with the
-// open orders, WithAccepted returns an error and changes nothing.
+// WithAccepted returns an account rebuilt from an announcement that contradicts the
+// current account, after an operator has confirmed the announcement. Open orders
+// remain open. WithAccepted returns an error and an unchanged account if the
+// announcement is of another incarnation, is older than the last adopted inventory,
+// or contradicts the open orders.
 func (l Ledger) WithAccepted(announcement upstreamapi.Announcement) (Ledger, error) {
 	switch {
 	case announcement.Incarnation != l.incarnation:
@@ -64,17 +66,17 @@
 	case announcement.Revision < l.revision:
 		return l, errors.Wrapf(ErrStale, "revision %d after %d", announcement.Revision, l.revision)
 	}
-	next := l.restarted(announcement, l.open)
+	next := l.rebuilt(announcement, l.open)
 	if len(next.contradictions) > 0 {
 		return l, errors.Wrapf(ErrContradicted, "%s", next.contradictions[0])
 	}
 	return next, nil
 }
 
-// restarted returns an account that begins with what an announcement reports and
-// with the open orders. If both do not fit together, the account holds nothing
-// but the contradictions.
-func (l Ledger) restarted(announcement upstreamapi.Announcement, open []openOrder) Ledger {
+// rebuilt returns a new account with the contents of the announcement and the
+// given open orders. If these contradict each other, the account has neither
+// residents nor orders, only the contradictions.
+func (l Ledger) rebuilt(announcement upstreamapi.Announcement, open []openOrder) Ledger {
 	next := Ledger{
 		traits:         TraitsOf(announcement),
 		incarnation:    announcement.Incarnation,
@@ -89,150 +91,154 @@
 		next.accelerators = append(next.accelerators, accelerator{Name: a.Name, Bytes: a.MemoryBytes})
 	}
 	for _, r := range announcement.Resident {
-		// The engine reports one size for a model with its adapters.
+		// The engine reports one size for a model including its adapters. It is
+		// counted for the model, and the adapters count as 0 bytes.
 		next.resident = append(next.resident, resident{
-			Thing:        thing{Model: r.Model, Version: r.Version},
+			Artifact:     artifact{Model: r.Model, Version: r.Version},
 			Accelerators: r.Accelerators,
 			Bytes:        r.MemoryBytes,
 		})
 		for _, name := range r.Adapters {
 			next.resident = append(next.resident, resident{
-				Thing:        thing{Model: r.Model, Version: r.Version, Adapter: name},
+				Artifact:     artifact{Model: r.Model, Version: r.Version, Adapter: name},
 				Accelerators: r.Accelerators,
 			})
 		}
 	}
-	next.resident = append(next.resident, l.staying(next, announcement.Inventory())...)
-	found := next.unfitting(announcement)
+	next.resident = append(next.resident, l.unloadingResidents(next, announcement.Inventory())...)
+	found := next.inconsistencies(announcement)
 	if len(found) > 0 {
 		next.resident, next.roleBytes, next.open, next.contradictions = nil, 0, nil, found
 	}
 	return next
 }
 
-// withInventory adopts an inventory of the present incarnation, and then closes
-// the orders that it proves to be over.
+// withInventory adopts an inventory of the current incarnation if it is newer and
+// does not contradict the account, and then closes the orders that it proves to
+// have ended.
 func (l Ledger) withInventory(inventory upstreamapi.Inventory) Ledger {
 	if len(l.contradictions) > 0 || inventory.Revision < l.revision {
 		return l
 	}
 	next := l.clone()
 	if inventory.Revision > l.revision {
-		if found := l.contradictionsOf(inventory); len(found) > 0 {
+		if found := l.findContradictions(inventory); len(found) > 0 {
 			next.contradictions = found
 			return next
 		}
-		next = l.adopting(inventory)
+		next = l.withResidents(inventory)
 	}
 	if inventory.Clock.After(next.clock) {
 		next.clock = inventory.Clock
 	}
 	next.open = slices.DeleteFunc(next.open, func(o openOrder) bool {
-		return next.provedOver(o.Order, inventory)
+		return next.provedClosed(o.Order, inventory)
 	})
 	return next
 }
 
-// provedOver tells whether the order can no longer take effect and whether the
-// inventory shows all that it did.
+// provedClosed reports whether the order can have no further effect and the
+// inventory includes all its effects.
 //
-// An engine that checks refuses it once it has seen a higher fencing number, and
-// one that honours expiry refuses it after its time. Either is enough only if
-// the order is not under way already. At any other engine a copy of it may
-// arrive as late as it likes, so that only its own answer or a restart will do.
-func (l Ledger) provedOver(order upstreamapi.Order, inventory upstreamapi.Inventory) bool {
-	if underWay(inventory, order.ID) {
+// An engine that checks fencing numbers refuses the order once it has seen a
+// higher one, and an engine that honours expiry refuses it after its expiry time.
+// Neither proves anything about an order that is already running. An engine that
+// does neither may execute a copy of the order that arrives at any later time, so
+// that only a final answer to the order or a restart closes it.
+func (l Ledger) provedClosed(order upstreamapi.Order, inventory upstreamapi.Inventory) bool {
+	if isUnderWay(inventory, order.ID) {
 		return false
 	}
-	outranked := l.traits.ChecksFencing && order.Fencing < inventory.HighestFencing
+	superseded := l.traits.ChecksFencing && order.Fencing < inventory.HighestFencing
 	expired := l.traits.HonoursExpiry && !order.NotAfter.IsZero() && inventory.Clock.After(order.NotAfter)
-	return outranked || expired
+	return superseded || expired
 }
 
-// adopting returns the account with the residents of the inventory, which does
-// not contradict it. What was resident, has gone, and is still being unloaded
-// counts as leaving.
-func (l Ledger) adopting(inventory upstreamapi.Inventory) Ledger {
+// withResidents returns the account with the residents and the role of the
+// inventory, which must not contradict the account. Former residents that are still
+// being unloaded continue to count.
+func (l Ledger) withResidents(inventory upstreamapi.Inventory) Ledger {
 	next := l.clone()
 	next.revision = inventory.Revision
 	next.roleBytes = inventory.RoleMemoryBytes
 	next.resident = nil
 	for _, reported := range inventory.Resident {
-		for _, t := range thingsOf(reported) {
-			bytes, _ := l.known(t, reported.Accelerators)
-			next.resident = append(next.resident, resident{Thing: t, Accelerators: reported.Accelerators, Bytes: bytes})
+		for _, t := range reportedArtifacts(reported) {
+			bytes, _ := l.maxKnownBytes(t, reported.Accelerators)
+			next.resident = append(next.resident, resident{Artifact: t, Accelerators: reported.Accelerators, Bytes: bytes})
 		}
 	}
-	next.resident = append(next.resident, l.staying(next, inventory)...)
+	next.resident = append(next.resident, l.unloadingResidents(next, inventory)...)
 	return next
 }
 
-// staying returns what is not in next and is still in memory because an order
-// that is under way is taking it out.
+// unloadingResidents returns the artifacts that are not resident in next but still
+// use memory because a running order is unloading them.
 //
-// An inventory may be the first that shows anything of a load: it was carried
-// out, and is being unloaded already. So what open orders load may stay as well
-// as what was resident. Otherwise the answer to the load would close it while
-// its memory is still taken.
-func (l Ledger) staying(next Ledger, inventory upstreamapi.Inventory) []resident {
+// Besides former residents, these may be artifacts that open orders load. An
+// artifact may be loaded and already be unloading before any inventory shows it.
+// If it were not counted, the answer to the load would close that order while the
+// memory is still in use.
+func (l Ledger) unloadingResidents(next Ledger, inventory upstreamapi.Inventory) []resident {
 	candidates := slices.Clone(l.resident)
 	for _, o := range l.open {
-		if loaded, loads := loadedBy(o.Order); loads {
+		if loaded, loads := loadedArtifact(o.Order); loads {
 			candidates = append(candidates, resident{
-				Thing:        loaded,
+				Artifact:     loaded,
 				Accelerators: o.Order.Accelerators,
 				Bytes:        o.Order.MemoryBytes,
 			})
 		}
 	}
-	var leaving []resident
+	var unloading []resident
 	for _, candidate := range candidates {
-		unloading := slices.ContainsFunc(next.open, func(o openOrder) bool {
-			return removes(o.Order, candidate.Thing) && underWay(inventory, o.Order.ID)
+		beingUnloaded := slices.ContainsFunc(next.open, func(o openOrder) bool {
+			return mayRemove(o.Order, candidate.Artifact) && isUnderWay(inventory, o.Order.ID)
 		})
-		if unloading && !next.has(candidate.Thing) {
-			candidate.Leaving = true
-			leaving = append(leaving, candidate)
+		if beingUnloaded && !next.hasResident(candidate.Artifact) {
+			candidate.Unloading = true
+			unloading = append(unloading, candidate)
 		}
 	}
-	return leaving
+	return unloading
 }
 
-// known returns the greatest size at which the thing may stand on all of the
-// accelerators. If it cannot, known returns false.
-func (l Ledger) known(t thing, accelerators []string) (bytes int64, may bool) {
-	consider := func(at []string, size int64) {
-		covers := !slices.ContainsFunc(accelerators, func(name string) bool { return !slices.Contains(at, name) })
-		if covers {
-			bytes, may = max(bytes, size), true
+// maxKnownBytes returns the maximum size of the artifact in any resident or open
+// order that includes all the given accelerators. If there is none, maxKnownBytes
+// returns false.
+func (l Ledger) maxKnownBytes(t artifact, accelerators []string) (bytes int64, allowed bool) {
+	considerPlacement := func(on []string, size int64) {
+		coversAll := !slices.ContainsFunc(accelerators, func(name string) bool { return !slices.Contains(on, name) })
+		if coversAll {
+			bytes, allowed = max(bytes, size), true
 		}
 	}
 	for _, r := range l.resident {
-		if r.Thing == t {
-			consider(r.Accelerators, r.Bytes)
+		if r.Artifact == t {
+			considerPlacement(r.Accelerators, r.Bytes)
 		}
 	}
 	for _, o := range l.open {
-		if loaded, loads := loadedBy(o.Order); loads && loaded == t {
-			consider(o.Order.Accelerators, o.Order.MemoryBytes)
+		if loaded, loads := loadedArtifact(o.Order); loads && loaded == t {
+			considerPlacement(o.Order.Accelerators, o.Order.MemoryBytes)
 		}
 	}
-	return bytes, may
+	return bytes, allowed
 }
 
-func (l Ledger) has(t thing) bool {
-	return slices.ContainsFunc(l.resident, func(r resident) bool { return r.Thing == t })
+func (l Ledger) hasResident(t artifact) bool {
+	return slices.ContainsFunc(l.resident, func(r resident) bool { return r.Artifact == t })
 }
 
-// thingsOf returns a reported model and its adapters.
-func thingsOf(reported upstreamapi.Resident) []thing {
-	things := []thing{{Model: reported.Model, Version: reported.Version}}
+// reportedArtifacts returns a reported model and its adapters.
+func reportedArtifacts(reported upstreamapi.Resident) []artifact {
+	things := []artifact{{Model: reported.Model, Version: reported.Version}}
 	for _, name := range reported.Adapters {
-		things = append(things, thing{Model: reported.Model, Version: reported.Version, Adapter: name})
+		things = append(things, artifact{Model: reported.Model, Version: reported.Version, Adapter: name})
 	}
 	return things
 }
 
-func underWay(inventory upstreamapi.Inventory, id string) bool {
+func isUnderWay(inventory upstreamapi.Inventory, id string) bool {
 	return slices.ContainsFunc(inventory.UnderWay, func(o upstreamapi.OrderUnderWay) bool { return o.ID == id })
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,16 +1,17 @@
-// Package ledger accounts for the memory of one engine's accelerators at its
-// worst (memory accounting under uncertainty).
+// Package ledger is the worst-case memory accounting of an engine's accelerators.
 //
-// Orders to an engine and their answers get lost, arrive late or come from an
-// earlier leader. A Ledger therefore counts what may be in memory: everything
-// that the engine last reported, and everything that an order may load that has
-// not been proved to be over. An unload gives nothing back before the engine's
-// own report shows it. What may be in memory never exceeds the accelerator, so
-// whatever subset of the orders takes effect, in whatever sequence, the engine
-// is not overcommitted.
+// Orders are commands to an engine, such as loading or unloading a model. Orders
+// and their answers can be lost, delayed, or sent by an earlier leader. A Ledger
+// therefore counts everything that may be in memory: the contents of the engine's
+// last report, and everything that open orders may load. An order is open until
+// there is proof that it can have no further effect and that the engine's reports
+// include its effects. An open order is doubtful if its answer was lost or if an
+// earlier leader sent it. An unload frees memory only when the engine reports the
+// memory as freed. The worst case never exceeds an accelerator's memory, so the
+// engine is not overcommitted whichever orders take effect, in any sequence.
 //
-// The package is pure: the durable records of orders, and reports, go in, and a
-// new Ledger comes out.
+// The package has no side effects: recording an order or a report returns a new
+// Ledger.
 package ledger
 
 import (
@@ -21,49 +22,48 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Ledger is the account of one engine. It is an immutable value: its With
-// methods return a changed copy. The zero value is that of an engine that has
-// not reported yet.
+// Ledger is the memory account of one engine. It is an immutable value: its With
+// methods return a modified copy. The zero value is the account of an engine that
+// has not reported yet.
 type Ledger struct {
 	traits Traits
-	// incarnation and revision are those of the inventory that was last adopted.
-	// They are 0 before the first.
+	// incarnation and revision are those of the last adopted inventory, or 0 before
+	// the first one.
 	incarnation uint64
 	revision    uint64
-	// clock is the latest time on the engine's clock in any inventory of the
+	// clock is the latest time of the engine's clock in the accepted reports of the
 	// incarnation.
 	clock        time.Time
 	accelerators []accelerator
-	// resident is what the adopted inventory says, with what is leaving. What
-	// leaves may stand there more than once, as each order that may have loaded it
-	// says. Anything else stands there once.
+	// resident are the artifacts in the adopted inventory, once each, and those being
+	// unloaded, once for each order that may have loaded them.
 	resident []resident
-	// roleBytes are taken of each accelerator by the role.
+	// roleBytes is the memory that the role uses on each accelerator.
 	roleBytes int64
-	// open are the orders that may yet take effect, or have taken effect without
-	// an inventory that shows it, in the sequence of their numbers. Each is meant
+	// open are the open orders in ascending order of their numbers. All are meant
 	// for incarnation.
 	open []openOrder
-	// highestNumber and highestFencing are those of all orders ever recorded.
+	// highestNumber is the highest order number, and highestFencing the highest
+	// fencing number, that was ever recorded.
 	highestNumber  uint64
 	highestFencing uint64
-	// contradictions are what an inventory reported that cannot be, by the
-	// account. While there are any, no order is recorded and no inventory of the
-	// incarnation is adopted.
+	// contradictions are the reported facts that the account rules out. While there
+	// are any, no order is recorded and no inventory of the incarnation is adopted.
 	contradictions []finding.Finding
 }
 
-// Traits are the promises of an engine on which proofs rest.
+// Traits are an engine's guarantees that serve as proof that an order can have no
+// further effect.
 type Traits struct {
-	// ChecksFencing means that the engine refuses an order with a lower fencing
-	// number than one it has seen.
+	// ChecksFencing means that the engine refuses an order whose fencing number is
+	// lower than the highest one it has received.
 	ChecksFencing bool `json:"checks-fencing"`
-	// HonoursExpiry means that the engine refuses an order after its time, on its
-	// own clock, which does not run backwards.
+	// HonoursExpiry means that the engine refuses an order after its expiry time,
+	// by the engine's own clock, which does not run backwards.
 	HonoursExpiry bool `json:"honours-expiry"`
 }
 
-// TraitsOf returns what an announcement promises.
+// TraitsOf returns the guarantees in an announcement.
 func TraitsOf(announcement upstreamapi.Announcement) Traits {
 	return Traits{
 		ChecksFencing: announcement.Fencing == upstreamapi.FencingChecked,
@@ -76,17 +76,17 @@
 	Bytes int64  `json:"bytes"`
 }
 
-// thing is a version of a model, or an adapter beside one. It is loaded once at
-// most by one engine.
-type thing struct {
+// artifact identifies a model version, or an adapter of one. An engine loads an
+// artifact at most once.
+type artifact struct {
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
 	// Adapter is empty for the model itself.
 	Adapter string `json:"adapter,omitempty"`
 }
 
-// String returns the thing in the form model@version/adapter.
-func (t thing) String() string {
+// String formats the artifact as model@version/adapter.
+func (t artifact) String() string {
 	text := t.Model
 	if t.Version != "" {
 		text += "@" + t.Version
@@ -97,38 +97,39 @@
 	return text
 }
 
-// resident is a thing in memory, or on its way out.
+// resident is an artifact that uses memory.
 type resident struct {
-	Thing thing `json:"thing"`
-	// Accelerators are those that it takes Bytes of, each.
+	Artifact artifact `json:"thing"`
+	// Accelerators are the names of the accelerators that hold it.
 	Accelerators []string `json:"accelerators,omitempty"`
-	Bytes        int64    `json:"bytes"`
-	// Leaving means that the engine has taken it out of those that serve, and
-	// has not given back its memory.
-	Leaving bool `json:"leaving,omitempty"`
+	// Bytes is the memory that it uses on each of Accelerators.
+	Bytes int64 `json:"bytes"`
+	// Unloading means that the engine no longer serves requests with the artifact
+	// and has not yet freed its memory.
+	Unloading bool `json:"leaving,omitempty"`
 }
 
-// openOrder is an order that is not proved to be over.
+// openOrder is an order that may still have an effect that no report has shown.
 type openOrder struct {
 	Order upstreamapi.Order `json:"order"`
-	// Doubtful means that its answer was lost, or that an earlier leader gave it.
+	// Doubtful means that the answer was lost, or that an earlier leader sent the
+	// order.
 	Doubtful bool `json:"doubtful,omitempty"`
 }
 
-// Incarnation returns the engine's incarnation, for which orders are meant. It is
-// 0 if the engine has not reported yet.
+// Incarnation returns the incarnation of the engine to which orders must be
+// addressed. It is 0 if the engine has not reported yet.
 func (l Ledger) Incarnation() uint64 {
 	return l.incarnation
 }
 
-// Contradictions returns why no order is recorded: what the engine reported that
-// cannot be by the account. It is empty in good order.
+// Contradictions returns the reported facts that the account rules out. While
+// there are any, no order is recorded.
 func (l Ledger) Contradictions() []finding.Finding {
 	return slices.Clone(l.contradictions)
 }
 
-// Open returns the orders that are not proved to be over, in the sequence of
-// their numbers.
+// Open returns the open orders in ascending order of their numbers.
 func (l Ledger) Open() []upstreamapi.Order {
 	orders := make([]upstreamapi.Order, 0, len(l.open))
 	for _, o := range l.open {
@@ -137,15 +138,15 @@
 	return orders
 }
 
-// Holds tells whether the engine has the model in memory to serve requests, by
-// its last report.
+// Holds reports whether the model is available to serve requests according to the
+// engine's last report.
 func (l Ledger) Holds(model, version string) bool {
 	return slices.ContainsFunc(l.resident, func(r resident) bool {
-		return r.Thing == thing{Model: model, Version: version} && !r.Leaving
+		return r.Artifact == artifact{Model: model, Version: version} && !r.Unloading
 	})
 }
 
-// clone returns a copy whose slices can be changed.
+// clone returns a copy whose resident and open slices can be modified.
 func (l Ledger) clone() Ledger {
 	l.resident = slices.Clone(l.resident)
 	l.open = slices.Clone(l.open)
--- a/internal/ledger/orders.go
+++ b/internal/ledger/orders.go
@@ -8,26 +8,26 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Errors of orders that are not recorded.
+// Reasons to reject an order or a report.
 var (
 	// ErrContradicted means that the engine's reports contradict the account.
 	ErrContradicted = errors.New("ledger: the engine's reports contradict the account")
-	// ErrIncarnation means that the order is meant for an incarnation that is not
-	// the engine's.
+	// ErrIncarnation means that the order or report is for another incarnation than
+	// the engine's current one.
 	ErrIncarnation = errors.New("ledger: the order is meant for another incarnation")
-	// ErrStale means that the order has a number or a fencing number that is not
-	// the latest.
+	// ErrStale means that the order number, the fencing number or the revision of
+	// the report is older than one that was already recorded.
 	ErrStale = errors.New("ledger: the number or the fencing number of the order is stale")
-	// ErrUnknownOrder means that no such order is open.
+	// ErrUnknownOrder means that no order with that ID is open.
 	ErrUnknownOrder = errors.New("ledger: no such order is open")
 )
 
-// WithOrder records an order before it is sent. From then on, it counts as
-// something that may take effect.
+// WithOrder records an order as open. An order must be recorded before it is sent.
 //
-// If the order may overcommit an accelerator, WithOrder returns a *RoomError. It
-// returns an error that wraps ErrContradicted, ErrIncarnation or ErrStale if the
-// order must not be sent, and any other if it is not well formed.
+// If the order may overcommit an accelerator, WithOrder returns an
+// *InsufficientMemoryError. It returns an error that wraps ErrContradicted,
+// ErrIncarnation or ErrStale if the order must not be sent, and another error if
+// the order is invalid or already open.
 func (l Ledger) WithOrder(order upstreamapi.Order) (Ledger, error) {
 	findings := order.Check()
 	switch {
@@ -40,7 +40,7 @@
 	case order.Number <= l.highestNumber || order.Fencing < l.highestFencing:
 		return l, errors.Wrapf(ErrStale, "number %d after %d, fencing number %d after %d",
 			order.Number, l.highestNumber, order.Fencing, l.highestFencing)
-	case l.index(order.ID) >= 0:
+	case l.openIndex(order.ID) >= 0:
 		return l, errors.Newf("ledger: the order %s is open already", order.ID)
 	}
 	for _, name := range order.Accelerators {
@@ -51,18 +51,18 @@
 	next := l.withFencing(order.Fencing)
 	next.highestNumber = order.Number
 	next.open = append(next.open, openOrder{Order: order})
-	if name, over := next.overcommitted(); over {
+	if name, overcommitted := next.overcommitted(); overcommitted {
 		before, _ := l.Account(name)
 		after, _ := next.Account(name)
-		return l, &RoomError{Accelerator: name, Account: before, Needed: after.Worst() - before.Worst()}
+		return l, &InsufficientMemoryError{Accelerator: name, Account: before, Needed: after.Worst() - before.Worst()}
 	}
 	return next, nil
 }
 
-// WithLeader says that the holder of that fencing number leads from now on. The
-// open orders of earlier leaders become doubtful: nobody waits for their answers
-// any more, and copies of them may be under way. If a later one leads already,
-// WithLeader changes nothing.
+// WithLeader records a new leader with the given fencing number. The open orders
+// of earlier leaders become doubtful: nobody waits for their answers any more, and
+// copies of them may still be in transit. If the fencing number is not higher than
+// any recorded one, WithLeader changes nothing.
 func (l Ledger) WithLeader(fencing uint64) Ledger {
 	if fencing <= l.highestFencing {
 		return l
@@ -70,6 +70,8 @@
 	return l.withFencing(fencing)
 }
 
+// withFencing raises the highest fencing number and marks the open orders with
+// lower ones as doubtful.
 func (l Ledger) withFencing(fencing uint64) Ledger {
 	next := l.clone()
 	next.highestFencing = max(l.highestFencing, fencing)
@@ -81,11 +83,12 @@
 	return next
 }
 
-// WithResent records, before it is sent again, that an open order will be sent
-// under the fencing number of the present leader. If it is not open, or a later
-// leader is known, WithResent returns an error and the order must not be sent.
+// WithResent records that an open order will be sent again with the given fencing
+// number, that of the current leader. It must be called before the order is sent.
+// If the order is not open or a later leader is known, WithResent returns an error
+// and the order must not be sent.
 func (l Ledger) WithResent(id string, fencing uint64) (Ledger, error) {
-	i := l.index(id)
+	i := l.openIndex(id)
 	switch {
 	case i < 0:
 		return l, errors.Wrapf(ErrUnknownOrder, "%s", id)
@@ -97,10 +100,11 @@
 	return next, nil
 }
 
-// WithLost says that the answer to an order was lost. It counts on, as possible.
-// If the order is not open, WithLost changes nothing.
+// WithLost records that the answer to an order was lost. The order becomes
+// doubtful, and its memory counts as possible. If the order is not open, WithLost
+// changes nothing.
 func (l Ledger) WithLost(id string) Ledger {
-	i := l.index(id)
+	i := l.openIndex(id)
 	if i < 0 {
 		return l
 	}
@@ -109,11 +113,12 @@
 	return next
 }
 
-// WithWithdrawn takes back an order of which the leader that recorded it knows
-// that no byte was sent. If the order is not open, or another leader has had it
-// in hand since, WithWithdrawn returns an error: that one may have sent it.
+// WithWithdrawn closes an order of which the leader with the given fencing number
+// knows that no byte was sent. It returns an error if the order is not open, or if
+// another leader has recorded the order or taken over, because that leader may
+// have sent it.
 func (l Ledger) WithWithdrawn(id string, fencing uint64) (Ledger, error) {
-	i := l.index(id)
+	i := l.openIndex(id)
 	switch {
 	case i < 0:
 		return l, errors.Wrapf(ErrUnknownOrder, "%s", id)
@@ -125,6 +130,7 @@
 	return next, nil
 }
 
-func (l Ledger) index(id string) int {
+// openIndex returns the index of the order in l.open, or -1.
+func (l Ledger) openIndex(id string) int {
 	return slices.IndexFunc(l.open, func(o openOrder) bool { return o.Order.ID == id })
 }
