--- a/internal/manifest/command.go
+++ b/internal/manifest/command.go
@@ -10,37 +10,36 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Command changes a Manifest. It is a Lead, Reports, Record, Resend, Answer,
-// Lost, Withdraw or Forget. Each may be proposed again while its fate is open:
-// the second time, it changes nothing and is answered as the first time, or is
-// refused.
+// Command is a state machine command of a Manifest: a Lead, Reports, Record, Resend,
+// Answer, Lost, Withdraw or Forget. Every command may be proposed again while it is
+// unknown whether it was committed. If it was, applying it again changes nothing and
+// either returns the same result or is rejected.
 type Command interface {
 	command()
 }
 
-// Lead says that the holder of the fencing number Term gives orders from now on.
-// The open orders of earlier ones become doubtful.
+// Lead records that the leader with the fencing number Term issues orders from now
+// on. The open orders of earlier leaders become doubtful.
 type Lead struct {
 	Term uint64 `json:"term"`
 }
 
-// Reports are announcements of engines, as they came.
+// Reports records announcements of engines as received.
 type Reports struct {
 	Announcements []upstreamapi.Announcement `json:"announcements"`
 }
 
-// Record records an order before it is sent. Only an order that is recorded may
-// be sent.
+// Record records an order as open. An order must be recorded before it is sent.
 type Record struct {
 	Engine string            `json:"engine"`
 	Order  upstreamapi.Order `json:"order"`
-	// Why says what the order is for, and At when it was recorded by the leader's
-	// clock. Both are for people.
-	Why string    `json:"why"`
-	At  time.Time `json:"at"`
+	// Why is the reason for the order, for display only.
+	Why string `json:"why"`
+	// At is the time of recording on the leader's clock, for display only.
+	At time.Time `json:"at"`
 }
 
-// Resend records that an open order will be sent again under the fencing number
+// Resend records that an open order will be sent again with the fencing number
 // Term.
 type Resend struct {
 	Engine string `json:"engine"`
@@ -48,7 +47,7 @@
 	Term   uint64 `json:"term"`
 }
 
-// Answer records what an engine answered to an order, or to a question after it.
+// Answer records an engine's answer to an order or to a status query.
 type Answer struct {
 	Engine string                  `json:"engine"`
 	Answer upstreamapi.OrderAnswer `json:"answer"`
@@ -60,16 +59,17 @@
 	ID     string `json:"id"`
 }
 
-// Withdraw takes back an order of which the holder of Term, which recorded it,
-// knows that no byte was sent and none will be.
+// Withdraw closes an order of which the leader with the fencing number Term, which
+// recorded it, knows that no byte was sent and none will be.
 type Withdraw struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id"`
 	Term   uint64 `json:"term"`
 }
 
-// Forget drops an engine that is gone. It is refused while an order to it is
-// open: the engine may be back with the same incarnation, and the order with it.
+// Forget removes an engine that has left. It is rejected while an order to the
+// engine is open: the engine may return with the same incarnation and execute the
+// order.
 type Forget struct {
 	Engine string `json:"engine"`
 }
@@ -83,8 +83,8 @@
 func (Withdraw) command() {}
 func (Forget) command()   {}
 
-// encoded is the encoding of a command. One field is set.
-type encoded struct {
+// envelope is the encoding of a command. Exactly one field is set.
+type envelope struct {
 	Lead     *Lead     `json:"lead,omitempty"`
 	Reports  *Reports  `json:"reports,omitempty"`
 	Record   *Record   `json:"record,omitempty"`
@@ -95,9 +95,9 @@
 	Forget   *Forget   `json:"forget,omitempty"`
 }
 
-// Encode returns a command's bytes, a JSON object.
+// Encode returns the encoding of a command as a JSON object.
 func Encode(command Command) ([]byte, error) {
-	var e encoded
+	var e envelope
 	switch c := command.(type) {
 	case Lead:
 		e.Lead = &c
@@ -122,10 +122,11 @@
 	return data, errors.Wrap(err, "manifest: encode command")
 }
 
-// Decode returns the command whose Encode is data. A command that this program
-// does not know is an error: the registry's format tells newer ones apart.
+// Decode is the inverse of Encode. It returns an error for an unknown command. The
+// format number in the registry's encoding identifies commands of newer versions
+// before Decode is called.
 func Decode(data []byte) (Command, error) {
-	var e encoded
+	var e envelope
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&e); err != nil {
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -8,93 +8,98 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Engine is what is recorded of one engine. It is an immutable value.
+// Engine is the recorded state of one engine. It is an immutable value.
 type Engine struct {
-	// Announced is what the engine last said of itself that was recorded. What it
-	// holds and its load are left out: Ledger and the roster have those.
+	// Announced is the last recorded announcement without the inventory, which is in
+	// Ledger, and without the load, which is in the roster, except Load.MaxRunning.
 	Announced upstreamapi.Announcement `json:"announced"`
-	// Ledger is the account of its memory, with the open orders.
+	// Ledger is the account of the engine's memory, including the open orders.
 	Ledger ledger.Ledger `json:"ledger"`
-	// Orders are the open orders and the last that are over, in the sequence in
-	// which they were recorded: at most maxOver of those that are over.
-	Orders []Entry `json:"orders,omitempty"`
+	// Orders are the open orders and the last maxClosedOrders closed ones, in the
+	// order in which they were recorded.
+	Orders []OrderEntry `json:"orders,omitempty"`
 }
 
-// Entry tells people of one order.
-type Entry struct {
+// OrderEntry describes an order and its state for display.
+type OrderEntry struct {
 	ID      string                `json:"id"`
 	Kind    upstreamapi.OrderKind `json:"kind"`
 	Model   string                `json:"model,omitempty"`
 	Version string                `json:"version,omitempty"`
 	Adapter string                `json:"adapter,omitempty"`
-	// Why and At are those of Record.
+	// Why and At are copied from Record.
 	Why   string    `json:"why"`
 	At    time.Time `json:"at"`
 	State State     `json:"state"`
-	// Reason is the engine's, if it refused the order.
+	// Reason is the engine's reason for a refused order, truncated to MaxWhyBytes.
 	Reason string `json:"reason,omitempty"`
 }
 
-// State says how far an order is.
+// State is the state of an order.
 type State string
 
 // The states of an order.
 const (
-	// StateRecorded may have been sent by the present leader.
+	// StateRecorded means that the order is open and the current leader may have sent
+	// it.
 	StateRecorded State = "recorded"
-	// StateRunning is being carried out, by the engine's word.
+	// StateRunning means that the engine has confirmed that it is executing the order.
 	StateRunning State = "running"
-	// StateDoubtful may take effect or have done so: its answer was lost, or an
-	// earlier leader gave it.
+	// StateDoubtful means that the order is open and that its answer was lost or an
+	// earlier leader sent it.
 	StateDoubtful State = "doubtful"
-	// StateDone is in force.
+	// StateDone means that the order has taken effect.
 	StateDone State = "done"
-	// StateRefused changed nothing and never will.
+	// StateRefused means that the order changed nothing and never will.
 	StateRefused State = "refused"
-	// StateWithdrawn was never sent.
+	// StateWithdrawn means that the order was never sent.
 	StateWithdrawn State = "withdrawn"
-	// StateOver is proved to be over by a report, without an answer.
-	StateOver State = "over"
+	// StateClosedWithoutAnswer means that a report proved that the order can have no
+	// further effect, without a final answer from the engine.
+	StateClosedWithoutAnswer State = "over"
 )
 
-// open tells whether the order may yet take effect.
-func (s State) open() bool {
+// isOpen reports whether an order in this state may still take effect.
+func (s State) isOpen() bool {
 	return s == StateRecorded || s == StateRunning || s == StateDoubtful
 }
 
-// maxOver is how many orders that are over are kept for each engine.
-const maxOver = 16
+// maxClosedOrders limits the number of closed orders kept for each engine.
+const maxClosedOrders = 16
 
-// Learns tells whether the announcement changes what is recorded of the engine,
-// so that it is worth a Reports.
+// Learns reports whether the announcement changes the recorded state of the engine,
+// so that a Reports command should be proposed.
 //
-// Most announcements say nothing new, which their revision tells without a look at
-// the rest: a revision that was recorded closes no order that was recorded after.
+// Most announcements contain nothing new and are dismissed by their revision alone:
+// an announcement with a revision that is already recorded can't close an order that
+// was recorded later.
 func (e Engine) Learns(a upstreamapi.Announcement) bool {
-	seen := a.Incarnation == e.Ledger.Incarnation() && a.Revision <= e.Ledger.Revision()
-	if seen && ledger.TraitsOf(a) == ledger.TraitsOf(e.Announced) {
+	revisionKnown := a.Incarnation == e.Ledger.Incarnation() && a.Revision <= e.Ledger.Revision()
+	if revisionKnown && ledger.TraitsOf(a) == ledger.TraitsOf(e.Announced) {
 		return false
 	}
-	return a.Incarnation > e.Announced.Incarnation || e.Ledger.Learns(e.dated(a))
+	return a.Incarnation > e.Announced.Incarnation || e.Ledger.Learns(e.withRecordedClock(a))
 }
 
-// dated returns an announcement of the recorded incarnation with the clock that
-// was last recorded.
+// withRecordedClock returns the announcement with the last recorded time of the
+// engine's clock, unless it is of another incarnation than the recorded one.
 //
-// An announcement comes by the roster, which joins what an engine last said that
-// it holds with the load and the clock of a later message. By that clock, an
-// order that began in between would count as expired and not under way: its
-// memory would be given out twice. Answers to orders come from the engine itself
-// with the clock of their moment, so expiry is proved by them alone.
-func (e Engine) dated(a upstreamapi.Announcement) upstreamapi.Announcement {
+// Announcements arrive through the roster, which combines an engine's last inventory
+// with the load and the clock of a later message. With that clock, an order that
+// started between the two would count as expired and not running, and its memory
+// would be allocated twice. Answers to orders come directly from the engine with the
+// clock at the time of their inventory, so only answers can prove expiry.
+func (e Engine) withRecordedClock(a upstreamapi.Announcement) upstreamapi.Announcement {
 	if a.Incarnation == e.Ledger.Incarnation() {
 		a.Load.Clock = e.Ledger.Clock()
 	}
 	return a
 }
 
-// withLedger returns the engine with another account. Orders that are no longer
-// open in it have ended as StateOver, unless their entry says otherwise.
+// withLedger returns the engine with another account and updates the states of its
+// orders. An order that is no longer open in the account gets
+// StateClosedWithoutAnswer, unless its entry already has a closed state. The oldest
+// closed orders beyond maxClosedOrders are removed.
 func (e Engine) withLedger(account ledger.Ledger) Engine {
 	e.Ledger = account
 	open := map[string]bool{}
@@ -102,35 +107,36 @@
 		open[order.ID] = true
 	}
 	e.Orders = slices.Clone(e.Orders)
-	over := 0
+	closed := 0
 	for i := range e.Orders {
 		entry := &e.Orders[i]
 		switch {
-		case !entry.State.open():
+		case !entry.State.isOpen():
 		case !open[entry.ID]:
-			entry.State = StateOver
+			entry.State = StateClosedWithoutAnswer
 		case account.Doubtful(entry.ID):
 			entry.State = StateDoubtful
 		case entry.State == StateDoubtful:
 			entry.State = StateRecorded
 		}
-		if !entry.State.open() {
-			over++
+		if !entry.State.isOpen() {
+			closed++
 		}
 	}
-	e.Orders = slices.DeleteFunc(e.Orders, func(entry Entry) bool {
-		drop := over > maxOver && !entry.State.open()
+	e.Orders = slices.DeleteFunc(e.Orders, func(entry OrderEntry) bool {
+		drop := closed > maxClosedOrders && !entry.State.isOpen()
 		if drop {
-			over--
+			closed--
 		}
 		return drop
 	})
 	return e
 }
 
-// withState returns the engine with an order's entry in that state.
-func (e Engine) withState(id string, state State, reason string) Engine {
-	i := slices.IndexFunc(e.Orders, func(entry Entry) bool { return entry.ID == id })
+// withOrderState returns the engine with the given state and reason in the entry of
+// an order.
+func (e Engine) withOrderState(id string, state State, reason string) Engine {
+	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == id })
 	if i < 0 {
 		return e
 	}
@@ -139,7 +145,7 @@
 	return e
 }
 
-// openOrder returns the open order of that id, or false.
+// openOrder returns the open order with that ID, or false.
 func (e Engine) openOrder(id string) (upstreamapi.Order, bool) {
 	open := e.Ledger.Open()
 	i := slices.IndexFunc(open, func(o upstreamapi.Order) bool { return o.ID == id })
@@ -149,9 +155,9 @@
 	return open[i], true
 }
 
-// identified returns what an announcement says of the engine itself, without
-// what it holds and its load.
-func identified(a upstreamapi.Announcement) upstreamapi.Announcement {
+// withoutInventory returns the announcement without the inventory and the load,
+// except Load.MaxRunning.
+func withoutInventory(a upstreamapi.Announcement) upstreamapi.Announcement {
 	return upstreamapi.Announcement{
 		Name:               a.Name,
 		Incarnation:        a.Incarnation,
@@ -166,10 +172,10 @@
 	}
 }
 
-// LearnsFrom tells whether the answer changes more of what is recorded than the
-// time on the engine's clock, so that it is worth an Answer.
+// LearnsFrom reports whether the answer changes the recorded state of the engine in
+// more than its clock, so that an Answer command should be proposed.
 func (e Engine) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
-	i := slices.IndexFunc(e.Orders, func(entry Entry) bool { return entry.ID == answer.ID })
+	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == answer.ID })
 	running := i >= 0 && e.Orders[i].State == StateRunning
 	return e.Ledger.LearnsFrom(answer) || answer.State == upstreamapi.OrderRunning && !running
 }
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,14 +1,19 @@
-// Package manifest holds which engine holds what, and the orders that are under
-// way (replicated placement state).
+// Package manifest is the replicated placement state: which models and adapters each
+// engine has in memory, and the orders to the engines, such as loading or unloading
+// a model.
 //
-// It is part of the replicated state machine: replicas that apply the same
-// commands in the same order hold the same state, and their snapshots have equal
-// bytes. An order is recorded here before it is sent, so a new leader finds
-// every order that an earlier one may have sent, and continues with it.
+// It is part of the replicated state machine: replicas that apply the same commands
+// in the same order have equal states, and their snapshots are equal byte for byte.
+// An order is recorded here before it is sent, so that a new leader finds every order
+// that an earlier leader may have sent and continues it.
 //
-// The placement that is intended is what the engines hold, changed by the open
-// orders: package placement plans from there, and keeps no other that could
-// drift from the world.
+// An order is open until there is proof that it can have no further effect. An open
+// order is doubtful if its answer was lost or if an earlier leader sent it; see
+// package ledger.
+//
+// The intended placement is not stored. It is derived from the contents of the
+// engines and the open orders, which is where package placement starts planning, so
+// that it can't diverge from the actual state.
 package manifest
 
 import (
@@ -23,87 +28,88 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Bounds of the state.
+// Size limits of the state.
 const (
-	// MaxEngines is how many engines are recorded, over three times the target.
+	// MaxEngines limits the number of recorded engines. It is over three times the
+	// targeted number of engines.
 	MaxEngines = 4096
-	// MaxOpen is how many orders to one engine are open at once.
-	MaxOpen = 64
-	// MaxWhyBytes bounds Record.Why.
+	// MaxOpenOrders limits the number of open orders to one engine.
+	MaxOpenOrders = 64
+	// MaxWhyBytes limits Record.Why and OrderEntry.Reason.
 	MaxWhyBytes = 256
 )
 
 // Manifest is one replica of the state. It is not safe for concurrent use.
 type Manifest struct {
-	// term is the greatest fencing number of any Lead.
-	term uint64
-	// number is the greatest of any order that was recorded, over all engines.
-	number uint64
-	// engines are sorted by name, each once. The slice and what it points to are
-	// replaced and never changed, so that readers may keep them.
+	// leaderTerm is the highest fencing number of any applied Lead.
+	leaderTerm uint64
+	// highestNumber is the highest number of any recorded order to any engine.
+	highestNumber uint64
+	// engines are sorted by name, which is unique. The slice and its elements are
+	// replaced, never modified, so that readers may keep them.
 	engines []*Engine
 }
 
-// New returns the empty state.
+// New returns an empty manifest.
 func New() *Manifest {
 	return &Manifest{}
 }
 
-// View is the state at one moment. It is immutable and safe to share.
+// View is an immutable view of the state that is safe to share.
 type View struct {
-	// Term is the fencing number of the leader that gives orders.
+	// Term is the fencing number of the current leader.
 	Term uint64
-	// Number is the greatest of any order. Numbers are not used twice, also for
-	// engines that were forgotten.
+	// Number is the highest recorded order number. Numbers are never reused, not even
+	// those of orders to removed engines.
 	Number uint64
-	// Engines are sorted by name. What they point to must not be changed.
+	// Engines are sorted by name. They must not be modified.
 	Engines []*Engine
 }
 
-// Engine returns the engine of that name, or false.
+// Engine returns the named engine, or false if it is not recorded.
 func (v View) Engine(name string) (Engine, bool) {
-	i, known := find(v.Engines, name)
+	i, known := findEngine(v.Engines, name)
 	if !known {
 		return Engine{}, false
 	}
 	return *v.Engines[i], true
 }
 
-// View returns the state as it is now, without a copy.
+// View returns the current state without copying it.
 func (m *Manifest) View() View {
-	return View{Term: m.term, Number: m.number, Engines: m.engines}
+	return View{Term: m.leaderTerm, Number: m.highestNumber, Engines: m.engines}
 }
 
-// Result is what applying a command gave.
+// Result is the result of an applied command.
 type Result struct {
-	// Accepted means that the state is as the command says, perhaps since an
+	// Accepted means that the state reflects the command, perhaps because of an
 	// earlier one.
 	Accepted bool `json:"accepted"`
-	// Reason says why the command was refused.
+	// Reason explains why the command was rejected.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Apply carries out a command. If it may not be, Apply changes nothing and says
-// why; all replicas refuse it alike.
+// Apply applies a command, or rejects it with a reason and leaves the state
+// unchanged. All replicas come to the same result.
 func (m *Manifest) Apply(command Command) Result {
 	var err error
 	switch c := command.(type) {
 	case Lead:
-		m.lead(c)
+		m.applyLead(c)
 	case Reports:
-		err = m.reports(c)
+		err = m.applyReports(c)
 	case Record:
-		err = m.record(c)
+		err = m.applyRecord(c)
 	case Resend:
-		err = m.resend(c)
+		err = m.applyResend(c)
 	case Answer:
-		err = m.answer(c)
+		err = m.applyAnswer(c)
 	case Lost:
-		err = m.lost(c)
+		err = m.applyLost(c)
 	case Withdraw:
-		err = m.withdraw(c)
+		err = m.applyWithdraw(c)
 	case Forget:
-		err = m.forget(c)
+		err = m.applyForget(c)
 	default:
 		err = errors.AssertionFailedf("manifest: command %T", command)
 	}
@@ -113,41 +119,41 @@
 	return Result{Accepted: true}
 }
 
-func (m *Manifest) lead(c Lead) {
-	if c.Term <= m.term {
+func (m *Manifest) applyLead(c Lead) {
+	if c.Term <= m.leaderTerm {
 		return
 	}
-	m.term = c.Term
-	next := slices.Clone(m.engines)
-	for i, e := range next {
-		led := e.withLedger(e.Ledger.WithLeader(c.Term))
-		next[i] = &led
+	m.leaderTerm = c.Term
+	engines := slices.Clone(m.engines)
+	for i, e := range engines {
+		updated := e.withLedger(e.Ledger.WithLeader(c.Term))
+		engines[i] = &updated
 	}
-	m.engines = next
+	m.engines = engines
 }
 
-func (m *Manifest) reports(c Reports) error {
-	next := slices.Clone(m.engines)
+func (m *Manifest) applyReports(c Reports) error {
+	engines := slices.Clone(m.engines)
 	for _, a := range c.Announcements {
-		i, known := find(next, a.Name)
+		i, known := findEngine(engines, a.Name)
 		if !known {
-			if len(next) >= MaxEngines {
-				return errors.Newf("manifest: there are %d engines, of at most %d", len(next), MaxEngines)
+			if len(engines) >= MaxEngines {
+				return errors.Newf("manifest: there are %d engines, of at most %d", len(engines), MaxEngines)
 			}
-			next = slices.Insert(next, i, &Engine{})
+			engines = slices.Insert(engines, i, &Engine{})
 		}
-		e := *next[i]
+		e := *engines[i]
 		if a.Incarnation >= e.Announced.Incarnation {
-			e.Announced = identified(a)
+			e.Announced = withoutInventory(a)
 		}
-		e = e.withLedger(e.Ledger.WithReport(e.dated(a)).WithLeader(m.term))
-		next[i] = &e
+		e = e.withLedger(e.Ledger.WithReport(e.withRecordedClock(a)).WithLeader(m.leaderTerm))
+		engines[i] = &e
 	}
-	m.engines = next
+	m.engines = engines
 	return nil
 }
 
-func (m *Manifest) record(c Record) error {
+func (m *Manifest) applyRecord(c Record) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
@@ -156,12 +162,12 @@
 		return nil
 	}
 	switch {
-	case c.Order.Fencing != m.term:
-		return errors.Wrapf(ledger.ErrStale, "manifest: fencing number %d, the leader's is %d", c.Order.Fencing, m.term)
-	case c.Order.Number <= m.number:
-		return errors.Wrapf(ledger.ErrStale, "manifest: number %d after %d", c.Order.Number, m.number)
-	case len(e.Ledger.Open()) >= MaxOpen:
-		return errors.Newf("manifest: %d orders to %s are open, of at most %d", MaxOpen, c.Engine, MaxOpen)
+	case c.Order.Fencing != m.leaderTerm:
+		return errors.Wrapf(ledger.ErrStale, "manifest: fencing number %d, the leader's is %d", c.Order.Fencing, m.leaderTerm)
+	case c.Order.Number <= m.highestNumber:
+		return errors.Wrapf(ledger.ErrStale, "manifest: number %d after %d", c.Order.Number, m.highestNumber)
+	case len(e.Ledger.Open()) >= MaxOpenOrders:
+		return errors.Newf("manifest: %d orders to %s are open, of at most %d", MaxOpenOrders, c.Engine, MaxOpenOrders)
 	case len(c.Why) > MaxWhyBytes:
 		return errors.Newf("manifest: the reason has %d bytes, of at most %d", len(c.Why), MaxWhyBytes)
 	}
@@ -169,8 +175,8 @@
 	if err != nil {
 		return err
 	}
-	m.number = c.Order.Number
-	e.Orders = append(slices.Clone(e.Orders), Entry{
+	m.highestNumber = c.Order.Number
+	e.Orders = append(slices.Clone(e.Orders), OrderEntry{
 		ID:      c.Order.ID,
 		Kind:    c.Order.Kind,
 		Model:   c.Order.Model,
@@ -180,69 +186,70 @@
 		At:      c.At,
 		State:   StateRecorded,
 	})
-	m.put(e.withLedger(account))
+	m.replace(e.withLedger(account))
 	return nil
 }
 
-// sameOrder tells whether two commands record the same order.
+// sameOrder reports whether two orders are equal, with equal expiry times in any
+// time zone.
 func sameOrder(a, b upstreamapi.Order) bool {
 	a.NotAfter, b.NotAfter = a.NotAfter.UTC(), b.NotAfter.UTC()
 	return reflect.DeepEqual(a, b)
 }
 
-func (m *Manifest) resend(c Resend) error {
+func (m *Manifest) applyResend(c Resend) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
 	}
-	if c.Term != m.term {
-		return errors.Wrapf(ledger.ErrStale, "manifest: fencing number %d, the leader's is %d", c.Term, m.term)
+	if c.Term != m.leaderTerm {
+		return errors.Wrapf(ledger.ErrStale, "manifest: fencing number %d, the leader's is %d", c.Term, m.leaderTerm)
 	}
 	account, err := e.Ledger.WithResent(c.ID, c.Term)
 	if err != nil {
 		return err
 	}
-	m.put(e.withLedger(account))
+	m.replace(e.withLedger(account))
 	return nil
 }
 
-func (m *Manifest) answer(c Answer) error {
+func (m *Manifest) applyAnswer(c Answer) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
 	}
 	account := e.Ledger.WithAnswer(c.Answer)
-	_, was := e.openOrder(c.Answer.ID)
-	next := e.withLedger(account)
-	_, is := next.openOrder(c.Answer.ID)
+	_, wasOpen := e.openOrder(c.Answer.ID)
+	updated := e.withLedger(account)
+	_, isOpen := updated.openOrder(c.Answer.ID)
 	switch {
-	case !was:
-	case !is && c.Answer.State == upstreamapi.OrderDone:
-		next = next.withState(c.Answer.ID, StateDone, "")
-	case !is && c.Answer.State.Final():
-		next = next.withState(c.Answer.ID, StateRefused, bounded(c.Answer.Reason))
-	case is && c.Answer.State == upstreamapi.OrderRunning && !account.Doubtful(c.Answer.ID):
-		next = next.withState(c.Answer.ID, StateRunning, "")
+	case !wasOpen:
+	case !isOpen && c.Answer.State == upstreamapi.OrderDone:
+		updated = updated.withOrderState(c.Answer.ID, StateDone, "")
+	case !isOpen && c.Answer.State.Final():
+		updated = updated.withOrderState(c.Answer.ID, StateRefused, truncateReason(c.Answer.Reason))
+	case isOpen && c.Answer.State == upstreamapi.OrderRunning && !account.Doubtful(c.Answer.ID):
+		updated = updated.withOrderState(c.Answer.ID, StateRunning, "")
 	}
-	m.put(next)
+	m.replace(updated)
 	return nil
 }
 
-// bounded returns as much of an engine's text as is kept.
-func bounded(text string) string {
+// truncateReason returns the beginning of an engine's text that is stored.
+func truncateReason(text string) string {
 	return text[:min(len(text), MaxWhyBytes)]
 }
 
-func (m *Manifest) lost(c Lost) error {
+func (m *Manifest) applyLost(c Lost) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
 	}
-	m.put(e.withLedger(e.Ledger.WithLost(c.ID)))
+	m.replace(e.withLedger(e.Ledger.WithLost(c.ID)))
 	return nil
 }
 
-func (m *Manifest) withdraw(c Withdraw) error {
+func (m *Manifest) applyWithdraw(c Withdraw) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
@@ -251,12 +258,12 @@
 	if err != nil {
 		return err
 	}
-	m.put(e.withState(c.ID, StateWithdrawn, "").withLedger(account))
+	m.replace(e.withOrderState(c.ID, StateWithdrawn, "").withLedger(account))
 	return nil
 }
 
-func (m *Manifest) forget(c Forget) error {
-	i, known := find(m.engines, c.Engine)
+func (m *Manifest) applyForget(c Forget) error {
+	i, known := findEngine(m.engines, c.Engine)
 	if !known {
 		return nil
 	}
@@ -267,52 +274,54 @@
 	return nil
 }
 
-// engine returns the engine of that name, or an error.
+// engine returns the named engine, or an error if it is not recorded.
 func (m *Manifest) engine(name string) (Engine, error) {
-	i, known := find(m.engines, name)
+	i, known := findEngine(m.engines, name)
 	if !known {
 		return Engine{}, errors.Newf("manifest: there is no engine %s", name)
 	}
 	return *m.engines[i], nil
 }
 
-// put replaces an engine that is known.
-func (m *Manifest) put(e Engine) {
-	i, _ := find(m.engines, e.Announced.Name)
+// replace replaces a recorded engine.
+func (m *Manifest) replace(e Engine) {
+	i, _ := findEngine(m.engines, e.Announced.Name)
 	m.engines = slices.Clone(m.engines)
 	m.engines[i] = &e
 }
 
-func find(engines []*Engine, name string) (int, bool) {
+// findEngine returns the index of the named engine, or the index at which to insert
+// it and false.
+func findEngine(engines []*Engine, name string) (int, bool) {
 	return slices.BinarySearchFunc(engines, name, func(e *Engine, name string) int {
 		return cmp.Compare(e.Announced.Name, name)
 	})
 }
 
-// durable is the state in a snapshot.
-type durable struct {
+// manifestSnapshot is the snapshot encoding of a Manifest.
+type manifestSnapshot struct {
 	Term    uint64    `json:"term"`
 	Number  uint64    `json:"number"`
 	Engines []*Engine `json:"engines,omitempty"`
 }
 
-// Empty tells whether no command has changed the state yet.
+// Empty reports whether the state equals that of a new Manifest.
 func (m *Manifest) Empty() bool {
-	return m.term == 0 && m.number == 0 && len(m.engines) == 0
+	return m.leaderTerm == 0 && m.highestNumber == 0 && len(m.engines) == 0
 }
 
-// Snapshot returns the whole state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (m *Manifest) Snapshot() ([]byte, error) {
-	data, err := json.Marshal(durable{Term: m.term, Number: m.number, Engines: m.engines})
+	data, err := json.Marshal(manifestSnapshot{Term: m.leaderTerm, Number: m.highestNumber, Engines: m.engines})
 	return data, errors.Wrap(err, "manifest: snapshot")
 }
 
-// Restore returns the state of a Snapshot. If by it an accelerator may be
-// overcommitted, Restore returns an error.
+// Restore returns a manifest with the state of a Snapshot. If an accelerator may be
+// overcommitted in that state, Restore returns an error.
 func Restore(data []byte) (*Manifest, error) {
-	var d durable
-	if err := json.Unmarshal(data, &d); err != nil {
+	var decoded manifestSnapshot
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return nil, errors.Wrap(err, "manifest: restore")
 	}
-	return &Manifest{term: d.Term, number: d.Number, engines: d.Engines}, nil
+	return &Manifest{leaderTerm: decoded.Term, highestNumber: decoded.Number, engines: decoded.Engines}, nil
 }
