--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -16,9 +16,9 @@
 	// Resident is the memory in use according to the engine's reports, including
 	// that of its role.
 	Resident int64
-	// Reserved is the further memory that open orders of the current leader need.
+	// Reserved is the additional memory that open orders need, except doubtful ones.
 	Reserved int64
-	// Possible is the further memory that doubtful orders may use.
+	// Possible is the additional memory that doubtful orders may use.
 	Possible int64
 }
 
@@ -113,26 +113,26 @@
 
 // hasEarlierLoad reports whether an open order before the i-th loads the same
 // artifact on the accelerator.
-func (l Ledger) hasEarlierLoad(i int, t artifact, acceleratorName string) bool {
+func (l Ledger) hasEarlierLoad(i int, a artifact, acceleratorName string) bool {
 	return slices.ContainsFunc(l.open[:i], func(o openOrder) bool {
 		loaded, loads := loadedArtifact(o.Order)
-		return loads && loaded == t && slices.Contains(o.Order.Accelerators, acceleratorName)
+		return loads && loaded == a && slices.Contains(o.Order.Accelerators, acceleratorName)
 	})
 }
 
 // artifactBounds returns the bounds of an artifact on the accelerator. An engine
 // loads an artifact at most once, so it counts once, at its maximum possible size.
-func (l Ledger) artifactBounds(t artifact, acceleratorName string) memoryBounds {
+func (l Ledger) artifactBounds(a artifact, acceleratorName string) memoryBounds {
 	var bounds memoryBounds
 	for _, r := range l.resident {
-		if r.Artifact == t && slices.Contains(r.Accelerators, acceleratorName) {
+		if r.Artifact == a && slices.Contains(r.Accelerators, acceleratorName) {
 			size := max(bounds.resident, r.Bytes)
 			bounds = memoryBounds{size, size, size}
 		}
 	}
 	for _, o := range l.open {
 		loaded, loads := loadedArtifact(o.Order)
-		if loads && loaded == t && slices.Contains(o.Order.Accelerators, acceleratorName) {
+		if loads && loaded == a && slices.Contains(o.Order.Accelerators, acceleratorName) {
 			bounds = bounds.withOrder(o.Order.MemoryBytes, o.Doubtful)
 		}
 	}
@@ -186,17 +186,17 @@
 
 // mayRemove reports whether the order may remove the artifact from memory. Removing
 // a model also removes its adapters.
-func mayRemove(order upstreamapi.Order, t artifact) bool {
-	if order.Model != t.Model {
+func mayRemove(order upstreamapi.Order, a artifact) bool {
+	if order.Model != a.Model {
 		return false
 	}
 	switch order.Kind {
 	case upstreamapi.OrderUnloadModel:
-		return order.Version == t.Version
+		return order.Version == a.Version
 	case upstreamapi.OrderUnloadAdapter:
-		return order.Version == t.Version && order.Adapter == t.Adapter
+		return order.Version == a.Version && order.Adapter == a.Adapter
 	case upstreamapi.OrderChangeVersion:
-		return order.FromVersion == t.Version
+		return order.FromVersion == a.Version
 	default:
 		return false
 	}
--- a/internal/ledger/contradiction.go
+++ b/internal/ledger/contradiction.go
@@ -74,10 +74,10 @@
 		path := fmt.Sprintf("$.resident[%d]", i)
 		allowedBytes := int64(0)
 		unknown := false
-		for _, t := range reportedArtifacts(reported) {
-			bytes, allowed := l.maxKnownBytes(t, reported.Accelerators)
+		for _, a := range reportedArtifacts(reported) {
+			bytes, allowed := l.maxKnownBytes(a, reported.Accelerators)
 			if !allowed {
-				found = append(found, contradiction(path, fmt.Sprintf("%s is loaded there and was not ordered", t)))
+				found = append(found, contradiction(path, fmt.Sprintf("%s is loaded there and was not ordered", a)))
 				unknown = true
 			}
 			allowedBytes = saturatingAdd(allowedBytes, bytes)
@@ -95,8 +95,8 @@
 func (l Ledger) missingResidents(inventory upstreamapi.Inventory) []finding.Finding {
 	reportedSet := map[artifact]bool{}
 	for _, reported := range inventory.Resident {
-		for _, t := range reportedArtifacts(reported) {
-			reportedSet[t] = true
+		for _, a := range reportedArtifacts(reported) {
+			reportedSet[a] = true
 		}
 	}
 	var found []finding.Finding
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -62,11 +62,11 @@
 
 // Loads returns the holding that the order loads, or false if it loads none.
 func Loads(order upstreamapi.Order) (Holding, bool) {
-	t, loads := loadedArtifact(order)
+	loaded, loads := loadedArtifact(order)
 	return Holding{
-		Model:        t.Model,
-		Version:      t.Version,
-		Adapter:      t.Adapter,
+		Model:        loaded.Model,
+		Version:      loaded.Version,
+		Adapter:      loaded.Adapter,
 		Accelerators: slices.Clone(order.Accelerators),
 		Bytes:        order.MemoryBytes,
 	}, loads
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -11,7 +11,7 @@
 
 // WithReport returns the account updated by an announcement of the engine. An
 // announcement older than the account is ignored. If the announcement contradicts
-// the account, only the contradictions are recorded.
+// the account, its contents are not adopted and the contradictions are recorded.
 //
 // A new incarnation holds nothing that was loaded before its restart and refuses
 // orders meant for earlier incarnations, so the account starts over.
@@ -113,9 +113,10 @@
 	return next
 }
 
-// withInventory adopts an inventory of the current incarnation if it is newer and
-// does not contradict the account, and then closes the orders that it proves to
-// have ended.
+// withInventory adopts an inventory of the current incarnation if its revision is
+// new, advances the clock, and closes the orders that the inventory proves to have
+// ended. An older inventory is ignored. If the inventory contradicts the account,
+// only the contradictions are recorded.
 func (l Ledger) withInventory(inventory upstreamapi.Inventory) Ledger {
 	if len(l.contradictions) > 0 || inventory.Revision < l.revision {
 		return l
@@ -163,9 +164,9 @@
 	next.roleBytes = inventory.RoleMemoryBytes
 	next.resident = nil
 	for _, reported := range inventory.Resident {
-		for _, t := range reportedArtifacts(reported) {
-			bytes, _ := l.maxKnownBytes(t, reported.Accelerators)
-			next.resident = append(next.resident, resident{Artifact: t, Accelerators: reported.Accelerators, Bytes: bytes})
+		for _, a := range reportedArtifacts(reported) {
+			bytes, _ := l.maxKnownBytes(a, reported.Accelerators)
+			next.resident = append(next.resident, resident{Artifact: a, Accelerators: reported.Accelerators, Bytes: bytes})
 		}
 	}
 	next.resident = append(next.resident, l.unloadingResidents(next, inventory)...)
@@ -206,7 +207,7 @@
 // maxKnownBytes returns the maximum size of the artifact in any resident or open
 // order that includes all the given accelerators. If there is none, maxKnownBytes
 // returns false.
-func (l Ledger) maxKnownBytes(t artifact, accelerators []string) (bytes int64, allowed bool) {
+func (l Ledger) maxKnownBytes(a artifact, accelerators []string) (bytes int64, allowed bool) {
 	considerPlacement := func(on []string, size int64) {
 		coversAll := !slices.ContainsFunc(accelerators, func(name string) bool { return !slices.Contains(on, name) })
 		if coversAll {
@@ -214,29 +215,29 @@
 		}
 	}
 	for _, r := range l.resident {
-		if r.Artifact == t {
+		if r.Artifact == a {
 			considerPlacement(r.Accelerators, r.Bytes)
 		}
 	}
 	for _, o := range l.open {
-		if loaded, loads := loadedArtifact(o.Order); loads && loaded == t {
+		if loaded, loads := loadedArtifact(o.Order); loads && loaded == a {
 			considerPlacement(o.Order.Accelerators, o.Order.MemoryBytes)
 		}
 	}
 	return bytes, allowed
 }
 
-func (l Ledger) hasResident(t artifact) bool {
-	return slices.ContainsFunc(l.resident, func(r resident) bool { return r.Artifact == t })
+func (l Ledger) hasResident(a artifact) bool {
+	return slices.ContainsFunc(l.resident, func(r resident) bool { return r.Artifact == a })
 }
 
 // reportedArtifacts returns a reported model and its adapters.
 func reportedArtifacts(reported upstreamapi.Resident) []artifact {
-	things := []artifact{{Model: reported.Model, Version: reported.Version}}
+	artifacts := []artifact{{Model: reported.Model, Version: reported.Version}}
 	for _, name := range reported.Adapters {
-		things = append(things, artifact{Model: reported.Model, Version: reported.Version, Adapter: name})
+		artifacts = append(artifacts, artifact{Model: reported.Model, Version: reported.Version, Adapter: name})
 	}
-	return things
+	return artifacts
 }
 
 func isUnderWay(inventory upstreamapi.Inventory, id string) bool {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -86,13 +86,13 @@
 }
 
 // String formats the artifact as model@version/adapter.
-func (t artifact) String() string {
-	text := t.Model
-	if t.Version != "" {
-		text += "@" + t.Version
+func (a artifact) String() string {
+	text := a.Model
+	if a.Version != "" {
+		text += "@" + a.Version
 	}
-	if t.Adapter != "" {
-		text += "/" + t.Adapter
+	if a.Adapter != "" {
+		text += "/" + a.Adapter
 	}
 	return text
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -174,11 +174,12 @@
 	type faultCase struct {
 		// fault executes the order up to the fault.
 		fault func(order upstreamapi.Order)
-		// freeIfGuarded tells whether the second load is accepted at an engine that
-		// checks fencing numbers and honours expiry, freeIfUnguarded whether it is at
-		// an engine that does neither.
+		// freeIfGuarded means that the second load is accepted if the engine checks
+		// fencing numbers and honours expiry, freeIfUnguarded that it is accepted if
+		// the engine does neither.
 		freeIfGuarded, freeIfUnguarded bool
 	}
+	// supersede executes an order of a new leader, which has a higher fencing number.
 	supersede := func() {
 		next := loadOrder("o9", 2, "tiny", 1)
 		l = recordAll(l.WithLeader(2), next)
@@ -241,7 +242,7 @@
 			e.finishOrder(0)
 			l = recordAll(l, loadOrder("o9", 2, "tiny", 1)).WithReport(e.announce())
 		}, false, false}),
-		Entry("under way when its time passes", faultCase{func(o upstreamapi.Order) {
+		Entry("running when it expires", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			e.receive(o)
 			e.clock = startTime.Add(11 * time.Second)
@@ -257,17 +258,17 @@
 			e.states["o1"] = upstreamapi.OrderRefusedNoMemory
 			l = l.WithLost("o1").WithAnswer(e.answer("o1"))
 		}, true, true}),
-		Entry("unknown to the engine when it is asked after", faultCase{func(o upstreamapi.Order) {
+		Entry("unknown to the engine at a status query", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o).WithLost("o1").WithAnswer(e.answer("o1"))
 		}, false, false}),
-		Entry("unloaded by a later order, whose answer overtakes that to the load", faultCase{func(o upstreamapi.Order) {
+		Entry("executed, and unloaded by a later order that is answered first", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			loadAnswer := execute(e, o)
 			laterUnload := unloadOrder("o2", 1, "pings")
 			l = recordAll(l, laterUnload).WithAnswer(execute(e, laterUnload))
 			l = l.WithAnswer(loadAnswer)
 		}, true, true}),
-		Entry("unloaded by a later order while a copy of the load is late", faultCase{func(o upstreamapi.Order) {
+		Entry("unloaded by a later order while a copy of the load is in transit", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			laterUnload := unloadOrder("o2", 1, "pings")
 			l = recordAll(l, laterUnload).WithAnswer(execute(e, laterUnload)).WithReport(e.announce())
@@ -281,7 +282,7 @@
 			l = l.WithReport(e.announce())
 			Expect(e.receive(o).State).To(Equal(upstreamapi.OrderRefusedIncarnation))
 		}, true, true}),
-		Entry("overtaken by the report from before a restart", faultCase{func(o upstreamapi.Order) {
+		Entry("executed before a restart, with reports arriving out of order", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			execute(e, o)
 			oldReport := e.announce()
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -11,9 +11,9 @@
 // order is doubtful if its answer was lost or if an earlier leader sent it; see
 // package ledger.
 //
-// The intended placement is not stored. It is derived from the contents of the
-// engines and the open orders, which is where package placement starts planning, so
-// that it can't diverge from the actual state.
+// The intended placement is not stored, so that it can't diverge from the actual
+// state. Package placement derives it from the contents of the engines and the open
+// orders.
 package manifest
 
 import (
--- a/internal/registry/configuration_test.go
+++ b/internal/registry/configuration_test.go
@@ -139,10 +139,9 @@
 		Expect(applied).To(Equal([]string{"two"}))
 	})
 
-	// An operator does not receive the answer and retries the change through a new
-	// leader, after restarts, a compaction and further changes. If the retry were
-	// answered with a conflict, the operator would conclude that the change was not
-	// applied.
+	// An operator does not receive the answer and retries the change, which reaches a
+	// new leader after restarts, a compaction and further changes. A conflict as the
+	// answer to the retry would suggest that the change was not applied.
 	It("gives a change that is sent again its first answer", func() {
 		applied := presetChange("two", 1, "peak")
 		staleChange := presetChange("late", 1, "ordinary")
--- a/internal/registry/pack.go
+++ b/internal/registry/pack.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// packedMarker is the first byte of compressed data. The uncompressed data is
-	// JSON, which never begins with this byte.
+	// packedMarker is the first byte of compressed data. The canonical encoding of
+	// declarations, which is JSON, never begins with this byte.
 	packedMarker = 0x01
 	// minPackBytes is the minimum size of data that Pack compresses.
 	minPackBytes = 4 << 10
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,10 @@
-// Package registry is the replicated state machine. Its state consists of the
-// current configuration, the edition (a document whose versions operators assign),
-// the docket of non-idempotent requests, the manifest of engines and of the orders
-// to them, the leases of upstreams, and the crash records: which requests were in
-// flight at upstreams that crashed.
+// Package registry is the replicated state machine. Its state consists of
+//   - the current configuration,
+//   - the edition, a document whose version numbers operators assign,
+//   - the docket, the idempotency records of non-idempotent requests,
+//   - the manifest, the contents of the engines and the orders to them,
+//   - the leases of upstreams, and
+//   - the crash records of requests that were in flight at upstreams that crashed.
 //
 // The state machine is deterministic. Replicas that apply the same commands in
 // the same order have equal states, and their snapshots are equal byte for byte.
