--- a/internal/ledger/contradiction.go
+++ b/internal/ledger/contradiction.go
@@ -26,7 +26,7 @@
 		found = append(found, contradiction("$.role-memory-bytes",
 			fmt.Sprintf("the role takes %d bytes and may take %d", inventory.RoleMemoryBytes, maxRoleBytes)))
 	}
-	if l.traits.HonoursExpiry && inventory.Clock.Before(l.clock) {
+	if l.guarantees.HonoursExpiry && inventory.Clock.Before(l.clock) {
 		found = append(found, contradiction("$.load.clock",
 			"the engine's clock ran backwards, and orders that have expired may not be over"))
 	}
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -82,15 +82,15 @@
 	return l.clock
 }
 
-// Learns reports whether the announcement changes the account in more than the
-// engine's clock.
-func (l Ledger) Learns(announcement upstreamapi.Announcement) bool {
+// ChangedByReport reports whether the announcement changes the account in more than
+// the engine's clock.
+func (l Ledger) ChangedByReport(announcement upstreamapi.Announcement) bool {
 	return l.differsIgnoringClock(l.WithReport(announcement))
 }
 
-// LearnsFrom reports whether the answer changes the account in more than the
+// ChangedByAnswer reports whether the answer changes the account in more than the
 // engine's clock.
-func (l Ledger) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
+func (l Ledger) ChangedByAnswer(answer upstreamapi.OrderAnswer) bool {
 	return l.differsIgnoringClock(l.WithAnswer(answer))
 }
 
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -21,7 +21,7 @@
 		return l
 	case announcement.Incarnation > l.incarnation:
 		return l.rebuilt(announcement, nil)
-	case TraitsOf(announcement) != l.traits && len(l.contradictions) == 0:
+	case GuaranteesOf(announcement) != l.guarantees && len(l.contradictions) == 0:
 		next := l
 		next.contradictions = []finding.Finding{contradiction("$.fencing",
 			"what the engine promises has changed without a restart")}
@@ -54,12 +54,12 @@
 	return next
 }
 
-// WithAccepted returns an account rebuilt from an announcement that contradicts the
-// current account, after an operator has confirmed the announcement. Open orders
-// remain open. WithAccepted returns an error and an unchanged account if the
-// announcement is of another incarnation, is older than the last adopted inventory,
-// or contradicts the open orders.
-func (l Ledger) WithAccepted(announcement upstreamapi.Announcement) (Ledger, error) {
+// WithConfirmedReport returns an account rebuilt from an announcement that
+// contradicts the current account, after an operator has confirmed the announcement.
+// Open orders remain open. WithConfirmedReport returns an error and an unchanged
+// account if the announcement is of another incarnation, is older than the last
+// adopted inventory, or contradicts the open orders.
+func (l Ledger) WithConfirmedReport(announcement upstreamapi.Announcement) (Ledger, error) {
 	switch {
 	case announcement.Incarnation != l.incarnation:
 		return l, errors.Wrapf(ErrIncarnation, "%d is not %d", announcement.Incarnation, l.incarnation)
@@ -78,7 +78,7 @@
 // residents nor orders, only the contradictions.
 func (l Ledger) rebuilt(announcement upstreamapi.Announcement, open []openOrder) Ledger {
 	next := Ledger{
-		traits:         TraitsOf(announcement),
+		guarantees:     GuaranteesOf(announcement),
 		incarnation:    announcement.Incarnation,
 		revision:       announcement.Revision,
 		clock:          announcement.Load.Clock,
@@ -150,8 +150,8 @@
 	if isUnderWay(inventory, order.ID) {
 		return false
 	}
-	superseded := l.traits.ChecksFencing && order.Fencing < inventory.HighestFencing
-	expired := l.traits.HonoursExpiry && !order.NotAfter.IsZero() && inventory.Clock.After(order.NotAfter)
+	superseded := l.guarantees.ChecksFencing && order.Fencing < inventory.HighestFencing
+	expired := l.guarantees.HonoursExpiry && !order.NotAfter.IsZero() && inventory.Clock.After(order.NotAfter)
 	return superseded || expired
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -26,7 +26,7 @@
 // methods return a modified copy. The zero value is the account of an engine that
 // has not reported yet.
 type Ledger struct {
-	traits Traits
+	guarantees Guarantees
 	// incarnation and revision are those of the last adopted inventory, or 0 before
 	// the first one.
 	incarnation uint64
@@ -52,9 +52,9 @@
 	contradictions []finding.Finding
 }
 
-// Traits are an engine's guarantees that serve as proof that an order can have no
-// further effect.
-type Traits struct {
+// Guarantees are the properties of an engine that serve as proof that an order can
+// have no further effect.
+type Guarantees struct {
 	// ChecksFencing means that the engine refuses an order whose fencing number is
 	// lower than the highest one it has received.
 	ChecksFencing bool `json:"checks-fencing"`
@@ -63,9 +63,9 @@
 	HonoursExpiry bool `json:"honours-expiry"`
 }
 
-// TraitsOf returns the guarantees in an announcement.
-func TraitsOf(announcement upstreamapi.Announcement) Traits {
-	return Traits{
+// GuaranteesOf returns the guarantees in an announcement.
+func GuaranteesOf(announcement upstreamapi.Announcement) Guarantees {
+	return Guarantees{
 		ChecksFencing: announcement.Fencing == upstreamapi.FencingChecked,
 		HonoursExpiry: announcement.Has(upstreamapi.CapabilityOrderExpiry),
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -387,17 +387,17 @@
 		e.revision++
 		l = l.WithReport(e.announce())
 		Expect(l.Contradictions()).NotTo(BeEmpty())
-		accepted, err := l.WithAccepted(e.announce())
+		accepted, err := l.WithConfirmedReport(e.announce())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(accountOf(accepted)).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 85, Reserved: 10}))
 
 		e.models["foreign@"].bytes = 51
-		refused, err := l.WithAccepted(e.announce())
+		refused, err := l.WithConfirmedReport(e.announce())
 		Expect(err).To(MatchError(ledger.ErrContradicted))
 		Expect(refused).To(Equal(l))
 		oldReport := e.announce()
 		oldReport.Incarnation, oldReport.Revision = 0, 0
-		_, err = l.WithAccepted(oldReport)
+		_, err = l.WithConfirmedReport(oldReport)
 		Expect(err).To(MatchError(ledger.ErrIncarnation))
 	})
 
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -9,7 +9,7 @@
 
 // ledgerSnapshot is the stored form of a Ledger.
 type ledgerSnapshot struct {
-	Traits         Traits                `json:"traits"`
+	Guarantees     Guarantees            `json:"traits"`
 	Incarnation    uint64                `json:"incarnation"`
 	Revision       uint64                `json:"revision"`
 	Clock          time.Time             `json:"clock,omitzero"`
@@ -31,7 +31,7 @@
 // MarshalJSON returns the stored form.
 func (l Ledger) MarshalJSON() ([]byte, error) {
 	snapshot := ledgerSnapshot{
-		Traits:         l.traits,
+		Guarantees:     l.guarantees,
 		Incarnation:    l.incarnation,
 		Revision:       l.revision,
 		Clock:          l.clock,
@@ -57,7 +57,7 @@
 		return errors.Wrap(err, "ledger: decode")
 	}
 	decoded := Ledger{
-		traits:         snapshot.Traits,
+		guarantees:     snapshot.Guarantees,
 		incarnation:    snapshot.Incarnation,
 		revision:       snapshot.Revision,
 		clock:          snapshot.Clock,
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -75,10 +75,10 @@
 // was recorded later.
 func (e Engine) Learns(a upstreamapi.Announcement) bool {
 	revisionKnown := a.Incarnation == e.Ledger.Incarnation() && a.Revision <= e.Ledger.Revision()
-	if revisionKnown && ledger.TraitsOf(a) == ledger.TraitsOf(e.Announced) {
+	if revisionKnown && ledger.GuaranteesOf(a) == ledger.GuaranteesOf(e.Announced) {
 		return false
 	}
-	return a.Incarnation > e.Announced.Incarnation || e.Ledger.Learns(e.withRecordedClock(a))
+	return a.Incarnation > e.Announced.Incarnation || e.Ledger.ChangedByReport(e.withRecordedClock(a))
 }
 
 // withRecordedClock returns the announcement with the last recorded time of the
@@ -177,5 +177,5 @@
 func (e Engine) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
 	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == answer.ID })
 	running := i >= 0 && e.Orders[i].State == StateRunning
-	return e.Ledger.LearnsFrom(answer) || answer.State == upstreamapi.OrderRunning && !running
+	return e.Ledger.ChangedByAnswer(answer) || answer.State == upstreamapi.OrderRunning && !running
 }
