--- a/internal/foreman/duty_test.go
+++ b/internal/foreman/actions_test.go
@@ -22,10 +22,10 @@
 		}
 	}
 
-	// Two engines hold a model, one is told to unload it, and the order is lost.
-	// Then the other engine is lost too. Sent again now, the order would take out
-	// the last copy. It waits until there is another.
-	It("are not sent again while they would take out the last copy", func() {
+	// Two engines hold a model, one of them is ordered to unload it, and the order is lost. Then
+	// the other engine is lost as well. Sending the order again would remove the last copy, so it
+	// must wait until another engine holds the model.
+	It("are not sent again while that would remove the last copy", func() {
 		m := manifest.New()
 		m.Apply(manifest.Lead{Term: 1})
 		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{holder("e1"), holder("e2")}})
@@ -33,33 +33,33 @@
 			ID: "out", Number: 1, Fencing: 1, Incarnation: 1, Kind: upstreamapi.OrderUnloadModel, Model: "letters", Version: "1",
 		}}).Accepted).To(BeTrue())
 		m.Apply(manifest.Lost{Engine: "e1", ID: "out"})
-		s := &stage{}
-		s.declare(map[string]int{"letters": 6})
-		both := map[string]roster.Upstream{"e1": {Announcement: holder("e1")}, "e2": {Announcement: holder("e2")}}
-		alone := map[string]roster.Upstream{"e1": {Announcement: holder("e1")}}
-		Expect(foreman.Resent(now, m.View(), both, s.declared)).To(Equal([]string{"out"}))
-		Expect(foreman.Resent(now, m.View(), alone, s.declared)).To(BeEmpty())
-		s.declare(map[string]int{"fares": 6})
-		Expect(foreman.Resent(now, m.View(), alone, s.declared)).To(Equal([]string{"out"}), "nobody asks for it any more")
+		c := &testCluster{}
+		c.declare(map[string]int{"letters": 6})
+		bothLive := map[string]roster.Upstream{"e1": {Announcement: holder("e1")}, "e2": {Announcement: holder("e2")}}
+		oneLive := map[string]roster.Upstream{"e1": {Announcement: holder("e1")}}
+		Expect(foreman.ImmediateResends(now, m.View(), bothLive, c.declared)).To(Equal([]string{"out"}))
+		Expect(foreman.ImmediateResends(now, m.View(), oneLive, c.declared)).To(BeEmpty())
+		c.declare(map[string]int{"fares": 6})
+		Expect(foreman.ImmediateResends(now, m.View(), oneLive, c.declared)).To(Equal([]string{"out"}), "the model is no longer declared")
 
-		stray := holder("e1")
-		stray.Revision = 2
-		stray.Resident = append(stray.Resident, upstreamapi.Resident{Model: "stray", Accelerators: []string{"a0"}, MemoryBytes: 1})
-		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{stray}})
-		Expect(foreman.Resent(now, m.View(), both, s.declared)).To(BeEmpty(), "its report contradicts the account")
+		contradicting := holder("e1")
+		contradicting.Revision = 2
+		contradicting.Resident = append(contradicting.Resident, upstreamapi.Resident{Model: "stray", Accelerators: []string{"a0"}, MemoryBytes: 1})
+		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{contradicting}})
+		Expect(foreman.ImmediateResends(now, m.View(), bothLive, c.declared)).To(BeEmpty(), "the engine's report contradicts the ledger")
 	})
 })
 
 var _ = DescribeTable("The pause after a plan", func(cost, pause time.Duration) {
-	Expect(foreman.PauseAfter(cost)).To(Equal(pause))
+	Expect(foreman.PlanPauseAfter(cost)).To(Equal(pause))
 },
 	Entry("that took no time", time.Duration(0), time.Second),
-	Entry("that took long enough to be felt", 100*time.Millisecond, 3*time.Second),
+	Entry("that took 100 ms", 100*time.Millisecond, 3*time.Second),
 	Entry("that took a second", time.Second, 5*time.Second),
 )
 
 var _ = Describe("Preview", func() {
-	It("lists the moves of declarations that are not in force, and what can't be met", func() {
+	It("lists the moves of declarations that are not active, and the requirements that cannot be met", func() {
 		engine := upstreamapi.Announcement{
 			Name: "e1", Incarnation: 1, Revision: 1, Kind: upstreamapi.KindEngine, FailureDomain: "kgn-a",
 			Capabilities: []upstreamapi.Capability{upstreamapi.CapabilityOrders},
@@ -68,10 +68,10 @@
 		m := manifest.New()
 		m.Apply(manifest.Lead{Term: 1})
 		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{engine}})
-		s := &stage{}
-		s.declare(map[string]int{"letters": 6, "fares": 6})
+		c := &testCluster{}
+		c.declare(map[string]int{"letters": 6, "fares": 6})
 		for name, state := range map[string]manifest.View{"recorded": m.View(), "not recorded": {}} {
-			moves, problems := foreman.Preview(start, state, []roster.Upstream{{Announcement: engine}}, s.declared, s.declared.FirstPreset(), 1)
+			moves, problems := foreman.Preview(testTime, state, []roster.Upstream{{Announcement: engine}}, c.declared, c.declared.FirstPreset(), 1)
 			Expect(moves).To(HaveLen(1), name)
 			Expect(moves[0].Engine).To(Equal("e1"))
 			Expect(problems).To(ContainElement(HaveField("Text", ContainSubstring("6.00GiB needed"))), name)
@@ -79,4 +79,4 @@
 	})
 })
 
-var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
--- a/internal/foreman/bench_test.go
+++ b/internal/foreman/bench_test.go
@@ -20,15 +20,15 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// crowd is so many engines with two accelerators and four models each, at rest.
-type crowd struct {
+// idleCluster has engines with two accelerators and four models each, and no pending work.
+type idleCluster struct {
 	state     *registry.Registry
 	index     jury.Index
 	upstreams []roster.Upstream
 }
 
-func newCrowd(engines int) *crowd {
-	c := &crowd{state: registry.New()}
+func newIdleCluster(engines int) *idleCluster {
+	c := &idleCluster{state: registry.New()}
 	for i := range engines {
 		a := upstreamapi.Announcement{
 			Name: fmt.Sprintf("e%04d", i), Incarnation: 1, Revision: 9, Kind: upstreamapi.KindEngine, FailureDomain: "d",
@@ -47,17 +47,17 @@
 	return c
 }
 
-func (c *crowd) Issue() *gazette.Issue { return &gazette.Issue{Declarations: declaration.Set{}} }
+func (c *idleCluster) Issue() *gazette.Issue { return &gazette.Issue{Declarations: declaration.Set{}} }
 
-func (c *crowd) Upstreams(time.Time) []roster.Upstream { return c.upstreams }
+func (c *idleCluster) Upstreams(time.Time) []roster.Upstream { return c.upstreams }
 
-func (c *crowd) Manifest() manifest.View { return c.state.Manifest() }
+func (c *idleCluster) Manifest() manifest.View { return c.state.Manifest() }
 
-func (c *crowd) OrderRight(now time.Time) (jury.Term, time.Time, bool) {
+func (c *idleCluster) OrderRight(now time.Time) (jury.Term, time.Time, bool) {
 	return 1, now.Add(time.Second), true
 }
 
-func (c *crowd) Propose(_ context.Context, command registry.Command) (registry.Result, error) {
+func (c *idleCluster) Propose(_ context.Context, command registry.Command) (registry.Result, error) {
 	data, err := registry.Encode(command)
 	if err != nil {
 		return registry.Result{}, err
@@ -66,25 +66,25 @@
 	return c.state.Apply(c.index, data)
 }
 
-// BenchmarkRound is one round without a plan: all engines are known, and nothing
-// is new. There are four a second. snapshot-B/engine is what an engine takes of a
-// snapshot.
+// BenchmarkRound runs one reconciliation without a plan: all engines are recorded, and no report is
+// new. The control loop runs four of them per second. snapshot-B/engine is the size of a snapshot
+// per engine.
 func BenchmarkRound(b *testing.B) {
 	for _, engines := range []int{12, 110, 367, 1100} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			c := newCrowd(engines)
-			f := foreman.NewStill(foreman.Options{
+			c := newIdleCluster(engines)
+			f := foreman.NewWithoutLoop(foreman.Options{
 				Register: c, World: c, Planner: placement.New(placement.Options{}), Client: &http.Client{},
 				Now: time.Now, Log: zerolog.Nop(),
 			})
 			now := time.Now()
-			f.Round(now)
+			f.Reconcile(now)
 			if known := len(c.Manifest().Engines); known != engines {
 				b.Fatal(known)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.Round(now)
+				f.Reconcile(now)
 			}
 			snapshot, err := c.state.Snapshot()
 			if err != nil {
--- /dev/null
+++ b/internal/foreman/enginereports.go
@@ -0,0 +1,108 @@
+package foreman
+
+import (
+	"time"
+
+	"github.com/lovagelift/lovagelift/internal/manifest"
+	"github.com/lovagelift/lovagelift/internal/roster"
+	"github.com/lovagelift/lovagelift/internal/upstreamapi"
+)
+
+// maxReportsPerCommand limits the announcements recorded by one command.
+const maxReportsPerCommand = 32
+
+// liveEngines returns, by name, the engines that accept orders and have a valid announcement lease.
+func (f *Foreman) liveEngines(now time.Time) map[string]roster.Upstream {
+	live := map[string]roster.Upstream{}
+	for _, u := range f.options.World.Upstreams(now) {
+		if acceptsOrders(u.Announcement) {
+			live[u.Announcement.Name] = u
+		}
+	}
+	return live
+}
+
+// acceptsOrders reports whether the engine is recorded and receives orders. An engine without the
+// capability loads models on its own decision. One that requires a bearer token would refuse our
+// orders, because the settings contain no token for engines.
+func acceptsOrders(a upstreamapi.Announcement) bool {
+	return a.Kind == upstreamapi.KindEngine && a.Has(upstreamapi.CapabilityOrders) &&
+		a.OrderAuthorization != upstreamapi.AuthorizationBearer
+}
+
+// recordReports records the engines' announcements that contain something new.
+func (f *Foreman) recordReports(live map[string]roster.Upstream) {
+	state := f.options.Register.Manifest()
+	remaining := manifest.MaxEngines - len(state.Engines)
+	var changed []upstreamapi.Announcement
+	for name, u := range live {
+		e, recorded := state.Engine(name)
+		switch {
+		case recorded && !e.Learns(u.Announcement):
+			continue
+		case !recorded && remaining == 0:
+			f.options.Log.Error().Str("engine", name).Msg("limit of recorded engines reached; no orders are sent to this engine")
+			continue
+		case !recorded:
+			remaining--
+		}
+		changed = append(changed, u.Announcement)
+	}
+	for len(changed) > 0 {
+		count := min(len(changed), maxReportsPerCommand)
+		f.propose(manifest.Reports{Announcements: changed[:count]})
+		changed = changed[count:]
+	}
+}
+
+// logContradictions logs, once per incarnation, each engine whose reports contradict the ledger.
+// Such an engine receives no further orders; the other engines are not affected.
+func (f *Foreman) logContradictions() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, e := range f.options.Register.Manifest().Engines {
+		contradictions := e.Ledger.Contradictions()
+		name := e.Announced.Name
+		if len(contradictions) == 0 {
+			delete(f.loggedIncarnations, name)
+			continue
+		}
+		if f.loggedIncarnations[name] == e.Ledger.Incarnation() {
+			continue
+		}
+		f.loggedIncarnations[name] = e.Ledger.Incarnation()
+		for _, contradiction := range contradictions {
+			f.options.Log.Error().Str("engine", name).Uint64("incarnation", e.Ledger.Incarnation()).
+				Str("finding", contradiction.String()).
+				Msg("alarm: engine report contradicts the ledger; no orders are sent to the engine until it restarts")
+		}
+	}
+}
+
+// removeGoneEngines removes the records of engines that have been missing for goneEngineRetention
+// and have no open order.
+func (f *Foreman) removeGoneEngines(now time.Time, live map[string]roster.Upstream) {
+	for _, e := range f.options.Register.Manifest().Engines {
+		name := e.Announced.Name
+		_, isLive := live[name]
+		if f.missingFor(now, name, isLive) >= goneEngineRetention && len(e.Ledger.Open()) == 0 {
+			f.propose(manifest.Forget{Engine: name})
+		}
+	}
+}
+
+// missingFor returns how long this leader has seen the engine without a valid announcement lease.
+func (f *Foreman) missingFor(now time.Time, name string, isLive bool) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if isLive {
+		delete(f.missingSince, name)
+		return 0
+	}
+	since, missing := f.missingSince[name]
+	if !missing {
+		f.missingSince[name] = now
+		return 0
+	}
+	return now.Sub(since)
+}
--- a/internal/foreman/export_test.go
+++ b/internal/foreman/export_test.go
@@ -8,31 +8,30 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// NewStill returns a Foreman that acts only in Round.
-func NewStill(options Options) *Foreman {
+// NewWithoutLoop returns a Foreman without its control loop: it acts only in Reconcile.
+func NewWithoutLoop(options Options) *Foreman {
 	return newForeman(options)
 }
 
-// Round does all that is due at now, and returns when the calls to engines have
-// ended.
-func (f *Foreman) Round(now time.Time) {
-	f.round(now)
-	f.calls.Wait()
+// Reconcile runs one reconciliation at now and waits for its calls to engines.
+func (f *Foreman) Reconcile(now time.Time) {
+	f.reconcile(now)
+	f.inFlight.Wait()
 }
 
-// Resent returns the ids of the orders that are sent again at once in that
-// state, without a question before.
-func Resent(now time.Time, state manifest.View, present map[string]roster.Upstream, declared declaration.Set) []string {
+// ImmediateResends returns the ids of the orders that are sent again in the given state without a
+// status query.
+func ImmediateResends(now time.Time, state manifest.View, live map[string]roster.Upstream, declared declaration.Set) []string {
 	var ids []string
-	for _, due := range duties(now, facts{state: state, present: present, declared: declared, retryAfter: retryAfter}) {
-		if again, ok := due.(resend); ok {
-			ids = append(ids, again.at.order.ID)
+	for _, next := range dueActions(now, actionInput{state: state, live: live, declared: declared, retryDelay: callRetryDelay}) {
+		if r, ok := next.(resend); ok {
+			ids = append(ids, r.target.order.ID)
 		}
 	}
 	return ids
 }
 
-// PauseAfter returns the time until the next plan after one that took so long.
-func PauseAfter(cost time.Duration) time.Duration {
-	return pauseAfter(cost)
+// PlanPauseAfter returns the time until the next plan after one that took cost to compute.
+func PlanPauseAfter(cost time.Duration) time.Duration {
+	return planPauseAfter(cost)
 }
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -1,9 +1,10 @@
-// Package foreman gives orders to engines (placement controller).
+// Package foreman is the placement controller: a control loop that issues load and unload orders to
+// engines.
 //
-// It acts only while its instance holds the right to order. It records what
-// engines report, plans, records each order before it is sent, and records what
-// became of it. What it knows beyond the replicated state can be lost: another
-// leader continues from there.
+// It acts only while its instance holds the order right, which belongs to the leader. It records
+// the engines' reports, plans, records each order before sending it, and records the order's
+// result. State that it keeps outside the replicated state can be lost at any time: the next leader
+// continues from the replicated state.
 package foreman
 
 import (
@@ -23,104 +24,105 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// Register is the replicated state, as a chamber.Voter gives it.
-type Register interface {
-	// OrderRight reports whether orders may be given at now, under the fencing
-	// number term, and until when.
+// ReplicatedState is the replicated state, as a chamber.Voter provides it.
+type ReplicatedState interface {
+	// OrderRight reports whether orders may be sent at now, under which fencing number, and until
+	// when.
 	OrderRight(now time.Time) (term jury.Term, until time.Time, ok bool)
-	// Manifest returns what this replica has recorded.
+	// Manifest returns the engines and orders recorded at this replica.
 	Manifest() manifest.View
-	// Propose returns once this replica has carried out the command. After an
-	// error, it may be carried out yet.
+	// Propose returns once this replica has applied the command. After an error, the command may
+	// still be applied later.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
 }
 
-// World is what the instance knows.
-type World interface {
-	// Upstreams returns the upstreams whose announcement lease holds.
+// Cluster is the instance's view of upstreams and configuration.
+type Cluster interface {
+	// Upstreams returns the upstreams with a valid announcement lease.
 	Upstreams(now time.Time) []roster.Upstream
-	// Issue returns the configuration in force.
+	// Issue returns the active configuration.
 	Issue() *gazette.Issue
 }
 
-// Options is what a Foreman needs.
+// Options configures a Foreman.
 type Options struct {
-	Register Register
-	World    World
-	// Demand returns what callers ask for. Nil stands for no knowledge: models
-	// are then placed by floors and losses alone.
+	Register ReplicatedState
+	World    Cluster
+	// Demand returns the current demand estimates. If it is nil, models are placed by minimum
+	// copies and failure tolerance alone.
 	Demand func(now time.Time) []demand.Estimate
-	// Planner makes the plans, for WeightStore and WeightOfMoves.
+	// Planner computes the plans, within the limits of WeightStore and with WeightOfMoves.
 	Planner       placement.Planner
 	WeightStore   placement.WeightStore
 	WeightOfMoves float64
 	// Client calls engines. It must not follow redirects.
 	Client *http.Client
-	// OrderFlight is the longest time that an order can be under way.
+	// OrderFlight is the longest time that an order can be in flight.
 	OrderFlight time.Duration
-	// UpstreamLease is the announcement lease. For that long, a new leader plans
-	// nothing: engines that it has not heard of yet would count as lost.
+	// UpstreamLease is the duration of the announcement lease. A new leader does not plan before it
+	// has passed: engines that have not yet announced themselves to it would count as lost.
 	UpstreamLease time.Duration
-	// Every is the time between two rounds, DefaultEvery if 0.
+	// Every is the interval of the control loop. 0 means DefaultInterval.
 	Every time.Duration
 	Now   func() time.Time
 	Log   zerolog.Logger
 }
 
-// The intervals that no setting changes.
+// Intervals and limits without a setting.
 const (
-	// DefaultEvery is how soon a report or a lost answer is acted upon.
-	DefaultEvery = 250 * time.Millisecond
-	// planEvery is the time between two plans, unless they are costly.
-	planEvery = time.Second
-	// planShare bounds what plans take of one core to one part in so many, and
-	// maxPlanPause what that delays a need.
-	planShare    = 30
-	maxPlanPause = 5 * time.Second
-	// retryAfter is the time between two calls about one order.
-	retryAfter = time.Second
-	// proposeTimeout bounds one proposal.
+	// DefaultInterval bounds the delay until a report or a lost answer is handled.
+	DefaultInterval = 250 * time.Millisecond
+	// planInterval is the shortest time between two plans.
+	planInterval = time.Second
+	// After a plan, the next one is delayed by planCostMultiple times the computing time, which
+	// limits planning to 1/planCostMultiple of one core. maxPlanInterval limits this delay.
+	planCostMultiple = 30
+	maxPlanInterval  = 5 * time.Second
+	// callRetryDelay is the time between two calls about the same order.
+	callRetryDelay = time.Second
+	// proposeTimeout limits one proposal.
 	proposeTimeout = 2 * time.Second
-	// orderLife is how long an engine may take an order for, on its own clock.
-	orderLife = 10 * time.Second
-	// forgetAfter is when an engine that is gone, with no order open, is dropped.
-	forgetAfter = time.Hour
-	// avoidRefused is how long a load is not tried again at an engine that refused
-	// it or failed, and avoidUnsent at one that could not be reached.
-	avoidRefused = 30 * time.Second
-	avoidUnsent  = 2 * time.Second
-	// maxMoves is how many orders of one plan are given. The rest follow with the
-	// next.
-	maxMoves = 32
+	// orderValidity is the time in which an engine may accept an order, on the engine's own clock.
+	orderValidity = 10 * time.Second
+	// goneEngineRetention is how long an engine without open orders remains recorded after it has
+	// disappeared.
+	goneEngineRetention = time.Hour
+	// A load is not retried at an engine within refusedLoadBackoff after the engine refused it or
+	// failed it, and within unsentLoadBackoff after the engine was unreachable.
+	refusedLoadBackoff = 30 * time.Second
+	unsentLoadBackoff  = 2 * time.Second
+	// maxOrdersPerPlan limits the orders issued from one plan. The next plan contains the remaining
+	// ones.
+	maxOrdersPerPlan = 32
 )
 
-// Foreman gives orders while its instance may. It is safe for concurrent use.
+// Foreman issues orders while its instance holds the order right. It is safe for concurrent use.
 type Foreman struct {
 	options Options
-	line    line
+	engines engineClient
 	ctx     context.Context
-	stop    context.CancelFunc
+	cancel  context.CancelFunc
 	loop    sync.WaitGroup
-	// calls are the calls to engines that are under way.
-	calls sync.WaitGroup
+	// inFlight counts the calls to engines in progress.
+	inFlight sync.WaitGroup
 
 	mu sync.Mutex
-	// term is that of the right under which this process has acted last, since
-	// its first round under it.
-	term  uint64
-	since time.Time
-	// hands are by the id of the order. They outlast a right that lapses and comes
-	// back under the same term: an order without one counts as never sent.
-	hands map[string]hand
-	// missing is from when each recorded engine has not been heard of.
-	missing map[string]time.Time
-	// alarmed are the incarnations of engines whose contradictions were logged.
-	alarmed  map[string]uint64
-	previous placement.State
-	planned  time.Time
-	// pause is the time from planned to the next plan.
-	pause time.Duration
-	plan  placement.Plan
+	// term is the term in which this process last acted, and termStart the time of its first
+	// reconciliation in that term. Both are zero without the order right.
+	term      uint64
+	termStart time.Time
+	// orderCalls is keyed by order id. It is kept when the order right lapses and returns in the
+	// same term: an order without an entry counts as never sent.
+	orderCalls map[string]orderCall
+	// missingSince is when each recorded engine was first found without a valid announcement lease.
+	missingSince map[string]time.Time
+	// loggedIncarnations holds, by engine, the incarnation whose contradictions were logged.
+	loggedIncarnations map[string]uint64
+	planState          placement.State
+	lastPlanned        time.Time
+	// planPause is the time from lastPlanned to the next plan.
+	planPause time.Duration
+	plan      placement.Plan
 }
 
 // New starts a Foreman.
@@ -132,26 +134,26 @@
 
 func newForeman(options Options) *Foreman {
 	if options.Every == 0 {
-		options.Every = DefaultEvery
+		options.Every = DefaultInterval
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Foreman{
-		options: options,
-		line:    line{client: options.Client, timeout: options.OrderFlight},
-		ctx:     ctx,
-		stop:    cancel,
-		hands:   map[string]hand{},
-		missing: map[string]time.Time{},
-		alarmed: map[string]uint64{},
+		options:            options,
+		engines:            engineClient{client: options.Client, timeout: options.OrderFlight},
+		ctx:                ctx,
+		cancel:             cancel,
+		orderCalls:         map[string]orderCall{},
+		missingSince:       map[string]time.Time{},
+		loggedIncarnations: map[string]uint64{},
 	}
 }
 
-// Close stops giving orders. Calls under way are cut off: their orders are
-// recorded, and the next leader asks after them.
+// Close stops the control loop and cancels the calls in progress. Their orders are recorded, so the
+// next leader queries their state.
 func (f *Foreman) Close() {
-	f.stop()
+	f.cancel()
 	f.loop.Wait()
-	f.calls.Wait()
+	f.inFlight.Wait()
 }
 
 func (f *Foreman) run() {
@@ -163,84 +165,84 @@
 			return
 		case <-ticker.C:
 		}
-		f.round(f.options.Now())
+		f.reconcile(f.options.Now())
 	}
 }
 
-// round does all that is due at now.
-func (f *Foreman) round(now time.Time) {
-	right, _, held := f.options.Register.OrderRight(now)
+// reconcile performs everything that is due at now.
+func (f *Foreman) reconcile(now time.Time) {
+	rightTerm, _, held := f.options.Register.OrderRight(now)
 	if !held {
-		f.rest()
+		f.resetTerm()
 		return
 	}
-	term := uint64(right)
+	term := uint64(rightTerm)
 	state := f.options.Register.Manifest()
 	switch {
 	case state.Term > term:
 		return
 	case state.Term < term:
-		// Also applies all that earlier leaders had recorded.
+		// Once this command is applied here, so are all commands that earlier leaders committed.
 		if !f.propose(manifest.Lead{Term: term}) {
 			return
 		}
 	}
-	f.lead(now, term)
-	present := f.present(now)
-	f.report(present)
-	f.alarm()
-	f.forget(now, present)
-	f.pursue(now, term, present)
-	f.place(now, term, present)
+	f.beginTerm(now, term)
+	live := f.liveEngines(now)
+	f.recordReports(live)
+	f.logContradictions()
+	f.removeGoneEngines(now, live)
+	f.followUpOrders(now, term, live)
+	f.updatePlacement(now, term, live)
 }
 
-// rest forgets what was known under a right that has ended.
-func (f *Foreman) rest() {
+// resetTerm clears the state that is bound to an order right that has ended.
+func (f *Foreman) resetTerm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.term, f.since = 0, time.Time{}
-	f.plan, f.previous, f.planned = placement.Plan{}, placement.State{}, time.Time{}
+	f.term, f.termStart = 0, time.Time{}
+	f.plan, f.planState, f.lastPlanned = placement.Plan{}, placement.State{}, time.Time{}
 }
 
-// lead begins to act under a right, unless this process does already.
-func (f *Foreman) lead(now time.Time, term uint64) {
+// beginTerm initializes the state of a term, unless this process already acts in it.
+func (f *Foreman) beginTerm(now time.Time, term uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.term == term {
 		return
 	}
-	f.term, f.since = term, now
-	f.previous, f.planned = placement.State{}, time.Time{}
-	f.missing = map[string]time.Time{}
-	f.alarmed = map[string]uint64{}
-	f.options.Log.Info().Uint64("term", term).Msg("gives orders to engines from now on")
+	f.term, f.termStart = term, now
+	f.planState, f.lastPlanned = placement.State{}, time.Time{}
+	f.missingSince = map[string]time.Time{}
+	f.loggedIncarnations = map[string]uint64{}
+	f.options.Log.Info().Uint64("term", term).Msg("order right acquired; issuing orders to engines")
 }
 
-// propose has a command carried out, and tells whether it was accepted.
+// propose proposes a command and reports whether it was accepted.
 func (f *Foreman) propose(command manifest.Command) bool {
 	ctx, cancel := context.WithTimeout(f.ctx, proposeTimeout)
 	defer cancel()
 	result, err := f.options.Register.Propose(ctx, command)
 	switch {
 	case err != nil:
-		f.options.Log.Warn().Err(err).Type("command", command).Msg("placement not recorded")
+		f.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
 		return false
 	case result.Manifest == nil || !result.Manifest.Accepted:
 		reason := ""
 		if result.Manifest != nil {
 			reason = result.Manifest.Reason
 		}
-		f.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement not accepted")
+		f.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement command rejected")
 		return false
 	}
 	return true
 }
 
-// mayOrder tells whether an order under the fencing number may be sent now.
+// maySend reports whether an order with the fencing number may be sent now.
 //
-// It is asked right before each send: the right may have run out while the order
-// was being recorded, and another leader may count on that none is sent.
-func (f *Foreman) mayOrder(fencing uint64) bool {
-	term, _, held := f.options.Register.OrderRight(f.options.Now())
-	return held && uint64(term) == fencing
+// It is checked immediately before each send: the order right may have expired while the order was
+// being recorded, and another leader may rely on no order being sent.
+func (f *Foreman) maySend(fencing uint64) bool {
+	currentTerm, _, held := f.options.Register.OrderRight(f.options.Now())
+	return held && uint64(currentTerm) == fencing
 }
--- a/internal/foreman/preview.go
+++ b/internal/foreman/preview.go
@@ -9,11 +9,10 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// Preview returns the moves that declarations and a preset would cause if they
-// came into force at now and nothing else changed, and the needs that could not
-// be met. Demand, the pace of the weight store and the patience with needs are
-// left out: the moves are those of the first plan that is out of patience. Moves
-// that wait for memory come last.
+// Preview returns the moves that the declarations and the preset would cause if they took effect at
+// now and nothing else changed, and the requirements that could not be met. It ignores demand, the
+// load rate of the weight store and the stabilization window: the moves are those of the first plan
+// after the window. Moves that wait for memory come last.
 func Preview(
 	now time.Time, state manifest.View, upstreams []roster.Upstream,
 	declared declaration.Set, preset declaration.Preset, weightOfMoves float64,
@@ -22,13 +21,13 @@
 	in := placement.Input{
 		Declarations:  declared,
 		Preset:        preset,
-		Engines:       enginesOf(state, upstreams),
+		Engines:       planningEngines(state, upstreams),
 		WeightOfMoves: weightOfMoves,
 	}
 	in.Previous = planner.Plan(now, in).Next
-	plan := planner.Plan(now.Add(previewPatience), in)
+	plan := planner.Plan(now.Add(previewWindow), in)
 	return append(plan.Moves, plan.Waiting...), plan.Problems
 }
 
-// previewPatience is longer than any need of floors and losses must last.
-const previewPatience = 2 * placement.DefaultPatience
+// previewWindow is longer than the stabilization window of minimum copies and failure tolerance.
+const previewWindow = 2 * placement.DefaultPatience
--- a/internal/foreman/wire_test.go
+++ b/internal/foreman/wire_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-func encode(order upstreamapi.Order) []byte {
+func encodeOrder(order upstreamapi.Order) []byte {
 	data, err := json.Marshal(order)
 	if err != nil {
 		panic(err)
@@ -20,19 +20,19 @@
 	return data
 }
 
-func post(body []byte) *http.Request {
+func orderRequest(body []byte) *http.Request {
 	request := httptest.NewRequest(http.MethodPost, upstreamapi.OrdersPath, bytes.NewReader(body))
 	request.Header.Set("Content-Type", "application/json")
 	return request
 }
 
-// dialError is what a client gets if nothing listens.
+// dialError is the error of a client when no process listens at the address.
 func dialError() error {
 	return &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 }
 
-// failed is the answer to an order that failed.
-func failed(order upstreamapi.Order, a upstreamapi.Announcement) *http.Response {
+// loadFailedResponse is the response of an engine to an order that failed.
+func loadFailedResponse(order upstreamapi.Order, a upstreamapi.Announcement) *http.Response {
 	recorder := httptest.NewRecorder()
 	recorder.WriteHeader(http.StatusInternalServerError)
 	_ = json.NewEncoder(recorder).Encode(upstreamapi.OrderAnswer{
