--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -1,4 +1,5 @@
-// Package arrivals takes the announcements of upstreams (service discovery).
+// Package arrivals is the service discovery endpoint: it receives the announcements, load reports,
+// leave messages and cache events of upstreams.
 package arrivals
 
 import (
@@ -16,40 +17,38 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// bodyBytes bounds an announcement. One of an engine with a hundred adapters
-// takes a few kilobytes.
-const bodyBytes = 1 << 20
+// maxBodyBytes limits a request body. An announcement of an engine with a hundred adapters takes a
+// few kilobytes.
+const maxBodyBytes = 1 << 20
 
-// Instance is what the handlers ask of the instance that they answer for. Its
-// methods are called from many goroutines at once.
+// Instance processes the messages of upstreams. Its methods may be called concurrently.
 type Instance interface {
-	// Announce takes an announcement, or says why not and changes nothing.
+	// Announce accepts an announcement, or returns an error and changes nothing.
 	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error)
-	// Load takes a load report between two announcements.
+	// Load processes a load report, which an upstream sends between two announcements.
 	Load(now time.Time, report upstreamapi.LoadReport)
-	// Leave takes an upstream's word that it goes.
+	// Leave processes the leave message of an upstream that is going away.
 	Leave(now time.Time, leave upstreamapi.Leave)
-	// Cached takes what happened in an engine's prefix cache.
+	// Cached processes events of an engine's prefix cache.
 	Cached(now time.Time, events upstreamapi.CacheEvents)
 }
 
-// Options configures the handlers.
+// Options configures the handler.
 type Options struct {
 	Instance Instance
-	// Holder returns the name of the upstream who holds a token.
+	// Holder returns the name of the upstream that holds a token.
 	Holder func(token string) (string, bool)
-	// Now returns the present time.
-	Now func() time.Time
-	Log zerolog.Logger
+	Now    func() time.Time
+	Log    zerolog.Logger
 }
 
-// Arrivals is the handler of upstreams' calls. It is safe for concurrent use.
+// Arrivals is the HTTP handler for messages of upstreams. It is safe for concurrent use.
 type Arrivals struct {
 	options Options
 	echo    *echo.Echo
 }
 
-// New returns the handlers.
+// New returns the handler.
 func New(options Options) *Arrivals {
 	a := &Arrivals{options: options, echo: echo.New()}
 	a.echo.Use(a.checkToken)
@@ -60,103 +59,103 @@
 	return a
 }
 
-// ServeHTTP answers one call of an upstream.
+// ServeHTTP responds to one message of an upstream.
 func (a *Arrivals) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.echo.ServeHTTP(w, r)
 }
 
 func (a *Arrivals) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		shown := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if _, ok := a.options.Holder(shown); !ok {
-			return a.refuse(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
+		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
+		if _, ok := a.options.Holder(token); !ok {
+			return a.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
 		}
 		return next(c)
 	}
 }
 
 func (a *Arrivals) announce(c echo.Context) error {
-	body, err := read(c)
+	body, err := readBody(c)
 	if err != nil {
-		return a.refuse(c, http.StatusBadRequest, "", err.Error())
+		return a.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	announcement, findings := upstreamapi.DecodeAnnouncement(body)
 	if findings.Len() > 0 {
-		return a.refuse(c, http.StatusBadRequest, announcement.Name, lines(findings)...)
+		return a.reject(c, http.StatusBadRequest, announcement.Name, findingTexts(findings)...)
 	}
 	welcome, err := a.options.Instance.Announce(a.options.Now(), announcement)
 	switch {
 	case errors.Is(err, roster.ErrNameTaken):
-		return a.refuse(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
+		return a.reject(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
 	case err != nil:
-		return a.refuse(c, http.StatusBadRequest, announcement.Name, err.Error())
+		return a.reject(c, http.StatusBadRequest, announcement.Name, err.Error())
 	}
 	return c.JSON(http.StatusOK, welcome)
 }
 
 func (a *Arrivals) load(c echo.Context) error {
-	body, err := read(c)
+	body, err := readBody(c)
 	if err != nil {
-		return a.refuse(c, http.StatusBadRequest, "", err.Error())
+		return a.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	report, findings := upstreamapi.DecodeLoadReport(body)
 	if findings.Len() > 0 {
-		return a.refuse(c, http.StatusBadRequest, report.Name, lines(findings)...)
+		return a.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
 	}
 	a.options.Instance.Load(a.options.Now(), report)
 	return c.NoContent(http.StatusNoContent)
 }
 
 func (a *Arrivals) leave(c echo.Context) error {
-	body, err := read(c)
+	body, err := readBody(c)
 	if err != nil {
-		return a.refuse(c, http.StatusBadRequest, "", err.Error())
+		return a.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	leave, findings := upstreamapi.DecodeLeave(body)
 	if findings.Len() > 0 {
-		return a.refuse(c, http.StatusBadRequest, leave.Name, lines(findings)...)
+		return a.reject(c, http.StatusBadRequest, leave.Name, findingTexts(findings)...)
 	}
 	a.options.Instance.Leave(a.options.Now(), leave)
 	return c.NoContent(http.StatusNoContent)
 }
 
 func (a *Arrivals) cacheEvents(c echo.Context) error {
-	body, err := read(c)
+	body, err := readBody(c)
 	if err != nil {
-		return a.refuse(c, http.StatusBadRequest, "", err.Error())
+		return a.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	events, findings := upstreamapi.DecodeCacheEvents(body)
 	if findings.Len() > 0 {
-		return a.refuse(c, http.StatusBadRequest, events.Name, lines(findings)...)
+		return a.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
 	}
 	a.options.Instance.Cached(a.options.Now(), events)
 	return c.NoContent(http.StatusNoContent)
 }
 
-// refuse answers with everything that is wrong with a call, and logs it.
-func (a *Arrivals) refuse(c echo.Context, status int, upstream string, findings ...string) error {
+// reject responds with all findings about a message, and logs them.
+func (a *Arrivals) reject(c echo.Context, status int, upstream string, findings ...string) error {
 	a.options.Log.Warn().
 		Str("upstream", upstream).
 		Str("path", c.Path()).
 		Str("remote", c.Request().RemoteAddr).
 		Int("status", status).
 		Strs("findings", findings).
-		Msg("call of an upstream refused")
+		Msg("rejected a message of an upstream")
 	return c.JSON(status, upstreamapi.Problem{Findings: findings})
 }
 
-func read(c echo.Context) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, bodyBytes))
+func readBody(c echo.Context) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBodyBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "arrivals: reading the body")
 	}
 	return body, nil
 }
 
-func lines(findings finding.List) []string {
-	all := make([]string, 0, findings.Len())
+func findingTexts(findings finding.List) []string {
+	texts := make([]string, 0, findings.Len())
 	for _, f := range findings.All() {
-		all = append(all, f.String())
+		texts = append(texts, f.String())
 	}
-	return all
+	return texts
 }
--- a/internal/arrivals/arrivals_test.go
+++ b/internal/arrivals/arrivals_test.go
@@ -23,21 +23,21 @@
 
 var now = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-const good = `{"name":"engine-1","incarnation":7,"sequence":1,"address":"127.0.0.1:7701",
+const validAnnouncement = `{"name":"engine-1","incarnation":7,"sequence":1,"address":"127.0.0.1:7701",
 "kind":"engine","failure-domain":"kgn-a","load":{"running":1,"waiting":0}}`
 
-// members is an instance that only keeps a roster.
-type members struct {
+// rosterInstance is an instance with a roster and no other state.
+type rosterInstance struct {
 	*roster.Roster
-	cached *[]upstreamapi.CacheEvents
+	cacheEvents *[]upstreamapi.CacheEvents
 }
 
-func (m members) Cached(_ time.Time, events upstreamapi.CacheEvents) {
-	*m.cached = append(*m.cached, events)
+func (i rosterInstance) Cached(_ time.Time, events upstreamapi.CacheEvents) {
+	*i.cacheEvents = append(*i.cacheEvents, events)
 }
 
-func (m members) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error) {
-	if err := m.Roster.Announce(now, announcement); err != nil {
+func (i rosterInstance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error) {
+	if err := i.Roster.Announce(now, announcement); err != nil {
 		return upstreamapi.Welcome{}, err
 	}
 	return upstreamapi.Welcome{RenewEvery: time.Second, Lease: lease}, nil
@@ -45,17 +45,17 @@
 
 var _ = Describe("Arrivals", func() {
 	var (
-		held    members
-		handler *arrivals.Arrivals
+		instance rosterInstance
+		handler  *arrivals.Arrivals
 	)
 
 	BeforeEach(func() {
-		held = members{
-			Roster: roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: lease}),
-			cached: &[]upstreamapi.CacheEvents{},
+		instance = rosterInstance{
+			Roster:      roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: lease}),
+			cacheEvents: &[]upstreamapi.CacheEvents{},
 		}
 		handler = arrivals.New(arrivals.Options{
-			Instance: held,
+			Instance: instance,
 			Holder:   func(token string) (string, bool) { return "engine", token == "secret" },
 			Now:      func() time.Time { return now },
 			Log:      zerolog.Nop(),
@@ -77,22 +77,22 @@
 		return send(httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)), "secret")
 	}
 
-	It("takes an announcement, a load report and a leave", func() {
-		code, _ := post(upstreamapi.AnnouncePath, good)
+	It("accepts an announcement, a load report and a leave message", func() {
+		code, _ := post(upstreamapi.AnnouncePath, validAnnouncement)
 		Expect(code).To(Equal(http.StatusOK))
-		Expect(held.Upstreams(now)).To(HaveLen(1))
+		Expect(instance.Upstreams(now)).To(HaveLen(1))
 		code, _ = post(upstreamapi.LoadPath, `{"name":"engine-1","incarnation":7,"sequence":2,"load":{"running":9,"waiting":0}}`)
 		Expect(code).To(Equal(http.StatusNoContent))
-		Expect(held.Upstreams(now)[0].Announcement.Load.Running).To(Equal(9))
+		Expect(instance.Upstreams(now)[0].Announcement.Load.Running).To(Equal(9))
 		code, _ = post(upstreamapi.LoadPath, `{"name":"engine-1","incarnation":7,"sequence":1,"load":{"running":3,"waiting":0}}`)
 		Expect(code).To(Equal(http.StatusNoContent))
-		Expect(held.Upstreams(now)[0].Announcement.Load.Running).To(Equal(9), "a report that was overtaken")
+		Expect(instance.Upstreams(now)[0].Announcement.Load.Running).To(Equal(9), "an outdated load report is ignored")
 		code, _ = post(upstreamapi.LeavePath, `{"name":"engine-1","incarnation":7}`)
 		Expect(code).To(Equal(http.StatusNoContent))
-		Expect(held.Upstreams(now)).To(BeEmpty())
+		Expect(instance.Upstreams(now)).To(BeEmpty())
 	})
 
-	DescribeTable("refuses bad input with one answer that lists every finding, and changes nothing",
+	DescribeTable("rejects invalid input with one response that lists all findings, and changes nothing",
 		func(body string, expected ...string) {
 			code, findings := post(upstreamapi.AnnouncePath, body)
 			Expect(code).To(Equal(http.StatusBadRequest))
@@ -100,14 +100,14 @@
 			for i, finding := range findings {
 				Expect(finding).To(HavePrefix(expected[i]))
 			}
-			Expect(held.Upstreams(now)).To(BeEmpty())
+			Expect(instance.Upstreams(now)).To(BeEmpty())
 		},
 		Entry("broken JSON", "{\n\"name\" 1", "body:2:8: broken JSON"),
-		Entry("a body that is cut off", good[:40], "body:1:40: broken JSON"),
-		Entry("invalid UTF-8", strings.Replace(good, "engine-1", "engine-\xff", 1), "$.name: the name"),
-		Entry("several faults", `{"name":"engine-1","sequence":1,"address":"x","kind":"engine"}`,
+		Entry("a truncated body", validAnnouncement[:40], "body:1:40: broken JSON"),
+		Entry("invalid UTF-8", strings.Replace(validAnnouncement, "engine-1", "engine-\xff", 1), "$.name: the name"),
+		Entry("several errors", `{"name":"engine-1","sequence":1,"address":"x","kind":"engine"}`,
 			"$.address", "$.failure-domain", "$.incarnation"),
-		Entry("an oversized body", good+strings.Repeat(" ", 1<<20), "arrivals: reading the body: http: request body too large"),
+		Entry("an oversized body", validAnnouncement+strings.Repeat(" ", 1<<20), "arrivals: reading the body: http: request body too large"),
 	)
 
 	It("refuses a body whose connection breaks", func() {
@@ -117,18 +117,18 @@
 		Expect(findings).To(ConsistOf(ContainSubstring("connection reset")))
 	})
 
-	It("takes cache events, and refuses bad ones", func() {
+	It("accepts cache events, and rejects invalid ones", func() {
 		code, _ := post(upstreamapi.CacheEventsPath,
 			`{"name":"engine-1","incarnation":7,"first":1,"events":[{"kind":"stored","model":"m","prefix":"p","tokens":128}]}`)
 		Expect(code).To(Equal(http.StatusNoContent))
-		Expect(*held.cached).To(HaveLen(1))
+		Expect(*instance.cacheEvents).To(HaveLen(1))
 		code, findings := post(upstreamapi.CacheEventsPath, `{"name":"engine-1","incarnation":7,"events":[{"kind":"lost"}]}`)
 		Expect(code).To(Equal(http.StatusBadRequest))
 		Expect(len(findings)).To(BeNumerically(">=", 2))
-		Expect(*held.cached).To(HaveLen(1))
+		Expect(*instance.cacheEvents).To(HaveLen(1))
 	})
 
-	It("refuses bad load reports and leaves", func() {
+	It("rejects invalid load reports and leave messages", func() {
 		code, findings := post(upstreamapi.LoadPath, `{"name":"engine-1","load":{"waiting":-1}}`)
 		Expect(code).To(Equal(http.StatusBadRequest))
 		Expect(findings).To(HaveLen(3))
@@ -137,22 +137,22 @@
 		Expect(findings).To(HaveLen(1))
 	})
 
-	// A second upstream takes the name of a live one. If it were taken, requests
-	// for the first would go to it.
+	// A second upstream announces the name of a live one. If it were accepted, requests for the
+	// first one would be sent to it.
 	It("refuses a reused name with a different address, and keeps the first", func() {
-		post(upstreamapi.AnnouncePath, good)
-		other := strings.Replace(strings.Replace(good, "7701", "7702", 1), `"incarnation":7`, `"incarnation":8`, 1)
+		post(upstreamapi.AnnouncePath, validAnnouncement)
+		other := strings.Replace(strings.Replace(validAnnouncement, "7701", "7702", 1), `"incarnation":7`, `"incarnation":8`, 1)
 		code, findings := post(upstreamapi.AnnouncePath, other)
 		Expect(code).To(Equal(http.StatusConflict))
 		Expect(findings).To(ConsistOf(HavePrefix("$.name: ")))
-		Expect(held.Upstreams(now)[0].Announcement.Address).To(Equal("127.0.0.1:7701"))
+		Expect(instance.Upstreams(now)[0].Announcement.Address).To(Equal("127.0.0.1:7701"))
 	})
 
-	It("refuses a wrong token", func() {
-		r := httptest.NewRequest(http.MethodPost, upstreamapi.AnnouncePath, strings.NewReader(good))
+	It("rejects an invalid token", func() {
+		r := httptest.NewRequest(http.MethodPost, upstreamapi.AnnouncePath, strings.NewReader(validAnnouncement))
 		code, findings := send(r, "guess")
 		Expect(code).To(Equal(http.StatusUnauthorized))
 		Expect(findings).To(HaveLen(1))
-		Expect(held.Upstreams(now)).To(BeEmpty())
+		Expect(instance.Upstreams(now)).To(BeEmpty())
 	})
 })
--- a/internal/arrivals/slope_test.go
+++ b/internal/arrivals/bench_test.go
@@ -16,13 +16,13 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// BenchmarkSlopeAnnounce measures the renewal of an engine by the adapters that
-// it holds, without the network: decoding, checking and entering it.
+// BenchmarkSlopeAnnounce measures the lease renewal of an engine by its number of adapters, without
+// the network: decoding, validation and the roster update.
 func BenchmarkSlopeAnnounce(b *testing.B) {
 	for _, adapters := range []int{2, 10, 50} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
-			handlers := arrivals.New(arrivals.Options{
-				Instance: members{Roster: roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: time.Minute})},
+			handler := arrivals.New(arrivals.Options{
+				Instance: rosterInstance{Roster: roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: time.Minute})},
 				Holder:   func(string) (string, bool) { return "engine", true },
 				Now:      time.Now,
 				Log:      zerolog.Nop(),
@@ -36,22 +36,22 @@
 				name := fmt.Sprintf("model-0001-adapter-%d", n)
 				announcement.Resident[0].Adapters = append(announcement.Resident[0].Adapters, name)
 			}
-			size := 0
+			bodyBytes := 0
 			for b.Loop() {
 				announcement.Sequence++
 				body, err := json.Marshal(announcement)
 				if err != nil {
 					b.Fatal(err)
 				}
-				size = len(body)
+				bodyBytes = len(body)
 				request := httptest.NewRequest(http.MethodPost, upstreamapi.AnnouncePath, bytes.NewReader(body))
 				recorder := httptest.NewRecorder()
-				handlers.ServeHTTP(recorder, request)
+				handler.ServeHTTP(recorder, request)
 				if recorder.Code != http.StatusOK {
 					b.Fatal(recorder.Body.String())
 				}
 			}
-			b.ReportMetric(float64(size), "body-B")
+			b.ReportMetric(float64(bodyBytes), "body-B")
 		})
 	}
 }
