--- a/internal/foreman/actions.go
+++ b/internal/foreman/actions.go
@@ -49,19 +49,19 @@
 type actionInput struct {
 	term  uint64
 	state manifest.View
-	// live holds the engines with a valid announcement lease, by name.
+	// live holds the result of liveEngines.
 	live     map[string]roster.Upstream
 	declared declaration.Set
 	calls    map[string]orderCall
-	// retryDelay is the time between two calls about the same order.
+	// retryDelay is the time from the end of a call about an order to the next call.
 	retryDelay time.Duration
 }
 
 // dueActions returns the actions that are due at now for the open orders, in the sequence of
 // engines and orders.
 //
-// It skips engines without a valid announcement lease, and engines whose reports contradict the
-// ledger, because no answer of theirs proves anything.
+// It skips engines that are not live, and engines whose reports contradict the ledger, because no
+// answer of theirs proves anything.
 func dueActions(now time.Time, in actionInput) []action {
 	var actions []action
 	for _, e := range in.state.Engines {
@@ -93,9 +93,9 @@
 }
 
 // mayResend reports whether a lost order may be sent again. An order to unload a declared model may
-// be sent again only while another live engine holds the model. The copy that justified the order
-// may have been lost since, and the engine may never have received the first transmission: sending
-// it again could remove the last copy.
+// be sent again only while another live engine holds the model. The other copy that justified the
+// order may have been lost since, and the engine may never have received the first transmission:
+// sending it again could remove the last copy.
 func (in actionInput) mayResend(e *manifest.Engine, order upstreamapi.Order) bool {
 	if order.Kind != upstreamapi.OrderUnloadModel && order.Kind != upstreamapi.OrderUnloadAdapter {
 		return true
--- a/internal/foreman/enginereports.go
+++ b/internal/foreman/enginereports.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// missingFor returns how long this leader has seen the engine without a valid announcement lease.
+// missingFor returns how long the engine has been absent from liveEngines at this leader.
 func (f *Foreman) missingFor(now time.Time, name string, isLive bool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -78,14 +78,13 @@
 	// limits planning to 1/planCostMultiple of one core. maxPlanInterval limits this delay.
 	planCostMultiple = 30
 	maxPlanInterval  = 5 * time.Second
-	// callRetryDelay is the time between two calls about the same order.
+	// callRetryDelay is the time from the end of a call about an order to the next call.
 	callRetryDelay = time.Second
 	// proposeTimeout limits one proposal.
 	proposeTimeout = 2 * time.Second
 	// orderValidity is the time in which an engine may accept an order, on the engine's own clock.
 	orderValidity = 10 * time.Second
-	// goneEngineRetention is how long an engine without open orders remains recorded after it has
-	// disappeared.
+	// goneEngineRetention is how long the record of a missing engine without open orders is kept.
 	goneEngineRetention = time.Hour
 	// A load is not retried at an engine within refusedLoadBackoff after the engine refused it or
 	// failed it, and within unsentLoadBackoff after the engine was unreachable.
@@ -114,7 +113,7 @@
 	// orderCalls is keyed by order id. It is kept when the order right lapses and returns in the
 	// same term: an order without an entry counts as never sent.
 	orderCalls map[string]orderCall
-	// missingSince is when each recorded engine was first found without a valid announcement lease.
+	// missingSince is when each recorded engine was first absent from liveEngines.
 	missingSince map[string]time.Time
 	// loggedIncarnations holds, by engine, the incarnation whose contradictions were logged.
 	loggedIncarnations map[string]uint64
--- a/internal/foreman/placement.go
+++ b/internal/foreman/placement.go
@@ -58,7 +58,7 @@
 }
 
 // planPauseAfter returns the time until the next plan after one that took cost to compute. In a
-// large deployment, planning must not take processor time from requests.
+// large deployment, planning must not take processor time from request processing.
 func planPauseAfter(cost time.Duration) time.Duration {
 	return min(max(planInterval, planCostMultiple*cost), maxPlanInterval)
 }
