--- a/internal/roster/beats.go
+++ b/internal/roster/beats.go
@@ -6,33 +6,31 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Beats is the renewals of members that the receiver already holds, in columns
-// of equal length. A thousand upstreams renew themselves each second, and every
-// instance hears of each: a record of its own with names and field numbers would
-// take five times the bytes.
+// Beats are the renewals of members that the receiver already knows, in columns of equal length. A
+// thousand upstreams renew themselves each second, and every instance receives each renewal:
+// individual records with names and field numbers would take five times the bytes.
 type Beats struct {
-	// Handles name the rows of the sender's table.
+	// Handles are row numbers in the sender's table.
 	Handles   []uint32
 	Sequences []uint64
 	// Ages are in units of ageUnit, rounded up.
 	Ages []uint32
 }
 
-// UpstreamBeats is the renewals of upstreams with their loads.
+// UpstreamBeats are the renewals of upstreams with their loads.
 type UpstreamBeats struct {
 	Beats
 	Running             []uint32
 	Waiting             []uint32
 	WaitingPromptTokens []uint32
-	// KVUsed is in thousandths of the KV cache.
+	// KVUsed is the used share of the KV cache in thousandths.
 	KVUsed []uint16
-	// Clocks are the upstreams' own clocks: the first in milliseconds since
-	// 1970, each further one as its distance from the first. An upstream that
-	// told none has noClock.
+	// Clocks are the clock readings of the upstreams: the first in milliseconds since 1970, the
+	// others as differences from the first. For an upstream that reported no clock it is noClock.
 	Clocks []int64
 }
 
-// InstanceBeats is the renewals of instances.
+// InstanceBeats are the renewals of instances.
 type InstanceBeats struct {
 	Beats
 	Flags   []uint8
@@ -40,16 +38,16 @@
 }
 
 const (
-	// ageUnit is a fiftieth of the shortest lease that is of use.
+	// ageUnit is 1/50 of the shortest practical lease.
 	ageUnit = 10 * time.Millisecond
-	// clockUnit is finer than any deadline of an order. Clocks are rounded down,
-	// so that no order counts as expired before it is.
-	clockUnit = time.Millisecond
-	thousand  = 1000
-	noClock   = int64(-1) << 62
+	// clockUnit is finer than any deadline of a command to an engine. Clocks are rounded down, so
+	// that no command counts as expired too early.
+	clockUnit   = time.Millisecond
+	kvUsedScale = 1000
+	noClock     = int64(-1) << 62
 )
 
-// The bits of InstanceBeats.Flags.
+// Bits of InstanceBeats.Flags.
 const (
 	flagDraining = 1 << iota
 	flagStale
@@ -65,8 +63,8 @@
 	return time.Duration(b.Ages[n]) * ageUnit
 }
 
-// wellFormed reports whether all columns have the length of the first.
-func wellFormed(first int, lengths ...int) bool {
+// equalLengths reports whether all columns are as long as the first.
+func equalLengths(first int, lengths ...int) bool {
 	for _, length := range lengths {
 		if length != first {
 			return false
@@ -76,19 +74,19 @@
 }
 
 func (b *UpstreamBeats) wellFormed() bool {
-	return wellFormed(len(b.Handles), len(b.Sequences), len(b.Ages), len(b.Running), len(b.Waiting),
+	return equalLengths(len(b.Handles), len(b.Sequences), len(b.Ages), len(b.Running), len(b.Waiting),
 		len(b.WaitingPromptTokens), len(b.KVUsed), len(b.Clocks))
 }
 
 func (b *InstanceBeats) wellFormed() bool {
-	return wellFormed(len(b.Handles), len(b.Sequences), len(b.Ages), len(b.Flags), len(b.Streams))
+	return equalLengths(len(b.Handles), len(b.Sequences), len(b.Ages), len(b.Flags), len(b.Streams))
 }
 
 func (b *UpstreamBeats) addLoad(load upstreamapi.Load) {
 	b.Running = append(b.Running, uint32(max(load.Running, 0)))
 	b.Waiting = append(b.Waiting, uint32(max(load.Waiting, 0)))
 	b.WaitingPromptTokens = append(b.WaitingPromptTokens, uint32(max(load.WaitingPromptTokens, 0)))
-	b.KVUsed = append(b.KVUsed, kvThousandths(load))
+	b.KVUsed = append(b.KVUsed, kvUsedThousandths(load))
 	clock := noClock
 	if !load.Clock.IsZero() {
 		clock = load.Clock.UnixNano() / int64(clockUnit)
@@ -99,30 +97,30 @@
 	b.Clocks = append(b.Clocks, clock)
 }
 
-func kvThousandths(load upstreamapi.Load) uint16 {
+func kvUsedThousandths(load upstreamapi.Load) uint16 {
 	if load.KVTotalTokens <= 0 {
 		return 0
 	}
-	return uint16(min(max(load.KVUsedTokens, 0)*thousand/load.KVTotalTokens, thousand))
+	return uint16(min(max(load.KVUsedTokens, 0)*kvUsedScale/load.KVTotalTokens, kvUsedScale))
 }
 
-// load returns the load of row n. What a beat does not carry is as it was.
-func (b *UpstreamBeats) load(n int, held upstreamapi.Load) upstreamapi.Load {
-	held.Running = int(b.Running[n])
-	held.Waiting = int(b.Waiting[n])
-	held.WaitingPromptTokens = int(b.WaitingPromptTokens[n])
-	held.KVUsedTokens = held.KVTotalTokens * int64(b.KVUsed[n]) / thousand
-	held.Age = 0
+// load returns the load in row n. Fields that a renewal does not carry keep their previous values.
+func (b *UpstreamBeats) load(n int, previous upstreamapi.Load) upstreamapi.Load {
+	previous.Running = int(b.Running[n])
+	previous.Waiting = int(b.Waiting[n])
+	previous.WaitingPromptTokens = int(b.WaitingPromptTokens[n])
+	previous.KVUsedTokens = previous.KVTotalTokens * int64(b.KVUsed[n]) / kvUsedScale
+	previous.Age = 0
 	clock := b.Clocks[n]
 	if clock == noClock {
-		held.Clock = time.Time{}
-		return held
+		previous.Clock = time.Time{}
+		return previous
 	}
 	if n > 0 && b.Clocks[0] != noClock {
 		clock += b.Clocks[0]
 	}
-	held.Clock = time.Unix(0, clock*int64(clockUnit))
-	return held
+	previous.Clock = time.Unix(0, clock*int64(clockUnit))
+	return previous
 }
 
 func (b *InstanceBeats) addState(beat InstanceBeat) {
@@ -145,19 +143,19 @@
 	}
 }
 
-// sameRates reports whether two loads differ only in what a beat carries, but
-// for changes too small to route by.
-func sameRates(held, next upstreamapi.Load) bool {
-	return held.MaxRunning == next.MaxRunning &&
-		held.KVTotalTokens == next.KVTotalTokens &&
-		near(held.PrefillTokensPerSecond, next.PrefillTokensPerSecond) &&
-		near(float64(held.TokenInterval), float64(next.TokenInterval))
+// sameCapacity reports whether the fields that a renewal does not carry are equal, or for rates
+// within rateTolerance.
+func sameCapacity(previous, next upstreamapi.Load) bool {
+	return previous.MaxRunning == next.MaxRunning &&
+		previous.KVTotalTokens == next.KVTotalTokens &&
+		approxEqual(previous.PrefillTokensPerSecond, next.PrefillTokensPerSecond) &&
+		approxEqual(float64(previous.TokenInterval), float64(next.TokenInterval))
 }
 
-// nearShare is how far a rate may move before it is told again. Predictions are
-// no more exact than this.
-const nearShare = 0.05
+// rateTolerance is the relative change of a rate up to which no full record is sent. Predictions of
+// latency are no more accurate than this.
+const rateTolerance = 0.05
 
-func near(a, b float64) bool {
-	return max(a, b)-min(a, b) <= nearShare*max(a, b)
+func approxEqual(a, b float64) bool {
+	return max(a, b)-min(a, b) <= rateTolerance*max(a, b)
 }
--- a/internal/roster/sources_test.go
+++ b/internal/roster/pull_test.go
@@ -11,8 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// sites returns n instances in ten failure domains, the first seven of them
-// voters.
+// sites returns n instances in ten failure domains; the first seven are voters.
 func sites(n int) []roster.Site {
 	all := make([]roster.Site, n)
 	for k := range all {
@@ -26,45 +25,44 @@
 }
 
 func without(all []roster.Site, lost ...string) []roster.Site {
-	var rest []roster.Site
+	var remaining []roster.Site
 	for _, site := range all {
 		keep := true
 		for _, name := range lost {
 			keep = keep && site.Name != name
 		}
 		if keep {
-			rest = append(rest, site)
+			remaining = append(remaining, site)
 		}
 	}
-	return rest
+	return remaining
 }
 
 var _ = Describe("SourcesOf", func() {
-	It("is everybody while there are few", func() {
+	It("returns all other instances of a small cluster", func() {
 		all := sites(7)
 		Expect(roster.SourcesOf(all[6], all[:6]).All).To(HaveLen(6))
 	})
 
-	It("is one voter after the other for one of many that is none", func() {
+	It("returns the voters in order of preference for a non-voter of a large cluster", func() {
 		all := sites(330)
 		sources := roster.SourcesOf(all[100], without(all, all[100].Name))
 		Expect(sources.All).To(BeEmpty())
 		Expect(sources.FirstOf).To(HaveLen(7))
-		Expect(sources.FirstOf[0]).To(Equal("instance-000"), "the voter of its own failure domain")
+		Expect(sources.FirstOf[0]).To(Equal("instance-000"), "the voter in its own failure domain")
 	})
 
-	It("spreads the instances over the voters", func() {
+	It("distributes the non-voters evenly over the voters", func() {
 		all := sites(330)
 		for _, voter := range all[:7] {
-			pulls := len(roster.SourcesOf(voter, without(all, voter.Name)).Direct)
-			Expect(pulls).To(BeNumerically(">", 50))
-			Expect(pulls).To(BeNumerically("<", 150))
+			pulledDirectly := len(roster.SourcesOf(voter, without(all, voter.Name)).Direct)
+			Expect(pulledDirectly).To(BeNumerically(">", 50))
+			Expect(pulledDirectly).To(BeNumerically("<", 150))
 		}
 	})
 
-	// An upstream announces itself to one instance that is no voter. Everybody
-	// must know of it after three rounds of pulls, also when the voter that the
-	// instance leans on first is lost.
+	// An upstream announces itself to one non-voter. All instances must know it after three rounds
+	// of pulls, even if the preferred voter of that non-voter is lost.
 	DescribeTable("carries news to everybody in three rounds",
 		func(lost ...string) {
 			all := without(sites(330), lost...)
@@ -90,7 +88,7 @@
 	)
 })
 
-// pullRound lets every instance pull once, all from what was known before.
+// pullRound makes every instance pull once. All answers reflect the state before the round.
 func pullRound(
 	now time.Time, all []roster.Site, rosters map[string]*roster.Roster, sources map[string]map[string]*roster.Source,
 ) {
@@ -100,19 +98,19 @@
 	}
 	var answers []answer
 	for _, site := range all {
-		plan := roster.SourcesOf(site, without(all, site.Name))
-		ask := func(from string, direct bool) {
+		targets := roster.SourcesOf(site, without(all, site.Name))
+		pull := func(from string, direct bool) {
 			if sources[site.Name][from] == nil {
 				sources[site.Name][from] = &roster.Source{}
 			}
 			cursor := sources[site.Name][from].Cursor(direct)
 			answers = append(answers, answer{site.Name, from, rosters[from].Since(now, cursor)})
 		}
-		for _, from := range append(plan.All, plan.FirstOf[:min(1, len(plan.FirstOf))]...) {
-			ask(from, false)
+		for _, from := range append(targets.All, targets.FirstOf[:min(1, len(targets.FirstOf))]...) {
+			pull(from, false)
 		}
-		for _, from := range plan.Direct {
-			ask(from, true)
+		for _, from := range targets.Direct {
+			pull(from, true)
 		}
 	}
 	for _, a := range answers {
@@ -123,12 +121,12 @@
 var _ = Describe("a pull for what was heard directly", func() {
 	It("leaves out what other instances told", func() {
 		a, b, c := newRoster("a"), newRoster("b"), newRoster("c")
-		var fromA, fromB roster.Source
+		var bFromA, cFromB roster.Source
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
-		b.Merge(at(0), &fromA, a.Since(at(0), fromA.Cursor(false)))
-		c.Merge(at(0), &fromB, b.Since(at(0), fromB.Cursor(true)))
+		b.Merge(at(0), &bFromA, a.Since(at(0), bFromA.Cursor(false)))
+		c.Merge(at(0), &cFromB, b.Since(at(0), cFromB.Cursor(true)))
 		Expect(c.Upstreams(at(0))).To(BeEmpty())
-		c.Merge(at(0), &fromB, b.Since(at(0), fromB.Cursor(false)))
+		c.Merge(at(0), &cFromB, b.Since(at(0), cFromB.Cursor(false)))
 		Expect(c.Upstreams(at(0))).To(HaveLen(1))
 	})
 })
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,9 +1,9 @@
-// Package roster keeps who takes part: the instances and the upstreams that are
-// alive, as far as this instance knows (membership).
+// Package roster is the cluster membership of an instance: the instances and the upstreams that it
+// believes to be alive.
 //
-// Instances pull changes from one another, so that an upstream that announced
-// itself to one is known to all. A member that is not heard of for a lease
-// receives no new work, whichever way it was lost.
+// Instances pull changes from one another, so that all of them learn of an upstream that announced
+// itself to one. A member that was not heard from for the length of its lease receives no new work,
+// whatever the reason.
 package roster
 
 import (
@@ -16,51 +16,51 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// forgetAfter is how many leases a lapsed member is remembered, so that a
-// record of it that arrives late is not taken for a new member.
-const forgetAfter = 30
+// retentionLeases is how long the record of an expired member is kept, in leases, so that a delayed
+// record of it is not mistaken for a new member.
+const retentionLeases = 30
 
-// ErrNameTaken is returned when an upstream announces itself under the name of
-// another that is still alive.
+// ErrNameTaken is returned when an upstream announces itself under the name of another upstream
+// that is still alive.
 var ErrNameTaken = errors.New("roster: name is taken")
 
-// ErrForeign is returned when an announcement can't come from the upstream that it
-// names.
-var ErrForeign = errors.New("roster: announcement of another writer")
+// ErrServicesMismatch is returned when an announcement lists other services than the upstream of
+// the same name and incarnation, so that it can't come from that upstream.
+var ErrServicesMismatch = errors.New("roster: announcement of another writer")
 
-// Upstream is an upstream as this instance knows it.
+// Upstream is the state of an upstream as this instance knows it.
 type Upstream struct {
-	// Announcement is the newest one. Its slices must not be changed.
+	// Announcement is the most recent one. Its slices must not be changed.
 	Announcement upstreamapi.Announcement
-	// Heard is when the announcement was made at the latest.
+	// Heard is the latest time at which the announcement can have been made.
 	Heard time.Time
-	// Leaving is true when the upstream said that it goes.
+	// Leaving is true if the upstream has announced that it is leaving.
 	Leaving bool
 }
 
-// InstanceStatic is what seldom changes of an instance.
+// InstanceStatic is the part of an instance's record that rarely changes.
 type InstanceStatic struct {
 	CallerAddress   string
 	UpstreamAddress string
 	InnerAddress    string
 	FailureDomain   string
 	Voter           bool
-	// Identity is that of a voter's data folder, empty elsewhere.
+	// Identity identifies a voter's data folder. It is empty for other instances.
 	Identity string
 }
 
-// InstanceBeat is what an instance tells with each heartbeat.
+// InstanceBeat is the part of an instance's record that is sent with each heartbeat.
 type InstanceBeat struct {
-	// Draining is true from the start of a planned stop.
+	// Draining is true from the start of a planned shutdown.
 	Draining bool
-	// Stale is true while the instance admits no new work because it cannot
-	// confirm that its configuration is in force.
+	// Stale is true while the instance admits no new work because it cannot confirm that its
+	// configuration is in force.
 	Stale bool
 	// Streams is the number of requests in progress.
 	Streams int
 }
 
-// Instance is an instance as this one knows it.
+// Instance is the state of an instance as this one knows it.
 type Instance struct {
 	Name string
 	InstanceStatic
@@ -68,33 +68,32 @@
 	Heard time.Time
 }
 
-// upstreamStatic is an announcement without what changes with each renewal.
+// upstreamStatic is an announcement without the fields that change with each renewal.
 type upstreamStatic = upstreamapi.Announcement
 
-// UpstreamRecord is what one instance tells another about an upstream.
+// UpstreamRecord is the record of an upstream that instances exchange.
 type UpstreamRecord = Record[upstreamStatic, upstreamapi.Load]
 
-// InstanceRecord is what one instance tells another about an instance.
+// InstanceRecord is the record of an instance that instances exchange.
 type InstanceRecord = Record[InstanceStatic, InstanceBeat]
 
 // Options configures a Roster.
 type Options struct {
 	// Self is the name of this instance.
 	Self string
-	// Incarnation differs at every start of this instance, and grows as far as its
-	// clock does.
+	// Incarnation is different at every start of this instance. It increases unless the clock steps
+	// back between two starts.
 	Incarnation uint64
 	// Static describes this instance.
 	Static InstanceStatic
-	// Lease is how long a member counts as alive after it was heard of.
+	// Lease is how long a member counts as alive after it was last heard from.
 	Lease time.Duration
-	// Restarts says that an upstream of a higher incarnation at another address is the
-	// same one, started again. Else a name that is alive can't move.
+	// Restarts makes an announcement with a higher incarnation and another address count as a
+	// restart of the same upstream. Without it, the address of a live name can't change.
 	Restarts bool
 }
 
-// Roster is the members known to one instance. It is not safe for concurrent
-// use.
+// Roster is the membership state of one instance. It is not safe for concurrent use.
 type Roster struct {
 	options   Options
 	upstreams *Table[upstreamStatic, upstreamapi.Load]
@@ -102,7 +101,7 @@
 	sequence  uint64
 }
 
-// New returns a Roster that knows only this instance.
+// New returns an empty Roster.
 func New(options Options) *Roster {
 	return &Roster{
 		options:   options,
@@ -123,63 +122,64 @@
 	if r.sequence == 1 {
 		record.Static = &r.options.Static
 	}
-	r.instances.Put(record, Hearing{At: now, Direct: true})
+	r.instances.Put(record, Provenance{At: now, Direct: true})
 }
 
-// Introduction returns this instance's own record, for one that may not know it.
+// Introduction returns this instance's own record, to be sent to an instance that may not know it.
+// It returns nil before the first Beat.
 func (r *Roster) Introduction(now time.Time) *InstanceRecord {
-	held, known := r.instances.rows[r.options.Self]
+	row, known := r.instances.rows[r.options.Self]
 	if !known {
 		return nil
 	}
-	record := held.record(now, r.options.Self)
+	record := row.record(now, r.options.Self)
 	return &record
 }
 
-// Introduce takes another instance's own record, which came with its pull. Its
-// age is not to be trusted, as it may have been held up on its way: what it is
-// good for is to be pulled from. Only an instance that is not known, or a later
-// incarnation of it, counts.
+// Introduce stores the record that another instance sent about itself with a pull. The record may
+// have been delayed on its way, so its age can't be trusted, but it is sufficient to start pulling
+// from the sender. It is ignored unless the sender is unknown, its lease has expired or the record
+// has a higher incarnation.
 func (r *Roster) Introduce(now time.Time, record InstanceRecord) {
-	held, known := r.instances.rows[record.Name]
-	if record.Name == r.options.Self || known && held.incarnation >= record.Incarnation && now.Sub(held.heard) < r.options.Lease {
+	row, known := r.instances.rows[record.Name]
+	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastHeard) < r.options.Lease {
 		return
 	}
-	r.instances.Put(record, Hearing{At: now, Direct: true, Whole: true})
+	r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 }
 
-// Hear takes another instance's own record, which it sent just now. Unlike
-// Introduce it renews what is known: the caller vouches that the record was not
-// held up for long on its way.
+// Hear stores the record that another instance has just sent about itself. Unlike Introduce it
+// renews a known member: the caller guarantees that the record was not delayed for long.
 func (r *Roster) Hear(now time.Time, record InstanceRecord) {
 	if record.Name != r.options.Self {
-		r.instances.Put(record, Hearing{At: now, Direct: true, Whole: true})
+		r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 	}
 }
 
-// Announce takes an announcement that an upstream made to this instance.
+// Announce stores an announcement that an upstream made to this instance. An announcement that is
+// older than the stored one is ignored.
 //
-// If another live upstream holds the name, that is one with the same
-// incarnation or an unexpired lease at another address, Announce returns an
-// error that wraps ErrNameTaken and changes nothing. A name of which only the leave
-// is known has no address, and is nobody else's. An announcement that is older than
-// the one held is ignored.
+// If the name is taken by an upstream at another address, Announce returns an error that wraps
+// ErrNameTaken and changes nothing. A name is taken while its upstream is alive, unless
+// Options.Restarts is set and the new incarnation is higher. After the upstream has left or
+// expired, an announcement still needs a higher incarnation to take over the name. If only the
+// leave of an upstream is known, its address is unknown and its name is free.
 //
-// If the same incarnation is announced for other services, it is not the upstream's
-// own word, and Announce returns an error that wraps ErrForeign.
+// If the incarnation was announced before with other services, the announcement does not come from
+// the upstream itself, and Announce returns an error that wraps ErrServicesMismatch.
 func (r *Roster) Announce(now time.Time, announcement upstreamapi.Announcement) error {
-	held, known := r.upstreams.rows[announcement.Name]
-	if known && held.incarnation == announcement.Incarnation && len(held.static.Services) > 0 &&
-		!slices.Equal(held.static.Services, announcement.Services) && len(announcement.Services) > 0 {
-		return errors.Wrapf(ErrForeign, "%q answers for %v, this announcement gives %v",
-			announcement.Name, held.static.Services, announcement.Services)
+	row, known := r.upstreams.rows[announcement.Name]
+	if known && row.incarnation == announcement.Incarnation && len(row.static.Services) > 0 &&
+		!slices.Equal(row.static.Services, announcement.Services) && len(announcement.Services) > 0 {
+		return errors.Wrapf(ErrServicesMismatch, "%q answers for %v, this announcement gives %v",
+			announcement.Name, row.static.Services, announcement.Services)
 	}
-	if known && held.static.Address != "" && held.static.Address != announcement.Address {
-		restarted := r.options.Restarts && held.incarnation < announcement.Incarnation
-		alive := !held.left && now.Sub(held.heard) < r.options.Lease && !restarted
-		if alive || held.incarnation >= announcement.Incarnation {
+	if known && row.static.Address != "" && row.static.Address != announcement.Address {
+		restarted := r.options.Restarts && row.incarnation < announcement.Incarnation
+		alive := !row.left && now.Sub(row.lastHeard) < r.options.Lease && !restarted
+		if alive || row.incarnation >= announcement.Incarnation {
 			return errors.Wrapf(ErrNameTaken, "%q is announced from %s, this announcement gives %s",
-				announcement.Name, held.static.Address, announcement.Address)
+				announcement.Name, row.static.Address, announcement.Address)
 		}
 	}
 	record := UpstreamRecord{
@@ -189,18 +189,18 @@
 		Beat:        announcement.Load,
 	}
 	static := staticPart(announcement)
-	if !known || held.incarnation != announcement.Incarnation || !reflect.DeepEqual(held.static, static) {
+	if !known || row.incarnation != announcement.Incarnation || !reflect.DeepEqual(row.static, static) {
 		record.Static = &static
 	}
-	whole := !known || !sameRates(held.beat, announcement.Load)
-	r.upstreams.Put(record, Hearing{At: now, Direct: true, Whole: whole})
+	fullRecord := !known || !sameCapacity(row.beat, announcement.Load)
+	r.upstreams.Put(record, Provenance{At: now, Direct: true, Full: fullRecord})
 	return nil
 }
 
-// Load takes a load report between two announcements. If the upstream is not
-// known, has another incarnation, or has told a later load, Load does nothing.
+// Load stores a load report that an upstream sent between two announcements. If the upstream is
+// unknown, has another incarnation or has already reported a later load, Load does nothing.
 func (r *Roster) Load(now time.Time, report upstreamapi.LoadReport) {
-	held, known := r.upstreams.rows[report.Name]
+	row, known := r.upstreams.rows[report.Name]
 	if !known {
 		return
 	}
@@ -208,107 +208,104 @@
 		Name:        report.Name,
 		Incarnation: report.Incarnation,
 		Sequence:    report.Sequence,
-		Left:        held.left,
+		Left:        row.left,
 		Beat:        report.Load,
-	}, Hearing{At: now, Direct: true, Whole: !sameRates(held.beat, report.Load)})
+	}, Provenance{At: now, Direct: true, Full: !sameCapacity(row.beat, report.Load)})
 }
 
-// Leave takes an upstream's word that it goes. If the upstream is not known or
-// has another incarnation, Leave does nothing. Incarnation 0 stands for the one that is
-// known.
+// Leave marks an upstream as leaving, at its own request. If the upstream is unknown or has another
+// incarnation, Leave does nothing. Incarnation 0 stands for the known one.
 func (r *Roster) Leave(now time.Time, leave upstreamapi.Leave) {
-	held, known := r.upstreams.rows[leave.Name]
+	row, known := r.upstreams.rows[leave.Name]
 	if known && leave.Incarnation == 0 {
-		leave.Incarnation = held.incarnation
+		leave.Incarnation = row.incarnation
 	}
-	if !known || held.incarnation != leave.Incarnation {
+	if !known || row.incarnation != leave.Incarnation {
 		return
 	}
 	r.upstreams.Put(UpstreamRecord{
 		Name:        leave.Name,
 		Incarnation: leave.Incarnation,
-		// No renewal of this incarnation may undo the leave: one that was sent
-		// before it can arrive after it.
-		Sequence: lastSequence,
+		// No renewal of this incarnation may undo the leave: one that was sent before it can arrive
+		// after it.
+		Sequence: maxSequence,
 		Left:     true,
-		Beat:     held.beat,
-	}, Hearing{At: now, Direct: true, Whole: true})
+		Beat:     row.beat,
+	}, Provenance{At: now, Direct: true, Full: true})
 }
 
-// lastSequence is higher than the sequence of any renewal.
-const lastSequence = ^uint64(0)
+// maxSequence is higher than the sequence of any renewal.
+const maxSequence = ^uint64(0)
 
-// Sweep forgets members that lapsed long ago.
+// Sweep removes members whose leases expired long ago.
 func (r *Roster) Sweep(now time.Time) {
-	horizon := now.Add(-forgetAfter * r.options.Lease)
-	r.upstreams.Forget(horizon)
-	r.instances.Forget(horizon)
+	cutoff := now.Add(-retentionLeases * r.options.Lease)
+	r.upstreams.Evict(cutoff)
+	r.instances.Evict(cutoff)
 }
 
 // Upstreams returns the upstreams that may receive new work, sorted by name.
 func (r *Roster) Upstreams(now time.Time) []Upstream {
 	var alive []Upstream
 	for _, name := range r.upstreams.sortedNames() {
-		held := r.upstreams.rows[name]
-		if held.left || now.Sub(held.heard) >= r.options.Lease {
+		row := r.upstreams.rows[name]
+		if row.left || now.Sub(row.lastHeard) >= r.options.Lease {
 			continue
 		}
-		alive = append(alive, upstreamOf(held))
+		alive = append(alive, upstreamOf(row))
 	}
 	return alive
 }
 
-// Upstream returns what was heard last of an upstream, which may have left or lapsed. If
-// it is not known, Upstream returns false.
+// Upstream returns the last known state of an upstream, which may have left or expired. If the
+// upstream is unknown, Upstream returns false.
 func (r *Roster) Upstream(name string) (Upstream, bool) {
-	held := r.upstreams.rows[name]
-	if held == nil {
+	row := r.upstreams.rows[name]
+	if row == nil {
 		return Upstream{}, false
 	}
-	return upstreamOf(held), true
+	return upstreamOf(row), true
 }
 
-// UpstreamsSince returns the upstreams that changed after cursor, those that left
-// or whose lease has run out included, and the cursor to ask with next. A cursor
-// of 0 asks for all.
+// UpstreamsSince returns the upstreams that changed after cursor, including those that left or
+// expired, and the cursor for the next call. Cursor 0 returns all upstreams.
 func (r *Roster) UpstreamsSince(cursor uint64) ([]Upstream, uint64) {
 	var changed []Upstream
-	if cursor == r.upstreams.change {
+	if cursor == r.upstreams.changeCount {
 		return nil, cursor
 	}
-	for _, held := range r.upstreams.rows {
-		if held.changed > cursor {
-			changed = append(changed, upstreamOf(held))
+	for _, row := range r.upstreams.rows {
+		if row.lastChange > cursor {
+			changed = append(changed, upstreamOf(row))
 		}
 	}
-	return changed, r.upstreams.change
+	return changed, r.upstreams.changeCount
 }
 
-// Instances returns the instances that are alive, this one included, sorted by
-// name.
+// Instances returns the live instances, including this one, sorted by name.
 func (r *Roster) Instances(now time.Time) []Instance {
 	var alive []Instance
 	for _, name := range r.instances.sortedNames() {
-		held := r.instances.rows[name]
-		if held.left || now.Sub(held.heard) >= r.options.Lease {
+		row := r.instances.rows[name]
+		if row.left || now.Sub(row.lastHeard) >= r.options.Lease {
 			continue
 		}
 		alive = append(alive, Instance{
 			Name:           name,
-			InstanceStatic: held.static,
-			InstanceBeat:   held.beat,
-			Heard:          held.heard,
+			InstanceStatic: row.static,
+			InstanceBeat:   row.beat,
+			Heard:          row.lastHeard,
 		})
 	}
 	return alive
 }
 
-func upstreamOf(held *row[upstreamStatic, upstreamapi.Load]) Upstream {
-	announcement := held.static
-	announcement.Incarnation = held.incarnation
-	announcement.Sequence = held.sequence
-	announcement.Load = held.beat
-	return Upstream{Announcement: announcement, Heard: held.heard, Leaving: held.left}
+func upstreamOf(row *memberRow[upstreamStatic, upstreamapi.Load]) Upstream {
+	announcement := row.static
+	announcement.Incarnation = row.incarnation
+	announcement.Sequence = row.sequence
+	announcement.Load = row.beat
+	return Upstream{Announcement: announcement, Heard: row.lastHeard, Leaving: row.left}
 }
 
 func staticPart(announcement upstreamapi.Announcement) upstreamStatic {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -42,15 +42,15 @@
 		Expect(r.Upstreams(at(3))).To(BeEmpty())
 	})
 
-	// An engine crashes and starts again under its name at another address. Callers wait
-	// for it; a roster that held the name for the one before would refuse it for a lease.
+	// An engine crashes and restarts under the same name at another address. Callers wait for it,
+	// so the roster must not reserve the name for the crashed process until its lease expires.
 	It("takes a later incarnation at another address where names stand for one upstream", func() {
 		r := roster.New(roster.Options{Self: "a", Lease: lease, Restarts: true})
 		Expect(r.Announce(at(0), announcement(9))).To(Succeed())
-		again := announcement(1)
-		again.Incarnation, again.Address = 2, "127.0.0.1:8002"
-		Expect(r.Announce(at(1), again)).To(Succeed())
-		Expect(r.Announce(at(1.5), announcement(10))).To(MatchError(roster.ErrNameTaken), "news of the one before, late")
+		restarted := announcement(1)
+		restarted.Incarnation, restarted.Address = 2, "127.0.0.1:8002"
+		Expect(r.Announce(at(1), restarted)).To(Succeed())
+		Expect(r.Announce(at(1.5), announcement(10))).To(MatchError(roster.ErrNameTaken), "a late announcement of the old process")
 		alive := r.Upstreams(at(2))
 		Expect(alive).To(HaveLen(1))
 		Expect(alive[0].Announcement.Address).To(Equal("127.0.0.1:8002"))
@@ -59,17 +59,17 @@
 
 	It("leaves a later incarnation where it is when the one before says late that it goes", func() {
 		r := newRoster("a")
-		again := announcement(1)
-		again.Incarnation = 2
-		Expect(r.Announce(at(0), again)).To(Succeed())
+		restarted := announcement(1)
+		restarted.Incarnation = 2
+		Expect(r.Announce(at(0), restarted)).To(Succeed())
 		r.Leave(at(1), upstreamapi.Leave{Name: "engine-1", Incarnation: 1})
 		Expect(r.Upstreams(at(1))).To(HaveLen(1))
 		r.Leave(at(1), upstreamapi.Leave{Name: "engine-1"})
-		Expect(r.Upstreams(at(1))).To(BeEmpty(), "whichever there is")
+		Expect(r.Upstreams(at(1))).To(BeEmpty(), "incarnation 0 matches any")
 	})
 
-	// Another program announces a sound engine's name for a service of its own. The
-	// engine's callers must still reach it.
+	// Another program announces the name of a running engine for a service of its own. The engine's
+	// callers must still reach the engine.
 	It("refuses another service for the same incarnation", func() {
 		r := newRoster("a")
 		own := announcement(1)
@@ -77,7 +77,7 @@
 		Expect(r.Announce(at(0), own)).To(Succeed())
 		foreign := announcement(2)
 		foreign.Services = []string{"nowhere"}
-		Expect(r.Announce(at(1), foreign)).To(MatchError(roster.ErrForeign))
+		Expect(r.Announce(at(1), foreign)).To(MatchError(roster.ErrServicesMismatch))
 		Expect(r.Upstreams(at(1))[0].Announcement.Services).To(Equal([]string{"pool"}))
 	})
 
@@ -89,12 +89,11 @@
 		other.Address = "127.0.0.1:8002"
 		Expect(r.Announce(at(1), other)).To(MatchError(roster.ErrNameTaken))
 		Expect(r.Upstreams(at(1))[0].Announcement.Address).To(Equal("127.0.0.1:8001"))
-		Expect(r.Announce(at(4), other)).To(Succeed(), "the lease of the first has passed")
+		Expect(r.Announce(at(4), other)).To(Succeed(), "the lease of the first has expired")
 	})
 
-	// An upstream says that it goes. A renewal that it sent before arrives
-	// after, from another path. It must not come back to life: callers would be
-	// sent to a process that is ending.
+	// An upstream leaves. A renewal that it sent earlier arrives later by another path. It must not
+	// make the upstream eligible again: requests would go to a process that is shutting down.
 	It("keeps an upstream that left away, whatever arrives late", func() {
 		r := newRoster("a")
 		Expect(r.Announce(at(0), announcement(1))).To(Succeed())
@@ -102,24 +101,24 @@
 		Expect(r.Upstreams(at(1))).To(BeEmpty())
 		Expect(r.Announce(at(1.1), announcement(2))).To(Succeed())
 		Expect(r.Upstreams(at(1.1))).To(BeEmpty())
-		again := announcement(1)
-		again.Incarnation = 2
-		Expect(r.Announce(at(1.2), again)).To(Succeed())
+		restarted := announcement(1)
+		restarted.Incarnation = 2
+		Expect(r.Announce(at(1.2), restarted)).To(Succeed())
 		Expect(r.Upstreams(at(1.2))).To(HaveLen(1))
 	})
 
-	// An upstream says to one instance that it leaves, and goes on announcing itself to others
-	// until it is gone. An instance that has heard of the leave alone knows no address of it:
-	// refused there, the upstream waits at instance after instance for a word that it may go.
-	It("takes what an upstream says of which only its leave is known", func() {
+	// An upstream sends its leave to one instance and keeps announcing itself to others until it
+	// exits. An instance that learned only of the leave has no address for it. If it rejected the
+	// announcement, the upstream would wait at instance after instance for the permission to exit.
+	It("accepts an announcement of an upstream of which only the leave is known", func() {
 		r := newRoster("a")
 		Expect(r.Announce(at(0), upstreamapi.Announcement{Name: "engine-1", Incarnation: 1})).To(Succeed())
 		r.Leave(at(0), upstreamapi.Leave{Name: "engine-1", Incarnation: 1})
 		Expect(r.Announce(at(0.5), announcement(2))).To(Succeed())
-		Expect(r.Upstreams(at(0.5))).To(BeEmpty(), "it has left all the same")
+		Expect(r.Upstreams(at(0.5))).To(BeEmpty(), "the upstream is still leaving")
 	})
 
-	It("tells another instance what changed, and sends an unchanged upstream's load alone", func() {
+	It("passes changes on to another instance, and sends only the load of an unchanged upstream", func() {
 		a, b := newRoster("a"), newRoster("b")
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		var source roster.Source
@@ -137,14 +136,14 @@
 		Expect(third.UpstreamBeats.Handles).To(BeEmpty())
 	})
 
-	// An answer to a pull is held up for a minute on its way, while the upstream
-	// in it was lost long ago. Counted from its arrival it would look alive;
-	// counted from the moment of asking its lease has passed.
+	// The answer to a pull is delayed for a minute, and the upstream in it was lost in the
+	// meantime. Counted from the arrival of the answer it would look alive; counted from the
+	// request its lease has expired.
 	It("takes no lost upstream for a live one because its record came late", func() {
 		a, b := newRoster("a"), newRoster("b")
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
-		held := a.Since(at(1), roster.Cursor{})
-		b.Merge(at(1), &roster.Source{}, held)
+		delayed := a.Since(at(1), roster.Cursor{})
+		b.Merge(at(1), &roster.Source{}, delayed)
 		Expect(b.Upstreams(at(61))).To(BeEmpty())
 	})
 
@@ -159,10 +158,9 @@
 		Expect(b.Upstreams(at(3.5))).To(HaveLen(1))
 	})
 
-	// An instance was cut off from its source for so long that it forgot an
-	// upstream. The source goes on and sends the upstream's renewals alone,
-	// which say nothing to the instance. It must ask for everything again, or it
-	// would never route to that upstream any more.
+	// An instance was cut off from its source for so long that it evicted an upstream. The source
+	// then sends only renewals of the upstream, which are useless without the full record. The
+	// instance must request everything again, or it would never route to that upstream.
 	It("asks for everything again after it forgot a member", func() {
 		a, b := newRoster("a"), newRoster("b")
 		var source roster.Source
@@ -175,34 +173,34 @@
 		Expect(b.Upstreams(at(201))).To(HaveLen(1))
 	})
 
-	// An upstream restarted and announced itself to b. The source a has not
-	// heard of that yet and sends a renewal of the old process, with a higher
-	// sequence. It must not hide the new process's renewals.
+	// An upstream restarted and announced itself to b. The source a does not know this yet and
+	// sends a renewal of the old process with a higher sequence. It must not suppress the renewals
+	// of the new process.
 	It("takes no renewal of an earlier incarnation for the present one", func() {
 		a, b := newRoster("a"), newRoster("b")
 		var source roster.Source
 		Expect(a.Announce(at(0), announcement(90))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
-		again := announcement(1)
-		again.Incarnation = 2
-		Expect(b.Announce(at(1), again)).To(Succeed())
+		restarted := announcement(1)
+		restarted.Incarnation = 2
+		Expect(b.Announce(at(1), restarted)).To(Succeed())
 		Expect(a.Announce(at(1), announcement(91))).To(Succeed())
 		b.Merge(at(1), &source, a.Since(at(1), source.Cursor(false)))
-		again.Sequence = 2
-		again.Load.Running = 7
-		Expect(b.Announce(at(2), again)).To(Succeed())
+		restarted.Sequence = 2
+		restarted.Load.Running = 7
+		Expect(b.Announce(at(2), restarted)).To(Succeed())
 		Expect(b.Upstreams(at(2))[0].Announcement.Load.Running).To(Equal(7))
 	})
 
-	It("drops an answer whose columns do not fit together", func() {
+	It("discards an answer whose columns differ in length", func() {
 		a, b := newRoster("a"), newRoster("b")
 		var source roster.Source
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
 		Expect(a.Announce(at(1), announcement(2))).To(Succeed())
-		torn := a.Since(at(1), source.Cursor(false))
-		torn.UpstreamBeats.Running = nil
-		b.Merge(at(1), &source, torn)
+		malformed := a.Since(at(1), source.Cursor(false))
+		malformed.UpstreamBeats.Running = nil
+		b.Merge(at(1), &source, malformed)
 		b.Merge(at(1), &source, a.Since(at(1), source.Cursor(false)))
 		Expect(b.Upstreams(at(1))[0].Announcement.Load.Running).To(Equal(2))
 	})
--- a/internal/roster/table.go
+++ b/internal/roster/table.go
@@ -5,180 +5,178 @@
 	"time"
 )
 
-// Record is what one instance tells another about a member, whole.
+// Record is the complete state of a member as instances exchange it.
 type Record[S, B any] struct {
 	Name string
-	// Handle is the row's number in the sender's table. Later renewals name the
-	// member by it.
+	// Handle is the row's number in the sender's table. Later renewals refer to the member by it.
 	Handle uint32
-	// Incarnation and Sequence order the records of a member: the higher
-	// incarnation wins, then the higher sequence.
+	// Incarnation and Sequence order the records of a member: the higher incarnation wins, then the
+	// higher sequence.
 	Incarnation uint64
 	Sequence    uint64
-	// Age is how long before the record was handed out its member was heard of.
+	// Age is the time between the last sign of life of the member and the sending of the record.
 	Age time.Duration
-	// Left is true when the member said that it goes.
+	// Left is true if the member has announced that it is leaving.
 	Left bool
-	// Static is what seldom changes. It is nil in a record that this instance
-	// makes itself for a member whose static part has not changed.
+	// Static is the part that rarely changes. It is nil in a record that this instance creates for
+	// a member whose static part is unchanged.
 	Static *S
 	Beat   B
 }
 
-// Table holds the newest record of each member and hands out what has changed
-// since a cursor. It is not safe for concurrent use.
+// Table stores the newest record of each member and returns the changes after a cursor. It is not
+// safe for concurrent use.
 type Table[S, B any] struct {
-	rows map[string]*row[S, B]
-	// change numbers the changes of the table; it only grows.
-	change uint64
-	// handles is the number of rows that there have ever been.
-	handles uint32
-	// lapse is how far apart two incarnations of a member must have been heard
-	// of for the time to say which one is the later. It is 0 if their numbers
-	// alone do.
-	lapse time.Duration
+	rows map[string]*memberRow[S, B]
+	// changeCount is the number of changes to the table so far.
+	changeCount uint64
+	// nextHandle is the handle of the next new row. Handles are not reused.
+	nextHandle uint32
+	// lease is the time between signs of life of two incarnations of a member after which the one
+	// heard later is the newer, whatever their numbers. If it is 0, the numbers alone decide.
+	lease time.Duration
 }
 
-type row[S, B any] struct {
+type memberRow[S, B any] struct {
 	handle      uint32
 	incarnation uint64
 	sequence    uint64
-	heard       time.Time
-	// direct is true if the member itself told this instance last.
-	direct bool
-	left   bool
-	static S
-	beat   B
-	// changed and wholeChanged are the numbers of the last change of the row
-	// and of what a renewal does not carry. changed is never below wholeChanged.
-	changed      uint64
-	wholeChanged uint64
+	lastHeard   time.Time
+	// heardDirectly is true if the latest record came from the member itself.
+	heardDirectly bool
+	left          bool
+	static        S
+	beat          B
+	// lastChange and lastFullChange are the values of changeCount at the last change of the row,
+	// and at its last change that a renewal does not carry. lastChange is never below
+	// lastFullChange.
+	lastChange     uint64
+	lastFullChange uint64
 }
 
-// NewTable returns an empty table. If lapse is above 0, an incarnation that was
-// heard of that much later than another is the later one, whatever its number.
-func NewTable[S, B any](lapse time.Duration) *Table[S, B] {
-	return &Table[S, B]{rows: map[string]*row[S, B]{}, lapse: lapse}
+// NewTable returns an empty table. If lease is above 0, an incarnation that was heard from at least
+// a lease after another is the newer one, whatever its number.
+func NewTable[S, B any](lease time.Duration) *Table[S, B] {
+	return &Table[S, B]{rows: map[string]*memberRow[S, B]{}, lease: lease}
 }
 
-// Hearing is how a record was heard of.
-type Hearing struct {
-	// At is the time of it.
+// Provenance describes how a record was received and how it is passed on.
+type Provenance struct {
+	// At is the time of the member's last sign of life.
 	At time.Time
-	// Direct is true if the member itself told, not another instance.
+	// Direct is true if the record came from the member itself, not through another instance.
 	Direct bool
-	// Whole says that others need more than a renewal to follow the change.
-	Whole bool
+	// Full is true if the change must be passed on as a full record, because a renewal does not
+	// carry all of it.
+	Full bool
 }
 
-// Put stores a record and reports whether it was newer than what the table held.
-func (t *Table[S, B]) Put(record Record[S, B], hearing Hearing) bool {
-	held, known := t.rows[record.Name]
+// Put stores a record and reports whether it was newer than the stored one.
+func (t *Table[S, B]) Put(record Record[S, B], provenance Provenance) bool {
+	row, known := t.rows[record.Name]
 	if !known {
 		if record.Static == nil {
 			return false
 		}
-		held = &row[S, B]{handle: t.handles}
-		t.handles++
-		t.rows[record.Name] = held
-	} else if !t.newer(record, hearing.At, held) {
+		row = &memberRow[S, B]{handle: t.nextHandle}
+		t.nextHandle++
+		t.rows[record.Name] = row
+	} else if !t.supersedes(record, provenance.At, row) {
 		return false
 	}
-	if record.Static == nil && record.Incarnation != held.incarnation {
-		// The static part of another incarnation may differ: a beat without it
-		// would route work by what the upstream no longer holds. The whole
-		// record follows from whoever heard the announcement.
+	if record.Static == nil && record.Incarnation != row.incarnation {
+		// The static part of another incarnation may differ: with the old one, requests would be
+		// routed by models that the upstream no longer holds. The full record follows from the
+		// instance that received the announcement.
 		return false
 	}
-	t.change++
-	held.incarnation = record.Incarnation
-	held.sequence = record.Sequence
-	held.heard = hearing.At
-	held.direct = hearing.Direct
-	held.beat = record.Beat
-	held.changed = t.change
-	if hearing.Whole || record.Static != nil || held.left != record.Left {
-		held.wholeChanged = t.change
+	t.changeCount++
+	row.incarnation = record.Incarnation
+	row.sequence = record.Sequence
+	row.lastHeard = provenance.At
+	row.heardDirectly = provenance.Direct
+	row.beat = record.Beat
+	row.lastChange = t.changeCount
+	if provenance.Full || record.Static != nil || row.left != record.Left {
+		row.lastFullChange = t.changeCount
 	}
-	held.left = record.Left
+	row.left = record.Left
 	if record.Static != nil {
-		held.static = *record.Static
+		row.static = *record.Static
 	}
 	return true
 }
 
-// renew takes a renewal from another instance and reports whether its member is
-// known. The renewal is of the incarnation that the source sent whole. If this
-// instance has heard of another meanwhile, it is not for that one. beat returns
-// the state after the renewal, given the one before.
-func (t *Table[S, B]) renew(of member, sequence uint64, heard time.Time, beat func(held B) B) bool {
-	held, known := t.rows[of.name]
+// applyRenewal applies a renewal that another instance passed on, and reports whether its member is
+// known. The renewal belongs to the incarnation in key. If another incarnation is stored, the
+// renewal is ignored. update returns the new state for the previous one.
+func (t *Table[S, B]) applyRenewal(key memberKey, sequence uint64, heard time.Time, update func(previous B) B) bool {
+	row, known := t.rows[key.name]
 	if !known {
 		return false
 	}
-	if held.incarnation == of.incarnation {
+	if row.incarnation == key.incarnation {
 		t.Put(Record[S, B]{
-			Name:        of.name,
-			Incarnation: of.incarnation,
+			Name:        key.name,
+			Incarnation: key.incarnation,
 			Sequence:    sequence,
-			Left:        held.left,
-			Beat:        beat(held.beat),
-		}, Hearing{At: heard})
+			Left:        row.left,
+			Beat:        update(row.beat),
+		}, Provenance{At: heard})
 	}
 	return true
 }
 
-// since calls whole for each row of which more than a renewal has changed after
-// cursor, and renewed for each other row that was renewed, in the order of
-// their handles. If direct is true, rows that another instance told of are left
-// out. It returns the cursor to ask with next.
-func (t *Table[S, B]) since(cursor uint64, direct bool, whole, renewed func(name string, held *row[S, B])) uint64 {
-	type changed struct {
+// since calls full for each row that has changed after cursor by more than a renewal, and renewal
+// for each other row that has changed, in the order of their handles. If directOnly is true, it
+// skips rows whose latest record came through another instance. It returns the cursor for the next
+// call.
+func (t *Table[S, B]) since(cursor uint64, directOnly bool, full, renewal func(name string, row *memberRow[S, B])) uint64 {
+	type namedRow struct {
 		name string
-		held *row[S, B]
+		row  *memberRow[S, B]
 	}
-	var rows []changed
-	for name, held := range t.rows {
-		if held.changed > cursor && (held.direct || !direct) {
-			rows = append(rows, changed{name, held})
+	var rows []namedRow
+	for name, row := range t.rows {
+		if row.lastChange > cursor && (row.heardDirectly || !directOnly) {
+			rows = append(rows, namedRow{name, row})
 		}
 	}
-	sort.Slice(rows, func(i, j int) bool { return rows[i].held.handle < rows[j].held.handle })
+	sort.Slice(rows, func(i, j int) bool { return rows[i].row.handle < rows[j].row.handle })
 	for _, r := range rows {
-		if r.held.wholeChanged > cursor {
-			whole(r.name, r.held)
+		if r.row.lastFullChange > cursor {
+			full(r.name, r.row)
 		} else {
-			renewed(r.name, r.held)
+			renewal(r.name, r.row)
 		}
 	}
-	return t.change
+	return t.changeCount
 }
 
-// record returns a row whole, as handed out at now.
-func (h *row[S, B]) record(now time.Time, name string) Record[S, B] {
-	static := h.static
+// record returns the full record of a row, with its age at now.
+func (r *memberRow[S, B]) record(now time.Time, name string) Record[S, B] {
+	static := r.static
 	return Record[S, B]{
 		Name:        name,
-		Handle:      h.handle,
-		Incarnation: h.incarnation,
-		Sequence:    h.sequence,
-		Age:         now.Sub(h.heard),
-		Left:        h.left,
+		Handle:      r.handle,
+		Incarnation: r.incarnation,
+		Sequence:    r.sequence,
+		Age:         now.Sub(r.lastHeard),
+		Left:        r.left,
 		Static:      &static,
-		Beat:        h.beat,
+		Beat:        r.beat,
 	}
 }
 
-// Forget removes the members that were last heard of before horizon.
-func (t *Table[S, B]) Forget(horizon time.Time) {
-	for name, held := range t.rows {
-		if held.heard.Before(horizon) {
+// Evict removes the members that were last heard from before cutoff.
+func (t *Table[S, B]) Evict(cutoff time.Time) {
+	for name, row := range t.rows {
+		if row.lastHeard.Before(cutoff) {
 			delete(t.rows, name)
 		}
 	}
 }
 
-// sortedNames returns the names of all members in order.
 func (t *Table[S, B]) sortedNames() []string {
 	names := make([]string, 0, len(t.rows))
 	for name := range t.rows {
@@ -188,20 +186,20 @@
 	return names
 }
 
-// newer tells whether a record that was heard of at a time replaces a row.
+// supersedes reports whether a record of a member that was heard from at the given time replaces
+// the row.
 //
-// A member draws its incarnation from its clock, which may have stepped back
-// across a restart: the process that lives would be taken for a former one, and
-// nobody would be sent to it until that one is forgotten. A member sends no two
-// renewals further apart than its lease, so of two incarnations that were heard
-// of a lease apart, the first had ended.
-func (t *Table[S, B]) newer(record Record[S, B], heard time.Time, held *row[S, B]) bool {
-	if record.Incarnation == held.incarnation {
-		return record.Sequence > held.sequence
+// A member takes its incarnation from its clock, which may have stepped back across a restart. By
+// number alone, the running process would count as the former one and would receive no work until
+// the former one was evicted. A member never leaves a lease between two renewals, so if two
+// incarnations were heard from at least a lease apart, the earlier one had ended.
+func (t *Table[S, B]) supersedes(record Record[S, B], heard time.Time, row *memberRow[S, B]) bool {
+	if record.Incarnation == row.incarnation {
+		return record.Sequence > row.sequence
 	}
-	apart := heard.Sub(held.heard)
-	if t.lapse > 0 && apart.Abs() >= t.lapse {
-		return apart > 0
+	gap := heard.Sub(row.lastHeard)
+	if t.lease > 0 && gap.Abs() >= t.lease {
+		return gap > 0
 	}
-	return record.Incarnation > held.incarnation
+	return record.Incarnation > row.incarnation
 }
--- /dev/null
+++ b/internal/roster/topology.go
@@ -0,0 +1,114 @@
+package roster
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+)
+
+// Site is the position of an instance in the cluster.
+type Site struct {
+	Name          string
+	FailureDomain string
+	Voter         bool
+}
+
+// Sources are the instances that an instance pulls from.
+type Sources struct {
+	// All are pulled from in every round.
+	All []string
+	// FirstOf are alternatives: only the first that answers is pulled from.
+	FirstOf []string
+	// Direct are pulled from for the members that report to them directly.
+	Direct []string
+}
+
+const (
+	// maxMeshSize is the number of instances up to which each pulls from every other. Beyond it,
+	// the number of calls would grow with the square of the number of instances.
+	maxMeshSize = 16
+	// pullersPerInstance is the number of voters that pull from each non-voter, so that changes
+	// that only the non-voter knows survive the loss of one of these voters.
+	pullersPerInstance = 2
+)
+
+// SourcesOf returns the instances that self pulls from, if others are alive.
+//
+// In a small cluster, all instances pull from each other. In a large one, a non-voter pulls from
+// one voter; a voter pulls from the other voters and from the non-voters assigned to it. A change
+// then reaches every instance in three pulls, and the bytes per instance grow with the number of
+// members, not with members times instances.
+func SourcesOf(self Site, others []Site) Sources {
+	var voters, nonVoters []Site
+	for _, other := range others {
+		if other.Voter {
+			voters = append(voters, other)
+		} else {
+			nonVoters = append(nonVoters, other)
+		}
+	}
+	if len(others) < maxMeshSize || len(voters) == 0 {
+		return Sources{All: siteNames(others)}
+	}
+	if !self.Voter {
+		return Sources{FirstOf: siteNames(rankVoters(self, voters))}
+	}
+	sources := Sources{All: siteNames(voters)}
+	for _, other := range nonVoters {
+		pullers := rankVoters(other, append(slices.Clone(voters), self))
+		if slices.Contains(pullers[:min(pullersPerInstance, len(pullers))], self) {
+			sources.Direct = append(sources.Direct, other.Name)
+		}
+	}
+	return sources
+}
+
+// rankVoters returns the voters in the order in which an instance prefers them: those in its own
+// failure domain first, then by rendezvous hashing, which distributes the instances evenly and
+// reassigns few of them when a voter is lost.
+func rankVoters(instance Site, voters []Site) []Site {
+	ranked := slices.Clone(voters)
+	slices.SortFunc(ranked, func(a, b Site) int {
+		if byDistance := cmp.Compare(distance(instance, a), distance(instance, b)); byDistance != 0 {
+			return byDistance
+		}
+		if byHash := cmp.Compare(rendezvousHash(instance.Name, b.Name), rendezvousHash(instance.Name, a.Name)); byHash != 0 {
+			return byHash
+		}
+		return cmp.Compare(a.Name, b.Name)
+	})
+	return ranked
+}
+
+func distance(a, b Site) int {
+	if a.FailureDomain == b.FailureDomain {
+		return 0
+	}
+	return 1
+}
+
+func rendezvousHash(instance, voter string) uint64 {
+	hash := fnv.New64a()
+	// Writing to a hash never fails.
+	_, _ = hash.Write([]byte(instance))
+	_, _ = hash.Write([]byte{0})
+	_, _ = hash.Write([]byte(voter))
+	return mixBits(hash.Sum64())
+}
+
+// mixBits distributes the entropy of a hash over all its bits. FNV gives similar hashes to names
+// that end alike, and one voter would be assigned most of the instances.
+func mixBits(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	return x
+}
+
+func siteNames(sites []Site) []string {
+	names := make([]string, 0, len(sites))
+	for _, site := range sites {
+		names = append(names, site.Name)
+	}
+	return names
+}
