--- a/internal/courier/call_test.go
+++ b/internal/courier/call_bench_test.go
@@ -15,34 +15,34 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// idleControl is a voter whose configuration does not change.
-type idleControl struct{}
+// stubControl is a voter whose configuration does not change.
+type stubControl struct{}
 
-func (idleControl) Deliver(jury.Message) {}
+func (stubControl) Deliver(jury.Message) {}
 
-func (idleControl) ProposeHere(context.Context, []byte) courier.Proposed {
+func (stubControl) ProposeHere(context.Context, []byte) courier.Proposed {
 	return courier.Proposed{Fate: courier.FateCarriedOut, Result: make([]byte, 100)}
 }
 
-func (c idleControl) Propose(ctx context.Context, command []byte) courier.Proposed {
+func (c stubControl) Propose(ctx context.Context, command []byte) courier.Proposed {
 	return c.ProposeHere(ctx, command)
 }
 
-func (idleControl) Configuration(registry.Revision, uint64) courier.Configuration {
+func (stubControl) Configuration(registry.Revision, uint64) courier.Configuration {
 	return courier.Configuration{Cluster: "0123456789abcdef", Confirmed: true, Age: 20 * time.Millisecond}
 }
 
-func (idleControl) Lookup(context.Context, docket.Key) courier.Recorded { return courier.Recorded{} }
+func (stubControl) Lookup(context.Context, docket.Key) courier.Recorded { return courier.Recorded{} }
 
-func (idleControl) ChangeVoters(context.Context, courier.VotersChange) courier.Proposed {
+func (stubControl) ChangeVoters(context.Context, courier.VotersChange) courier.Proposed {
 	return courier.Proposed{}
 }
 
-func (idleControl) Founding() courier.Founding { return courier.Founding{} }
+func (stubControl) Founding() courier.Founding { return courier.Founding{} }
 
-func (idleControl) Bootstrap(context.Context, courier.Charter) error { return nil }
+func (stubControl) Bootstrap(context.Context, courier.Charter) error { return nil }
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -60,16 +60,16 @@
 	return n, err
 }
 
-// BenchmarkSlopeCalls measures what a call between instances takes: a follower's
-// question whether its configuration is in force, and a claim of 300 bytes. Both
-// ends are in one process; with several callers each has a connection of its own.
+// BenchmarkSlopeCalls measures the cost of a call between instances: a follower's request whether
+// its configuration is in force, and a claim of 300 bytes. Both ends run in one process, and each
+// caller has its own connection.
 func BenchmarkSlopeCalls(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	server, err := courier.NewServer(listener, courier.Services{
-		Others: map[string]any{"Control": courier.NewControlService(idleControl{})},
+		Others: map[string]any{"Control": courier.NewControlService(stubControl{})},
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -102,16 +102,16 @@
 			return countingConn{conn, &bytes}, err
 		}, 10*time.Second)
 		defer pools[n].Close()
-		// The first call of a connection carries the types.
+		// The first call on a connection also carries the type descriptions.
 		if err := call(pools[n]); err != nil {
 			b.Fatal(err)
 		}
 	}
 	bytes.Store(0)
 	b.ResetTimer()
-	var calling sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for n, pool := range pools {
-		calling.Go(func() {
+		goroutines.Go(func() {
 			for range b.N/callers + min(1, max(0, b.N%callers-n)) {
 				if err := call(pool); err != nil {
 					b.Error(err)
@@ -120,6 +120,6 @@
 			}
 		})
 	}
-	calling.Wait()
+	goroutines.Wait()
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "wire-B/op")
 }
--- a/internal/courier/control.go
+++ b/internal/courier/control.go
@@ -11,7 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// gob must know the kinds of jury.Body before the first message.
+// gob needs the implementations of jury.Body to be registered before the first message.
 func init() {
 	gob.Register(jury.VoteRequest{})
 	gob.Register(jury.VoteAnswer{})
@@ -24,101 +24,100 @@
 	gob.Register(jury.Join{})
 }
 
-// Control is what a voter answers to other instances. Its methods are called
-// from many goroutines at once.
+// Control is the interface of a voter to other instances. Its methods are called concurrently.
 type Control interface {
-	// Deliver takes in a message of another replica.
+	// Deliver handles a message of another replica.
 	Deliver(message jury.Message)
-	// ProposeHere has command carried out if this voter leads.
+	// ProposeHere executes command if this voter is the leader.
 	ProposeHere(ctx context.Context, command []byte) Proposed
-	// Propose has command carried out by whichever voter leads.
+	// Propose executes command, forwarding it to the leader if necessary.
 	Propose(ctx context.Context, command []byte) Proposed
-	// Configuration returns what is in force, if it is newer than have, and the news of
-	// requests in quarantine unless they have the mark.
-	Configuration(have registry.Revision, mark uint64) Configuration
-	// Lookup returns what is recorded of a request, as of now or later.
+	// Configuration returns the configuration in force if it is newer than have, and the state of
+	// the request quarantine unless its mark equals quarantineMark.
+	Configuration(have registry.Revision, quarantineMark uint64) Configuration
+	// Lookup returns the record of a request. The record is at least as recent as the call.
 	Lookup(ctx context.Context, key docket.Key) Recorded
-	// ChangeVoters adds the identity or removes it, if this voter leads.
+	// ChangeVoters adds or removes an identity if this voter is the leader.
 	ChangeVoters(ctx context.Context, change VotersChange) Proposed
-	// Founding returns what a bootstrap must know of this voter.
+	// Founding returns the state of this voter that a bootstrap needs.
 	Founding() Founding
-	// Bootstrap makes this blank voter one of a new cluster.
+	// Bootstrap makes this blank voter a member of a new cluster.
 	Bootstrap(ctx context.Context, charter Charter) error
 }
 
-// Fate is what became of a proposed command.
+// Fate is the outcome of a proposed command.
 type Fate uint8
 
-// The fates. The zero value promises nothing.
+// Outcomes of a proposed command. With the zero value, the command may or may not have been
+// executed.
 const (
 	FateUnknown Fate = iota
 	FateCarriedOut
 	FateNotAccepted
 )
 
-// Proposed answers a proposal.
+// Proposed is the answer to a proposal.
 type Proposed struct {
 	Fate   Fate
 	Result []byte
-	// Leader is the replica to ask instead, if Fate is FateNotAccepted. It may be
-	// empty.
+	// Leader is the replica to ask instead if Fate is FateNotAccepted. It may be empty.
 	Leader jury.Identity
-	// Passing says that whichever replica leads next may accept the command.
+	// Passing is true if the rejection is temporary: the next leader may accept the command.
 	Passing bool
 	Reason  string
 }
 
-// Configuration is what is in force, as a voter knows it.
+// Configuration is the configuration in force, as a voter knows it.
 type Configuration struct {
 	Cluster string
-	// View is nil if it is not newer than what the asker has.
+	// View is nil if it is not newer than the caller's revision.
 	View *registry.View
-	// Confirmed says whether Age is known.
+	// Confirmed is true if Age is known.
 	Confirmed bool
-	// Age is how long before the answer the voter had all that was committed
-	// anywhere.
+	// Age is the time before the answer at which the voter had everything that was committed in the
+	// cluster.
 	Age time.Duration
-	// Quarantine is nil if the asker has these news.
+	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
 }
 
-// Recorded answers a lookup.
+// Recorded is the answer to a lookup.
 type Recorded struct {
 	// Known is false if the voter could not confirm that it is up to date.
 	Known  bool
 	Answer docket.Answer
 }
 
-// Founding is what a bootstrap must know of a voter.
+// Founding is the state of a voter that a bootstrap needs.
 type Founding struct {
 	Identity jury.Identity
 	// Cluster is empty if the voter is blank.
 	Cluster string
-	// Charter is the one that the voter holds, if nothing was committed since.
+	// Charter is the charter that the voter holds, if nothing was committed after it.
 	Charter Charter
 }
 
-// VotersChange adds one identity or removes one.
+// VotersChange adds or removes one identity.
 type VotersChange struct {
 	Add    jury.Identity
 	Remove jury.Identity
 }
 
-// Charter is the first state of a cluster.
+// Charter is the initial state of a cluster.
 type Charter struct {
 	Cluster string
 	Voters  []jury.Identity
 	Data    []byte
-	// Index and Term are those that Data was taken at, see jury.Bootstrap.
+	// Index and Term are the position in the log at which Data was taken, see jury.Bootstrap.
 	Index jury.Index
 	Term  jury.Term
 }
 
-// serviceTimeout bounds the work for one call on the side that answers it. The
-// asker has gone away by then.
-const serviceTimeout = 10 * time.Second
+// handlerTimeout limits the work for one call on the side that answers it. After this time the
+// caller has given up.
+const handlerTimeout = 10 * time.Second
 
-// ControlService answers the calls of other instances to a voter.
+// ControlService serves the calls of other instances to a voter.
 type ControlService struct {
 	control Control
 }
@@ -128,7 +127,7 @@
 	return &ControlService{control: control}
 }
 
-// DeliverArgs carries a message between replicas.
+// DeliverArgs holds a message between replicas.
 type DeliverArgs struct {
 	Message jury.Message
 }
@@ -142,18 +141,18 @@
 	return nil
 }
 
-// ProposeArgs carries a command.
+// ProposeArgs holds a command.
 type ProposeArgs struct {
 	Command []byte
-	// Timeout is how long the asker waits.
+	// Timeout is how long the caller waits.
 	Timeout time.Duration
-	// Here asks the voter to forward the command to nobody.
+	// Here is true if the voter must not forward the command.
 	Here bool
 }
 
 // Propose is the net/rpc method "Control.Propose".
 func (s *ControlService) Propose(args ProposeArgs, reply *Proposed) error {
-	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, serviceTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	if args.Here {
 		*reply = s.control.ProposeHere(ctx, args.Command)
@@ -163,10 +162,10 @@
 	return nil
 }
 
-// ConfigurationArgs asks for what is in force.
+// ConfigurationArgs requests the configuration in force.
 type ConfigurationArgs struct {
 	Have registry.Revision
-	// Quarantine is the mark of the news of requests in quarantine that the asker has.
+	// Quarantine is the mark of the quarantine state that the caller has.
 	Quarantine uint64
 }
 
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// LookupArgs asks what is recorded of a request.
+// LookupArgs requests the record of a request.
 type LookupArgs struct {
 	Key     docket.Key
 	Timeout time.Duration
@@ -184,13 +183,13 @@
 
 // Lookup is the net/rpc method "Control.Lookup".
 func (s *ControlService) Lookup(args LookupArgs, reply *Recorded) error {
-	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, serviceTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	*reply = s.control.Lookup(ctx, args.Key)
 	return nil
 }
 
-// ChangeVotersArgs carries a change of voters.
+// ChangeVotersArgs holds a change of voters.
 type ChangeVotersArgs struct {
 	Change  VotersChange
 	Timeout time.Duration
@@ -198,7 +197,7 @@
 
 // ChangeVoters is the net/rpc method "Control.ChangeVoters".
 func (s *ControlService) ChangeVoters(args ChangeVotersArgs, reply *Proposed) error {
-	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, serviceTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	*reply = s.control.ChangeVoters(ctx, args.Change)
 	return nil
@@ -212,26 +211,26 @@
 
 // Bootstrap is the net/rpc method "Control.Bootstrap".
 func (s *ControlService) Bootstrap(charter Charter, _ *Empty) error {
-	ctx, cancel := context.WithTimeout(context.Background(), serviceTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), handlerTimeout)
 	defer cancel()
 	return s.control.Bootstrap(ctx, charter)
 }
 
-// Deliver hands a message to the replica at address. It may be lost.
+// Deliver sends a message to the replica at address. The message may be lost.
 func (p *Pool) Deliver(ctx context.Context, address string, message jury.Message) error {
 	return p.Call(ctx, address, "Control.Deliver", DeliverArgs{Message: message}, &Empty{})
 }
 
-// Propose has the voter at address propose command, or only if it leads if here
-// is true. If the command certainly did not reach the voter, the answer is
-// FateNotAccepted, and if the voter's answer was lost, FateUnknown.
+// Propose asks the voter at address to execute command. If here is true, the voter executes it only
+// as the leader and does not forward it. If the command certainly did not reach the voter, the
+// outcome is FateNotAccepted; if the voter's answer was lost, it is FateUnknown.
 func (p *Pool) Propose(ctx context.Context, address string, command []byte, here bool) Proposed {
 	args := ProposeArgs{Command: command, Timeout: p.remaining(ctx), Here: here}
 	return p.propose(ctx, address, "Control.Propose", args)
 }
 
-// ChangeVoters has the voter at address change the voters, if it leads. Its
-// answers are those of Propose.
+// ChangeVoters asks the voter at address to change the voters if it is the leader. The outcomes are
+// those of Propose.
 func (p *Pool) ChangeVoters(ctx context.Context, address string, change VotersChange) Proposed {
 	args := ChangeVotersArgs{Change: change, Timeout: p.remaining(ctx)}
 	return p.propose(ctx, address, "Control.ChangeVoters", args)
@@ -249,24 +248,24 @@
 	return Proposed{Fate: FateUnknown, Reason: err.Error()}
 }
 
-// Configuration asks the voter at address for what is in force.
+// Configuration requests the configuration in force from the voter at address.
 func (p *Pool) Configuration(
-	ctx context.Context, address string, have registry.Revision, mark uint64,
+	ctx context.Context, address string, have registry.Revision, quarantineMark uint64,
 ) (Configuration, error) {
-	return answerOf[Configuration](ctx, p, address, "Control.Configuration", ConfigurationArgs{Have: have, Quarantine: mark})
+	return callForReply[Configuration](ctx, p, address, "Control.Configuration", ConfigurationArgs{Have: have, Quarantine: quarantineMark})
 }
 
-// Lookup asks the voter at address what is recorded of a request.
+// Lookup requests the record of a request from the voter at address.
 func (p *Pool) Lookup(ctx context.Context, address string, key docket.Key) (Recorded, error) {
-	return answerOf[Recorded](ctx, p, address, "Control.Lookup", LookupArgs{Key: key, Timeout: p.remaining(ctx)})
+	return callForReply[Recorded](ctx, p, address, "Control.Lookup", LookupArgs{Key: key, Timeout: p.remaining(ctx)})
 }
 
-// Founding asks the voter at address what a bootstrap must know of it.
+// Founding requests the state of the voter at address that a bootstrap needs.
 func (p *Pool) Founding(ctx context.Context, address string) (Founding, error) {
-	return answerOf[Founding](ctx, p, address, "Control.Founding", Empty{})
+	return callForReply[Founding](ctx, p, address, "Control.Founding", Empty{})
 }
 
-// Bootstrap makes the blank voter at address one of a new cluster.
+// Bootstrap makes the blank voter at address a member of a new cluster.
 func (p *Pool) Bootstrap(ctx context.Context, address string, charter Charter) error {
 	return p.Call(ctx, address, "Control.Bootstrap", charter, &Empty{})
 }
--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -10,142 +10,146 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// SyncArgs is what an entry instance tells a control instance, and asks of it,
-// several times a second. One call carries all, since each call costs both sides
-// the same processor time whatever is in it.
+// SyncArgs is the report and request that an entry instance sends to a control instance several
+// times a second. One call carries everything, because the processor time of a call is nearly
+// independent of its content on both sides.
 type SyncArgs struct {
-	// From is the asker's own record as of now.
+	// From is the caller's own record as of now.
 	From roster.InstanceRecord
-	// FailureDomain is the asker's.
+	// FailureDomain is that of the caller.
 	FailureDomain string
-	// Cursor says how far the asker has pulled the roster.
+	// Cursor is the position up to which the caller has pulled the roster.
 	Cursor roster.Cursor
-	// Edition is the version of the routes that the asker holds.
+	// Edition is the version of the caller's routes.
 	Edition uint64
-	// Members is the revision of the members that the asker has.
+	// Members is the revision of the caller's member list.
 	Members uint64
-	// Holdings is the revision of the holdings that the asker has, under Leader.
+	// Holdings is the revision of the caller's holdings, as published by Leader.
 	Holdings uint64
-	// Quarantine is the mark of the news of requests in quarantine that the asker has.
+	// Quarantine is the mark of the caller's quarantine state.
 	Quarantine uint64
-	// Demand is what callers asked for since the last call that was answered.
+	// Demand is the demand since the last call that was answered.
 	Demand []Demand
-	// Limited are the upstreams that name a limit.
+	// Limited are the upstreams that report a rate limit.
 	Limited []LimitedUpstream
 }
 
-// LimitedUpstream is an upstream that names a limit in its answers.
+// LimitedUpstream is an upstream that reports a rate limit in its responses.
 type LimitedUpstream struct {
 	Name  string
 	Limit ratelimit.Limit
 }
 
-// Demand is how much was asked for of one model, or of an adapter of it.
+// Demand is the demand for one model or for one adapter of it.
 type Demand struct {
 	Service string
 	Model   string
 	// Adapter is empty for the model itself.
 	Adapter string
-	// Requests were taken in, of which Waiting wait for an engine now.
+	// Requests is the number of requests received, and Waiting the number that are waiting for an
+	// engine now.
 	Requests int
 	Waiting  int
-	// Open is how many requests with the adapter are under way now.
+	// Open is the number of requests with the adapter that are in progress now.
 	Open int
-	// Reading is how long an engine reads the prompts of Requests, and Answering how
-	// long their answers take places in its batch.
+	// Reading is the time that an engine needs to process the prompts of Requests. Answering is the
+	// time for which their responses occupy slots of its batch.
 	Reading   time.Duration
 	Answering time.Duration
 }
 
-// SyncReply answers SyncArgs.
+// SyncReply is the answer to SyncArgs.
 type SyncReply struct {
-	// Leader is the inner address of the instance that gives orders to engines,
-	// empty if none is known.
+	// Leader is the inner address of the instance that sends commands to the engines. It is empty
+	// if none is known.
 	Leader string
-	// Members is nil if the asker has them. The list of 291 entry instances takes 5 KB, and
-	// each of them asks several times a second.
+	// Members is nil if the caller already has this list. The list of 291 entry instances takes 5
+	// KB, and each of them calls several times a second.
 	Members *Members
-	// Edition is nil if the asker holds the newest that the answerer knows. Its content
-	// is packed (registry.Pack).
+	// Edition is nil if the caller has the newest routes that the callee knows. Its content is
+	// packed (registry.Pack).
 	Edition *edition.Edition
-	// Reading says how new the answerer's routes are known to be. It is made before Edition.
+	// Reading tells how recent the callee's routes are known to be. It is determined before
+	// Edition.
 	Reading edition.Reading
 	Changes roster.Changes
-	// Quarantine is nil if the asker has these news.
+	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
-	// Holdings is the encoding of Holdings, empty unless it differs from what the asker
-	// has. It was made HoldingsAge ago, once for all askers: what 140 engines hold takes
-	// 50 us to encode (BenchmarkHoldings), and 86 askers are answered 344 times a second,
-	// which is a seventh of what the users give a leader.
+	// Holdings is an encoded Holdings. It is empty if the caller already has this revision. It was
+	// encoded HoldingsAge ago, once for all callers: the holdings of 140 engines take 50 us to
+	// encode, and 86 callers get 344 replies a second. Encoding them for each reply would take a
+	// seventh of the processor time that a leader is granted.
 	Holdings    []byte
 	HoldingsAge time.Duration
 }
 
-// Members is who is alive, by inner addresses.
+// Members lists the live instances by their inner addresses.
 type Members struct {
-	// Revision is a hash of the rest: what two control instances know is the same if it is.
+	// Revision is a hash of the other fields, so that equal lists of two control instances have the
+	// same revision.
 	Revision uint64
 	// Entries are the entry instances.
 	Entries []string
-	// Controls are the control instances, and Near those in the asker's failure domain.
+	// Controls are the control instances, and Near those in the caller's failure domain.
 	Controls []string
 	Near     []string
 }
 
-// GatherArgs is what a control instance tells the one that gives orders, and asks of it.
+// GatherArgs is the report and request that a control instance sends to the leader, which sends
+// commands to the engines.
 type GatherArgs struct {
-	// Told is what entry instances told since the last call, by entry instance.
+	// Told is the demand that entry instances reported since the last call, by entry instance.
 	Told map[string][]Demand
-	// Limited are the upstreams that name a limit.
+	// Limited are the upstreams that report a rate limit.
 	Limited []LimitedUpstream
-	// Holdings is the revision of the holdings that the asker has.
+	// Holdings is the revision of the caller's holdings.
 	Holdings uint64
 }
 
-// GatherReply answers GatherArgs.
+// GatherReply is the answer to GatherArgs.
 type GatherReply struct {
-	// Holdings and Age are those of SyncReply. Revision is that of Holdings, 0 if there are
-	// none.
+	// Holdings and Age are as in SyncReply. Revision is that of Holdings, or 0 if there are none.
 	Holdings []byte
 	Revision uint64
 	Age      time.Duration
 }
 
-// WantArgs asks for a model, or for an adapter beside it.
+// WantArgs requests that a model be loaded on an engine, or an adapter together with its model.
 type WantArgs struct {
 	Service string
 	Model   string
 	// Adapter is empty for the model itself.
 	Adapter string
-	// Timeout is how long the callee may take. The asker waits for longer, since it
-	// closes the connection of a call that it gives up.
+	// Timeout limits the time until the callee answers. The caller waits longer, because it closes
+	// the connection of a call that times out.
 	Timeout time.Duration
 }
 
-// WantReply answers WantArgs.
+// WantReply is the answer to WantArgs.
 type WantReply struct {
-	// Engine holds it now. It is empty if none does and none can now.
+	// Engine is the engine that holds the model now. It is empty if there is none and none can load
+	// it now.
 	Engine string
-	// Reason says why, if Engine is empty.
+	// Reason explains why Engine is empty.
 	Reason string
-	// NotLeader says that the instance that was asked gives no orders.
+	// NotLeader is true if the callee does not send commands to engines.
 	NotLeader bool
 }
 
-// NoteArgs tells of upstreams that ended under requests.
+// NoteArgs reports upstreams that crashed while processing requests.
 type NoteArgs struct {
 	Update quarantine.Update
 }
 
-// NoteReply answers NoteArgs.
+// NoteReply is the answer to NoteArgs.
 type NoteReply struct {
-	// Recorded says that the voters have it. If it is false, they may or may not.
+	// Recorded is true if the voters have recorded the update. If it is false, they may or may not
+	// have.
 	Recorded bool
 }
 
-// Feed is what a control instance answers to entry instances, and the one that gives
-// orders to the other control instances. Its methods are called from many goroutines at
-// once.
+// Feed is the interface of a control instance to entry instances, and of the leader to the other
+// control instances. Its methods are called concurrently.
 type Feed interface {
 	Gather(ctx context.Context, args GatherArgs) GatherReply
 	Sync(ctx context.Context, args SyncArgs) SyncReply
@@ -153,7 +157,7 @@
 	Note(ctx context.Context, args NoteArgs) NoteReply
 }
 
-// FeedService answers the calls of entry instances.
+// FeedService serves the calls of entry instances and of other control instances.
 type FeedService struct {
 	feed Feed
 }
@@ -165,7 +169,7 @@
 
 // Sync is the net/rpc method "Feed.Sync".
 func (s *FeedService) Sync(args SyncArgs, reply *SyncReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), serviceTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), handlerTimeout)
 	defer cancel()
 	*reply = s.feed.Sync(ctx, args)
 	return nil
@@ -173,7 +177,7 @@
 
 // Gather is the net/rpc method "Feed.Gather".
 func (s *FeedService) Gather(args GatherArgs, reply *GatherReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), serviceTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), handlerTimeout)
 	defer cancel()
 	*reply = s.feed.Gather(ctx, args)
 	return nil
@@ -181,7 +185,7 @@
 
 // Want is the net/rpc method "Feed.Want".
 func (s *FeedService) Want(args WantArgs, reply *WantReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, serviceTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	*reply = s.feed.Want(ctx, args)
 	return nil
@@ -189,29 +193,29 @@
 
 // Note is the net/rpc method "Feed.Note".
 func (s *FeedService) Note(args NoteArgs, reply *NoteReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), serviceTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), handlerTimeout)
 	defer cancel()
 	*reply = s.feed.Note(ctx, args)
 	return nil
 }
 
-// Note tells the control instance at address of upstreams that ended under requests.
+// Note reports upstreams that crashed while processing requests to the control instance at address.
 func (p *Pool) Note(ctx context.Context, address string, args NoteArgs) (NoteReply, error) {
-	return answerOf[NoteReply](ctx, p, address, "Feed.Note", args)
+	return callForReply[NoteReply](ctx, p, address, "Feed.Note", args)
 }
 
-// Sync tells the control instance at address of this one and asks for news.
+// Sync reports the state of this instance to the control instance at address and requests updates.
 func (p *Pool) Sync(ctx context.Context, address string, args SyncArgs) (SyncReply, error) {
-	return answerOf[SyncReply](ctx, p, address, "Feed.Sync", args)
+	return callForReply[SyncReply](ctx, p, address, "Feed.Sync", args)
 }
 
-// Want asks the control instance at address for a model or an adapter.
+// Want requests a model or an adapter from the control instance at address.
 func (p *Pool) Want(ctx context.Context, address string, args WantArgs) (WantReply, error) {
-	return answerOf[WantReply](ctx, p, address, "Feed.Want", args)
+	return callForReply[WantReply](ctx, p, address, "Feed.Want", args)
 }
 
-// Gather tells the control instance at address, which gives orders, what entry instances
-// told this one, and asks what engines hold.
+// Gather reports the demand of entry instances to the leader at address and requests the holdings
+// of the engines.
 func (p *Pool) Gather(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
-	return answerOf[GatherReply](ctx, p, address, "Feed.Gather", args)
+	return callForReply[GatherReply](ctx, p, address, "Feed.Gather", args)
 }
--- a/internal/courier/feed_test.go
+++ b/internal/courier/feed_test.go
@@ -11,35 +11,34 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// waitingFeed waits for a load as long as it may.
-type waitingFeed struct{}
+// blockingFeed waits for a load until its time is up.
+type blockingFeed struct{}
 
-func (waitingFeed) Sync(context.Context, courier.SyncArgs) courier.SyncReply {
+func (blockingFeed) Sync(context.Context, courier.SyncArgs) courier.SyncReply {
 	return courier.SyncReply{Leader: "here"}
 }
 
-func (waitingFeed) Note(context.Context, courier.NoteArgs) courier.NoteReply {
+func (blockingFeed) Note(context.Context, courier.NoteArgs) courier.NoteReply {
 	return courier.NoteReply{}
 }
 
-func (waitingFeed) Gather(context.Context, courier.GatherArgs) courier.GatherReply {
+func (blockingFeed) Gather(context.Context, courier.GatherArgs) courier.GatherReply {
 	return courier.GatherReply{}
 }
 
-func (waitingFeed) Want(ctx context.Context, _ courier.WantArgs) courier.WantReply {
+func (blockingFeed) Want(ctx context.Context, _ courier.WantArgs) courier.WantReply {
 	<-ctx.Done()
-	return courier.WantReply{Reason: "not in time"}
+	return courier.WantReply{Reason: "timed out"}
 }
 
 var _ = Describe("Want", func() {
-	// A model takes longer to load than a request waits. The asker would give the
-	// call up and close the connection, which ends all other calls that are under
-	// way on it; so the callee answers first.
-	It("is answered before the asker gives it up", func(ctx SpecContext) {
+	// Loading a model takes longer than a request may wait. If the caller timed out, it would close
+	// the connection and abort all other calls in progress on it. So the callee answers first.
+	It("is answered before the caller times out", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server, err := courier.NewServer(listener, courier.Services{
-			Others: map[string]any{"Feed": courier.NewFeedService(waitingFeed{})},
+			Others: map[string]any{"Feed": courier.NewFeedService(blockingFeed{})},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
@@ -47,6 +46,6 @@
 		DeferCleanup(pool.Close)
 		reply, err := pool.Want(ctx, server.Address(), courier.WantArgs{Model: "m", Timeout: 50 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Reason).To(Equal("not in time"))
+		Expect(reply.Reason).To(Equal("timed out"))
 	}, SpecTimeout(30*time.Second))
 })
--- a/internal/courier/holdings.go
+++ b/internal/courier/holdings.go
@@ -8,31 +8,31 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Holdings is what the engines hold and how loaded they are, as the instance
-// that gives them orders knows it.
+// Holdings are the models and the load of the engines, as known to the instance that sends commands
+// to them.
 type Holdings struct {
-	// Revision grows with each change. It starts anew with each leadership, from
-	// a number above all before.
+	// Revision increases with each change. Each new leader starts from a number above all previous
+	// ones.
 	Revision uint64
 	Engines  []Holding
 }
 
-// Holding is one engine of Holdings.
+// Holding is the state of one engine.
 type Holding struct {
 	Name string
-	// Incarnation is that of the process that holds Models: one that has started again
-	// since holds nothing of them.
+	// Incarnation identifies the process that holds Models. After a restart of the engine, they are
+	// no longer loaded.
 	Incarnation uint64
-	// Age is how old the report was when Holdings was made.
+	// Age is the age of the engine's report when the Holdings were made.
 	Age time.Duration
-	// Running and Queued are requests at the engine, KVUsed the tokens that they
-	// take of its memory.
+	// Running and Queued are numbers of requests at the engine, KVUsed is the number of tokens that
+	// they occupy in its memory.
 	Running int
 	Queued  int
 	KVUsed  int
 	Models  []HeldModel
-	// Coming is a model that the engine will hold about ComingIn after Holdings was made,
-	// empty if there is none.
+	// Coming is a model that is being loaded, and ComingIn the expected time until it is ready,
+	// counted from when the Holdings were made. Coming is empty if there is none.
 	Coming   string
 	ComingIn time.Duration
 }
@@ -43,19 +43,19 @@
 	Adapters []string
 }
 
-// Encode returns the bytes of h for a SyncReply.
+// Encode returns the encoding of h for a SyncReply.
 func (h Holdings) Encode() []byte {
 	buffer := parcel.AppendUint(nil, h.Revision)
 	buffer = parcel.AppendUint(buffer, uint64(len(h.Engines)))
-	for _, e := range h.Engines {
-		buffer = parcel.AppendBytes(buffer, e.Name)
-		buffer = parcel.AppendUint(buffer, e.Incarnation)
-		buffer = parcel.AppendBytes(buffer, e.Coming)
-		buffer = parcel.AppendUint(buffer, uint64(max(e.ComingIn, 0)))
-		for _, number := range []int{int(e.Age), e.Running, e.Queued, e.KVUsed, len(e.Models)} {
+	for _, engine := range h.Engines {
+		buffer = parcel.AppendBytes(buffer, engine.Name)
+		buffer = parcel.AppendUint(buffer, engine.Incarnation)
+		buffer = parcel.AppendBytes(buffer, engine.Coming)
+		buffer = parcel.AppendUint(buffer, uint64(max(engine.ComingIn, 0)))
+		for _, number := range []int{int(engine.Age), engine.Running, engine.Queued, engine.KVUsed, len(engine.Models)} {
 			buffer = parcel.AppendUint(buffer, uint64(max(number, 0)))
 		}
-		for _, model := range e.Models {
+		for _, model := range engine.Models {
 			buffer = parcel.AppendBytes(buffer, model.Name)
 			buffer = parcel.AppendUint(buffer, uint64(len(model.Adapters)))
 			for _, adapter := range model.Adapters {
@@ -66,13 +66,12 @@
 	return buffer
 }
 
-// DecodeHoldings returns the holdings whose Encode is data. If data is damaged,
-// DecodeHoldings returns an error.
+// DecodeHoldings decodes the result of Holdings.Encode. If data is damaged, it returns an error.
 func DecodeHoldings(data []byte) (Holdings, error) {
 	reader := parcel.NewReader(data)
-	h := Holdings{Revision: reader.Uint()}
+	holdings := Holdings{Revision: reader.Uint()}
 	for range reader.Count() {
-		e := Holding{
+		engine := Holding{
 			Name: reader.String(), Incarnation: reader.Uint(), Coming: reader.String(), ComingIn: time.Duration(reader.Uint()), Age: time.Duration(reader.Uint()),
 			Running: int(reader.Uint()), Queued: int(reader.Uint()), KVUsed: int(reader.Uint()),
 		}
@@ -81,9 +80,9 @@
 			for range reader.Count() {
 				model.Adapters = append(model.Adapters, reader.String())
 			}
-			e.Models = append(e.Models, model)
+			engine.Models = append(engine.Models, model)
 		}
-		h.Engines = append(h.Engines, e)
+		holdings.Engines = append(holdings.Engines, engine)
 	}
-	return h, errors.Wrap(reader.End(), "courier: holdings")
+	return holdings, errors.Wrap(reader.End(), "courier: decoding holdings")
 }
--- a/internal/courier/holdings_bench_test.go
+++ b/internal/courier/holdings_bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// heldBy returns what so many engines hold, two models with two adapters each.
-func heldBy(engines int) courier.Holdings {
-	held := courier.Holdings{Revision: 1<<32 + 1}
+// holdingsOf returns holdings of the given number of engines, each with two models of two adapters.
+func holdingsOf(engines int) courier.Holdings {
+	holdings := courier.Holdings{Revision: 1<<32 + 1}
 	for i := range engines {
-		held.Engines = append(held.Engines, courier.Holding{
+		holdings.Engines = append(holdings.Engines, courier.Holding{
 			Name: fmt.Sprintf("i-%010x", i), Age: 100 * time.Millisecond, Running: 9, Queued: 1, KVUsed: 40_000,
 			Models: []courier.HeldModel{
 				{Name: fmt.Sprintf("model%05d", i), Adapters: []string{"a1", "a2"}},
@@ -22,25 +22,25 @@
 			},
 		})
 	}
-	return held
+	return holdings
 }
 
-// BenchmarkHoldings encodes what 140 engines hold, as it is told now and as it would
-// be told within each answer.
+// BenchmarkHoldings encodes the holdings of 140 engines in their own format, and with gob for
+// comparison.
 func BenchmarkHoldings(b *testing.B) {
-	held := heldBy(140)
+	holdings := holdingsOf(140)
 	b.Run("once", func(b *testing.B) {
 		for b.Loop() {
-			held.Encode()
+			holdings.Encode()
 		}
-		b.ReportMetric(float64(len(held.Encode())), "bytes")
+		b.ReportMetric(float64(len(holdings.Encode())), "bytes")
 	})
 	b.Run("gob", func(b *testing.B) {
 		var buffer bytes.Buffer
 		encoder := gob.NewEncoder(&buffer)
 		for b.Loop() {
 			buffer.Reset()
-			if err := encoder.Encode(held); err != nil {
+			if err := encoder.Encode(holdings); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/courier/holdings_fuzz_test.go
+++ b/internal/courier/holdings_fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// FuzzDecodeHoldings looks for bytes of another instance that stop an entry instance, or
-// that change when they are told on.
+// FuzzDecodeHoldings searches for data that makes DecodeHoldings panic, or that changes when it is
+// decoded and encoded again.
 func FuzzDecodeHoldings(f *testing.F) {
 	f.Add(courier.Holdings{Revision: 7, Engines: []courier.Holding{{
 		Name: "e1", Incarnation: 1790000000123, Age: time.Second, Running: 3, Queued: 1, KVUsed: 900,
@@ -16,13 +16,13 @@
 	}}}.Encode())
 	f.Add([]byte{1, 255, 255, 255, 255, 15})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		held, err := courier.DecodeHoldings(data)
+		decoded, err := courier.DecodeHoldings(data)
 		if err != nil {
 			return
 		}
-		again, err := courier.DecodeHoldings(held.Encode())
-		if err != nil || again.Revision != held.Revision || len(again.Engines) != len(held.Engines) {
-			t.Fatalf("told on as something else: %v", err)
+		redecoded, err := courier.DecodeHoldings(decoded.Encode())
+		if err != nil || redecoded.Revision != decoded.Revision || len(redecoded.Engines) != len(decoded.Engines) {
+			t.Fatalf("changed by decoding and encoding: %v", err)
 		}
 	})
 }
--- a/internal/courier/holdings_test.go
+++ b/internal/courier/holdings_test.go
@@ -10,24 +10,24 @@
 )
 
 var _ = Describe("Holdings", func() {
-	held := courier.Holdings{Revision: 7<<32 + 3, Engines: []courier.Holding{
+	holdings := courier.Holdings{Revision: 7<<32 + 3, Engines: []courier.Holding{
 		{Name: "e1", Age: 120 * time.Millisecond, Running: 3, Queued: 1, KVUsed: 4100, Models: []courier.HeldModel{
 			{Name: "a", Adapters: []string{"a1", "a2"}}, {Name: "b"},
 		}},
 		{Name: "e2"},
 	}}
 
-	It("are decoded as they were encoded", func() {
-		again, err := courier.DecodeHoldings(held.Encode())
+	It("are unchanged by encoding and decoding", func() {
+		decoded, err := courier.DecodeHoldings(holdings.Encode())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again).To(Equal(held))
+		Expect(decoded).To(Equal(holdings))
 	})
 
-	It("are refused wherever they are cut short", func() {
-		data := held.Encode()
+	It("are rejected wherever they are truncated", func() {
+		data := holdings.Encode()
 		for length := range data {
 			_, err := courier.DecodeHoldings(data[:length])
-			Expect(err).To(HaveOccurred(), "after %d bytes", length)
+			Expect(err).To(HaveOccurred(), "cut after %d bytes", length)
 		}
 	})
 })
--- a/internal/courier/pool.go
+++ b/internal/courier/pool.go
@@ -1,5 +1,4 @@
-// Package courier is the inner protocol: the calls that instances make to one
-// another, over net/rpc on TCP.
+// Package courier is the RPC layer between instances: the inner protocol, with net/rpc over TCP.
 package courier
 
 import (
@@ -15,8 +14,7 @@
 // Dial opens a connection to the inner address of an instance.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool keeps one connection to each instance that is called. It is safe for
-// concurrent use.
+// Pool holds one connection to each instance that is called. It is safe for concurrent use.
 type Pool struct {
 	dial    Dial
 	timeout time.Duration
@@ -40,13 +38,13 @@
 	return errors.Is(err, errNotSent)
 }
 
-// NewPool returns a Pool whose calls are given up after timeout, connecting
-// included, unless their context has a deadline of its own.
+// NewPool returns a Pool whose calls fail after timeout, including the time to connect, unless
+// their context has a deadline of its own.
 func NewPool(dial Dial, timeout time.Duration) *Pool {
 	return &Pool{dial: dial, timeout: timeout, clients: map[string]*rpc.Client{}}
 }
 
-// remaining returns how long a call under ctx may take.
+// remaining returns the time limit of a call under ctx.
 func (p *Pool) remaining(ctx context.Context) time.Duration {
 	if deadline, ok := ctx.Deadline(); ok {
 		return time.Until(deadline)
@@ -54,13 +52,12 @@
 	return p.timeout
 }
 
-// Call calls method at address and waits for the reply. If ctx ends or the
-// pool's timeout passes before, Call returns an error and the callee may or may
-// not have run the call.
+// Call calls method at address and waits for the reply. If ctx ends or the pool's timeout passes
+// first, Call returns an error, and the callee may or may not have executed the call.
 //
-// A connection on which a call timed out is closed. Something between the two
-// ends may have lost track of it: it would stay silent for good while new
-// connections work, and every later call on it would time out as well.
+// A connection on which a call timed out is closed. A device on the path may have lost its state
+// for the connection: it would stay silent for good while new connections work, and every later
+// call on it would time out too.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, p.remaining(ctx))
 	defer cancel()
@@ -72,7 +69,7 @@
 	select {
 	case <-call.Done:
 		if call.Error != nil {
-			p.dropUnlessAnswered(address, client, call.Error)
+			p.dropUnlessServerError(address, client, call.Error)
 			return errors.Wrapf(call.Error, "courier: %s at %s", method, address)
 		}
 		return nil
@@ -82,9 +79,9 @@
 	}
 }
 
-// answerOf makes a call and returns its answer. If the call fails, it returns the zero value:
-// an answer that comes as the call is given up is still being written.
-func answerOf[Reply any](ctx context.Context, p *Pool, address, method string, args any) (Reply, error) {
+// callForReply makes a call and returns its reply. If the call fails, it returns the zero value,
+// because net/rpc may still be writing a reply that arrives as the call times out.
+func callForReply[Reply any](ctx context.Context, p *Pool, address, method string, args any) (Reply, error) {
 	reply := new(Reply)
 	if err := p.Call(ctx, address, method, args, reply); err != nil {
 		return *new(Reply), err
@@ -114,28 +111,29 @@
 	if ok {
 		return client, nil
 	}
-	// A host that is gone answers nothing: connecting must not take all the time
-	// that a long call has.
+	// A host that is down does not answer at all: connecting must not take up all the time of a
+	// long call.
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	conn, err := p.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return p.keep(address, rpc.NewClient(conn))
+	return p.store(address, rpc.NewClient(conn))
 }
 
-// keep stores a fresh client, unless another call has stored one meanwhile.
-func (p *Pool) keep(address string, fresh *rpc.Client) (*rpc.Client, error) {
+// store adds a new client to the pool, unless another call has added one in the meantime. It
+// returns the client to use.
+func (p *Pool) store(address string, fresh *rpc.Client) (*rpc.Client, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		fresh.Close()
 		return nil, errors.New("courier: pool is closed")
 	}
-	if held, ok := p.clients[address]; ok {
+	if existing, ok := p.clients[address]; ok {
 		fresh.Close()
-		return held, nil
+		return existing, nil
 	}
 	p.clients[address] = fresh
 	return fresh, nil
@@ -150,11 +148,11 @@
 	client.Close()
 }
 
-// dropUnlessAnswered keeps the connection when the callee itself answered with
-// an error: such a connection works.
-func (p *Pool) dropUnlessAnswered(address string, client *rpc.Client, err error) {
-	var answered rpc.ServerError
-	if errors.As(err, &answered) {
+// dropUnlessServerError keeps the connection if the callee itself returned the error, because such
+// a connection works.
+func (p *Pool) dropUnlessServerError(address string, client *rpc.Client, err error) {
+	var serverError rpc.ServerError
+	if errors.As(err, &serverError) {
 		return
 	}
 	p.drop(address, client)
--- a/internal/courier/roster.go
+++ b/internal/courier/roster.go
@@ -6,37 +6,37 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// RosterService answers other instances' pulls of the roster.
+// RosterService serves other instances' pulls of the roster.
 type RosterService struct {
-	changes func(roster.Cursor, *roster.InstanceRecord) roster.Changes
+	changesSince func(roster.Cursor, *roster.InstanceRecord) roster.Changes
 }
 
-// NewRosterService returns a service that answers with what changes returns.
-// changes is called from many goroutines at once.
-func NewRosterService(changes func(roster.Cursor, *roster.InstanceRecord) roster.Changes) *RosterService {
-	return &RosterService{changes: changes}
+// NewRosterService returns a service that answers with the result of changesSince, which is called
+// concurrently.
+func NewRosterService(changesSince func(roster.Cursor, *roster.InstanceRecord) roster.Changes) *RosterService {
+	return &RosterService{changesSince: changesSince}
 }
 
-// PullArgs asks for what has changed in the callee's roster.
+// PullArgs requests the changes of the callee's roster.
 type PullArgs struct {
 	Cursor roster.Cursor
-	// From is the asker's own record, if the callee may not know it.
+	// From is the caller's own record, or nil if the callee knows it.
 	From *roster.InstanceRecord
 }
 
-// PullReply answers PullArgs.
+// PullReply is the answer to PullArgs.
 type PullReply struct {
 	Changes roster.Changes
 }
 
 // Pull is the net/rpc method "Roster.Pull".
 func (s *RosterService) Pull(args PullArgs, reply *PullReply) error {
-	reply.Changes = s.changes(args.Cursor, args.From)
+	reply.Changes = s.changesSince(args.Cursor, args.From)
 	return nil
 }
 
-// PullRoster asks the instance at address for what has changed in its roster.
-// from is the asker's own record, or nil if the callee knows it.
+// PullRoster requests the changes of the roster of the instance at address. from is the caller's
+// own record, or nil if the callee knows it.
 func (p *Pool) PullRoster(
 	ctx context.Context, address string, cursor roster.Cursor, from *roster.InstanceRecord,
 ) (roster.Changes, error) {
--- a/internal/courier/server.go
+++ b/internal/courier/server.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server answers the calls of other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	listener net.Listener
 	rpc      *rpc.Server
@@ -17,25 +17,23 @@
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
-	// closing is closed together with the setting of closed.
-	closing chan struct{}
-	done    sync.WaitGroup
+	// closing is closed when closed is set.
+	closing    chan struct{}
+	goroutines sync.WaitGroup
 }
 
-// acceptRetry is the time between a failed Accept and the next.
-const acceptRetry = 50 * time.Millisecond
+// acceptRetryDelay is the time between a failed Accept and the next one.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// Services are the handlers of the calls that instances make. Each is the
-// receiver of net/rpc methods; a nil one is left out.
+// Services are the receivers of the net/rpc methods that a Server provides.
 type Services struct {
-	// Roster answers "Roster.Pull".
+	// Roster serves "Roster.Pull". It may be nil.
 	Roster *RosterService
-	// Others are further receivers by name.
+	// Others are further receivers by service name.
 	Others map[string]any
 }
 
-// NewServer starts to answer calls that come in on listener, and closes
-// listener in the end.
+// NewServer starts to serve calls on listener. Close closes the listener.
 func NewServer(listener net.Listener, services Services) (*Server, error) {
 	s := &Server{
 		listener: listener,
@@ -53,7 +51,7 @@
 			return nil, errors.Wrapf(err, "courier: registering %s", name)
 		}
 	}
-	s.done.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
@@ -72,7 +70,7 @@
 		conn.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
@@ -88,18 +86,18 @@
 			conn.Close()
 			return
 		}
-		s.done.Go(func() {
+		s.goroutines.Go(func() {
 			s.rpc.ServeConn(conn)
 			s.untrack(conn)
 		})
 	}
 }
 
-// waitAfterFailedAccept waits a moment and reports whether to accept again. Out
-// of file descriptors, Accept fails at once and again: giving up would leave the
-// instance deaf to the others for good, and going on at once would take a core.
+// waitAfterFailedAccept waits before the next Accept and reports whether to try it. Without free
+// file descriptors, Accept fails immediately each time: stopping would cut the instance off from
+// the others for good, and retrying at once would occupy a processor core.
 func (s *Server) waitAfterFailedAccept() bool {
-	timer := time.NewTimer(acceptRetry)
+	timer := time.NewTimer(acceptRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-s.closing:
--- a/internal/courier/late_test.go
+++ b/internal/courier/sync_test.go
@@ -12,34 +12,34 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// lateFeed answers with a long list, about when its askers give up.
-type lateFeed struct {
-	waitingFeed
+// slowFeed answers with a long list at about the time when its callers time out.
+type slowFeed struct {
+	blockingFeed
 	entries []string
 }
 
-func (f lateFeed) Sync(ctx context.Context, _ courier.SyncArgs) courier.SyncReply {
+func (f slowFeed) Sync(ctx context.Context, _ courier.SyncArgs) courier.SyncReply {
 	pause.For(ctx, time.Millisecond)
 	return courier.SyncReply{Leader: "late", Members: &courier.Members{Entries: f.entries}}
 }
 
 var _ = Describe("Sync", func() {
-	// An answer comes at the moment at which its asker gives the call up. What the asker
-	// returned was still being written: a name or a list could be half of the answer's. The
-	// race detector tells it within some hundred calls.
-	It("gives nothing of an answer that comes as the call is given up", func(ctx SpecContext) {
+	// A reply arrives at the moment when its caller times out. If the caller returned the value
+	// that is still being written, it could contain half a name or half a list. The race detector
+	// reports this within some hundred calls.
+	It("returns no part of a reply that arrives as the call times out", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server, err := courier.NewServer(listener, courier.Services{
-			Others: map[string]any{"Feed": courier.NewFeedService(lateFeed{entries: make([]string, 20_000)})},
+			Others: map[string]any{"Feed": courier.NewFeedService(slowFeed{entries: make([]string, 20_000)})},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
 		pool := courier.NewPool(courier.DialTCP, 5*time.Second)
 		DeferCleanup(pool.Close)
 		for i := range 300 {
-			bounded, cancel := context.WithTimeout(ctx, 2*time.Millisecond+time.Duration(i%60)*200*time.Microsecond)
-			reply, err := pool.Sync(bounded, server.Address(), courier.SyncArgs{})
+			callContext, cancel := context.WithTimeout(ctx, 2*time.Millisecond+time.Duration(i%60)*200*time.Microsecond)
+			reply, err := pool.Sync(callContext, server.Address(), courier.SyncArgs{})
 			cancel()
 			if err != nil {
 				Expect(reply).To(Equal(courier.SyncReply{}))
