--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -1,5 +1,5 @@
-// Package gauge keeps the instance's metrics and answers them to whoever
-// collects them, in the text form that is usual for it (metrics exposition).
+// Package gauge is the metrics registry of an instance and serves the metrics in the Prometheus
+// text format.
 package gauge
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how often what was counted becomes readable. Collectors ask
-// every few seconds at the most.
-const reportEvery = time.Second
+// reportInterval is the time after which a new value becomes visible. Collectors scrape at most
+// once every few seconds.
+const reportInterval = time.Second
 
-// sanitized keeps the words that callers and operators know, such as
-// "not-run", in the values of labels. The default turns their hyphens.
-var sanitized = tally.SanitizeOptions{
+// sanitizeOptions keeps hyphens in label values, so that words known to callers and operators, such
+// as "not-run", appear unchanged. The default options replace hyphens.
+var sanitizeOptions = tally.SanitizeOptions{
 	NameCharacters:       prometheus.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:        prometheus.DefaultSanitizerOpts.KeyCharacters,
 	ValueCharacters:      tally.ValidCharacters{Ranges: tally.AlphanumericRange, Characters: tally.UnderscoreDashDotCharacters},
 	ReplacementCharacter: prometheus.DefaultSanitizerOpts.ReplacementCharacter,
 }
 
-// Gauges is the metrics of one instance. It is safe for concurrent use.
+// Gauges are the metrics of one instance. They are safe for concurrent use.
 type Gauges struct {
 	scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
-// New returns the metrics of the instance of that name. They must be closed.
+// New returns the metrics of the named instance. The caller must close them.
 func New(instance string) *Gauges {
-	// A registry of its own, so that two instances in one process don't mix.
+	// A separate registry keeps the metrics of several instances in one process apart.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -43,22 +43,22 @@
 		Tags:            map[string]string{"instance": instance},
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
-		SanitizeOptions: &sanitized,
-	}, reportEvery)
+		SanitizeOptions: &sanitizeOptions,
+	}, reportInterval)
 	return &Gauges{scope: scope, handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Scope returns where to count.
+// Scope returns the scope in which metrics are recorded.
 func (g *Gauges) Scope() tally.Scope {
 	return g.scope
 }
 
-// ServeHTTP answers all metrics.
+// ServeHTTP writes all metrics.
 func (g *Gauges) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.handler.ServeHTTP(w, r)
 }
 
-// Close ends the reporting.
+// Close reports the last values and stops the reporting.
 func (g *Gauges) Close() error {
 	return errors.Wrap(g.closer.Close(), "gauge")
 }
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -11,19 +11,19 @@
 )
 
 var _ = Describe("Gauges", func() {
-	It("answer what was counted, each instance its own", func() {
+	It("serve the counters of their own instance only", func() {
 		a := gauge.New("a")
 		b := gauge.New("b")
 		a.Scope().Tagged(map[string]string{"code": "no-upstream"}).Counter("refusals").Inc(2)
-		// Close reports what was counted.
+		// Close reports the counted values.
 		Expect(a.Close()).To(Succeed())
 		Expect(b.Close()).To(Succeed())
-		Expect(read(a)).To(ContainSubstring(`lovagelift_refusals{code="no-upstream",instance="a"} 2`))
-		Expect(read(b)).NotTo(ContainSubstring("refusals"))
+		Expect(scrape(a)).To(ContainSubstring(`lovagelift_refusals{code="no-upstream",instance="a"} 2`))
+		Expect(scrape(b)).NotTo(ContainSubstring("refusals"))
 	})
 })
 
-func read(g *gauge.Gauges) string {
+func scrape(g *gauge.Gauges) string {
 	recorder := httptest.NewRecorder()
 	g.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return recorder.Body.String()
