--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("Clock", func() {
-	It("starts at the time of day it was given and never goes back", func() {
+	It("starts at the given time and never goes back", func() {
 		start := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 		clock := boottime.New(start)
 		first := clock.Now()
@@ -18,10 +18,9 @@
 		Expect(clock.Now()).To(BeTemporally(">=", first))
 	})
 
-	// A machine is suspended for seconds. Times with a monotonic part would be
-	// compared by a clock that stood still meanwhile, and a lease that ran out
-	// would still look held.
-	It("gives times without a monotonic part", func() {
+	// A machine is suspended for seconds. Times with a monotonic reading would be compared by a
+	// clock that stopped in the meantime, and an expired lease would still look valid.
+	It("returns times without a monotonic reading", func() {
 		now := boottime.New(time.Now()).Now()
 		Expect(now).To(Equal(now.Round(0)))
 	})
