--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time that a context may cut short (sleep with
-// cancellation). It is for drivers; what decides takes the time as an argument.
+// Package pause is a sleep that a context can cancel. It is meant for loops that drive a component;
+// the decision logic takes the time as an argument instead.
 package pause
 
 import (
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// For waits for d and returns true. If ctx ends before, For returns false at
-// once.
+// For waits for d and returns true. If ctx ends first, For returns false immediately.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -10,11 +10,11 @@
 
 func TestFor(t *testing.T) {
 	if !pause.For(context.Background(), time.Nanosecond) {
-		t.Error("the time passed, want true")
+		t.Error("For returned false after the time passed, want true")
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	canceledContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	if pause.For(ended, time.Hour) {
-		t.Error("the context had ended, want false")
+	if pause.For(canceledContext, time.Hour) {
+		t.Error("For returned true with a canceled context, want false")
 	}
 }
