--- a/internal/parcel/parcel.go
+++ b/internal/parcel/parcel.go
@@ -1,6 +1,5 @@
-// Package parcel encodes and decodes fields of binary records: variable-length
-// integers and length-prefixed byte strings (serialization). Equal fields give
-// equal bytes.
+// Package parcel is the serialization of binary records: variable-length integers and
+// length-prefixed byte strings. Equal fields are encoded as equal bytes.
 package parcel
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrShort says that a record ended before its last field.
+// ErrShort is returned for a record that ends before its last field or has an invalid field.
 var ErrShort = errors.New("parcel: the record ends too early")
 
 // AppendUint appends an unsigned integer, which takes 1 to 10 bytes.
@@ -17,21 +16,20 @@
 	return binary.AppendUvarint(buffer, value)
 }
 
-// AppendBytes appends the length of value and value.
+// AppendBytes appends the length of value, then value itself.
 func AppendBytes[B ~[]byte | ~string](buffer []byte, value B) []byte {
 	buffer = binary.AppendUvarint(buffer, uint64(len(value)))
 	return append(buffer, value...)
 }
 
-// Reader takes the fields of a record one after the other. After the first
-// field that isn't there, all further ones are zero and End returns an error,
-// so that callers check once. Use NewReader.
+// Reader decodes the fields of a record in order. After the first missing field, all further fields
+// are zero and End returns an error, so that callers check for errors once. Use NewReader.
 type Reader struct {
 	rest   []byte
 	failed bool
 }
 
-// NewReader returns a Reader of record, whose byte strings share its memory.
+// NewReader returns a Reader of record. The byte slices that it returns share the memory of record.
 func NewReader(record []byte) *Reader {
 	return &Reader{rest: record}
 }
@@ -47,9 +45,9 @@
 	return value
 }
 
-// Count returns the next unsigned integer as a number of things that follow.
-// As each takes a byte at least, Count fails if it is more than the bytes left,
-// so that a damaged count never asks for memory.
+// Count returns the next unsigned integer as the number of items that follow. Each item takes at
+// least one byte, so Count fails if the number exceeds the remaining bytes. A damaged count
+// therefore can't cause a large allocation.
 func (r *Reader) Count() int {
 	count := r.Uint()
 	if count > uint64(len(r.rest)) {
@@ -61,22 +59,22 @@
 
 // Byte returns the next byte.
 func (r *Reader) Byte() byte {
-	b := r.Fixed(1)
-	if b == nil {
+	field := r.Fixed(1)
+	if field == nil {
 		return 0
 	}
-	return b[0]
+	return field[0]
 }
 
-// Fixed returns the next size bytes, or nil if fewer are left.
+// Fixed returns the next size bytes, or nil if fewer remain.
 func (r *Reader) Fixed(size int) []byte {
 	if size > len(r.rest) {
 		r.Fail()
 		return nil
 	}
-	b := r.rest[:size:size]
+	field := r.rest[:size:size]
 	r.rest = r.rest[size:]
-	return b
+	return field
 }
 
 // Bytes returns the next byte string, or nil if it is empty.
@@ -93,14 +91,13 @@
 	return string(r.Bytes())
 }
 
-// Fail makes End return an error. Callers use it for a field that makes no
-// sense.
+// Fail makes End return an error. Callers use it for a field with an invalid value.
 func (r *Reader) Fail() {
 	r.failed = true
 	r.rest = nil
 }
 
-// End returns an error if a field was missing or bytes are left over.
+// End returns an error if a field was missing or invalid, or if bytes remain.
 func (r *Reader) End() error {
 	if r.failed {
 		return ErrShort
--- a/internal/parcel/parcel_test.go
+++ b/internal/parcel/parcel_test.go
@@ -11,13 +11,13 @@
 
 var _ = Describe("Reader", func() {
 	record := func() []byte {
-		b := parcel.AppendUint(nil, math.MaxUint64)
-		b = parcel.AppendBytes(b, "kgn-a")
-		b = parcel.AppendBytes(b, []byte{})
-		return append(b, 7)
+		buffer := parcel.AppendUint(nil, math.MaxUint64)
+		buffer = parcel.AppendBytes(buffer, "kgn-a")
+		buffer = parcel.AppendBytes(buffer, []byte{})
+		return append(buffer, 7)
 	}
 
-	It("returns what was appended", func() {
+	It("returns the appended fields", func() {
 		r := parcel.NewReader(record())
 		Expect(r.Uint()).To(Equal(uint64(math.MaxUint64)))
 		Expect(r.String()).To(Equal("kgn-a"))
@@ -26,13 +26,13 @@
 		Expect(r.End()).To(Succeed())
 	})
 
-	It("says that bytes are left over", func() {
+	It("reports leftover bytes", func() {
 		r := parcel.NewReader(record())
 		r.Uint()
 		Expect(r.End()).To(MatchError(ContainSubstring("8 bytes too many")))
 	})
 
-	It("says that a record is too short, wherever it was cut", func() {
+	It("reports truncation at any position", func() {
 		whole := record()
 		for cut := range whole {
 			r := parcel.NewReader(whole[:cut])
@@ -44,7 +44,7 @@
 		}
 	})
 
-	It("takes no count that the record can't hold", func() {
+	It("rejects a count larger than the remaining bytes", func() {
 		r := parcel.NewReader(parcel.AppendUint(nil, 1<<40))
 		Expect(r.Count()).To(BeZero())
 		Expect(r.End()).To(MatchError(parcel.ErrShort))
