--- a/internal/badge/badge.go
+++ b/internal/badge/badge.go
@@ -1,5 +1,5 @@
-// Package badge tells who shows a bearer token (authentication). It knows only
-// the hashes of tokens, so that a file that leaks gives nobody access.
+// Package badge is the authentication by bearer tokens. It stores only the hashes of tokens, so
+// that a leaked file gives nobody access.
 package badge
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-// Book is the holders of tokens. It is immutable and safe for concurrent use.
-// The zero value knows nobody.
+// Book is the list of token holders. It is immutable and safe for concurrent use. The zero value
+// has no holders.
 type Book struct {
 	holders []holder
 }
 
-// tokenKey is the key of the tables that list tokens.
+// tokenKey is the key of the TOML tables that list tokens.
 const tokenKey = "token"
 
-// holder is one who may act. Names and hashes differ within a Book.
+// holder is a user or program with a token. Names and hashes are unique within a Book.
 type holder struct {
 	name string
 	hash [sha256.Size]byte
 }
 
-// Load returns the Book in the TOML file path.
+// Load reads the Book in the TOML file path.
 func Load(path string) (Book, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -38,80 +38,80 @@
 	return Parse(path, data)
 }
 
-// Parse returns the Book in data, which is TOML: for each token a table [[token]]
-// with the name of its holder and sha256, the hash in hexadecimal. If it is wrong,
-// Parse returns a *finding.Error with every finding, whose places name file.
+// Parse returns the Book in data, which is TOML: for each token a table [[token]] with the name of
+// its holder and sha256, the hash in hexadecimal. If data is invalid, Parse returns a
+// *finding.Error with every finding, whose places name file.
 //
-// A plain SHA-256 is enough for tokens that a machine drew: there is no
-// dictionary to try. docs/operators/settings.md says how to draw one.
+// A plain SHA-256 is sufficient for randomly generated tokens, which no dictionary contains.
+// docs/operators/settings.md describes how to generate one.
 func Parse(file string, data []byte) (Book, error) {
-	var list finding.List
-	root, ok := form.Open(file, data, &list)
+	var findings finding.List
+	root, ok := form.Open(file, data, &findings)
 	if !ok {
-		return Book{}, list.Err()
+		return Book{}, findings.Err()
 	}
 	var book Book
-	names := map[string]finding.Place{}
-	hashes := map[[sha256.Size]byte]finding.Place{}
+	namePlaces := map[string]finding.Place{}
+	hashPlaces := map[[sha256.Size]byte]finding.Place{}
 	for _, table := range root.Tables(tokenKey) {
-		h := readHolder(table, names, hashes)
-		book.holders = append(book.holders, h)
+		parsed := readHolder(table, namePlaces, hashPlaces)
+		book.holders = append(book.holders, parsed)
 	}
 	root.Done()
 	if len(book.holders) == 0 {
-		list.Add(finding.Place{File: file}, "no token is listed, so nobody could act",
+		findings.Add(finding.Place{File: file}, "no token is listed, so nobody could act",
 			`write [[token]] with name = "..." and sha256 = "..."`)
 	}
-	if err := list.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return Book{}, err
 	}
 	return book, nil
 }
 
-// IsBook tells whether data is TOML that lists tokens, rightly or wrongly.
+// IsBook reports whether data is TOML that lists tokens, even if the list is invalid.
 func IsBook(data []byte) bool {
 	var ignored finding.List
 	root, ok := form.Open("", data, &ignored)
 	return ok && root.Has(tokenKey)
 }
 
-func readHolder(table *form.Reader, names map[string]finding.Place, hashes map[[sha256.Size]byte]finding.Place) holder {
+func readHolder(table *form.Reader, namePlaces map[string]finding.Place, hashPlaces map[[sha256.Size]byte]finding.Place) holder {
 	table.Require("name", `"kim"`)
 	table.Require("sha256", `"..."`)
 	h := holder{name: table.Text("name", "")}
-	text := table.Text("sha256", "")
+	hexHash := table.Text("sha256", "")
 	table.Done()
-	hash, err := hex.DecodeString(text)
+	hash, err := hex.DecodeString(hexHash)
 	switch {
-	case text == "":
+	case hexHash == "":
 	case err != nil || len(hash) != sha256.Size:
-		// The text is left out: it may be the token itself.
+		// The message does not contain the value, which may be the token itself.
 		table.Add("sha256", "sha256 must be 64 hexadecimal digits", "write the output of sha256sum for the token without a line end")
 	default:
 		copy(h.hash[:], hash)
-		if first, taken := hashes[h.hash]; taken {
+		if first, taken := hashPlaces[h.hash]; taken {
 			table.Add("sha256", "the token is listed already, at "+first.String(), "draw another token")
 		}
-		hashes[h.hash] = table.Place("sha256")
+		hashPlaces[h.hash] = table.Place("sha256")
 	}
-	if first, taken := names[h.name]; taken && h.name != "" {
+	if first, taken := namePlaces[h.name]; taken && h.name != "" {
 		table.Add("name", "the holder is listed already, at "+first.String(), "write another name")
 	}
-	names[h.name] = table.Place("name")
+	namePlaces[h.name] = table.Place("name")
 	return h
 }
 
-// Holder returns the name of the holder of token. If nobody holds it, Holder
-// returns false. The time that Holder takes does not depend on the tokens.
+// Holder returns the name of the holder of token, or false if there is none. Its running time does
+// not depend on the tokens.
 func (b Book) Holder(token string) (string, bool) {
 	hash := sha256.Sum256([]byte(token))
-	found := -1
+	index := -1
 	for i := range b.holders {
-		same := subtle.ConstantTimeCompare(hash[:], b.holders[i].hash[:])
-		found = subtle.ConstantTimeSelect(same, i, found)
+		match := subtle.ConstantTimeCompare(hash[:], b.holders[i].hash[:])
+		index = subtle.ConstantTimeSelect(match, i, index)
 	}
-	if found < 0 {
+	if index < 0 {
 		return "", false
 	}
-	return b.holders[found].name, true
+	return b.holders[index].name, true
 }
--- a/internal/badge/badge_test.go
+++ b/internal/badge/badge_test.go
@@ -11,13 +11,13 @@
 	"github.com/lovagelift/lovagelift/internal/badge"
 )
 
-func entry(name, token string) string {
+func tokenTable(name, token string) string {
 	return fmt.Sprintf("[[token]]\nname = %q\nsha256 = \"%x\"\n", name, sha256.Sum256([]byte(token)))
 }
 
 var _ = Describe("Book", func() {
-	It("knows the holder of each token and nobody else", func() {
-		book, err := badge.Parse("t.toml", []byte(entry("kim", "first token")+entry("ada", "second token")))
+	It("returns the holder of each token, and none for other tokens", func() {
+		book, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
 		Expect(err).NotTo(HaveOccurred())
 		for token, want := range map[string]string{
 			"first token": "kim", "second token": "ada", "": "", "First token": "", "first token\n": "",
@@ -31,8 +31,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("reports all findings and never shows what may be a token", func() {
-		_, err := badge.Parse("t.toml", []byte(entry("kim", "x")+entry("kim", "x")+
+	It("reports all findings and never prints what may be a token", func() {
+		_, err := badge.Parse("t.toml", []byte(tokenTable("kim", "x")+tokenTable("kim", "x")+
 			"[[token]]\nname = \"ada\"\nsha256 = \"the-token-itself\"\n[[token]]\nname = \"eve\"\ntoken = \"secret\"\n"))
 		Expect(strings.Split(err.Error(), "\n")).To(Equal([]string{
 			"t.toml:5:8: the holder is listed already, at t.toml:2:8; write another name",
@@ -43,7 +43,7 @@
 		}))
 	})
 
-	It("refuses a file that lists nobody", func() {
+	It("rejects a file without tokens", func() {
 		_, err := badge.Parse("t.toml", nil)
 		Expect(err).To(MatchError(HavePrefix("t.toml: no token is listed")))
 	})
