--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -1,5 +1,5 @@
-// Package seal makes TLS configurations from files that are replaced while the
-// process runs (certificate rotation).
+// Package seal provides TLS configurations with certificate rotation: their files may be replaced
+// while the process runs.
 package seal
 
 import (
@@ -14,80 +14,78 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-// DefaultCheckEvery is how often files are looked at. Certificates are replaced
-// days before they end, so seconds do not matter.
-const DefaultCheckEvery = 10 * time.Second
+// DefaultCheckInterval is the default time between two checks of the files. Certificates are
+// replaced days before they expire, so a delay of seconds is harmless.
+const DefaultCheckInterval = 10 * time.Second
 
 // Options configures a Seal.
 type Options struct {
-	// Files is set, see settings.KeyPair.IsSet.
+	// Files must be set, see settings.KeyPair.IsSet.
 	Files settings.KeyPair
-	// CheckEvery is the least time between two looks at the files. 0 stands for
-	// DefaultCheckEvery.
-	CheckEvery time.Duration
-	// Now returns the present time.
+	// CheckInterval is the minimum time between two checks of the files. 0 selects
+	// DefaultCheckInterval.
+	CheckInterval time.Duration
+	// Now returns the current time.
 	Now func() time.Time
-	// Failed is told of files that were replaced and cannot be used. The ones
-	// before stay in use. It is called with a lock held and must not call back.
+	// Failed is called for replaced files that cannot be used. The previous ones stay in use. It is
+	// called with a lock held and must not call methods of the Seal.
 	Failed func(err error)
 }
 
-// Seal holds a certificate with its key, and the certificates that verify the
-// other side if there are any. It is safe for concurrent use.
+// Seal holds a certificate with its key, and optionally the CA certificates that verify the peer.
+// It is safe for concurrent use.
 //
-// It looks at its files when a connection is made, so it needs no goroutine and
-// a process without connections does nothing.
+// It checks its files when a connection is made, so it needs no goroutine, and a process without
+// connections does no work.
 type Seal struct {
 	options Options
 
-	mu      sync.Mutex
-	checked time.Time
-	// stamp tells the files that current was made of from ones that replaced
-	// them.
-	stamp   stamp
-	current pair
+	mu        sync.Mutex
+	lastCheck time.Time
+	// versions are those of the files from which current was loaded.
+	versions fileVersions
+	current  credentials
 }
 
-// pair is what the files held when they were read last.
-type pair struct {
+// credentials are the contents of the files.
+type credentials struct {
 	certificate tls.Certificate
-	// authorities is nil if the other side is not verified.
+	// authorities is nil if the peer is not verified.
 	authorities *x509.CertPool
-	// server is kept as long as the files are, because the keys of session
-	// tickets belong to it.
+	// server is kept until the files change, because it holds the keys of session tickets.
 	server *tls.Config
 }
 
-// stamp is what changes of files when they are replaced.
-type stamp struct {
-	cert, key, ca fileStamp
+// fileVersions are the file attributes that change when the files are replaced.
+type fileVersions struct {
+	cert, key, ca fileVersion
 }
 
-type fileStamp struct {
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// New returns a Seal of the files. If they cannot be used, New returns an error.
+// New returns a Seal that has loaded the files. If they cannot be used, New returns an error.
 func New(options Options) (*Seal, error) {
-	if options.CheckEvery == 0 {
-		options.CheckEvery = DefaultCheckEvery
+	if options.CheckInterval == 0 {
+		options.CheckInterval = DefaultCheckInterval
 	}
-	s := &Seal{options: options, checked: options.Now()}
-	// The stamp is taken before the files are read. If they are replaced in
-	// between, the next look finds another stamp and reads them again.
+	s := &Seal{options: options, lastCheck: options.Now()}
+	// The versions are determined before the files are read. If the files are replaced in between,
+	// the next check finds other versions and reads them again.
 	var err error
-	if s.stamp, err = stampOf(options.Files); err != nil {
+	if s.versions, err = versionsOf(options.Files); err != nil {
 		return nil, err
 	}
-	if s.current, err = load(options.Files); err != nil {
+	if s.current, err = loadCredentials(options.Files); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Server returns the configuration of a listener. If there is a CA file, the
-// other side must show a certificate that it verifies.
+// Server returns the configuration of a listener. If there is a CA file, clients must present a
+// certificate that it verifies.
 func (s *Seal) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -97,9 +95,8 @@
 	}
 }
 
-// Client returns the configuration of one connection that is to be made now.
-// With a CA file, only that verifies the other side; without one, the system's
-// certificates do.
+// Client returns the configuration of a connection that is made immediately. With a CA file, only
+// its certificates verify the server; without one, those of the system do.
 func (s *Seal) Client() *tls.Config {
 	latest := s.latest()
 	return &tls.Config{
@@ -109,70 +106,69 @@
 	}
 }
 
-// latest looks at the files if that is due, and returns what they hold or held
-// when they could last be used.
-func (s *Seal) latest() pair {
+// latest checks the files if that is due, and returns their contents, or the last usable ones.
+func (s *Seal) latest() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.options.Now()
-	if now.Sub(s.checked) < s.options.CheckEvery {
+	if now.Sub(s.lastCheck) < s.options.CheckInterval {
 		return s.current
 	}
-	s.checked = now
-	found, err := stampOf(s.options.Files)
-	if err == nil && found == s.stamp {
+	s.lastCheck = now
+	versions, err := versionsOf(s.options.Files)
+	if err == nil && versions == s.versions {
 		return s.current
 	}
 	if err != nil {
 		s.options.Failed(err)
 		return s.current
 	}
-	// Certificate and key are two files and are replaced one after the other. In
-	// between they do not fit and loading fails; the stamp is left as it was, so
-	// the next look tries again.
-	loaded, err := load(s.options.Files)
+	// Certificate and key are two files that are replaced one after the other. In between they do
+	// not match and loading fails. The versions are not updated then, so the next check tries
+	// again.
+	loaded, err := loadCredentials(s.options.Files)
 	if err != nil {
 		s.options.Failed(err)
 		return s.current
 	}
-	s.stamp, s.current = found, loaded
+	s.versions, s.current = versions, loaded
 	return s.current
 }
 
-func load(files settings.KeyPair) (pair, error) {
+func loadCredentials(files settings.KeyPair) (credentials, error) {
 	certificate, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	if err != nil {
-		return pair{}, errors.Wrapf(err, "seal: %s with %s", files.CertFile, files.KeyFile)
+		return credentials{}, errors.Wrapf(err, "seal: %s with %s", files.CertFile, files.KeyFile)
 	}
-	p := pair{certificate: certificate}
-	p.server = &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{certificate}}
+	loaded := credentials{certificate: certificate}
+	loaded.server = &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{certificate}}
 	if files.CAFile == "" {
-		return p, nil
+		return loaded, nil
 	}
 	data, err := os.ReadFile(files.CAFile)
 	if err != nil {
-		return pair{}, errors.Wrap(err, "seal: reading the ca")
+		return credentials{}, errors.Wrap(err, "seal: reading the ca")
 	}
-	p.authorities = x509.NewCertPool()
-	if !p.authorities.AppendCertsFromPEM(data) {
-		return pair{}, errors.Newf("seal: %s holds no certificate in PEM", files.CAFile)
+	loaded.authorities = x509.NewCertPool()
+	if !loaded.authorities.AppendCertsFromPEM(data) {
+		return credentials{}, errors.Newf("seal: %s holds no certificate in PEM", files.CAFile)
 	}
-	p.server.ClientCAs = p.authorities
-	p.server.ClientAuth = tls.RequireAndVerifyClientCert
-	return p, nil
+	loaded.server.ClientCAs = loaded.authorities
+	loaded.server.ClientAuth = tls.RequireAndVerifyClientCert
+	return loaded, nil
 }
 
-func stampOf(files settings.KeyPair) (stamp, error) {
-	var s stamp
-	for path, to := range map[string]*fileStamp{files.CertFile: &s.cert, files.KeyFile: &s.key, files.CAFile: &s.ca} {
+func versionsOf(files settings.KeyPair) (fileVersions, error) {
+	var versions fileVersions
+	for path, version := range map[string]*fileVersion{files.CertFile: &versions.cert, files.KeyFile: &versions.key, files.CAFile: &versions.ca} {
 		if path == "" {
 			continue
 		}
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamp{}, errors.Wrap(err, "seal: looking at the files")
+			return fileVersions{}, errors.Wrap(err, "seal: looking at the files")
 		}
-		*to = fileStamp{modified: info.ModTime(), size: info.Size()}
+		*version = fileVersion{modified: info.ModTime(), size: info.Size()}
 	}
-	return s, nil
+	return versions, nil
 }
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -22,7 +22,7 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-// authority signs certificates for 127.0.0.1.
+// authority is a CA that issues certificates for 127.0.0.1.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -65,11 +65,11 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
 }
 
-// fixture is the files of one side and the Seal over them.
+// fixture holds the files of one peer and the Seal that uses them.
 type fixture struct {
 	files    settings.KeyPair
 	now      time.Time
-	replaced int
+	writes   int
 	failures []error
 	seal     *seal.Seal
 }
@@ -89,27 +89,27 @@
 	return f
 }
 
-// write replaces a file, with a time of change that no other write has.
+// write replaces a file and gives it a unique modification time.
 func (f *fixture) write(path string, data []byte) {
 	Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
-	f.replaced++
-	at := f.now.Add(time.Duration(f.replaced) * time.Second)
+	f.writes++
+	at := f.now.Add(time.Duration(f.writes) * time.Second)
 	Expect(os.Chtimes(path, at, at)).To(Succeed())
 }
 
 func (f *fixture) open() *fixture {
-	made, err := seal.New(seal.Options{
+	opened, err := seal.New(seal.Options{
 		Files: f.files, Now: func() time.Time { return f.now },
 		Failed: func(err error) { f.failures = append(f.failures, err) },
 	})
 	Expect(err).NotTo(HaveOccurred())
-	f.seal = made
+	f.seal = opened
 	return f
 }
 
-// handshake connects a client with server and returns the name that the server
-// showed and the server's error.
-func handshake(server, client *tls.Config) (shown string, clientErr, serverErr error) {
+// handshake connects client to server. It returns the common name of the server's certificate and
+// the errors of both sides.
+func handshake(server, client *tls.Config) (serverName string, clientErr, serverErr error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,35 +134,35 @@
 	connection := tls.Client(clientSide, client)
 	clientErr = connection.HandshakeContext(ctx)
 	if peers := connection.ConnectionState().PeerCertificates; len(peers) > 0 {
-		shown = peers[0].Subject.CommonName
+		serverName = peers[0].Subject.CommonName
 	}
-	return shown, clientErr, <-done
+	return serverName, clientErr, <-done
 }
 
 var _ = Describe("Seal", func() {
-	It("lets two sides of one authority verify each other", func() {
+	It("verifies both peers if one authority issued their certificates", func() {
 		a := newAuthority()
 		server, client := newFixture(a, "server").open(), newFixture(a, "client").open()
-		shown, clientErr, serverErr := handshake(server.seal.Server(), client.seal.Client())
+		serverName, clientErr, serverErr := handshake(server.seal.Server(), client.seal.Client())
 		Expect(clientErr).NotTo(HaveOccurred())
 		Expect(serverErr).NotTo(HaveOccurred())
-		Expect(shown).To(Equal("server"))
+		Expect(serverName).To(Equal("server"))
 	})
 
-	It("refuses the certificate of another authority on both sides, and none", func() {
+	It("rejects certificates of another authority on both sides, and a client without a certificate", func() {
 		server, client := newFixture(newAuthority(), "server").open(), newFixture(newAuthority(), "client").open()
 		_, clientErr, _ := handshake(server.seal.Server(), client.seal.Client())
 		Expect(clientErr).To(MatchError(ContainSubstring("unknown authority")))
-		trusting := client.seal.Client()
-		trusting.InsecureSkipVerify = true
-		_, _, serverErr := handshake(server.seal.Server(), trusting)
+		insecure := client.seal.Client()
+		insecure.InsecureSkipVerify = true
+		_, _, serverErr := handshake(server.seal.Server(), insecure)
 		Expect(serverErr).To(MatchError(ContainSubstring("unknown authority")))
-		trusting.Certificates = nil
-		_, _, serverErr = handshake(server.seal.Server(), trusting)
+		insecure.Certificates = nil
+		_, _, serverErr = handshake(server.seal.Server(), insecure)
 		Expect(serverErr).To(MatchError(ContainSubstring("client didn't provide a certificate")))
 	})
 
-	It("asks the other side for nothing without a CA file", func() {
+	It("requests no client certificate without a CA file", func() {
 		a := newAuthority()
 		f := newFixture(a, "server")
 		f.files.CAFile = ""
@@ -174,77 +174,76 @@
 		Expect(serverErr).NotTo(HaveOccurred())
 	})
 
-	It("shows a replaced certificate once it looks again, on a listener that stays", func() {
+	It("presents a replaced certificate after the next check, on the same listener", func() {
 		a := newAuthority()
 		f, client := newFixture(a, "old").open(), newFixture(a, "client").open()
 		listener := f.seal.Server()
 		certificate, key := a.issue("new")
 		f.write(f.files.CertFile, certificate)
 		f.write(f.files.KeyFile, key)
-		f.now = f.now.Add(seal.DefaultCheckEvery - 1)
-		shown, _, _ := handshake(listener, client.seal.Client())
-		Expect(shown).To(Equal("old"))
+		f.now = f.now.Add(seal.DefaultCheckInterval - 1)
+		serverName, _, _ := handshake(listener, client.seal.Client())
+		Expect(serverName).To(Equal("old"))
 		f.now = f.now.Add(1)
-		shown, _, _ = handshake(listener, client.seal.Client())
-		Expect(shown).To(Equal("new"))
+		serverName, _, _ = handshake(listener, client.seal.Client())
+		Expect(serverName).To(Equal("new"))
 		Expect(f.failures).To(BeEmpty())
 	})
 
-	It("stays with the old files while certificate and key do not fit", func() {
-		// An operator's script replaces the certificate, and the key a little
-		// later. Connections in between must not fail: the old pair is still
-		// good. Once the key is there, the new pair is taken without another
-		// change of the certificate.
+	It("keeps the old certificate while the new certificate and key do not match", func() {
+		// An operator's script replaces the certificate, and the key a little later. Connections in
+		// between must not fail, because the old pair is still valid. Once the key is replaced, the
+		// new pair is loaded without another change of the certificate.
 		a := newAuthority()
 		f, client := newFixture(a, "old").open(), newFixture(a, "client").open()
 		certificate, key := a.issue("new")
 		f.write(f.files.CertFile, certificate)
-		f.now = f.now.Add(seal.DefaultCheckEvery)
-		shown, clientErr, _ := handshake(f.seal.Server(), client.seal.Client())
+		f.now = f.now.Add(seal.DefaultCheckInterval)
+		serverName, clientErr, _ := handshake(f.seal.Server(), client.seal.Client())
 		Expect(clientErr).NotTo(HaveOccurred())
-		Expect(shown).To(Equal("old"))
+		Expect(serverName).To(Equal("old"))
 		Expect(f.failures).To(ConsistOf(MatchError(ContainSubstring("does not match"))))
 		f.write(f.files.KeyFile, key)
-		f.now = f.now.Add(seal.DefaultCheckEvery)
-		shown, _, _ = handshake(f.seal.Server(), client.seal.Client())
-		Expect(shown).To(Equal("new"))
+		f.now = f.now.Add(seal.DefaultCheckInterval)
+		serverName, _, _ = handshake(f.seal.Server(), client.seal.Client())
+		Expect(serverName).To(Equal("new"))
 	})
 
-	It("tries again after a failure although nothing seems to have changed", func() {
-		// The key is read while it is being written. Its time of change and its
-		// size are the same before and after, as on file systems that count in
-		// seconds. The new pair must not be left out for good.
+	It("retries after a failure even if the files look unchanged", func() {
+		// The key is read while it is being written. Its modification time and size are the same
+		// before and after, as can happen on file systems with a resolution of seconds. The new
+		// pair must still be loaded.
 		a := newAuthority()
 		f, client := newFixture(a, "old").open(), newFixture(a, "client").open()
 		certificate, key := a.issue("new")
 		f.write(f.files.CertFile, certificate)
 		f.write(f.files.KeyFile, make([]byte, len(key)))
-		f.now = f.now.Add(seal.DefaultCheckEvery)
-		shown, _, _ := handshake(f.seal.Server(), client.seal.Client())
-		Expect(shown).To(Equal("old"))
+		f.now = f.now.Add(seal.DefaultCheckInterval)
+		serverName, _, _ := handshake(f.seal.Server(), client.seal.Client())
+		Expect(serverName).To(Equal("old"))
 		info, err := os.Stat(f.files.KeyFile)
 		Expect(err).NotTo(HaveOccurred())
 		f.write(f.files.KeyFile, key)
 		Expect(os.Chtimes(f.files.KeyFile, info.ModTime(), info.ModTime())).To(Succeed())
-		f.now = f.now.Add(seal.DefaultCheckEvery)
-		shown, _, _ = handshake(f.seal.Server(), client.seal.Client())
-		Expect(shown).To(Equal("new"))
+		f.now = f.now.Add(seal.DefaultCheckInterval)
+		serverName, _, _ = handshake(f.seal.Server(), client.seal.Client())
+		Expect(serverName).To(Equal("new"))
 	})
 
-	It("stays with the old files while one is gone", func() {
+	It("keeps the old certificate while a file is missing", func() {
 		f := newFixture(newAuthority(), "old").open()
 		Expect(os.Remove(f.files.KeyFile)).To(Succeed())
-		f.now = f.now.Add(seal.DefaultCheckEvery)
+		f.now = f.now.Add(seal.DefaultCheckInterval)
 		Expect(f.seal.Client().Certificates).To(HaveLen(1))
 		Expect(f.failures).To(ConsistOf(MatchError(ContainSubstring("seal: looking at the files"))))
 	})
 
-	It("trusts another authority once its file is replaced, and the old one no longer", func() {
+	It("trusts only the new authority after the CA file is replaced", func() {
 		old, next := newAuthority(), newAuthority()
 		f := newFixture(old, "server").open()
 		before, after := newFixture(old, "client").open(), newFixture(next, "client").open()
 		f.write(f.files.CAFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: next.certificate.Raw}))
-		f.now = f.now.Add(seal.DefaultCheckEvery)
+		f.now = f.now.Add(seal.DefaultCheckInterval)
 		for client, accepted := range map[*fixture]bool{before: false, after: true} {
 			config := client.seal.Client()
 			config.InsecureSkipVerify = true
@@ -253,7 +252,7 @@
 		}
 	})
 
-	It("does not start with files that cannot be used", func() {
+	It("returns an error for unusable files", func() {
 		f := newFixture(newAuthority(), "server")
 		f.write(f.files.CAFile, []byte("no certificate"))
 		_, err := seal.New(seal.Options{Files: f.files, Now: time.Now})
