--- a/internal/salvage/salvage.go
+++ b/internal/salvage/salvage.go
@@ -1,6 +1,5 @@
-// Package salvage takes the replicated state out of the data folder of a voter
-// that is stopped (disaster recovery). It is for the day when a majority of the
-// voters is lost for good, and their cluster with it.
+// Package salvage is the disaster recovery of a cluster that lost a majority of its voters for
+// good: it exports the replicated state from the data folder of a stopped voter.
 package salvage
 
 import (
@@ -16,26 +15,25 @@
 
 // State is the replicated state of a cluster that lost its majority.
 type State struct {
-	// Cluster is the one that is lost. The state begins another.
+	// Cluster is the lost cluster. The state is the start of another one.
 	Cluster string `json:"cluster"`
-	// Index is the last entry of the log that is in Data.
+	// Index is the last log entry that Data includes.
 	Index jury.Index `json:"index"`
-	// Term is at least every term of the lost cluster that this voter heard of.
+	// Term is not lower than any term of the lost cluster that this voter knew.
 	Term jury.Term `json:"term"`
-	// Revision and Preset tell what Data has in force.
+	// Revision and Preset are those in force according to Data.
 	Revision registry.Revision `json:"revision"`
 	Preset   string            `json:"preset"`
 	// Data is a snapshot of the registry.
 	Data []byte `json:"data"`
 }
 
-// Read returns the state in the data folder of a voter. The folder is locked
-// meanwhile; if a process holds it, or it is damaged, Read returns an error.
+// Read returns the state in the data folder of a voter. It locks the folder while reading. If a
+// process holds the lock or the folder is damaged, Read returns an error.
 //
-// All that the voter had synced is taken, also what was not yet known to be
-// committed: an operator may have been told of it by others that are lost. What
-// the lost voters had committed and this one had not synced is gone, and no
-// program can tell.
+// The state includes everything that the voter had synced, even entries that were not yet known to
+// be committed: a voter that is now lost may have acknowledged them to an operator. Entries that
+// the lost voters committed and this one had not synced are gone, and can't be detected.
 func Read(folder string) (state State, err error) {
 	store, loaded, err := archive.Open(archive.Options{Folder: folder})
 	if err != nil {
@@ -81,7 +79,7 @@
 	return state, nil
 }
 
-// ownerOnly are the permissions of a saved state. It holds callers' answers.
+// ownerOnly is the file mode of a saved state, which contains responses to callers.
 const ownerOnly = 0o600
 
 // Save writes the state to a new file.
