--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -24,10 +24,10 @@
 		Expect(findings.Err()).NotTo(HaveOccurred())
 	})
 
-	// What is cited is run because the one test command, which .ci/run takes
-	// from README and gives the race detector, leaves out no package and no spec,
-	// and no container of ginkgo's is focused (ginkgo fails a suite that is).
-	It("is of tests that the one test command runs", func() {
+	// The cited tests are run if the only test command covers all packages and specs, and no ginkgo
+	// container is focused (ginkgo fails a suite with a focused one). .ci/run takes the command
+	// from README.md and adds the race detector.
+	It("cites only tests that the test command runs", func() {
 		readme, err := os.ReadFile("../../README.md")
 		Expect(err).NotTo(HaveOccurred())
 		commands := regexp.MustCompile("(?m)^go test .*$").FindAllString(string(readme), -1)
@@ -43,40 +43,40 @@
 	})
 })
 
-// whole returns a page that has a row for every fault at every step, each of
-// which cites the given test.
-func whole(test string) string {
+// completePage returns a page that has a row for every fault at every step, each of which cites the
+// given test.
+func completePage(test string) string {
 	var text strings.Builder
-	write := func(heading string, faults []string) {
+	writeSection := func(heading string, faults []string) {
 		text.WriteString("\n## " + heading + "\n\n")
 		for _, fault := range faults {
 			text.WriteString("| " + fault + " | outcome | mechanism | `retry: " + test + "` |\n")
 		}
 	}
 	for _, step := range matrix.Steps {
-		write(step, matrix.Faults)
+		writeSection(step, matrix.Faults)
 	}
-	write(matrix.PairsHeading, matrix.Pairs)
+	writeSection(matrix.PairsHeading, matrix.FaultPairs)
 	return text.String()
 }
 
 const (
-	aSpec  = "Budget is separate for each service"
-	aTable = "Budget keeps from trying again"
+	existingSpec  = "Budget is separate for each service"
+	existingTable = "Budget keeps from trying again"
 )
 
 var _ = Describe("Check", func() {
-	It("finds nothing wrong with a whole page", func() {
-		for _, test := range []string{aSpec, aTable, aTable + " a begun answer", "TestRetry"} {
-			findings := matrix.Check("page", whole(test), packages)
+	It("accepts a complete page", func() {
+		for _, test := range []string{existingSpec, existingTable, existingTable + " a begun answer", "TestRetry"} {
+			findings := matrix.Check("page", completePage(test), packages)
 			Expect(findings.Err()).NotTo(HaveOccurred())
 		}
 	})
 
-	DescribeTable("takes no name that is not exact",
+	DescribeTable("rejects names that are not exact",
 		func(test string) {
-			findings := matrix.Check("page", whole(test), packages)
-			Expect(findings.Len()).To(Equal(len(matrix.Steps)*len(matrix.Faults) + len(matrix.Pairs)))
+			findings := matrix.Check("page", completePage(test), packages)
+			Expect(findings.Len()).To(Equal(len(matrix.Steps)*len(matrix.Faults) + len(matrix.FaultPairs)))
 			Expect(findings.Err()).To(MatchError(ContainSubstring("has no test that is always run")))
 		},
 		Entry("misspelt", "Budget is separate for each services"),
@@ -86,23 +86,23 @@
 		Entry("of a container", "Budget"),
 	)
 
-	DescribeTable("finds what is missing",
+	DescribeTable("reports missing parts",
 		func(old, replacement, problem string) {
-			text := strings.Replace(whole(aSpec), old, replacement, 1)
+			text := strings.Replace(completePage(existingSpec), old, replacement, 1)
 			findings := matrix.Check("page", text, packages)
 			Expect(findings.Err()).To(MatchError(ContainSubstring(problem)))
 		},
 		Entry("a step", "## Claim\n", "## Claims\n", `the section "Claim" is missing`),
 		Entry("the pairs", "## Pairs\n", "## Others\n", `the section "Pairs" is missing`),
 		Entry("a fault", "| Partition |", "| Other |", `has no row "Partition"`),
-		Entry("a citation", "`retry: "+aSpec+"`", "none", "cites no test and gives no reason"),
-		Entry("a reason", "`retry: "+aSpec+"`", matrix.Open, "without a reason"),
+		Entry("a citation", "`retry: "+existingSpec+"`", "none", "cites no test and gives no reason"),
+		Entry("a reason", "`retry: "+existingSpec+"`", matrix.NotCovered, "without a reason"),
 		Entry("a row of its own", "| Partition |", "| Order late |", `"Order late" stands twice`),
 	)
 
-	It("takes a reason in place of a test", func() {
-		for _, mark := range []string{matrix.Open, matrix.Void} {
-			text := strings.Replace(whole(aSpec), "`retry: "+aSpec+"`", mark+" because", 1)
+	It("accepts a reason instead of a test", func() {
+		for _, mark := range []string{matrix.NotCovered, matrix.NotApplicable} {
+			text := strings.Replace(completePage(existingSpec), "`retry: "+existingSpec+"`", mark+" because", 1)
 			findings := matrix.Check("page", text, packages)
 			Expect(findings.Err()).NotTo(HaveOccurred())
 		}
@@ -110,7 +110,7 @@
 })
 
 var _ = Describe("SpecsOf", func() {
-	It("leaves out what is pending, skipped, constrained or empty", func() {
+	It("excludes pending, skipped, build-constrained and empty specs", func() {
 		folder := GinkgoT().TempDir()
 		write := func(name, text string) {
 			Expect(os.WriteFile(folder+"/"+name, []byte(text), 0o600)).To(Succeed())
@@ -139,7 +139,7 @@
 		}))
 	})
 
-	It("says that a file can't be parsed", func() {
+	It("returns an error for a file that can't be parsed", func() {
 		folder := GinkgoT().TempDir()
 		Expect(os.WriteFile(folder+"/a_test.go", []byte("no Go"), 0o600)).To(Succeed())
 		_, err := matrix.SpecsOf(folder)
--- a/internal/matrix/page.go
+++ b/internal/matrix/page.go
@@ -1,5 +1,5 @@
-// Package matrix checks the fault matrix, docs/FAULTS.md: each test that it
-// cites must exist under exactly that name and be run by `go test ./...`.
+// Package matrix is the consistency check of the fault matrix, docs/FAULTS.md: each test that the
+// page cites must exist under exactly that name and be run by `go test ./...`.
 package matrix
 
 import (
@@ -10,58 +10,54 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// Steps are the steps that each fault may hit, as the headings of the page
-// name them.
+// Steps are the steps at which each fault can occur, as in the headings of the page.
 var Steps = []string{
 	"Announcing", "Entry lookup", "Request", "Claim", "Order",
 	"Configuration change", "Preset change", "Planned stop", "Restart",
 	"Voter replacement",
 }
 
-// Faults are the faults of the brief, as the first column of each table names
-// them.
+// Faults are the required faults, as in the first column of each table.
 var Faults = []string{
 	"Demand shifts", "Order lost", "Order late", "Process dies", "Partition",
 	"Operators race", "Change resent", "Second loss after a repair",
 	"Restart after hundreds of changes", "Silent connection", "The same twice",
 }
 
-// Pairs are the faults that matter most when they come together, as the
-// section of that name lists them.
-var Pairs = []string{
+// FaultPairs are the most important combinations of faults, as in the section PairsHeading.
+var FaultPairs = []string{
 	"Partition and operators' race", "Repair and second loss",
 	"Preset change and lost orders", "Drain and silent connection",
 	"Leader change and late order",
 }
 
-// PairsHeading heads the section of Pairs.
+// PairsHeading is the heading of the section of FaultPairs.
 const PairsHeading = "Pairs"
 
 const (
-	// Open marks a row that no test shows. A reason must follow it.
-	Open = "not yet covered:"
-	// Void marks a row whose fault can't hit its step. A reason must follow it.
-	Void = "does not apply:"
+	// NotCovered marks a row without a test. A reason must follow it.
+	NotCovered = "not yet covered:"
+	// NotApplicable marks a row whose fault can't occur at its step. A reason must follow it.
+	NotApplicable = "does not apply:"
 )
 
-// A citation is a package below internal, a colon and the full name of a test.
+// A citation is the name of a package below internal, a colon and the full name of a test.
 var citation = regexp.MustCompile("`([a-z]+): ([^`]+)`")
 
-// Check returns what is wrong with a page: a step, a fault or a pair that is
-// missing or stands twice, a row that neither cites a test nor gives a reason,
-// and a citation of a test that does not exist or is not always run. The
-// packages are the folders below root.
+// Check returns the errors of a page: a step, a fault or a pair that is missing or duplicated, a
+// row that neither cites a test nor gives a reason, and a citation of a test that does not exist or
+// is not always run. The packages are the folders below root.
 func Check(file string, page string, root string) finding.List {
 	c := checker{file: file, root: root, specs: map[string]Specs{}}
-	c.read(page)
+	c.parse(page)
 	for _, step := range Steps {
-		c.section(step, Faults)
+		c.checkSection(step, Faults)
 	}
-	c.section(PairsHeading, Pairs)
+	c.checkSection(PairsHeading, FaultPairs)
 	return c.findings
 }
 
-// row is one line of a table: its place and what stands after the first cell.
+// row is a line of a table: its number and the text after the first cell.
 type row struct {
 	line int
 	text string
@@ -75,20 +71,20 @@
 	findings finding.List
 }
 
-// read takes the rows of each section, and checks all citations, also those
-// outside of tables.
-func (c *checker) read(page string) {
+// parse collects the rows of each section and checks all citations, including those outside of
+// tables.
+func (c *checker) parse(page string) {
 	c.rows = map[string]map[string]row{}
-	heading, number := "", 0
+	heading, lineNumber := "", 0
 	for line := range strings.SplitSeq(page, "\n") {
-		number++
-		for _, cited := range citation.FindAllStringSubmatch(line, -1) {
-			c.citation(number, cited[1], cited[2])
+		lineNumber++
+		for _, match := range citation.FindAllStringSubmatch(line, -1) {
+			c.checkCitation(lineNumber, match[1], match[2])
 		}
 		if title, found := strings.CutPrefix(line, "## "); found {
 			heading = strings.TrimSpace(title)
 			if c.rows[heading] != nil {
-				c.report(number, "the section \""+heading+"\" stands twice")
+				c.report(lineNumber, "the section \""+heading+"\" stands twice")
 			}
 			c.rows[heading] = map[string]row{}
 			continue
@@ -99,13 +95,13 @@
 		}
 		fault := strings.TrimSpace(cells[1])
 		if _, twice := c.rows[heading][fault]; twice {
-			c.report(number, "\""+fault+"\" stands twice in its section")
+			c.report(lineNumber, "\""+fault+"\" stands twice in its section")
 		}
-		c.rows[heading][fault] = row{line: number, text: cells[2]}
+		c.rows[heading][fault] = row{line: lineNumber, text: cells[2]}
 	}
 }
 
-func (c *checker) section(heading string, faults []string) {
+func (c *checker) checkSection(heading string, faults []string) {
 	rows, found := c.rows[heading]
 	if !found {
 		c.report(0, "the section \""+heading+"\" is missing")
@@ -117,12 +113,12 @@
 			c.report(0, "the section \""+heading+"\" has no row \""+fault+"\"")
 			continue
 		}
-		c.reason(fault, row)
+		c.checkCoverage(fault, row)
 	}
 }
 
-func (c *checker) reason(fault string, row row) {
-	for _, mark := range []string{Open, Void} {
+func (c *checker) checkCoverage(fault string, row row) {
+	for _, mark := range []string{NotCovered, NotApplicable} {
 		_, reason, marked := strings.Cut(row.text, mark)
 		if marked && strings.Trim(reason, " |.") == "" {
 			c.report(row.line, "\""+fault+"\" is marked \""+mark+"\" without a reason")
@@ -136,7 +132,7 @@
 	}
 }
 
-func (c *checker) citation(line int, folder string, test string) {
+func (c *checker) checkCitation(line int, folder string, test string) {
 	specs, read := c.specs[folder]
 	if !read {
 		var err error
--- a/internal/matrix/specs.go
+++ b/internal/matrix/specs.go
@@ -13,15 +13,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Specs holds the full names of the tests of one package, as ginkgo prints
-// them: the texts of all containers and of the spec, joined by spaces.
-// Plain test functions are held by their names. A table of specs is held by
-// its own name as well as by the names of its entries.
+// Specs holds the full names of the tests of one package, as ginkgo prints them: the texts of all
+// containers and of the spec, joined by spaces. Plain test functions have their own names. A table
+// of specs has its own name in addition to the names of its entries.
 type Specs map[string]bool
 
-// SpecsOf reads the test files of a folder. It leaves out what `go test` does
-// not run, or not always: pending specs, containers and functions that call
-// Skip, files with a build constraint, and tables without entries.
+// SpecsOf reads the test files of a folder. It excludes tests that `go test` does not always run:
+// pending specs, containers and functions that call Skip, files with a build constraint, and tables
+// without entries.
 //
 // If a file can't be read or parsed, SpecsOf returns an error.
 func SpecsOf(folder string) (Specs, error) {
@@ -47,13 +46,13 @@
 	if err != nil {
 		return errors.Wrapf(err, "matrix: parse %s", name)
 	}
-	if constrained(file) {
+	if hasBuildConstraint(file) {
 		return nil
 	}
 	for _, declared := range file.Decls {
 		switch declared := declared.(type) {
 		case *ast.FuncDecl:
-			if declared.Recv == nil && strings.HasPrefix(declared.Name.Name, "Test") && !skips(declared) {
+			if declared.Recv == nil && strings.HasPrefix(declared.Name.Name, "Test") && !callsSkip(declared) {
 				s[declared.Name.Name] = true
 			}
 		case *ast.GenDecl:
@@ -63,15 +62,14 @@
 	return nil
 }
 
-// addNodes adds the specs below a node, which stands in containers whose
-// texts are joined in the prefix.
+// addNodes adds the specs below a node. prefix is the joined text of the containers around it.
 func (s Specs) addNodes(root ast.Node, prefix string) {
 	ast.Inspect(root, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
 		if !ok {
 			return true
 		}
-		if pending(call) {
+		if isPending(call) {
 			return false
 		}
 		text, ok := textOf(call)
@@ -79,7 +77,7 @@
 			return true
 		}
 		name := strings.TrimPrefix(prefix+" "+text, " ")
-		if skips(call) {
+		if callsSkip(call) {
 			return false
 		}
 		switch calledName(call) {
@@ -107,7 +105,7 @@
 	}
 }
 
-// textOf returns the first argument of a call if it is a literal string.
+// textOf returns the first argument of a call if it is a string literal.
 func textOf(call *ast.CallExpr) (string, bool) {
 	if len(call.Args) == 0 {
 		return "", false
@@ -131,9 +129,9 @@
 	return ""
 }
 
-// pending tells whether a node of ginkgo stands there without being run, by
-// its name or by a decorator.
-func pending(call *ast.CallExpr) bool {
+// isPending reports whether a ginkgo node is marked as pending, by its function name or by a
+// decorator.
+func isPending(call *ast.CallExpr) bool {
 	for _, argument := range call.Args {
 		if named, ok := argument.(*ast.Ident); ok && named.Name == "Pending" {
 			return true
@@ -147,7 +145,7 @@
 	return false
 }
 
-func constrained(file *ast.File) bool {
+func hasBuildConstraint(file *ast.File) bool {
 	for _, group := range file.Comments {
 		for _, comment := range group.List {
 			if constraint.IsGoBuild(comment.Text) || constraint.IsPlusBuild(comment.Text) {
@@ -158,9 +156,9 @@
 	return false
 }
 
-// skips tells whether a function or a node of ginkgo calls Skip, in its setup
-// or itself. The specs and containers inside are judged on their own.
-func skips(root ast.Node) bool {
+// callsSkip reports whether a function or ginkgo node calls Skip, directly or in its setup. Specs
+// and containers inside it are checked separately.
+func callsSkip(root ast.Node) bool {
 	found := false
 	ast.Inspect(root, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
