--- a/internal/courier/call_bench_test.go
+++ b/internal/courier/call_bench_test.go
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-// BenchmarkSlopeCalls measures the cost of a call between instances: a follower's request whether
+// BenchmarkSlopeCalls measures the cost of a call between instances: a follower's check that
 // its configuration is in force, and a claim of 300 bytes. Both ends run in one process, and each
 // caller has its own connection.
 func BenchmarkSlopeCalls(b *testing.B) {
--- a/internal/courier/roster_bench_test.go
+++ b/internal/courier/roster_bench_test.go
@@ -15,7 +15,7 @@
 // BenchmarkSlopeRoster measures the cost of one second of membership for an instance that pulls
 // from one voter: every upstream and every instance renews itself once, and the renewals are
 // packed, encoded, decoded and merged. One operation is one such second. docs/CAPACITY.md fits the
-// slopes.
+// slopes to the results.
 func BenchmarkSlopeRoster(b *testing.B) {
 	for _, size := range []struct{ upstreams, instances int }{
 		{275, 83}, {550, 165}, {1100, 330}, {1100, 83}, {275, 330},
