--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -24,7 +24,7 @@
 	Edition uint64
 	// Members is the revision of the caller's member list.
 	Members uint64
-	// Holdings is the revision of the caller's holdings, as published by Leader.
+	// Holdings is the revision of the caller's holdings, as numbered by the leader.
 	Holdings uint64
 	// Quarantine is the mark of the caller's quarantine state.
 	Quarantine uint64
@@ -136,7 +136,8 @@
 	NotLeader bool
 }
 
-// NoteArgs reports upstreams that crashed while processing requests.
+// NoteArgs holds an update of the request quarantine, such as the crash of an upstream while it
+// processed requests.
 type NoteArgs struct {
 	Update quarantine.Update
 }
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// Note reports upstreams that crashed while processing requests to the control instance at address.
+// Note reports an update of the request quarantine to the control instance at address.
 func (p *Pool) Note(ctx context.Context, address string, args NoteArgs) (NoteReply, error) {
 	return callForReply[NoteReply](ctx, p, address, "Feed.Note", args)
 }
--- a/internal/courier/holdings.go
+++ b/internal/courier/holdings.go
@@ -31,8 +31,8 @@
 	Queued  int
 	KVUsed  int
 	Models  []HeldModel
-	// Coming is a model that is being loaded, and ComingIn the expected time until it is ready,
-	// counted from when the Holdings were made. Coming is empty if there is none.
+	// Coming is the model that the engine is expected to hold next, and ComingIn the time until
+	// then, counted from when the Holdings were made. Coming is empty if there is none.
 	Coming   string
 	ComingIn time.Duration
 }
--- a/internal/matrix/page.go
+++ b/internal/matrix/page.go
@@ -41,7 +41,7 @@
 	NotApplicable = "does not apply:"
 )
 
-// A citation is the name of a package below internal, a colon and the full name of a test.
+// citation matches the name of a package below internal, a colon and the full name of a test.
 var citation = regexp.MustCompile("`([a-z]+): ([^`]+)`")
 
 // Check returns the errors of a page: a step, a fault or a pair that is missing or duplicated, a
--- a/internal/roster/beats.go
+++ b/internal/roster/beats.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// sameCapacity reports whether the fields that a renewal does not carry are equal, or for rates
-// within rateTolerance.
+// sameCapacity reports whether the fields that a renewal does not carry are equal. Rates may differ
+// by up to rateTolerance.
 func sameCapacity(previous, next upstreamapi.Load) bool {
 	return previous.MaxRunning == next.MaxRunning &&
 		previous.KVTotalTokens == next.KVTotalTokens &&
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -51,8 +51,8 @@
 	return s.cursor
 }
 
-// advance stores the cursor of an answer. If the source has restarted, it discards the handles,
-// which then refer to other members.
+// advance stores the cursor of an answer. If the pull started over, it discards the handles: those
+// of a restarted source refer to other members.
 func (s *Source) advance(next Cursor) {
 	if s.upstreams == nil || next.Direct != s.cursor.Direct || next.Incarnation != s.cursor.Incarnation {
 		s.upstreams, s.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -71,10 +71,10 @@
 // upstreamStatic is an announcement without the fields that change with each renewal.
 type upstreamStatic = upstreamapi.Announcement
 
-// UpstreamRecord is the record of an upstream that instances exchange.
+// UpstreamRecord is the record of an upstream as exchanged between instances.
 type UpstreamRecord = Record[upstreamStatic, upstreamapi.Load]
 
-// InstanceRecord is the record of an instance that instances exchange.
+// InstanceRecord is the record of an instance as exchanged between instances.
 type InstanceRecord = Record[InstanceStatic, InstanceBeat]
 
 // Options configures a Roster.
@@ -138,8 +138,8 @@
 
 // Introduce stores the record that another instance sent about itself with a pull. The record may
 // have been delayed on its way, so its age can't be trusted, but it is sufficient to start pulling
-// from the sender. It is ignored unless the sender is unknown, its lease has expired or the record
-// has a higher incarnation.
+// from the sender. The record is ignored unless the sender is unknown, its lease has expired or the
+// record has a higher incarnation.
 func (r *Roster) Introduce(now time.Time, record InstanceRecord) {
 	row, known := r.instances.rows[record.Name]
 	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastHeard) < r.options.Lease {
--- a/internal/roster/table.go
+++ b/internal/roster/table.go
@@ -32,8 +32,8 @@
 	changeCount uint64
 	// nextHandle is the handle of the next new row. Handles are not reused.
 	nextHandle uint32
-	// lease is the time between signs of life of two incarnations of a member after which the one
-	// heard later is the newer, whatever their numbers. If it is 0, the numbers alone decide.
+	// lease orders two incarnations of a member: if they were heard from at least a lease apart, the
+	// one heard later is the newer. Otherwise, or if lease is 0, the one with the higher number is.
 	lease time.Duration
 }
 
@@ -109,7 +109,7 @@
 
 // applyRenewal applies a renewal that another instance passed on, and reports whether its member is
 // known. The renewal belongs to the incarnation in key. If another incarnation is stored, the
-// renewal is ignored. update returns the new state for the previous one.
+// renewal is ignored. update computes the new state from the previous one.
 func (t *Table[S, B]) applyRenewal(key memberKey, sequence uint64, heard time.Time, update func(previous B) B) bool {
 	row, known := t.rows[key.name]
 	if !known {
@@ -186,12 +186,11 @@
 	return names
 }
 
-// supersedes reports whether a record of a member that was heard from at the given time replaces
-// the row.
+// supersedes reports whether a record of a member that was heard from at heard replaces the row.
 //
 // A member takes its incarnation from its clock, which may have stepped back across a restart. By
 // number alone, the running process would count as the former one and would receive no work until
-// the former one was evicted. A member never leaves a lease between two renewals, so if two
+// the former one was evicted. A member's renewals are always less than a lease apart, so if two
 // incarnations were heard from at least a lease apart, the earlier one had ended.
 func (t *Table[S, B]) supersedes(record Record[S, B], heard time.Time, row *memberRow[S, B]) bool {
 	if record.Incarnation == row.incarnation {
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -32,7 +32,7 @@
 	pullersPerInstance = 2
 )
 
-// SourcesOf returns the instances that self pulls from, if others are alive.
+// SourcesOf returns the instances that self pulls from. others are the other live instances.
 //
 // In a small cluster, all instances pull from each other. In a large one, a non-voter pulls from
 // one voter; a voter pulls from the other voters and from the non-voters assigned to it. A change
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -47,7 +47,7 @@
 	current  credentials
 }
 
-// credentials are the contents of the files.
+// credentials are the certificates loaded from the files, and the server configuration with them.
 type credentials struct {
 	certificate tls.Certificate
 	// authorities is nil if the peer is not verified.
@@ -95,8 +95,9 @@
 	}
 }
 
-// Client returns the configuration of a connection that is made immediately. With a CA file, only
-// its certificates verify the server; without one, those of the system do.
+// Client returns the configuration for one connection that is made now. It does not follow later
+// replacements of the files. With a CA file, only its certificates verify the server; without one,
+// those of the system do.
 func (s *Seal) Client() *tls.Config {
 	latest := s.latest()
 	return &tls.Config{
