--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -44,7 +44,7 @@
 	// is proposed then, and refused or answered by the replicated state.
 	same := bytes.Equal(change.Declarations, inForce.Declarations.Canonical()) &&
 		(change.Preset == "" || change.Preset == inForce.Preset)
-	if inForce.Fresh && inForce.Revision > 0 && same {
+	if inForce.HasConfigLease && inForce.Revision > 0 && same {
 		return nothingToChange(inForce.Revision, streams, operator.asJSON)
 	}
 	return propose(ctx, client, change, inForce.Revision, streams, operator.asJSON)
--- a/internal/command/changes.go
+++ b/internal/command/changes.go
@@ -21,7 +21,7 @@
 // choosePreset returns the preset that a change to declarations names, empty if
 // the one in force stays. A first change, which expects revision 0, needs one,
 // and takes the first of the declarations unless another is asked for.
-func choosePreset(asked string, first bool, set declaration.Set, inForce registrar.InForce) (string, error) {
+func choosePreset(asked string, first bool, set declaration.Set, inForce registrar.ActiveConfig) (string, error) {
 	if asked != "" {
 		return asked, requirePreset(asked, set)
 	}
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -70,10 +70,10 @@
 
 // inForce returns the client that the flags describe and what is in force, as far
 // as the first instance that answers knows.
-func (f *operatorFlags) inForce(ctx context.Context) (*registrar.Client, registrar.InForce, error) {
+func (f *operatorFlags) inForce(ctx context.Context) (*registrar.Client, registrar.ActiveConfig, error) {
 	client, err := f.client()
 	if err != nil {
-		return nil, registrar.InForce{}, err
+		return nil, registrar.ActiveConfig{}, err
 	}
 	inForce, err := client.InForce(ctx)
 	return client, inForce, err
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -58,7 +58,7 @@
 // movesOf asks for the moves under the preset that would be in force: the one
 // that was named, else the one in force, else the first.
 func movesOf(
-	ctx context.Context, client *registrar.Client, set declaration.Set, preset string, inForce registrar.InForce,
+	ctx context.Context, client *registrar.Client, set declaration.Set, preset string, inForce registrar.ActiveConfig,
 ) (*registrar.Moves, error) {
 	if preset == "" {
 		preset = inForce.Preset
@@ -128,9 +128,9 @@
 	After  string `json:"after"`
 }
 
-func planOutputOf(inForce registrar.InForce, preset string, changes []declaration.Change) planOutput {
+func planOutputOf(inForce registrar.ActiveConfig, preset string, changes []declaration.Change) planOutput {
 	output := planOutput{
-		Revision: inForce.Revision, Fresh: inForce.Fresh, Preset: inForce.Preset,
+		Revision: inForce.Revision, Fresh: inForce.HasConfigLease, Preset: inForce.Preset,
 		Changes: make([]plannedChange, 0, len(changes)),
 	}
 	if preset != "" && preset != inForce.Preset {
--- a/internal/command/preset.go
+++ b/internal/command/preset.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return fail(streams, err)
 	}
-	output := presetOutput{Revision: inForce.Revision, Fresh: inForce.Fresh, Preset: inForce.Preset, Declared: make([]string, 0)}
+	output := presetOutput{Revision: inForce.Revision, Fresh: inForce.HasConfigLease, Preset: inForce.Preset, Declared: make([]string, 0)}
 	for _, preset := range inForce.Declarations.Presets() {
 		output.Declared = append(output.Declared, preset.Name)
 	}
@@ -66,11 +66,11 @@
 	if err != nil {
 		return fail(streams, err)
 	}
-	if inForce.Fresh && inForce.Preset == change.Preset {
+	if inForce.HasConfigLease && inForce.Preset == change.Preset {
 		return nothingToChange(inForce.Revision, streams, operator.asJSON)
 	}
 	// If the instance is behind, the preset may be declared all the same.
-	if inForce.Fresh {
+	if inForce.HasConfigLease {
 		if err := requirePreset(change.Preset, inForce.Declarations); err != nil {
 			return fail(streams, err)
 		}
--- a/internal/registrar/client.go
+++ b/internal/registrar/client.go
@@ -23,8 +23,8 @@
 // ErrUnauthorized is returned when the token is missing or wrong.
 var ErrUnauthorized = errors.New("registrar: the operators' token is missing or wrong")
 
-// UnknownError is returned when a change may or may not have been accepted, or a
-// drain started. Asking for the same again is safe and tells.
+// UnknownError is returned when the client cannot tell whether a request was
+// carried out. Repeating the request is safe and reveals the outcome.
 type UnknownError struct {
 	Cause error
 }
@@ -39,26 +39,28 @@
 
 // ClientOptions configures a Client.
 type ClientOptions struct {
-	// Addresses are operator addresses of instances. They are asked in turn
-	// until one answers. It is not empty.
+	// Addresses are the admin API addresses of instances. At least one is required.
+	// Queries and configuration changes try them in order. All other requests use
+	// only the first.
 	Addresses []netip.AddrPort
 	Token     string
-	// TLS is used if it is not nil.
+	// TLS is the TLS configuration. Nil means plain HTTP.
 	TLS *tls.Config
-	// AllowPlain lets the token go beyond loopback without TLS.
+	// AllowPlain permits sending the token over plain HTTP to addresses other than
+	// loopback.
 	AllowPlain bool
-	// Timeout bounds the call of one instance.
+	// Timeout limits one request to one instance.
 	Timeout time.Duration
 }
 
-// Client asks instances on an operator's behalf. It is safe for concurrent use.
+// Client is the client of the admin API. It is safe for concurrent use.
 type Client struct {
 	options ClientOptions
 	http    *http.Client
 }
 
-// NewClient returns a Client. If the token would go beyond loopback without TLS
-// and that is not allowed, NewClient returns an error.
+// NewClient returns a Client. It returns an error if the token would leave
+// loopback without TLS and AllowPlain is not set.
 func NewClient(options ClientOptions) (*Client, error) {
 	for _, address := range options.Addresses {
 		if options.TLS == nil && !options.AllowPlain && !address.Addr().IsLoopback() {
@@ -74,34 +76,34 @@
 	}}, nil
 }
 
-// InForce returns what is in force, as far as the first instance that answers
-// knows.
-func (c *Client) InForce(ctx context.Context) (InForce, error) {
-	var reply inForceReply
-	if err := c.get(ctx, inForcePath, &reply); err != nil {
-		return InForce{}, err
+// InForce returns the active configuration as known to the first instance that
+// responds.
+func (c *Client) InForce(ctx context.Context) (ActiveConfig, error) {
+	var reply activeConfigReply
+	if err := c.get(ctx, activeConfigPath, &reply); err != nil {
+		return ActiveConfig{}, err
 	}
-	inForce := InForce{Revision: reply.Revision, Preset: reply.Preset, Fresh: reply.Fresh}
+	config := ActiveConfig{Revision: reply.Revision, Preset: reply.Preset, HasConfigLease: reply.Fresh}
 	if len(reply.Declarations) == 0 {
-		return inForce, nil
+		return config, nil
 	}
 	set, err := declaration.Decode(reply.Declarations)
 	if err != nil {
-		return InForce{}, errors.Wrap(err, "registrar: the instance's declarations; is this program as new as the instance?")
+		return ActiveConfig{}, errors.Wrap(err, "registrar: the instance's declarations; is this program as new as the instance?")
 	}
-	inForce.Declarations = set
-	return inForce, nil
+	config.Declarations = set
+	return config, nil
 }
 
-// Status returns the state of the first instance that answers.
+// Status returns the state of the first instance that responds.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.get(ctx, statusPath, &status)
 	return status, err
 }
 
-// Drain starts the planned stop of the instance at the first address, and of no
-// other. It returns the number of requests in progress there.
+// Drain starts a graceful shutdown of the instance at the first address, never of
+// another one. It returns the instance's number of active requests.
 func (c *Client) Drain(ctx context.Context) (int, error) {
 	var reply drainReply
 	response, err := c.send(ctx, c.options.Addresses[0], http.MethodPost, drainPath, nil)
@@ -109,33 +111,33 @@
 		err = response.decode(http.StatusAccepted, &reply)
 	}
 	if err == nil || errors.HasType(err, (*UnavailableError)(nil)) || errors.Is(err, ErrUnauthorized) {
-		return reply.Streams, err
+		return reply.ActiveRequests, err
 	}
 	return 0, &UnknownError{Cause: err}
 }
 
-// ChangeID returns the idempotent identity of a change: a hash of its expected
-// revision and its content. A change that is resent after its answer was lost
-// gets the same ID, with nothing to be remembered in between.
+// ChangeID returns the idempotency key of a change: a hash of its expected
+// revision and its content. A change that is resent after its response was lost
+// gets the same ID without any state kept by the client.
 func ChangeID(expected uint64, declarations []byte, preset string) string {
 	hash := sha256.New()
-	// Lengths keep different contents from giving the same bytes. Writing to a
-	// hash cannot fail.
-	var numbers [16]byte
-	binary.BigEndian.PutUint64(numbers[:8], expected)
-	binary.BigEndian.PutUint64(numbers[8:], uint64(len(declarations)))
-	hash.Write(numbers[:])
+	// The length in the prefix keeps different contents from hashing as equal bytes.
+	// Writing to a hash cannot fail.
+	var prefix [16]byte
+	binary.BigEndian.PutUint64(prefix[:8], expected)
+	binary.BigEndian.PutUint64(prefix[8:], uint64(len(declarations)))
+	hash.Write(prefix[:])
 	hash.Write(declarations)
 	hash.Write([]byte(preset))
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// Change proposes a change at one instance after the other until one tells
-// whether it is accepted. Only ID, Expected, Declarations and Preset are sent.
+// Change proposes a change to one instance after the other until one reports
+// whether it was accepted. Only ID, Expected, Declarations and Preset are sent.
 //
-// If the change is certainly not accepted, Change returns a *ConflictError, a
-// *RefusedError, an *UnavailableError or an error that is ErrUnauthorized. If it
-// may be, Change returns an *UnknownError.
+// If the change was certainly not accepted, Change returns a *ConflictError, a
+// *RefusedError, an *UnavailableError or ErrUnauthorized. If it may have been
+// accepted, Change returns an *UnknownError.
 func (c *Client) Change(ctx context.Context, change Change) (Answer, error) {
 	body, err := json.Marshal(changeRequest{
 		ChangeID: change.ID, ExpectedRevision: &change.Expected,
@@ -146,9 +148,9 @@
 	}
 	var unknown, unavailable error
 	for _, address := range c.options.Addresses {
-		answer, err := c.changeAt(ctx, address, body)
+		result, err := c.changeAt(ctx, address, body)
 		if err == nil || isFinal(err, unknown != nil) {
-			return answer, err
+			return result, err
 		}
 		if errors.HasType(err, (*UnavailableError)(nil)) {
 			unavailable = err
@@ -156,25 +158,26 @@
 		}
 		unknown = err
 	}
-	// An instance that did not accept the change says nothing about another
-	// whose answer was lost.
+	// If one instance's response was lost, that instance may have accepted the
+	// change even though others did not.
 	if unknown != nil {
 		return Answer{}, &UnknownError{Cause: unknown}
 	}
 	return Answer{}, unavailable
 }
 
-// isFinal tells whether no other instance would answer differently.
+// isFinal reports whether err settles the change, so that no other instance needs
+// to be tried.
 //
-// A conflict was decided by the replicated state and holds everywhere. Any other
-// refusal is one instance's own: if the answer of another was lost, that one may
-// have accepted the change all the same, for example because it was upgraded
-// first.
-func isFinal(err error, lostAnswer bool) bool {
+// A conflict is decided by the replicated state and holds for all instances. Any
+// other rejection is a decision of one instance. If the response of another one
+// was lost, that instance may have accepted the change nevertheless, for example
+// because it runs a newer version.
+func isFinal(err error, responseLost bool) bool {
 	if errors.HasType(err, (*ConflictError)(nil)) {
 		return true
 	}
-	return !lostAnswer && (errors.HasType(err, (*RefusedError)(nil)) || errors.Is(err, ErrUnauthorized))
+	return !responseLost && (errors.HasType(err, (*RefusedError)(nil)) || errors.Is(err, ErrUnauthorized))
 }
 
 func (c *Client) changeAt(ctx context.Context, address netip.AddrPort, body []byte) (Answer, error) {
@@ -189,85 +192,85 @@
 	return Answer(reply), nil
 }
 
-// get asks one instance after the other until one answers.
-func (c *Client) get(ctx context.Context, path string, into any) error {
-	var failed error
+// get queries one instance after the other until one succeeds.
+func (c *Client) get(ctx context.Context, path string, reply any) error {
+	var combined error
 	for _, address := range c.options.Addresses {
 		response, err := c.send(ctx, address, http.MethodGet, path, nil)
 		if err == nil {
-			err = response.decode(http.StatusOK, into)
+			err = response.decode(http.StatusOK, reply)
 		}
 		if err == nil || errors.Is(err, ErrUnauthorized) {
 			return err
 		}
-		failed = errors.CombineErrors(failed, err)
+		combined = errors.CombineErrors(combined, err)
 	}
-	return failed
+	return combined
 }
 
-// answer is a whole answer of an instance.
-type answer struct {
+// instanceResponse is the complete HTTP response of an instance.
+type instanceResponse struct {
 	address netip.AddrPort
 	status  int
 	header  http.Header
 	body    []byte
 }
 
-// send sends one request and reads the whole answer. If no connection was made,
-// it returns an *UnavailableError.
-func (c *Client) send(ctx context.Context, address netip.AddrPort, method, path string, body []byte) (answer, error) {
+// send sends one request and reads the complete response. If no connection was
+// established, it returns an *UnavailableError.
+func (c *Client) send(ctx context.Context, address netip.AddrPort, method, path string, body []byte) (instanceResponse, error) {
 	scheme := "http"
 	if c.options.TLS != nil {
 		scheme = "https"
 	}
 	request, err := http.NewRequestWithContext(ctx, method, scheme+"://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, errors.Wrap(err, "registrar: request")
+		return instanceResponse{}, errors.Wrap(err, "registrar: request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.options.Token)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return answer{}, sendError(err)
+		return instanceResponse{}, classifySendError(err)
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answer{}, errors.Wrapf(err, "registrar: the answer of %s was cut off", address)
+		return instanceResponse{}, errors.Wrapf(err, "registrar: the answer of %s was cut off", address)
 	}
-	return answer{address: address, status: response.StatusCode, header: response.Header, body: data}, nil
+	return instanceResponse{address: address, status: response.StatusCode, header: response.Header, body: data}, nil
 }
 
-// decode decodes a good answer into reply, and returns what a failure stands
-// for.
-func (a answer) decode(good int, reply any) error {
-	if a.status == good {
-		return errors.Wrapf(json.Unmarshal(a.body, reply), "registrar: the answer of %s", a.address)
+// decode decodes a response with status wantStatus into reply. For any other
+// status it returns the error that the response describes.
+func (r instanceResponse) decode(wantStatus int, reply any) error {
+	if r.status == wantStatus {
+		return errors.Wrapf(json.Unmarshal(r.body, reply), "registrar: the answer of %s", r.address)
 	}
 	var failed failureReply
-	if err := json.Unmarshal(a.body, &failed); err != nil || failed.Error.Code == "" {
-		return errors.Newf("registrar: %s answered status %d", a.address, a.status)
+	if err := json.Unmarshal(r.body, &failed); err != nil || failed.Error.Code == "" {
+		return errors.Newf("registrar: %s answered status %d", r.address, r.status)
 	}
-	return a.failure(failed.Error)
+	return r.toError(failed.Error)
 }
 
-func (a answer) failure(f failure) error {
-	notRun := a.header.Get(outcome.Header) == outcome.NotRun.String()
+func (r instanceResponse) toError(f failure) error {
+	notRun := r.header.Get(outcome.Header) == outcome.NotRun.String()
 	switch {
 	case f.Code == codeUnauthorized:
 		return ErrUnauthorized
 	case f.Code == codeConflict && f.Conflict != nil:
-		other := ConflictError(*f.Conflict)
-		return &other
+		conflict := ConflictError(*f.Conflict)
+		return &conflict
 	case notRun && (f.Code == codeRefused || f.Code == codeBadRequest):
-		return &RefusedError{Reason: f.Message, Findings: findingsOf(f.Findings)}
+		return &RefusedError{Reason: f.Message, Findings: parseFindings(f.Findings)}
 	case notRun:
-		seconds, err := strconv.Atoi(a.header.Get("Retry-After"))
+		seconds, err := strconv.Atoi(r.header.Get("Retry-After"))
 		if err != nil {
 			seconds = 0
 		}
 		return &UnavailableError{Reason: f.Message, RetryAfter: time.Duration(seconds) * time.Second}
 	default:
-		return errors.Newf("registrar: %s: %s", a.address, f.Message)
+		return errors.Newf("registrar: %s: %s", r.address, f.Message)
 	}
 }
--- a/internal/registrar/fakes_test.go
+++ b/internal/registrar/fakes_test.go
@@ -22,37 +22,37 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// changeTimeout is short: only proposals that wait for it take that long.
+// changeTimeout is short, since a spec waits for it to expire.
 const changeTimeout = 20 * time.Millisecond
 
 var (
 	errNoQuorum   = errors.New("no quorum")
-	errLeaderLost = errors.New("the leader went away")
+	errLeaderLost = errors.New("lost the leader")
 )
 
-// voter is the replicated state of one process, without a log or a disk.
+// voter is the replicated state machine of one process, without a log or a disk.
 type voter struct {
-	mu       sync.Mutex
-	registry *registry.Registry
-	gazette  *gazette.Gazette
-	index    jury.Index
-	last     registry.Change
-	// failure, if set, is returned instead of a result, and nothing changes.
+	mu         sync.Mutex
+	registry   *registry.Registry
+	publisher  *gazette.Gazette
+	index      jury.Index
+	lastChange registry.Change
+	// failure, if set, is returned by propose, which then applies nothing.
 	failure error
-	// waits makes proposals wait until their context ends.
-	waits bool
+	// blockProposals makes propose wait until its context ends.
+	blockProposals bool
 }
 
 func newVoter() *voter {
-	return &voter{registry: registry.New(), gazette: gazette.New()}
+	return &voter{registry: registry.New(), publisher: gazette.New()}
 }
 
 func (v *voter) propose(ctx context.Context, command []byte) (registry.Result, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.waits {
+	if v.blockProposals {
 		<-ctx.Done()
 	}
 	if v.failure != nil {
@@ -63,15 +63,15 @@
 		return registry.Result{}, err
 	}
 	v.index++
-	v.last = decoded.(registry.Change)
+	v.lastChange = decoded.(registry.Change)
 	result, err := v.registry.Apply(v.index, command)
 	if err != nil {
 		return registry.Result{}, err
 	}
-	return result, v.gazette.Publish(v.registry.View())
+	return result, v.publisher.Publish(v.registry.View())
 }
 
-// restart replaces the state by one restored from its snapshot.
+// restart restores the state from its own snapshot.
 func (v *voter) restart() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -79,71 +79,71 @@
 	Expect(err).NotTo(HaveOccurred())
 	v.registry = registry.New()
 	Expect(v.registry.Restore(snapshot)).To(Succeed())
-	v.gazette = gazette.New()
-	Expect(v.gazette.Publish(v.registry.View())).To(Succeed())
+	v.publisher = gazette.New()
+	Expect(v.publisher.Publish(v.registry.View())).To(Succeed())
 }
 
-func (v *voter) register() *registrar.Replicated {
+func (v *voter) register() *registrar.ReplicatedConfigStore {
 	return registrar.NewReplicated(registrar.ReplicatedOptions{
-		Gazette:     v.gazette,
+		Gazette:     v.publisher,
 		Propose:     v.propose,
 		NotAccepted: func(err error) bool { return errors.Is(err, errNoQuorum) },
-		Fresh:       func(now time.Time) bool { return now.Equal(noon) },
+		Fresh:       func(now time.Time) bool { return now.Equal(testTime) },
 		RetryAfter:  1500 * time.Millisecond,
 	})
 }
 
-// fakeHouse is an instance with nothing behind it.
-type fakeHouse struct {
-	mu      sync.Mutex
-	drained []string
-	fresh   bool
+// fakeInstance is an instance that serves nothing. It records drain requests.
+type fakeInstance struct {
+	mu        sync.Mutex
+	drainedBy []string
+	hasLease  bool
 }
 
-func (f *fakeHouse) Status(time.Time) registrar.Status {
+func (f *fakeInstance) Status(time.Time) registrar.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return registrar.Status{Name: "a", Streams: 3, Fresh: f.fresh, Draining: len(f.drained) > 0}
+	return registrar.Status{Name: "a", Streams: 3, Fresh: f.hasLease, Draining: len(f.drainedBy) > 0}
 }
 
-func (f *fakeHouse) Drain(by string) {
+func (f *fakeInstance) Drain(operator string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drained = append(f.drained, by)
+	f.drainedBy = append(f.drainedBy, operator)
 }
 
-// fixture is one replicated state with handlers in front of it.
+// fixture is an admin API server over one replicated state machine.
 type fixture struct {
-	voter   *voter
-	house   *fakeHouse
-	handler http.Handler
-	log     *bytes.Buffer
+	voter    *voter
+	instance *fakeInstance
+	handler  http.Handler
+	log      *bytes.Buffer
 }
 
 func newFixture() *fixture {
-	return fixtureOf(newVoter())
+	return fixtureFor(newVoter())
 }
 
-// fixtureOf returns handlers over the state of v.
-func fixtureOf(v *voter) *fixture {
-	f := &fixture{voter: v, house: &fakeHouse{}, log: &bytes.Buffer{}}
+// fixtureFor returns an admin API server over the state of v.
+func fixtureFor(v *voter) *fixture {
+	f := &fixture{voter: v, instance: &fakeInstance{}, log: &bytes.Buffer{}}
 	f.handler = registrar.New(registrar.Options{
 		Register: v.register(),
-		House:    f.house,
+		House:    f.instance,
 		Holder: func(token string) (string, bool) {
 			name, ok := map[string]string{"token of kim": "kim", "token of ada": "ada"}[token]
 			return name, ok
 		},
 		BodyBytes:     1 << 20,
 		ChangeTimeout: changeTimeout,
-		Now:           func() time.Time { return noon },
+		Now:           func() time.Time { return testTime },
 		Log:           zerolog.New(zerolog.SyncWriter(f.log)),
 	})
 	return f
 }
 
-func (f *fixture) inForce() registrar.InForce {
-	return f.voter.register().InForce(noon)
+func (f *fixture) activeConfig() registrar.ActiveConfig {
+	return f.voter.register().ActiveConfig(testTime)
 }
 
 // serve serves handler on loopback and returns its address.
@@ -159,13 +159,13 @@
 	return c
 }
 
-// closedAddress returns an address that nobody listens on: port 1 was given away
-// decades ago, and no system hands it out.
+// closedAddress returns an address without a listener. Port 1 is reserved, so no
+// system assigns it to another test.
 func closedAddress() netip.AddrPort {
 	return netip.MustParseAddrPort("127.0.0.1:1")
 }
 
-// declarations returns canonical declarations whose one preset is called name.
+// declarations returns canonical declarations with a single preset called name.
 func declarations(name string) []byte {
 	set, err := declaration.Read(fstest.MapFS{"a.toml": {Data: []byte(
 		"[[preset]]\nname = \"" + name + "\"\nfirst = true\n[[model]]\nname = \"m\"\nversion = \"1\"\n" +
--- a/internal/registrar/moves.go
+++ b/internal/registrar/moves.go
@@ -13,18 +13,18 @@
 	"github.com/lovagelift/lovagelift/internal/outcome"
 )
 
-// movesPath answers the moves that declarations would cause.
 const movesPath = "/operator/v1/placement-moves"
 
-// Moves are what declarations and a preset would cause, as far as one instance
-// knows.
+// Moves is the placement plan that one instance computes for declarations and a
+// preset.
 type Moves struct {
 	Moves []Move `json:"moves"`
-	// Unmet are needs that could not be met, each with the arithmetic.
+	// Unmet describes the placement needs that cannot be met, each with its
+	// calculation.
 	Unmet []string `json:"unmet"`
 }
 
-// Move is one order that would be given.
+// Move is one order that would be sent to an engine.
 type Move struct {
 	Engine  string `json:"engine"`
 	Kind    string `json:"kind"`
@@ -32,19 +32,21 @@
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Reason  string `json:"reason"`
-	// For is the model that an unload makes room for.
+	// For is the model that an unload frees memory for.
 	For string `json:"for,omitempty"`
-	// Waits is memory if the move must wait for another one.
+	// Waits is "memory" if the move must wait for another move to free memory.
 	Waits string `json:"waits,omitempty"`
-	// Gain and Cost are requests times seconds within their goals.
+	// Gain and Cost are in request-seconds within their latency goals.
 	Gain float64 `json:"expected-gain"`
 	Cost float64 `json:"cost"`
 }
 
-// ErrNoPlacement means that the instance knows no accounts of engines.
+// ErrNoPlacement is returned by an instance that has no memory accounting of
+// engines, since it is not a voter.
 var ErrNoPlacement = errors.New("registrar: this instance is no voter; ask one for placement")
 
-// Preview returns the moves that declarations and a preset would cause.
+// Preview returns the moves that declarations and a preset would cause, without
+// changing anything.
 type Preview func(now time.Time, declared declaration.Set, preset declaration.Preset) (Moves, error)
 
 type movesRequest struct {
@@ -52,37 +54,37 @@
 	Preset       string          `json:"preset"`
 }
 
-func (r *Registrar) moves(c echo.Context) error {
-	refuse := func(status int, code, message string) error {
-		return fail(c, status, outcome.NotRun, failure{Code: code, Message: message})
+func (s *Server) moves(c echo.Context) error {
+	reject := func(status int, code, message string) error {
+		return writeFailure(c, status, outcome.NotRun, failure{Code: code, Message: message})
 	}
 	var request movesRequest
 	if err := json.NewDecoder(c.Request().Body).Decode(&request); err != nil {
-		return refuse(http.StatusBadRequest, codeBadRequest, "registrar: body: "+err.Error())
+		return reject(http.StatusBadRequest, codeBadRequest, "registrar: body: "+err.Error())
 	}
 	declared, err := declaration.Decode(request.Declarations)
 	if err != nil {
-		return refuse(http.StatusBadRequest, codeBadRequest, err.Error())
+		return reject(http.StatusBadRequest, codeBadRequest, err.Error())
 	}
 	preset, known := declared.Preset(request.Preset)
 	if !known {
-		return refuse(http.StatusBadRequest, codeBadRequest, "registrar: there is no preset "+request.Preset)
+		return reject(http.StatusBadRequest, codeBadRequest, "registrar: there is no preset "+request.Preset)
 	}
-	moves, err := r.options.Preview(r.options.Now(), declared, preset)
+	moves, err := s.options.Preview(s.options.Now(), declared, preset)
 	if err != nil {
-		return refuse(http.StatusConflict, codeRefused, err.Error())
+		return reject(http.StatusConflict, codeRefused, err.Error())
 	}
 	return c.JSON(http.StatusOK, moves)
 }
 
-// Moves asks the instances one after the other what declarations and a preset
-// would cause, until one of them answers. Nothing is changed.
+// Moves returns the moves that declarations and a preset would cause, as computed
+// by the first instance that responds successfully. It changes nothing.
 func (c *Client) Moves(ctx context.Context, declared declaration.Set, preset string) (Moves, error) {
 	body, err := json.Marshal(movesRequest{Declarations: declared.Canonical(), Preset: preset})
 	if err != nil {
 		return Moves{}, errors.Wrap(err, "registrar: encoding the request")
 	}
-	var failed error
+	var combined error
 	for _, address := range c.options.Addresses {
 		var moves Moves
 		response, err := c.send(ctx, address, http.MethodPost, movesPath, body)
@@ -92,7 +94,7 @@
 		if err == nil || errors.Is(err, ErrUnauthorized) {
 			return moves, err
 		}
-		failed = errors.CombineErrors(failed, err)
+		combined = errors.CombineErrors(combined, err)
 	}
-	return Moves{}, failed
+	return Moves{}, combined
 }
--- a/internal/registrar/moves_test.go
+++ b/internal/registrar/moves_test.go
@@ -12,30 +12,30 @@
 	"github.com/lovagelift/lovagelift/internal/registrar"
 )
 
-// movesAt returns a client of an instance that previews so.
-func movesAt(preview registrar.Preview) *registrar.Client {
+// clientWithPreview returns a client of an instance that serves preview.
+func clientWithPreview(preview registrar.Preview) *registrar.Client {
 	return client("", serve(registrar.New(registrar.Options{
 		Register: newVoter().register(),
-		House:    &fakeHouse{},
+		House:    &fakeInstance{},
 		Preview:  preview,
 		Holder:   func(string) (string, bool) { return "kim", true },
-		Now:      func() time.Time { return noon },
+		Now:      func() time.Time { return testTime },
 		Log:      zerolog.Nop(),
 	})))
 }
 
-// setOf returns declarations whose one preset has that name.
-func setOf(preset string) declaration.Set {
+// decodedDeclarations returns declarations with a single preset of that name.
+func decodedDeclarations(preset string) declaration.Set {
 	set, err := declaration.Decode(declarations(preset))
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	return set
 }
 
 var _ = Describe("Placement moves", func() {
-	It("are those of the declarations and the preset that were asked about", func(ctx context.Context) {
+	It("are computed for the requested declarations and preset", func(ctx context.Context) {
 		want := registrar.Moves{Moves: []registrar.Move{{Engine: "e1", Kind: "load-model", Model: "letters", Reason: "floor"}}, Unmet: []string{"much"}}
-		set := setOf("peak")
-		client := movesAt(func(_ time.Time, got declaration.Set, preset declaration.Preset) (registrar.Moves, error) {
+		set := decodedDeclarations("peak")
+		client := clientWithPreview(func(_ time.Time, got declaration.Set, preset declaration.Preset) (registrar.Moves, error) {
 			Expect(got).To(Equal(set))
 			Expect(preset.Name).To(Equal("peak"))
 			return want, nil
@@ -45,11 +45,11 @@
 		Expect(err).To(MatchError(ContainSubstring("there is no preset quiet")))
 	})
 
-	It("are refused by an instance that knows no accounts", func(ctx context.Context) {
-		client := movesAt(func(time.Time, declaration.Set, declaration.Preset) (registrar.Moves, error) {
+	It("are refused by an instance without memory accounting of engines", func(ctx context.Context) {
+		client := clientWithPreview(func(time.Time, declaration.Set, declaration.Preset) (registrar.Moves, error) {
 			return registrar.Moves{}, registrar.ErrNoPlacement
 		})
-		_, err := client.Moves(ctx, setOf("peak"), "peak")
+		_, err := client.Moves(ctx, decodedDeclarations("peak"), "peak")
 		Expect(err).To(MatchError(ContainSubstring("no voter")))
 	})
 })
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -27,44 +27,44 @@
 	var f *fixture
 	BeforeEach(func() { f = newFixture() })
 
-	It("brings declarations and preset into force, byte for byte", func() {
+	It("activates the declarations, byte for byte, and the preset", func() {
 		c := client("token of kim", serve(f.handler))
 		before, err := c.InForce(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(before).To(Equal(registrar.InForce{Fresh: true}))
+		Expect(before).To(Equal(registrar.ActiveConfig{HasConfigLease: true}))
 		Expect(c.Change(ctx, change(0, "ordinary"))).To(Equal(registrar.Answer{Revision: 1}))
 		after, err := c.InForce(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(after.Revision).To(Equal(uint64(1)))
 		Expect(after.Preset).To(Equal("ordinary"))
 		Expect(string(after.Declarations.Canonical())).To(Equal(string(declarations("ordinary"))))
-		Expect(f.voter.last.By).To(Equal("kim"))
-		Expect(f.voter.last.Now).To(Equal(noon))
-		Expect(f.voter.last.Summary).To(Equal("add model m, add preset ordinary; preset ordinary"))
+		Expect(f.voter.lastChange.By).To(Equal("kim"))
+		Expect(f.voter.lastChange.Now).To(Equal(testTime))
+		Expect(f.voter.lastChange.Summary).To(Equal("add model m, add preset ordinary; preset ordinary"))
 	})
 
 	It("lets exactly one of two operators with equal revisions win, and tells the other what changed", func() {
-		// Kim and Ada both saw revision 0. Kim's change arrives first. Ada's must
-		// not undo it unseen, and Ada must learn whose change to look at.
+		// Kim and Ada both read revision 0, and Kim's change arrives first. Ada's
+		// change must not overwrite it, and the error must name Kim's change.
 		address := serve(f.handler)
 		_, err := client("token of kim", address).Change(ctx, change(0, "ordinary"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = client("token of ada", address).Change(ctx, change(0, "peak"))
 		var conflict *registrar.ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue())
-		Expect(*conflict).To(Equal(registrar.ConflictError{Revision: 1, Since: []registry.Applied{{
-			Revision: 1, ID: change(0, "ordinary").ID, By: "kim", At: noon,
+		Expect(*conflict).To(Equal(registrar.ConflictError{Revision: 1, ChangesSince: []registry.Applied{{
+			Revision: 1, ID: change(0, "ordinary").ID, By: "kim", At: testTime,
 			Summary: "add model m, add preset ordinary; preset ordinary",
 		}}}))
 		Expect(err).To(MatchError("registrar: revision 1 is in force\n" +
 			"revision 1 by kim at 2026-12-02T12:00:00Z: add model m, add preset ordinary; preset ordinary"))
-		Expect(f.inForce().Preset).To(Equal("ordinary"))
+		Expect(f.activeConfig().Preset).To(Equal("ordinary"))
 	})
 
 	It("asks the next instance after a lost answer and changes nothing twice", func() {
-		// The first instance accepts the change and dies before it answers. The
-		// operator's client cannot know, and resends the change elsewhere. The
-		// ID is the same, so the first answer comes back.
+		// The first instance accepts the change and crashes before it responds.
+		// The client resends the change to the next instance with the same ID and
+		// must get the first result.
 		lossy := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
@@ -72,21 +72,22 @@
 		answer, err := client("token of kim", lossy, serve(f.handler)).Change(ctx, change(0, "ordinary"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Revision).To(Equal(uint64(1)))
-		Expect(f.inForce().Revision).To(Equal(uint64(1)))
+		Expect(f.activeConfig().Revision).To(Equal(uint64(1)))
 	})
 
 	It("gives the first answer again after the state was restored", func() {
-		// Kim's change is accepted, and the answer is lost. All instances restart
-		// from a snapshot, and Ada changes something else. Kim resends.
+		// Kim's change is accepted, but the response is lost. All instances restart
+		// from a snapshot, and another change is accepted. Kim's resent change must
+		// get the first result.
 		first := change(0, "ordinary")
 		_, err := client("token of kim", serve(f.handler)).Change(ctx, first)
 		Expect(err).NotTo(HaveOccurred())
 		f.voter.restart()
-		restarted := client("token of kim", serve(fixtureOf(f.voter).handler))
+		restarted := client("token of kim", serve(fixtureFor(f.voter).handler))
 		second := registrar.Change{ID: "second", Expected: 1, Declarations: declarations("peak"), Preset: "peak"}
 		Expect(restarted.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
 		Expect(restarted.Change(ctx, first)).To(Equal(registrar.Answer{Revision: 1}))
-		Expect(f.inForce().Preset).To(Equal("peak"))
+		Expect(f.activeConfig().Preset).To(Equal("peak"))
 		_, err = restarted.Change(ctx, registrar.Change{ID: "second", Expected: 1, Preset: "peak"})
 		Expect(err).To(MatchError(ContainSubstring(`the change id "second" was used for another change`)))
 		Expect(errors.HasType(err, (*registrar.RefusedError)(nil))).To(BeTrue())
@@ -100,11 +101,11 @@
 		Expect(err).To(Equal(&registrar.RefusedError{Reason: `preset "night" is none of the declared ones ["ordinary"]`}))
 	})
 
-	DescribeTable("stays unknown after a lost answer unless an instance knows better",
+	DescribeTable("stays unknown after a lost response unless another instance knows the outcome",
 		func(next func(f *fixture) netip.AddrPort) {
-			// The first instance accepts the change and dies before it answers.
-			// Nobody else can tell whether it did; to say "not accepted" would
-			// be a lie that makes the operator do it twice.
+			// The first instance accepts the change and crashes before it responds.
+			// The other instance cannot know the outcome. Reporting "not accepted"
+			// would make the operator repeat an accepted change.
 			lossy := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				f.handler.ServeHTTP(httptest.NewRecorder(), r)
 				panic(http.ErrAbortHandler)
@@ -119,13 +120,13 @@
 			other.voter.failure = errNoQuorum
 			return serve(other.handler)
 		}),
-		Entry("the next refuses what it is too old to know", func(*fixture) netip.AddrPort {
+		Entry("the next is too old to support the request", func(*fixture) netip.AddrPort {
 			return serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				r.Body = io.NopCloser(strings.NewReader(`{"new-key": 1}`))
 				newFixture().handler.ServeHTTP(w, r)
 			}))
 		}),
-		Entry("the next knows other tokens", func(f *fixture) netip.AddrPort {
+		Entry("the next does not accept the token", func(f *fixture) netip.AddrPort {
 			return serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				r.Header.Del("Authorization")
 				f.handler.ServeHTTP(w, r)
@@ -133,10 +134,10 @@
 		}),
 	)
 
-	It("knows after a lost answer that a conflict elsewhere is final", func() {
-		// Kim's first try dies with its instance before it is proposed. Ada's
-		// change wins meanwhile. The replicated state refuses Kim's revision for
-		// good, so there is nothing unknown left.
+	It("treats a conflict as final after a lost response", func() {
+		// The first instance crashes before it proposes Kim's change, after Ada's
+		// change was accepted. The replicated state rejects Kim's expected revision
+		// permanently, so the outcome is known.
 		_, err := client("token of ada", serve(f.handler)).Change(ctx, change(0, "peak"))
 		Expect(err).NotTo(HaveOccurred())
 		lossy := serve(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
@@ -144,22 +145,22 @@
 		Expect(err).To(BeAssignableToTypeOf(&registrar.ConflictError{}))
 	})
 
-	It("says truthfully that nothing was accepted when no instance can be reached", func() {
+	It("reports that nothing was accepted if no instance can be reached", func() {
 		_, err := client("token of kim", closedAddress(), closedAddress()).Change(ctx, change(0, "ordinary"))
 		var unavailable *registrar.UnavailableError
 		Expect(errors.As(err, &unavailable)).To(BeTrue(), "%v", err)
 	})
 
 	It("answers before the client gives up when the voters have no majority", func() {
-		// Two of three voters are lost. The third tries on until its time is up
-		// and knows that it never proposed the change. The operator must hear
-		// that, and not end in the client's own time-out, which says nothing.
-		f.voter.waits, f.voter.failure = true, errNoQuorum
+		// Two of three voters are lost. The third retries until its timeout and
+		// knows that it never proposed the change. It must respond before the
+		// client's own timeout, after which the outcome would be unknown.
+		f.voter.blockProposals, f.voter.failure = true, errNoQuorum
 		_, err := client("token of kim", serve(f.handler)).Change(ctx, change(0, "ordinary"))
 		Expect(errors.HasType(err, (*registrar.UnavailableError)(nil))).To(BeTrue(), "%v", err)
 	})
 
-	It("carries each kind of refusal to the client", func() {
+	It("returns each kind of error to the client", func() {
 		c := client("token of kim", serve(f.handler))
 		f.voter.failure = errNoQuorum
 		_, err := c.Change(ctx, change(0, "ordinary"))
@@ -167,12 +168,12 @@
 		f.voter.failure = errLeaderLost
 		_, err = c.Change(ctx, change(0, "ordinary"))
 		Expect(errors.HasType(err, (*registrar.UnknownError)(nil))).To(BeTrue())
-		Expect(err).To(MatchError(ContainSubstring("the leader went away")))
+		Expect(err).To(MatchError(ContainSubstring("lost the leader")))
 	})
 })
 
-var _ = Describe("Replicated", func() {
-	It("calls a result that is no answer to the change neither accepted nor refused", func() {
+var _ = Describe("ReplicatedConfigStore", func() {
+	It("reports an unknown outcome if the result holds no answer to the change", func() {
 		r := registrar.NewReplicated(registrar.ReplicatedOptions{
 			Propose: func(context.Context, []byte) (registry.Result, error) { return registry.Result{}, nil },
 		})
@@ -184,7 +185,7 @@
 })
 
 var _ = Describe("ChangeID", func() {
-	It("is equal for equal changes only", func() {
+	It("differs for different changes", func() {
 		ids := map[string]bool{
 			registrar.ChangeID(0, []byte("ab"), "c"): true,
 			registrar.ChangeID(1, []byte("ab"), "c"): true,
@@ -208,28 +209,29 @@
 		return recorder
 	}
 
-	DescribeTable("refuses bad input with one clear error and changes nothing",
+	DescribeTable("rejects invalid input with one clear error and changes nothing",
 		func(body string, status int, message string) {
 			answer := post(body)
 			Expect(answer.Code).To(Equal(status))
 			Expect(answer.Header().Get(outcome.Header)).To(Equal("not-run"))
 			Expect(answer.Body.String()).To(ContainSubstring(message))
-			Expect(f.inForce().Revision).To(BeZero())
+			Expect(f.activeConfig().Revision).To(BeZero())
 		},
-		Entry("no JSON", "{", 400, "the body is no change"),
-		Entry("bytes that are no UTF-8", "\xff\xfe", 400, "the body is no change"),
-		Entry("a key nobody knows", `{"change-id":"x","expected-revision":0,"preset":"p","force":true}`, 400, `unknown field \"force\"`),
+		Entry("invalid JSON", "{", 400, "the body is no change"),
+		Entry("invalid UTF-8", "\xff\xfe", 400, "the body is no change"),
+		Entry("an unknown key", `{"change-id":"x","expected-revision":0,"preset":"p","force":true}`, 400, `unknown field \"force\"`),
 		Entry("two changes", `{"change-id":"x","expected-revision":0,"preset":"p"}{}`, 400, "goes on after the change"),
-		Entry("everything missing", `{}`, 400, "change-id must have from 1 to 128 bytes; expected-revision is missing; neither declarations nor preset"),
+		Entry("an empty object", `{}`, 400, "change-id must have from 1 to 128 bytes; expected-revision is missing; neither declarations nor preset"),
 		Entry("a huge change id", `{"change-id":"`+strings.Repeat("x", 129)+`","expected-revision":0,"preset":"p"}`, 400, "change-id must have"),
-		Entry("wrong declarations", `{"change-id":"x","expected-revision":0,"declarations":{"format":1,"presets":[]}}`, 422, `"place":"declarations","problem":"no preset is declared`),
+		Entry("invalid declarations", `{"change-id":"x","expected-revision":0,"declarations":{"format":1,"presets":[]}}`, 422, `"place":"declarations","problem":"no preset is declared`),
 		Entry("declarations of a newer version", `{"change-id":"x","expected-revision":0,"declarations":{"format":9}}`, 422, "upgrade all instances first"),
 		Entry("an oversized body", `{"preset":"`+strings.Repeat("x", 1<<20)+`"}`, 413, "the body is above 1048576 bytes"),
 	)
 
-	It("changes nothing after a body that was cut off", func() {
-		// The client promises more bytes than it sends and closes its side. What
-		// arrived may be a whole change by chance; it must not count.
+	It("changes nothing after a truncated body", func() {
+		// The client sends fewer bytes than its Content-Length and closes its side.
+		// The partial body may happen to be a complete change. It must be rejected
+		// nevertheless.
 		address := serve(f.handler)
 		var dialer net.Dialer
 		connection, err := dialer.DialContext(ctx, "tcp", address.String())
@@ -242,10 +244,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer answer.Body.Close()
 		Expect(answer.StatusCode).To(Equal(http.StatusBadRequest))
-		Expect(f.inForce().Revision).To(BeZero())
+		Expect(f.activeConfig().Revision).To(BeZero())
 	})
 
-	It("does nothing for whoever shows no operators' token, and logs none", func() {
+	It("rejects requests without a valid token, and logs no token", func() {
 		address := serve(f.handler)
 		for _, token := range []string{"", "token of eve"} {
 			c := client(token, address)
@@ -258,15 +260,15 @@
 			_, err = c.Drain(ctx)
 			Expect(err).To(MatchError(registrar.ErrUnauthorized))
 		}
-		Expect(f.inForce().Revision).To(BeZero())
-		Expect(f.house.drained).To(BeEmpty())
+		Expect(f.activeConfig().Revision).To(BeZero())
+		Expect(f.instance.drainedBy).To(BeEmpty())
 		_, err := client("token of kim", address).Change(ctx, change(0, "ordinary"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.log.String()).To(ContainSubstring(`"by":"kim"`))
 		Expect(f.log.String()).NotTo(ContainSubstring("token of"))
 	})
 
-	It("tells without a token whether the process lives and takes new work, and nothing else", func() {
+	It("serves only the liveness and readiness probes without a token", func() {
 		get := func(path string) (int, string) {
 			recorder := httptest.NewRecorder()
 			f.handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
@@ -278,9 +280,9 @@
 			ExpectWithOffset(1, gotBody).To(Equal(body))
 		}
 		expect("/readyz", http.StatusServiceUnavailable, "cannot confirm its configuration\n")
-		f.house.fresh = true
+		f.instance.hasLease = true
 		expect("/readyz", http.StatusOK, "ready\n")
-		f.house.Drain("kim")
+		f.instance.Drain("kim")
 		expect("/readyz", http.StatusServiceUnavailable, "draining\n")
 		expect("/healthz", http.StatusOK, "ok\n")
 		for _, path := range []string{"/", "/healthz/../operator/v1/status", "/operator/v1/status", "/healthz/", "//healthz"} {
@@ -296,20 +298,20 @@
 		status, err := c.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.Draining).To(BeTrue())
-		Expect(f.house.drained).To(Equal([]string{"kim"}))
-		Expect(other.house.drained).To(BeEmpty())
+		Expect(f.instance.drainedBy).To(Equal([]string{"kim"}))
+		Expect(other.instance.drainedBy).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Client", func() {
-	It("asks the next instance when one is down", func() {
+	It("tries the next instance if one is down", func() {
 		f := newFixture()
 		status, err := client("token of kim", closedAddress(), serve(f.handler)).Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status.Name).To(Equal("a"))
 	})
 
-	It("keeps the token from the network unless TLS or the operator allows it", func() {
+	It("sends the token beyond loopback only with TLS or explicit permission", func() {
 		options := registrar.ClientOptions{Addresses: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.7:7602")}}
 		_, err := registrar.NewClient(options)
 		Expect(err).To(MatchError(ContainSubstring("without TLS the token would go to 10.0.0.7:7602")))
@@ -318,7 +320,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("follows no redirect with the token", func() {
+	It("does not follow redirects", func() {
 		reached := false
 		elsewhere := serve(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
 		redirecting := serve(http.RedirectHandler("http://"+elsewhere.String(), http.StatusTemporaryRedirect))
--- a/internal/registrar/replicated.go
+++ b/internal/registrar/replicated.go
@@ -12,48 +12,50 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// ReplicatedOptions configures a Replicated. All fields are required.
+// ReplicatedOptions configures a ReplicatedConfigStore. All fields are required.
 type ReplicatedOptions struct {
 	Gazette *gazette.Gazette
-	// Propose has a command accepted by the voters and returns what applying it
-	// gave.
+	// Propose replicates a command to the voters and returns the result of applying
+	// it.
 	Propose func(ctx context.Context, command []byte) (registry.Result, error)
-	// NotAccepted tells whether, after the error of Propose, the command
-	// certainly is not accepted and never will be. If it cannot tell, it returns
+	// NotAccepted reports whether an error of Propose proves that the command was
+	// not accepted and cannot be accepted later. If this is uncertain, it returns
 	// false.
 	NotAccepted func(err error) bool
-	// Fresh tells whether this instance holds its configuration lease.
+	// Fresh reports whether this instance holds its configuration lease.
 	Fresh func(now time.Time) bool
-	// RetryAfter is how long after a change that was not accepted to try again.
+	// RetryAfter is the delay that clients should wait before they retry a change
+	// that was not accepted.
 	RetryAfter time.Duration
 }
 
-// Replicated is a Register over the replicated state machine. It is safe for
-// concurrent use.
-type Replicated struct {
+// ReplicatedConfigStore is a Register backed by the replicated state machine. It is
+// safe for concurrent use.
+type ReplicatedConfigStore struct {
 	options ReplicatedOptions
 }
 
-// NewReplicated returns a Register over the replicated state machine.
-func NewReplicated(options ReplicatedOptions) *Replicated {
-	return &Replicated{options: options}
+// NewReplicated returns a ReplicatedConfigStore.
+func NewReplicated(options ReplicatedOptions) *ReplicatedConfigStore {
+	return &ReplicatedConfigStore{options: options}
 }
 
-// InForce returns what is in force as far as this instance knows at now.
-func (r *Replicated) InForce(now time.Time) InForce {
-	// Freshness is asked for first: what is read after it is at least as new.
-	fresh := r.options.Fresh(now)
-	issue := r.options.Gazette.Latest()
-	return InForce{
-		Revision:     uint64(issue.Revision),
-		Preset:       issue.Preset.Name,
-		Declarations: issue.Declarations,
-		Fresh:        fresh,
+// ActiveConfig implements Register.
+func (r *ReplicatedConfigStore) ActiveConfig(now time.Time) ActiveConfig {
+	// The lease must be checked first, since a configuration read afterwards is at
+	// least as recent as the check.
+	hasLease := r.options.Fresh(now)
+	active := r.options.Gazette.Latest()
+	return ActiveConfig{
+		Revision:       uint64(active.Revision),
+		Preset:         active.Preset.Name,
+		Declarations:   active.Declarations,
+		HasConfigLease: hasLease,
 	}
 }
 
-// Change proposes a change, see Register.
-func (r *Replicated) Change(ctx context.Context, change Change) (Answer, error) {
+// Change implements Register.
+func (r *ReplicatedConfigStore) Change(ctx context.Context, change Change) (Answer, error) {
 	command, err := encodeChange(change)
 	if err != nil {
 		return Answer{}, err
@@ -68,49 +70,49 @@
 	if result.Change == nil {
 		return Answer{}, errors.AssertionFailedf("registrar: the result of a change holds no answer to it")
 	}
-	return answerOf(*result.Change)
+	return changeResult(*result.Change)
 }
 
-// encodeChange returns the command for a change. Nothing has been proposed when
-// it fails, so the change is refused for certain.
+// encodeChange returns the command for a change. It fails only with a
+// *RefusedError, since nothing has been proposed yet.
 func encodeChange(change Change) ([]byte, error) {
 	prepared, err := registry.Change{
 		ID:           change.ID,
 		Expected:     registry.Revision(change.Expected),
 		Declarations: change.Declarations,
 		Preset:       change.Preset,
-		By:           change.By,
+		By:           change.Operator,
 		Summary:      change.Summary,
-		Now:          change.Now,
+		Now:          change.RequestedAt,
 	}.Prepare(declaration.Check)
 	if err != nil {
-		return nil, refusedBy(err)
+		return nil, refusedError(err)
 	}
 	command, err := registry.Encode(prepared)
 	if err != nil {
-		return nil, refusedBy(err)
+		return nil, refusedError(err)
 	}
 	return command, nil
 }
 
-func refusedBy(err error) *RefusedError {
-	var found *finding.Error
-	if errors.As(err, &found) {
-		return &RefusedError{Reason: "the declarations are wrong", Findings: found.Findings}
+func refusedError(err error) *RefusedError {
+	var findings *finding.Error
+	if errors.As(err, &findings) {
+		return &RefusedError{Reason: "the declarations are wrong", Findings: findings.Findings}
 	}
 	return &RefusedError{Reason: err.Error()}
 }
 
-func answerOf(answer registry.Answer) (Answer, error) {
+func changeResult(answer registry.Answer) (Answer, error) {
 	switch answer.Verdict {
 	case registry.VerdictApplied:
 		return Answer{Revision: uint64(answer.Revision)}, nil
 	case registry.VerdictConflict:
-		return Answer{}, &ConflictError{Revision: uint64(answer.Revision), Since: answer.Since}
+		return Answer{}, &ConflictError{Revision: uint64(answer.Revision), ChangesSince: answer.Since}
 	case registry.VerdictRefused, registry.VerdictReused:
 		return Answer{}, &RefusedError{Reason: answer.Reason}
 	default:
-		// A newer leader may know verdicts that this program does not.
+		// A newer leader may return verdicts that this version does not support.
 		return Answer{}, errors.Newf("registrar: verdict %d is not known to this program", answer.Verdict)
 	}
 }
--- a/internal/registrar/senderror.go
+++ b/internal/registrar/senderror.go
@@ -7,13 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialOperation is what package net calls the making of a connection.
+// dialOperation is the Op of a net.OpError for a failed connection attempt.
 const dialOperation = "dial"
 
-// sendError returns an *UnavailableError if no connection was made or its other
-// end not trusted, so that no byte of the request can have arrived. After any other error the request may
-// have been taken.
-func sendError(err error) error {
+// classifySendError returns an *UnavailableError if no connection was established
+// or the server's certificate was not trusted, since the server cannot have
+// received any part of the request. After any other error the server may have
+// processed the request.
+func classifySendError(err error) error {
 	var untrusted *tls.CertificateVerificationError
 	if errors.As(err, &untrusted) {
 		return &UnavailableError{Reason: err.Error()}
--- a/internal/registrar/silence_test.go
+++ b/internal/registrar/timeout_test.go
@@ -13,18 +13,17 @@
 )
 
 var _ = Describe("a connection to an instance that goes silent", func() {
-	// The first instance accepts the change, and its connection goes silent
-	// before the answer: nothing breaks, and nothing comes. The client waits for
-	// its timeout, no longer, and asks the next one, which gives the first answer
-	// again. Nothing is changed twice.
+	// The first instance accepts the change but sends no response, and the
+	// connection stays open. The client must wait no longer than its timeout and
+	// then retry at the next instance, which returns the first result.
 	It("costs the operator the timeout, and changes nothing twice", func() {
 		f := newFixture()
-		gone := make(chan struct{})
+		release := make(chan struct{})
 		silent := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.handler.ServeHTTP(httptest.NewRecorder(), r)
-			<-gone
+			<-release
 		}))
-		DeferCleanup(func() { close(gone) })
+		DeferCleanup(func() { close(release) })
 		c, err := registrar.NewClient(registrar.ClientOptions{
 			Addresses: []netip.AddrPort{silent, serve(f.handler)}, Token: "token of kim", Timeout: 500 * time.Millisecond,
 		})
@@ -37,6 +36,6 @@
 			answers <- answer
 		}()
 		Eventually(answers).WithTimeout(20 * time.Second).Should(Receive(Equal(registrar.Answer{Revision: 1})))
-		Expect(f.inForce().Revision).To(Equal(uint64(1)))
+		Expect(f.activeConfig().Revision).To(Equal(uint64(1)))
 	})
 })
--- a/internal/registrar/voters.go
+++ b/internal/registrar/voters.go
@@ -14,45 +14,45 @@
 	"github.com/lovagelift/lovagelift/internal/outcome"
 )
 
-// Electorate is who may change the set of voters. Its methods are called from
-// many goroutines at once.
-type Electorate interface {
+// VoterManager reads and changes the set of voters. Its methods must be safe for
+// concurrent use.
+type VoterManager interface {
 	Voters(now time.Time) Voters
-	// Bootstrap founds the cluster of all voters that the settings name. If not
-	// every one of them answers and is blank, it changes nothing and returns a
-	// *finding.Error, or goes on where an earlier bootstrap was cut off.
+	// Bootstrap creates the cluster of all voters in the settings. If a voter does
+	// not respond or already has state, Bootstrap either resumes an interrupted
+	// bootstrap, or changes nothing and returns a *finding.Error.
 	Bootstrap(ctx context.Context, origin Origin) error
-	// ChangeVoters makes a caught-up voter count, or removes one. If it
-	// certainly did not happen, it returns an *UnavailableError.
+	// ChangeVoters adds a caught-up voter to the voting members or removes one. If
+	// the change certainly did not happen, it returns an *UnavailableError.
 	ChangeVoters(ctx context.Context, change VotersChange) error
 }
 
-// Voters is the set of voters as one instance knows it.
+// Voters is the set of voters as known to one instance.
 type Voters struct {
 	// Cluster is empty before the bootstrap.
 	Cluster string `json:"cluster"`
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
-	// Voters are the identities that count.
+	// Voters lists the identities of the voting members.
 	Voters []string `json:"voters"`
-	// Waiting are the identities of voters that are alive and do not count: they
-	// lost their disk, or are new.
+	// Waiting lists the identities of live instances that are not voting members
+	// yet, because they are new or lost their disk.
 	Waiting []string `json:"waiting"`
 }
 
-// Origin is the state of a cluster that lost its majority. The zero value stands
-// for a new beginning.
+// Origin is the exported state of a cluster that lost its quorum, from which a new
+// cluster is bootstrapped. The zero value means an empty state.
 type Origin struct {
 	Index uint64 `json:"index"`
 	Term  uint64 `json:"term"`
 	Data  []byte `json:"data"`
 }
 
-// maxOriginBytes bounds an Origin on its way. The idempotency records of a full
-// docket with their answers take 54 MB, in base64.
+// maxOriginBytes limits an encoded Origin. A full set of idempotency records with
+// their responses takes 54 MB in base64.
 const maxOriginBytes = 128 << 20
 
-// VotersChange adds one identity or removes one.
+// VotersChange adds or removes one voting member. Exactly one field is set.
 type VotersChange struct {
 	Add    string `json:"add,omitempty"`
 	Remove string `json:"remove,omitempty"`
@@ -63,59 +63,60 @@
 	bootstrapPath = "/operator/v1/bootstrap"
 )
 
-func (r *Registrar) voters(c echo.Context) error {
-	return c.JSON(http.StatusOK, r.options.Electorate.Voters(r.options.Now()))
+func (s *Server) voters(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
 }
 
-func (r *Registrar) bootstrap(c echo.Context) error {
-	by, _ := c.Get(operatorKey).(string)
+func (s *Server) bootstrap(c echo.Context) error {
+	operator, _ := c.Get(operatorContextKey).(string)
 	var origin Origin
 	body := http.MaxBytesReader(c.Response(), c.Request().Body, maxOriginBytes)
 	if err := json.NewDecoder(body).Decode(&origin); err != nil && !errors.Is(err, io.EOF) {
-		return fail(c, http.StatusBadRequest, outcome.NotRun, failure{Code: codeBadRequest, Message: err.Error()})
+		return writeFailure(c, http.StatusBadRequest, outcome.NotRun, failure{Code: codeBadRequest, Message: err.Error()})
 	}
-	err := r.options.Electorate.Bootstrap(c.Request().Context(), origin)
-	r.options.Log.Info().Err(err).Str("by", by).Uint64("from-index", origin.Index).Msg("bootstrap")
+	err := s.options.Electorate.Bootstrap(c.Request().Context(), origin)
+	s.options.Log.Info().Err(err).Str("by", operator).Uint64("from-index", origin.Index).Msg("cluster bootstrap")
 	var findings *finding.Error
 	if errors.As(err, &findings) {
-		return fail(c, http.StatusConflict, outcome.NotRun, failure{Code: codeRefused, Message: err.Error()})
+		return writeFailure(c, http.StatusConflict, outcome.NotRun, failure{Code: codeRefused, Message: err.Error()})
 	}
 	if err != nil {
-		return fail(c, http.StatusConflict, outcome.Unknown, failure{Code: codeRefused, Message: err.Error()})
+		return writeFailure(c, http.StatusConflict, outcome.Unknown, failure{Code: codeRefused, Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, r.options.Electorate.Voters(r.options.Now()))
+	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
 }
 
-func (r *Registrar) changeVoters(c echo.Context) error {
-	by, _ := c.Get(operatorKey).(string)
+func (s *Server) changeVoters(c echo.Context) error {
+	operator, _ := c.Get(operatorContextKey).(string)
 	var change VotersChange
 	if err := c.Bind(&change); err != nil || (change.Add == "") == (change.Remove == "") {
-		return fail(c, http.StatusBadRequest, outcome.NotRun, failure{
+		return writeFailure(c, http.StatusBadRequest, outcome.NotRun, failure{
 			Code: codeBadRequest, Message: "a change of voters adds one identity or removes one",
 		})
 	}
-	err := r.options.Electorate.ChangeVoters(c.Request().Context(), change)
-	r.options.Log.Info().Err(err).Str("by", by).Str("add", change.Add).Str("remove", change.Remove).Msg("voters")
+	err := s.options.Electorate.ChangeVoters(c.Request().Context(), change)
+	s.options.Log.Info().Err(err).Str("by", operator).Str("add", change.Add).Str("remove", change.Remove).Msg("voter set change")
 	var unavailable *UnavailableError
 	switch {
 	case errors.As(err, &unavailable):
-		return fail(c, http.StatusServiceUnavailable, outcome.NotRun, failure{
+		return writeFailure(c, http.StatusServiceUnavailable, outcome.NotRun, failure{
 			Code: codeUnavailable, Message: unavailable.Reason,
 		})
 	case err != nil:
-		return fail(c, http.StatusBadGateway, outcome.Unknown, failure{Code: codeUnknown, Message: err.Error()})
+		return writeFailure(c, http.StatusBadGateway, outcome.Unknown, failure{Code: codeUnknown, Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, r.options.Electorate.Voters(r.options.Now()))
+	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
 }
 
-// Voters returns the set of voters as the first instance that answers knows it.
+// Voters returns the set of voters as known to the first instance that responds.
 func (c *Client) Voters(ctx context.Context) (Voters, error) {
 	var reply Voters
 	err := c.get(ctx, votersPath, &reply)
 	return reply, err
 }
 
-// Bootstrap founds the cluster through the first instance, and no other.
+// Bootstrap creates the cluster through the instance at the first address, never
+// through another one.
 func (c *Client) Bootstrap(ctx context.Context, origin Origin) (Voters, error) {
 	body, err := json.Marshal(origin)
 	if err != nil {
@@ -124,8 +125,8 @@
 	return c.postVoters(ctx, bootstrapPath, body)
 }
 
-// ChangeVoters changes the set of voters through the first instance. Asking for
-// the same change again is safe: it is refused if it has happened.
+// ChangeVoters changes the set of voters through the instance at the first
+// address. Repeating a change is safe: it is rejected if it has already happened.
 func (c *Client) ChangeVoters(ctx context.Context, change VotersChange) (Voters, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -140,16 +141,16 @@
 	return reply, err
 }
 
-// postFirst makes a call that changes something at the first instance. If it may or may
-// not have been carried out, postFirst returns an *UnknownError.
-func (c *Client) postFirst(ctx context.Context, path string, body []byte, into any) error {
+// postFirst sends a mutating request to the instance at the first address. If the
+// request may have been carried out, postFirst returns an *UnknownError.
+func (c *Client) postFirst(ctx context.Context, path string, body []byte, reply any) error {
 	response, err := c.send(ctx, c.options.Addresses[0], http.MethodPost, path, body)
 	if err == nil {
-		err = response.decode(http.StatusOK, into)
+		err = response.decode(http.StatusOK, reply)
 	}
-	certain := errors.HasType(err, (*UnavailableError)(nil)) || errors.HasType(err, (*RefusedError)(nil)) ||
+	definite := errors.HasType(err, (*UnavailableError)(nil)) || errors.HasType(err, (*RefusedError)(nil)) ||
 		errors.Is(err, ErrUnauthorized)
-	if err == nil || certain {
+	if err == nil || definite {
 		return err
 	}
 	return &UnknownError{Cause: err}
--- a/internal/registrar/wire.go
+++ b/internal/registrar/wire.go
@@ -7,7 +7,7 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Paths that ask for no token.
+// The probes at healthPath and readyPath require no token.
 const (
 	healthPath  = "/healthz"
 	metricsPath = "/metrics"
@@ -15,13 +15,13 @@
 )
 
 const (
-	inForcePath = "/operator/v1/in-force"
-	changesPath = "/operator/v1/changes"
-	statusPath  = "/operator/v1/status"
-	drainPath   = "/operator/v1/drain"
+	activeConfigPath = "/operator/v1/in-force"
+	changesPath      = "/operator/v1/changes"
+	statusPath       = "/operator/v1/status"
+	drainPath        = "/operator/v1/drain"
 )
 
-// The codes of failureReply.
+// The error codes of failureReply.
 const (
 	codeUnauthorized = "unauthorized"
 	codeBadRequest   = "bad-request"
@@ -31,10 +31,10 @@
 	codeUnknown      = "unknown"
 )
 
-// maxIDLength bounds change ids, which the replicated state keeps.
-const maxIDLength = 128
+// maxChangeIDBytes limits change IDs, since the replicated state stores them.
+const maxChangeIDBytes = 128
 
-type inForceReply struct {
+type activeConfigReply struct {
 	Revision uint64 `json:"revision"`
 	Preset   string `json:"preset"`
 	Fresh    bool   `json:"fresh"`
@@ -44,7 +44,7 @@
 
 type changeRequest struct {
 	ChangeID string `json:"change-id"`
-	// ExpectedRevision must be there: 0 is a revision like any other.
+	// ExpectedRevision is a pointer to tell a missing value from revision 0.
 	ExpectedRevision *uint64         `json:"expected-revision"`
 	Declarations     json.RawMessage `json:"declarations,omitempty"`
 	Preset           string          `json:"preset,omitempty"`
@@ -55,7 +55,7 @@
 }
 
 type drainReply struct {
-	Streams int `json:"streams"`
+	ActiveRequests int `json:"streams"`
 }
 
 type failureReply struct {
@@ -66,13 +66,13 @@
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	// Conflict is set for codeConflict.
-	Conflict *conflict      `json:"conflict,omitempty"`
+	Conflict *conflictReply `json:"conflict,omitempty"`
 	Findings []findingReply `json:"findings,omitempty"`
 }
 
-type conflict struct {
-	Revision uint64             `json:"revision"`
-	Since    []registry.Applied `json:"since,omitempty"`
+type conflictReply struct {
+	Revision     uint64             `json:"revision"`
+	ChangesSince []registry.Applied `json:"since,omitempty"`
 }
 
 type findingReply struct {
@@ -93,7 +93,7 @@
 	return replies
 }
 
-func findingsOf(replies []findingReply) []finding.Finding {
+func parseFindings(replies []findingReply) []finding.Finding {
 	var findings []finding.Finding
 	for _, r := range replies {
 		findings = append(findings, finding.Finding{
