--- a/internal/command/ask.go
+++ b/internal/command/ask.go
@@ -12,85 +12,84 @@
 	"github.com/lovagelift/lovagelift/internal/outcome"
 )
 
-// askTimeout is longer than any service's deadline.
+// askTimeout exceeds the deadline of every service.
 const askTimeout = 5 * time.Minute
 
-// defaultEntry is where a caller asks first when it is told nothing.
-const defaultEntry = "127.0.0.1:7600"
+// defaultEntryAddress is the instance address that ask uses without --entry.
+const defaultEntryAddress = "127.0.0.1:7600"
 
-// askFlags are the flags of ask.
 type askFlags struct {
-	known    []string
-	caFile   string
-	asJSON   bool
-	question caller.Question
+	entryAddresses []string
+	caFile         string
+	asJSON         bool
+	question       caller.Question
 }
 
 func newAsk() command {
-	var asked askFlags
+	var askOptions askFlags
 	flags := newSubcommand("ask", "asks a model and prints the answer as it comes",
 		"lovagelift ask --model example-model \"Where is the shuttle?\"")
-	flags.StringSlice(&asked.known, "e", "entry", "IP:port of an instance; repeatable; "+defaultEntry+" if none is given")
-	flags.String(&asked.question.Model, "m", "model", "model or adapter to ask")
-	flags.String(&asked.question.Service, "s", "service", "service that the question belongs to")
-	flags.String(&asked.caFile, "", "ca", "file with the certificates that verify the instances; turns TLS on")
-	flags.Bool(&asked.asJSON, "", "json", "write the whole answer as JSON once it is there")
-	flags.AddPositionalValue(&asked.question.Text, "text", 1, true, "what to ask")
+	flags.StringSlice(&askOptions.entryAddresses, "e", "entry", "IP:port of an instance; repeatable; "+defaultEntryAddress+" if none is given")
+	flags.String(&askOptions.question.Model, "m", "model", "model or adapter to ask")
+	flags.String(&askOptions.question.Service, "s", "service", "service that the question belongs to")
+	flags.String(&askOptions.caFile, "", "ca", "file with the certificates that verify the instances; turns TLS on")
+	flags.Bool(&askOptions.asJSON, "", "json", "write the whole answer as JSON once it is there")
+	flags.AddPositionalValue(&askOptions.question.Text, "text", 1, true, "what to ask")
 	run := func(ctx context.Context, streams Streams) int {
-		return ask(ctx, asked, streams)
+		return ask(ctx, askOptions, streams)
 	}
 	return command{flags: flags, run: run}
 }
 
-// askOutput is what ask writes with --json. Outcome is "ran" for a whole answer.
+// askOutput is the output of ask with --json. Outcome is "ran" if the answer is
+// complete.
 type askOutput struct {
-	Outcome  outcome.Outcome `json:"outcome"`
-	Answer   string          `json:"answer"`
-	Instance string          `json:"instance,omitempty"`
-	Attempts int             `json:"attempts"`
-	// FirstToken and Total are in milliseconds.
-	FirstToken int64  `json:"first-token-milliseconds"`
-	Total      int64  `json:"total-milliseconds"`
-	Error      string `json:"error,omitempty"`
+	Outcome                outcome.Outcome `json:"outcome"`
+	Answer                 string          `json:"answer"`
+	Instance               string          `json:"instance,omitempty"`
+	Attempts               int             `json:"attempts"`
+	FirstTokenMilliseconds int64           `json:"first-token-milliseconds"`
+	TotalMilliseconds      int64           `json:"total-milliseconds"`
+	Error                  string          `json:"error,omitempty"`
 }
 
-func ask(ctx context.Context, asked askFlags, streams Streams) int {
-	var list finding.List
-	options := caller.Options{Known: asked.known, TLS: readCA(asked.caFile, &list)}
-	if asked.question.Model == "" {
-		list.Add(flagPlace("model"), "no model is named", "give one that GET /v1/models lists")
+func ask(ctx context.Context, flags askFlags, streams Streams) int {
+	var findings finding.List
+	options := caller.Options{Known: flags.entryAddresses, TLS: readCA(flags.caFile, &findings)}
+	if flags.question.Model == "" {
+		findings.Add(flagPlace("model"), "no model is named", "give one that GET /v1/models lists")
 	}
-	if err := list.Err(); err != nil {
-		return fail(streams, err)
+	if err := findings.Err(); err != nil {
+		return printError(streams, err)
 	}
 	if len(options.Known) == 0 {
-		options.Known = []string{defaultEntry}
+		options.Known = []string{defaultEntryAddress}
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	begin := time.Now()
+	start := time.Now()
 	var output askOutput
-	answer, err := caller.New(options).Ask(ctx, asked.question, func(piece string) {
-		if output.FirstToken == 0 {
-			output.FirstToken = time.Since(begin).Milliseconds()
+	answer, err := caller.New(options).Ask(ctx, flags.question, func(piece string) {
+		if output.FirstTokenMilliseconds == 0 {
+			output.FirstTokenMilliseconds = time.Since(start).Milliseconds()
 		}
-		if !asked.asJSON {
+		if !flags.asJSON {
 			fmt.Fprint(streams.Out, piece)
 		}
 	})
-	output.Total = time.Since(begin).Milliseconds()
+	output.TotalMilliseconds = time.Since(start).Milliseconds()
 	output.Answer, output.Instance, output.Attempts = answer.Text, answer.Entry.Name, answer.Attempts
 	output.Outcome = outcome.Ran
 	if err != nil {
 		output.Error = err.Error()
 		output.Outcome = askOutcome(err)
 	}
-	if asked.asJSON {
+	if flags.asJSON {
 		writeJSON(streams.Out, output)
 	} else {
 		fmt.Fprintln(streams.Out)
 	}
-	return askExit(err, streams)
+	return askExitCode(err, streams)
 }
 
 func askOutcome(err error) outcome.Outcome {
@@ -101,7 +100,7 @@
 	return outcome.Unknown
 }
 
-func askExit(err error, streams Streams) int {
+func askExitCode(err error, streams Streams) int {
 	if err == nil {
 		return ExitOK
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -14,8 +14,8 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-// maxPaths bounds the paths of one check: flaggy wants each positional value
-// defined.
+// maxPaths limits the number of paths of one check, since flaggy requires every
+// positional value to be declared.
 const maxPaths = 64
 
 func newCheck() command {
@@ -42,16 +42,16 @@
 	return command{flags: flags, run: run}
 }
 
-// checker gathers what is found over all paths.
+// checker collects the findings of all paths.
 type checker struct {
-	list     finding.List
-	folders  int
-	books    int
-	settings []loaded
+	findings   finding.List
+	folders    int
+	tokenFiles int
+	settings   []loadedSettings
 }
 
-// loaded is settings with the file they came from.
-type loaded struct {
+// loadedSettings is a settings file and its parsed content.
+type loadedSettings struct {
 	path     string
 	settings settings.Settings
 }
@@ -59,65 +59,65 @@
 func (c *checker) check(path string) {
 	info, err := os.Stat(path)
 	if err != nil {
-		c.add(path, err)
+		c.addError(path, err)
 		return
 	}
 	if info.IsDir() {
 		c.folders++
 		_, err = declaration.Read(os.DirFS(path), filepath.ToSlash(path))
-		c.add(path, err)
+		c.addError(path, err)
 		return
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		c.add(path, err)
+		c.addError(path, err)
 		return
 	}
 	if badge.IsBook(data) {
-		c.books++
+		c.tokenFiles++
 		_, err = badge.Parse(path, data)
-		c.add(path, err)
+		c.addError(path, err)
 		return
 	}
 	s, err := settings.Parse(path, data)
 	if err != nil {
-		c.add(path, err)
+		c.addError(path, err)
 		return
 	}
-	c.settings = append(c.settings, loaded{path: path, settings: s})
+	c.settings = append(c.settings, loadedSettings{path: path, settings: s})
 }
 
-func (c *checker) add(path string, err error) {
+func (c *checker) addError(path string, err error) {
 	if err == nil {
 		return
 	}
-	var found *finding.Error
-	if !errors.As(err, &found) {
-		c.list.Add(finding.Place{File: path}, err.Error(), "")
+	var findings *finding.Error
+	if !errors.As(err, &findings) {
+		c.findings.Add(finding.Place{File: path}, err.Error(), "")
 		return
 	}
-	for _, f := range found.Findings {
-		c.list.Add(f.Place, f.Problem, f.Advice)
+	for _, f := range findings.Findings {
+		c.findings.Add(f.Place, f.Problem, f.Advice)
 	}
 }
 
 func (c *checker) report(streams Streams, asJSON bool) int {
 	if asJSON {
-		writeJSON(streams.Out, checkOutput{Findings: findingsOutput(c.list.All())})
+		writeJSON(streams.Out, checkOutput{Findings: findingsOutput(c.findings.All())})
 	}
-	if err := c.list.Err(); err != nil {
+	if err := c.findings.Err(); err != nil {
 		if !asJSON {
 			fmt.Fprintln(streams.Err, err)
 		}
 		return ExitBadInput
 	}
 	if !asJSON {
-		fmt.Fprintf(streams.Out, "good: %d settings files, %d token files, %d declaration folders\n", len(c.settings), c.books, c.folders)
+		fmt.Fprintf(streams.Out, "good: %d settings files, %d token files, %d declaration folders\n", len(c.settings), c.tokenFiles, c.folders)
 	}
 	return ExitOK
 }
 
-// checkOutput is what check writes with --json.
+// checkOutput is the output of check with --json.
 type checkOutput struct {
 	Findings []findingOutput `json:"findings"`
 }
--- a/internal/command/check_test.go
+++ b/internal/command/check_test.go
@@ -13,22 +13,22 @@
 	"github.com/lovagelift/lovagelift/internal/command"
 )
 
-// run runs a command as a shell would and returns its exit code and output.
+// run runs a command and returns its exit code, standard output and standard error.
 func run(args ...string) (code int, out, errors string) {
 	var stdout, stderr bytes.Buffer
 	code = command.Run(context.Background(), args, command.Streams{Out: &stdout, Err: &stderr})
 	return code, stdout.String(), stderr.String()
 }
 
-func examples(pattern string) []string {
+func exampleFiles(pattern string) []string {
 	paths, err := filepath.Glob("../../examples/" + pattern)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	ExpectWithOffset(1, paths).NotTo(BeEmpty())
 	return paths
 }
 
-// write writes a file into a new folder and returns its path.
-func write(name, text string) string {
+// writeTempFile writes a file into a new temporary folder and returns its path.
+func writeTempFile(name, text string) string {
 	path := filepath.Join(GinkgoT().TempDir(), name)
 	ExpectWithOffset(1, os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 	return path
@@ -36,7 +36,7 @@
 
 var _ = Describe("check", func() {
 	It("passes on all examples", func() {
-		paths := append(examples("three/*.toml"), examples("declarations/*")...)
+		paths := append(exampleFiles("three/*.toml"), exampleFiles("declarations/*")...)
 		code, out, errors := run(append([]string{"check"}, paths...)...)
 		Expect(errors).To(BeEmpty())
 		Expect(out).To(Equal("good: 3 settings files, 1 token files, 2 declaration folders\n"))
@@ -44,9 +44,9 @@
 	})
 
 	It("reports all findings of all paths and exits with 2", func() {
-		bad := write("bad.toml", "name = 1\n")
-		folder := filepath.Dir(write("decl.toml", "[[preset]]\nname = \"x\"\n"))
-		tokens := write("tokens.toml", "[[token]]\nname = \"kim\"\nsha256 = \"x\"\n")
+		bad := writeTempFile("bad.toml", "name = 1\n")
+		folder := filepath.Dir(writeTempFile("decl.toml", "[[preset]]\nname = \"x\"\n"))
+		tokens := writeTempFile("tokens.toml", "[[token]]\nname = \"kim\"\nsha256 = \"x\"\n")
 		code, out, errors := run("check", bad, folder, tokens, "no-such-file.toml")
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(out).To(BeEmpty())
@@ -62,7 +62,7 @@
 	})
 
 	It("writes the findings as JSON for scripts", func() {
-		bad := write("bad.toml", "x = \n")
+		bad := writeTempFile("bad.toml", "x = \n")
 		code, out, errors := run("check", "--json", bad)
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(errors).To(BeEmpty())
@@ -70,12 +70,12 @@
 			`"problem": "broken TOML: toml: unexpected character U+000A at start of value"}]}`))
 	})
 
-	It("finds instances whose settings disagree about each other", func() {
-		data, err := os.ReadFile(examples("three/instance-b.toml")[0])
+	It("finds contradictions between the settings of instances", func() {
+		data, err := os.ReadFile(exampleFiles("three/instance-b.toml")[0])
 		Expect(err).NotTo(HaveOccurred())
-		odd := strings.NewReplacer("voter = true\ndata-folder", "voter = false\ndata-folder", `failure-domain = "kgn-b"`, `failure-domain = "kgn-x"`,
+		contradicting := strings.NewReplacer("voter = true\ndata-folder", "voter = false\ndata-folder", `failure-domain = "kgn-b"`, `failure-domain = "kgn-x"`,
 			"127.0.0.1:7613", "127.0.0.1:7614").Replace(string(data)) + "[timing]\nheartbeat = \"50ms\"\n"
-		a, b := examples("three/instance-a.toml")[0], write("instance-b.toml", odd)
+		a, b := exampleFiles("three/instance-a.toml")[0], writeTempFile("instance-b.toml", contradicting)
 		code, _, errors := run("check", a, b)
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(strings.Split(strings.TrimSpace(errors), "\n")).To(ConsistOf(
@@ -86,11 +86,11 @@
 		))
 	})
 
-	It("finds two files of one instance", func() {
-		a := examples("three/instance-a.toml")[0]
+	It("finds two settings files of the same instance", func() {
+		a := exampleFiles("three/instance-a.toml")[0]
 		data, err := os.ReadFile(a)
 		Expect(err).NotTo(HaveOccurred())
-		code, _, errors := run("check", a, write("copy.toml", string(data)))
+		code, _, errors := run("check", a, writeTempFile("copy.toml", string(data)))
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(errors).To(ContainSubstring(`instance "a" has settings in `))
 	})
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the command line of lovagelift, one file for each command.
+// Package command is the command-line interface of lovagelift, with one file for
+// each command.
 package command
 
 import (
@@ -11,41 +12,41 @@
 
 // The exit codes of all commands. docs/operators/commands.md lists them.
 const (
-	// ExitOK means that the command did what it was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed means that it was tried and failed.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitBadInput means that the input is wrong and nothing was changed.
+	// ExitBadInput means that the input is invalid and nothing was changed.
 	ExitBadInput = 2
-	// ExitUnknown means that it may or may not have been done.
+	// ExitUnknown means that the command may or may not have taken effect.
 	ExitUnknown = 3
-	// ExitConflict means that another change was accepted first, and this one
-	// was not.
+	// ExitConflict means that the change was rejected because another one was
+	// accepted first.
 	ExitConflict = 4
 )
 
-// Version is set when a release is built.
+// Version is the program version, which release builds set.
 var Version = "development"
 
-// Streams are where a command reads and writes.
+// Streams are the standard streams that a command writes to.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// command is one command: its flags and what it does.
+// command is a subcommand: its flags and its implementation.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func(ctx context.Context, streams Streams) int
 }
 
-// Run runs the command that args name, without the program's own name, and
-// returns the exit code.
+// Run runs the command given by args, which exclude the program name, and returns
+// its exit code.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	parser := flaggy.NewParser("lovagelift")
 	parser.Description = "serves many models on fewer accelerators"
 	parser.Version = Version
-	// The version command is the one place that prints it.
+	// Only the version command prints the version.
 	parser.DisableShowVersionWithVersion()
 	commands := []command{
 		newServe(),
@@ -80,8 +81,8 @@
 }
 
 func newSubcommand(name, description, example string) *flaggy.Subcommand {
-	flags := flaggy.NewSubcommand(name)
-	flags.Description = description
-	flags.AdditionalHelpAppend = "\nExample:\n  " + example
-	return flags
+	subcommand := flaggy.NewSubcommand(name)
+	subcommand.Description = description
+	subcommand.AdditionalHelpAppend = "\nExample:\n  " + example
+	return subcommand
 }
--- a/internal/command/compare.go
+++ b/internal/command/compare.go
@@ -7,9 +7,9 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-// compareSettings finds where the settings of instances that name each other
-// disagree. Each file alone can be good while an instance that one calls a
-// voter does not know that it is.
+// compareSettings finds contradictions between settings files. Each file can be
+// valid on its own while, for example, one file lists an instance as a voter and
+// that instance's own settings do not.
 func (c *checker) compareSettings() {
 	for _, one := range c.settings {
 		for _, other := range c.settings {
@@ -20,16 +20,17 @@
 	}
 }
 
-// compare adds findings to the file of one for what it says of other.
-func (c *checker) compare(one, other loaded) {
+// compare reports where the settings of one contradict those of other, as findings
+// about the file of one.
+func (c *checker) compare(one, other loadedSettings) {
 	if one.settings.Name == other.settings.Name {
-		c.disagree(one, fmt.Sprintf("instance %q has settings in %s as well", one.settings.Name, other.path), "write another name in one of them")
+		c.addContradiction(one, fmt.Sprintf("instance %q has settings in %s as well", one.settings.Name, other.path), "write another name in one of them")
 		return
 	}
-	named, ok := findInstance(one.settings.Instances, other.settings.Name)
+	declared, ok := findInstance(one.settings.Instances, other.settings.Name)
 	if !ok {
-		if _, back := findInstance(other.settings.Instances, one.settings.Name); back {
-			c.disagree(one, fmt.Sprintf("instance %q of %s is not among the instances here", other.settings.Name, other.path), "add it")
+		if _, listed := findInstance(other.settings.Instances, one.settings.Name); listed {
+			c.addContradiction(one, fmt.Sprintf("instance %q of %s is not among the instances here", other.settings.Name, other.path), "add it")
 		}
 		return
 	}
@@ -40,17 +41,17 @@
 		FailureDomain: other.settings.FailureDomain,
 		Voter:         other.settings.Voter,
 	}
-	for _, difference := range differences(named, own) {
-		c.disagree(one, fmt.Sprintf("instance %q has %s here, and its own settings in %s say otherwise", named.Name, difference, other.path),
+	for _, difference := range differences(declared, own) {
+		c.addContradiction(one, fmt.Sprintf("instance %q has %s here, and its own settings in %s say otherwise", declared.Name, difference, other.path),
 			"write the same in both")
 	}
 	if one.path < other.path && one.settings.Timing != other.settings.Timing {
-		c.disagree(one, fmt.Sprintf("the timing differs from that in %s", other.path), "write the same [timing] for all instances")
+		c.addContradiction(one, fmt.Sprintf("the timing differs from that in %s", other.path), "write the same [timing] for all instances")
 	}
 }
 
-func (c *checker) disagree(one loaded, problem, advice string) {
-	c.list.Add(finding.Place{File: one.path}, problem, advice)
+func (c *checker) addContradiction(file loadedSettings, problem, advice string) {
+	c.findings.Add(finding.Place{File: file.path}, problem, advice)
 }
 
 func findInstance(instances []settings.Instance, name string) (settings.Instance, bool) {
@@ -62,19 +63,19 @@
 	return settings.Instance{}, false
 }
 
-func differences(named, own settings.Instance) []string {
-	var found []string
-	if named.InnerAddress != own.InnerAddress {
-		found = append(found, fmt.Sprintf("the inner-address %s", named.InnerAddress))
+func differences(declared, own settings.Instance) []string {
+	var differing []string
+	if declared.InnerAddress != own.InnerAddress {
+		differing = append(differing, fmt.Sprintf("the inner-address %s", declared.InnerAddress))
 	}
-	if named.CallerAddress != own.CallerAddress {
-		found = append(found, fmt.Sprintf("the caller-address %s", named.CallerAddress))
+	if declared.CallerAddress != own.CallerAddress {
+		differing = append(differing, fmt.Sprintf("the caller-address %s", declared.CallerAddress))
 	}
-	if named.FailureDomain != own.FailureDomain {
-		found = append(found, fmt.Sprintf("the failure-domain %s", named.FailureDomain))
+	if declared.FailureDomain != own.FailureDomain {
+		differing = append(differing, fmt.Sprintf("the failure-domain %s", declared.FailureDomain))
 	}
-	if named.Voter != own.Voter {
-		found = append(found, fmt.Sprintf("voter = %t", named.Voter))
+	if declared.Voter != own.Voter {
+		differing = append(differing, fmt.Sprintf("voter = %t", declared.Voter))
 	}
-	return found
+	return differing
 }
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -18,31 +18,30 @@
 	return command{flags: flags, run: run}
 }
 
-// drainOutput is what drain writes with --json.
+// drainOutput is the output of drain with --json.
 type drainOutput struct {
-	// Streams is the number of requests that were in progress.
-	Streams int `json:"streams"`
+	ActiveRequests int `json:"streams"`
 }
 
 func drain(ctx context.Context, operator *operatorFlags, streams Streams) int {
 	if len(operator.addresses) != 1 {
-		var list finding.List
-		list.Add(flagPlace("operator-address"), fmt.Sprintf("drain stops one instance, and %d are named", len(operator.addresses)),
+		var findings finding.List
+		findings.Add(flagPlace("operator-address"), fmt.Sprintf("drain stops one instance, and %d are named", len(operator.addresses)),
 			"give the one to stop")
-		return fail(streams, list.Err())
+		return printError(streams, findings.Err())
 	}
 	client, err := operator.client()
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	inProgress, err := client.Drain(ctx)
+	activeRequests, err := client.Drain(ctx)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
 	if operator.asJSON {
-		writeJSON(streams.Out, drainOutput{Streams: inProgress})
+		writeJSON(streams.Out, drainOutput{ActiveRequests: activeRequests})
 		return ExitOK
 	}
-	fmt.Fprintf(streams.Out, "draining, %d requests in progress; status shows how it goes on\n", inProgress)
+	fmt.Fprintf(streams.Out, "draining, %d requests in progress; status shows how it goes on\n", activeRequests)
 	return ExitOK
 }
--- a/internal/command/export.go
+++ b/internal/command/export.go
@@ -21,7 +21,7 @@
 			err = state.Save(path)
 		}
 		if err != nil {
-			return fail(streams, err)
+			return printError(streams, err)
 		}
 		if asJSON {
 			writeJSON(streams.Out, exportOutput{state.Cluster, uint64(state.Index), uint64(state.Term), uint64(state.Revision), state.Preset})
@@ -34,7 +34,7 @@
 	return command{flags: flags, run: run}
 }
 
-// exportOutput is what export writes with --json.
+// exportOutput is the output of export with --json.
 type exportOutput struct {
 	Cluster  string `json:"cluster"`
 	Index    uint64 `json:"index"`
--- a/internal/command/fakes_test.go
+++ b/internal/command/fakes_test.go
@@ -17,37 +17,37 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-const token = "a token that a machine drew"
+const validToken = "a randomly generated token"
 
-// fakeInstance is an instance with its replicated state and nothing else: no log,
-// no disk, no peers.
+// fakeInstance is an instance with a replicated state machine, but without a log,
+// a disk or peers.
 type fakeInstance struct {
-	gazette *gazette.Gazette
+	publisher *gazette.Gazette
 
 	mu       sync.Mutex
 	registry *registry.Registry
 	index    jury.Index
 	stale    bool
 	drained  bool
-	// loseAnswers makes the instance break the connection instead of answering
-	// a change that it accepted.
+	// loseAnswers makes the instance process each POST request and then close the
+	// connection without a response.
 	loseAnswers bool
 	address     string
 }
 
 func newFakeInstance() *fakeInstance {
-	f := &fakeInstance{gazette: gazette.New(), registry: registry.New()}
+	f := &fakeInstance{publisher: gazette.New(), registry: registry.New()}
 	handler := registrar.New(registrar.Options{
 		Register: registrar.NewReplicated(registrar.ReplicatedOptions{
-			Gazette: f.gazette, Propose: f.propose,
+			Gazette: f.publisher, Propose: f.propose,
 			NotAccepted: func(error) bool { return false },
 			Fresh:       func(time.Time) bool { return !f.isStale() },
 		}),
 		House: f, Quarantine: f, Now: time.Now, Log: zerolog.Nop(),
-		Holder: func(shown string) (string, bool) { return "kim", shown == token },
+		Holder: func(token string) (string, bool) { return "kim", token == validToken },
 	})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodPost && f.losing() {
+		if r.Method == http.MethodPost && f.losesAnswers() {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -58,16 +58,16 @@
 	return f
 }
 
-func (f *fakeInstance) losing() bool {
+func (f *fakeInstance) losesAnswers() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.loseAnswers
 }
 
-func (f *fakeInstance) lose(answers bool) {
+func (f *fakeInstance) setLoseAnswers(lose bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseAnswers = answers
+	f.loseAnswers = lose
 }
 
 func (f *fakeInstance) isStale() bool {
@@ -84,15 +84,15 @@
 	if err != nil {
 		return result, err
 	}
-	return result, f.gazette.Publish(f.registry.View())
+	return result, f.publisher.Publish(f.registry.View())
 }
 
 func (f *fakeInstance) Status(time.Time) registrar.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	issue := f.gazette.Latest()
+	active := f.publisher.Latest()
 	return registrar.Status{
-		Name: "a", FailureDomain: "kgn-a", Version: "1", Revision: uint64(issue.Revision), Preset: issue.Preset.Name,
+		Name: "a", FailureDomain: "kgn-a", Version: "1", Revision: uint64(active.Revision), Preset: active.Preset.Name,
 		Fresh: !f.stale, Draining: f.drained, Streams: 2, Leader: "b", Term: 5,
 		Instances: []registrar.InstanceStatus{{Name: "b", CallerAddress: "127.0.0.1:7610", FailureDomain: "kgn-b", Voter: true, Silent: 120 * time.Millisecond}},
 		Upstreams: []registrar.UpstreamStatus{{Name: "e1", Kind: "engine", Address: "127.0.0.1:9000", FailureDomain: "kgn-a", Holds: []string{"base", "base-kgn"}, Running: 4, Leaving: true}},
@@ -104,11 +104,11 @@
 }
 
 func (f *fakeInstance) Lift(ctx context.Context, digests []quarantine.Digest) error {
-	return f.note(ctx, quarantine.Update{Now: time.Now(), Lifted: digests})
+	return f.record(ctx, quarantine.Update{Now: time.Now(), Lifted: digests})
 }
 
-// note records what is known of upstreams that ended.
-func (f *fakeInstance) note(ctx context.Context, update quarantine.Update) error {
+// record applies crash reports or releases of quarantined requests.
+func (f *fakeInstance) record(ctx context.Context, update quarantine.Update) error {
 	command, err := registry.Encode(update)
 	if err != nil {
 		return err
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -19,14 +19,13 @@
 
 const (
 	defaultOperatorAddress = "127.0.0.1:7602"
-	// operatorTimeout is above the 4 s within which a change is in force.
+	// operatorTimeout exceeds the 4 s within which a change becomes active.
 	operatorTimeout = 10 * time.Second
-	// noRevision is the value of --expect when it is not given.
-	noRevision = -1
+	// unsetRevision is the default of --expect, which means that the flag is missing.
+	unsetRevision = -1
 )
 
-// operatorFlags are the flags of every command that asks instances on an
-// operator's behalf.
+// operatorFlags are the flags shared by all commands that use the admin API.
 type operatorFlags struct {
 	addresses  []string
 	tokenFile  string
@@ -48,43 +47,43 @@
 	flags.Bool(&f.asJSON, "", "json", "write the result as JSON")
 }
 
-// client returns the client that the flags describe, or everything that is
-// wrong with them.
+// client returns the client configured by the flags. If flags are invalid, it
+// returns all findings.
 func (f *operatorFlags) client() (*registrar.Client, error) {
-	var list finding.List
+	var findings finding.List
 	options := registrar.ClientOptions{
-		Addresses:  f.parseAddresses(&list),
-		Token:      f.readToken(&list),
-		TLS:        readCA(f.caFile, &list),
+		Addresses:  f.parseAddresses(&findings),
+		Token:      f.readToken(&findings),
+		TLS:        readCA(f.caFile, &findings),
 		AllowPlain: f.allowPlain,
 		Timeout:    f.timeout,
 	}
 	if f.timeout <= 0 {
-		list.Add(flagPlace("timeout"), fmt.Sprintf("%s is no time to wait", f.timeout), "write for example 10s")
+		findings.Add(flagPlace("timeout"), fmt.Sprintf("%s is no time to wait", f.timeout), "write for example 10s")
 	}
-	if err := list.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return nil, err
 	}
 	return registrar.NewClient(options)
 }
 
-// inForce returns the client that the flags describe and what is in force, as far
-// as the first instance that answers knows.
-func (f *operatorFlags) inForce(ctx context.Context) (*registrar.Client, registrar.ActiveConfig, error) {
+// activeConfig returns the client configured by the flags, and the active
+// configuration as known to the first instance that responds.
+func (f *operatorFlags) activeConfig(ctx context.Context) (*registrar.Client, registrar.ActiveConfig, error) {
 	client, err := f.client()
 	if err != nil {
 		return nil, registrar.ActiveConfig{}, err
 	}
-	inForce, err := client.InForce(ctx)
-	return client, inForce, err
+	config, err := client.InForce(ctx)
+	return client, config, err
 }
 
-// flagPlace is the place of findings about a flag.
+// flagPlace returns the place of findings about a flag.
 func flagPlace(name string) finding.Place {
 	return finding.Place{File: "--" + name}
 }
 
-func (f *operatorFlags) parseAddresses(list *finding.List) []netip.AddrPort {
+func (f *operatorFlags) parseAddresses(findings *finding.List) []netip.AddrPort {
 	texts := f.addresses
 	if len(texts) == 0 {
 		texts = []string{defaultOperatorAddress}
@@ -93,7 +92,7 @@
 	for _, text := range texts {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			list.Add(flagPlace("operator-address"), fmt.Sprintf("%q is no IP number and port", text), "write for example "+defaultOperatorAddress)
+			findings.Add(flagPlace("operator-address"), fmt.Sprintf("%q is no IP number and port", text), "write for example "+defaultOperatorAddress)
 			continue
 		}
 		addresses = append(addresses, address)
@@ -101,41 +100,42 @@
 	return addresses
 }
 
-func (f *operatorFlags) readToken(list *finding.List) string {
+func (f *operatorFlags) readToken(findings *finding.List) string {
 	if f.tokenFile == "" {
 		return ""
 	}
 	data, err := os.ReadFile(f.tokenFile)
 	if err != nil {
-		list.Add(flagPlace("token-file"), err.Error(), "")
+		findings.Add(flagPlace("token-file"), err.Error(), "")
 		return ""
 	}
 	token := strings.TrimSpace(string(data))
 	if token == "" {
-		list.Add(flagPlace("token-file"), f.tokenFile+" is empty", "write the token into it")
+		findings.Add(flagPlace("token-file"), f.tokenFile+" is empty", "write the token into it")
 	}
 	return token
 }
 
-// readCA returns the TLS to use towards instances, or nil if no file is named.
-func readCA(caFile string, list *finding.List) *tls.Config {
+// readCA returns the TLS configuration for connections to instances, or nil if
+// caFile is empty.
+func readCA(caFile string, findings *finding.List) *tls.Config {
 	if caFile == "" {
 		return nil
 	}
 	data, err := os.ReadFile(caFile)
 	if err != nil {
-		list.Add(flagPlace("ca"), err.Error(), "")
+		findings.Add(flagPlace("ca"), err.Error(), "")
 		return nil
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		list.Add(flagPlace("ca"), caFile+" holds no certificate", "give a file in PEM")
+		findings.Add(flagPlace("ca"), caFile+" holds no certificate", "give a file in PEM")
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 }
 
-// fail writes err and returns the exit code that says what became of it.
-func fail(streams Streams, err error) int {
+// printError prints err with advice for the operator, and returns its exit code.
+func printError(streams Streams, err error) int {
 	fmt.Fprintln(streams.Err, err)
 	switch {
 	case errors.HasType(err, (*registrar.UnknownError)(nil)):
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// writeJSON writes one JSON document and a line end.
-func writeJSON(to io.Writer, output any) {
+// writeJSON writes output as one JSON document, followed by a newline.
+func writeJSON(out io.Writer, output any) {
 	data, err := json.MarshalIndent(output, "", "  ")
 	if err != nil {
-		// The outputs are structs of this package, which can be encoded.
+		// All outputs are plain data, whose encoding cannot fail.
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "command: encoding the output"))
 	}
-	// A reader that went away is no failure of the command.
-	_, _ = to.Write(append(data, '\n'))
+	// A closed output is not a failure of the command.
+	_, _ = out.Write(append(data, '\n'))
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -12,36 +12,36 @@
 func newPlan() command {
 	var operator operatorFlags
 	var folder, preset string
-	var placed bool
+	var showPlacement bool
 	flags := newSubcommand("plan", "shows what apply would change, and the revision to give it; changes nothing",
 		"lovagelift plan --token-file kim.token examples/declarations/kingston")
 	flags.AddPositionalValue(&folder, "folder", 1, true, "the folder of declarations")
 	flags.String(&preset, "p", "preset", "the preset to bring into force with them; else the one in force stays")
-	flags.Bool(&placed, "", "placement", "show the moves too that it would cause; a voter knows them")
+	flags.Bool(&showPlacement, "", "placement", "show the moves too that it would cause; a voter knows them")
 	operator.addTo(flags)
 	run := func(ctx context.Context, streams Streams) int {
-		return plan(ctx, &operator, folder, preset, placed, streams)
+		return plan(ctx, &operator, folder, preset, showPlacement, streams)
 	}
 	return command{flags: flags, run: run}
 }
 
-func plan(ctx context.Context, operator *operatorFlags, folder, preset string, placed bool, streams Streams) int {
+func plan(ctx context.Context, operator *operatorFlags, folder, preset string, showPlacement bool, streams Streams) int {
 	set, err := readFolder(folder)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	client, inForce, err := operator.inForce(ctx)
+	client, active, err := operator.activeConfig(ctx)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	preset, err = choosePreset(preset, inForce.Revision == 0, set, inForce)
+	preset, err = choosePreset(preset, active.Revision == 0, set, active)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	output := planOutputOf(inForce, preset, declaration.Diff(inForce.Declarations, set))
-	if placed {
-		if output.Placement, err = movesOf(ctx, client, set, preset, inForce); err != nil {
-			return fail(streams, err)
+	output := newPlanOutput(active, preset, declaration.Diff(active.Declarations, set))
+	if showPlacement {
+		if output.Placement, err = plannedMoves(ctx, client, set, preset, active); err != nil {
+			return printError(streams, err)
 		}
 	}
 	if operator.asJSON {
@@ -55,13 +55,13 @@
 	return ExitOK
 }
 
-// movesOf asks for the moves under the preset that would be in force: the one
-// that was named, else the one in force, else the first.
-func movesOf(
-	ctx context.Context, client *registrar.Client, set declaration.Set, preset string, inForce registrar.ActiveConfig,
+// plannedMoves returns the placement moves under the preset that would be active:
+// the requested preset, else the active one, else the first one declared.
+func plannedMoves(
+	ctx context.Context, client *registrar.Client, set declaration.Set, preset string, active registrar.ActiveConfig,
 ) (*registrar.Moves, error) {
 	if preset == "" {
-		preset = inForce.Preset
+		preset = active.Preset
 	}
 	if preset == "" {
 		preset = set.FirstPreset().Name
@@ -70,53 +70,52 @@
 	return &moves, err
 }
 
-func printMoves(to io.Writer, moves registrar.Moves) {
+func printMoves(out io.Writer, moves registrar.Moves) {
 	if len(moves.Moves) == 0 {
-		fmt.Fprintln(to, "no move would be made")
+		fmt.Fprintln(out, "no move would be made")
 	}
-	for _, m := range moves.Moves {
-		fmt.Fprintf(to, "%s: %s %s", m.Engine, m.Kind, m.Model)
-		if m.Adapter != "" {
-			fmt.Fprintf(to, "/%s", m.Adapter)
+	for _, move := range moves.Moves {
+		fmt.Fprintf(out, "%s: %s %s", move.Engine, move.Kind, move.Model)
+		if move.Adapter != "" {
+			fmt.Fprintf(out, "/%s", move.Adapter)
 		}
-		fmt.Fprintf(to, ", %s", m.Reason)
-		if m.For != "" {
-			fmt.Fprintf(to, " of %s", m.For)
+		fmt.Fprintf(out, ", %s", move.Reason)
+		if move.For != "" {
+			fmt.Fprintf(out, " of %s", move.For)
 		}
-		if m.Waits != "" {
-			fmt.Fprintf(to, ", waits for %s", m.Waits)
+		if move.Waits != "" {
+			fmt.Fprintf(out, ", waits for %s", move.Waits)
 		}
-		fmt.Fprintln(to)
+		fmt.Fprintln(out)
 	}
 	for _, unmet := range moves.Unmet {
-		fmt.Fprintln(to, "not met:", unmet)
+		fmt.Fprintln(out, "not met:", unmet)
 	}
 }
 
-// planOutput is what plan writes with --json.
+// planOutput is the output of plan with --json.
 type planOutput struct {
-	// Revision is in force, and to be given to apply.
+	// Revision is the active revision, which apply expects in --expect.
 	Revision uint64 `json:"revision"`
-	// Fresh is false if the instance could not confirm that nothing newer is in
-	// force.
-	Fresh  bool   `json:"fresh"`
-	Preset string `json:"preset"`
-	// NewPreset is absent if the preset stays.
+	// HasConfigLease is false if the instance cannot confirm that no newer
+	// configuration is active.
+	HasConfigLease bool   `json:"fresh"`
+	Preset         string `json:"preset"`
+	// NewPreset is absent if the preset does not change.
 	NewPreset string          `json:"new-preset,omitempty"`
 	Changes   []plannedChange `json:"changes"`
-	// Placement is absent unless it was asked for.
+	// Placement is present only with --placement.
 	Placement *registrar.Moves `json:"placement,omitempty"`
 }
 
-// The words of plannedChange.Change.
+// The values of plannedChange.Change.
 const (
-	addItem    = "add"
-	removeItem = "remove"
-	changeItem = "change"
+	changeAdd    = "add"
+	changeRemove = "remove"
+	changeModify = "change"
 )
 
 type plannedChange struct {
-	// Change is add, remove or change.
 	Change string         `json:"change"`
 	Item   string         `json:"item"`
 	Fields []plannedField `json:"fields"`
@@ -128,17 +127,17 @@
 	After  string `json:"after"`
 }
 
-func planOutputOf(inForce registrar.ActiveConfig, preset string, changes []declaration.Change) planOutput {
+func newPlanOutput(active registrar.ActiveConfig, preset string, changes []declaration.Change) planOutput {
 	output := planOutput{
-		Revision: inForce.Revision, Fresh: inForce.HasConfigLease, Preset: inForce.Preset,
+		Revision: active.Revision, HasConfigLease: active.HasConfigLease, Preset: active.Preset,
 		Changes: make([]plannedChange, 0, len(changes)),
 	}
-	if preset != "" && preset != inForce.Preset {
+	if preset != "" && preset != active.Preset {
 		output.NewPreset = preset
 	}
 	for _, change := range changes {
 		planned := plannedChange{Fields: make([]plannedField, 0)}
-		planned.Change, planned.Item = titleOf(change)
+		planned.Change, planned.Item = describeChange(change)
 		for _, field := range change.Fields() {
 			planned.Fields = append(planned.Fields, plannedField(field))
 		}
@@ -147,49 +146,49 @@
 	return output
 }
 
-func titleOf(change declaration.Change) (kind, item string) {
+func describeChange(change declaration.Change) (kind, item string) {
 	switch c := change.(type) {
 	case declaration.Added:
-		return addItem, c.Item.Title()
+		return changeAdd, c.Item.Title()
 	case declaration.Removed:
-		return removeItem, c.Item.Title()
+		return changeRemove, c.Item.Title()
 	case declaration.Altered:
-		return changeItem, c.After.Title()
+		return changeModify, c.After.Title()
 	default:
 		return "", ""
 	}
 }
 
-func (o planOutput) print(to io.Writer, folder string) {
-	fmt.Fprintf(to, "revision %d is in force", o.Revision)
+func (o planOutput) print(out io.Writer, folder string) {
+	fmt.Fprintf(out, "revision %d is in force", o.Revision)
 	if o.Preset != "" {
-		fmt.Fprintf(to, ", preset %s", o.Preset)
+		fmt.Fprintf(out, ", preset %s", o.Preset)
 	}
-	fmt.Fprintln(to)
-	if !o.Fresh {
-		fmt.Fprintln(to, "the instance could not confirm that nothing newer is in force")
+	fmt.Fprintln(out)
+	if !o.HasConfigLease {
+		fmt.Fprintln(out, "the instance could not confirm that nothing newer is in force")
 	}
 	if len(o.Changes) == 0 && o.NewPreset == "" {
-		fmt.Fprintln(to, "nothing would change")
+		fmt.Fprintln(out, "nothing would change")
 		return
 	}
 	for _, change := range o.Changes {
-		fmt.Fprintln(to, change.Change, change.Item)
-		change.printFields(to)
+		fmt.Fprintln(out, change.Change, change.Item)
+		change.printFields(out)
 	}
 	if o.NewPreset != "" {
-		fmt.Fprintf(to, "preset in force: %q → %q\n", o.Preset, o.NewPreset)
+		fmt.Fprintf(out, "preset in force: %q → %q\n", o.Preset, o.NewPreset)
 	}
-	fmt.Fprintf(to, "to bring it into force: lovagelift apply --expect %d %s\n", o.Revision, folder)
+	fmt.Fprintf(out, "to bring it into force: lovagelift apply --expect %d %s\n", o.Revision, folder)
 }
 
-// printFields prints the fields of an item that changes. Added and removed items
-// speak for themselves.
-func (c plannedChange) printFields(to io.Writer) {
-	if c.Change != changeItem {
+// printFields prints the changed fields of an item. For added and removed items it
+// prints nothing, since their title suffices.
+func (c plannedChange) printFields(out io.Writer) {
+	if c.Change != changeModify {
 		return
 	}
 	for _, field := range c.Fields {
-		fmt.Fprintf(to, "    %s: %q → %q\n", field.Name, field.Before, field.After)
+		fmt.Fprintf(out, "    %s: %q → %q\n", field.Name, field.Before, field.After)
 	}
 }
--- a/internal/command/preset.go
+++ b/internal/command/preset.go
@@ -10,40 +10,40 @@
 func newPreset() command {
 	var operator operatorFlags
 	var name string
-	var expected int64 = noRevision
+	var expectedRevision int64 = unsetRevision
 	flags := newSubcommand("preset", "shows the presets, or brings one into force in place of the other",
 		"lovagelift preset --expect 8 --token-file kim.token peak")
 	flags.AddPositionalValue(&name, "name", 1, false, "the preset to bring into force; without it, nothing changes")
-	flags.Int64(&expected, "e", "expect", "the revision that plan or preset showed; the change is refused if another is in force")
+	flags.Int64(&expectedRevision, "e", "expect", "the revision that plan or preset showed; the change is refused if another is in force")
 	operator.addTo(flags)
 	run := func(ctx context.Context, streams Streams) int {
 		if name == "" {
 			return showPresets(ctx, &operator, streams)
 		}
-		if err := requireExpected(expected); err != nil {
-			return fail(streams, err)
+		if err := requireExpectedRevision(expectedRevision); err != nil {
+			return printError(streams, err)
 		}
-		return changePreset(ctx, &operator, registrar.Change{Expected: uint64(expected), Preset: name}, streams)
+		return changePreset(ctx, &operator, registrar.Change{Expected: uint64(expectedRevision), Preset: name}, streams)
 	}
 	return command{flags: flags, run: run}
 }
 
-// presetOutput is what preset writes with --json when it changes nothing.
+// presetOutput is the output of preset with --json if no preset is given.
 type presetOutput struct {
-	Revision uint64 `json:"revision"`
-	Fresh    bool   `json:"fresh"`
-	// Preset is in force.
+	Revision       uint64 `json:"revision"`
+	HasConfigLease bool   `json:"fresh"`
+	// Preset is the active preset.
 	Preset   string   `json:"preset"`
 	Declared []string `json:"declared"`
 }
 
 func showPresets(ctx context.Context, operator *operatorFlags, streams Streams) int {
-	_, inForce, err := operator.inForce(ctx)
+	_, active, err := operator.activeConfig(ctx)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	output := presetOutput{Revision: inForce.Revision, Fresh: inForce.HasConfigLease, Preset: inForce.Preset, Declared: make([]string, 0)}
-	for _, preset := range inForce.Declarations.Presets() {
+	output := presetOutput{Revision: active.Revision, HasConfigLease: active.HasConfigLease, Preset: active.Preset, Declared: make([]string, 0)}
+	for _, preset := range active.Declarations.Presets() {
 		output.Declared = append(output.Declared, preset.Name)
 	}
 	if operator.asJSON {
@@ -52,28 +52,29 @@
 	}
 	fmt.Fprintf(streams.Out, "revision %d\n", output.Revision)
 	for _, name := range output.Declared {
-		mark := ""
+		suffix := ""
 		if name == output.Preset {
-			mark = " (in force)"
+			suffix = " (in force)"
 		}
-		fmt.Fprintf(streams.Out, "%s%s\n", name, mark)
+		fmt.Fprintf(streams.Out, "%s%s\n", name, suffix)
 	}
 	return ExitOK
 }
 
 func changePreset(ctx context.Context, operator *operatorFlags, change registrar.Change, streams Streams) int {
-	client, inForce, err := operator.inForce(ctx)
+	client, active, err := operator.activeConfig(ctx)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	if inForce.HasConfigLease && inForce.Preset == change.Preset {
-		return nothingToChange(inForce.Revision, streams, operator.asJSON)
+	if active.HasConfigLease && active.Preset == change.Preset {
+		return printUnchanged(active.Revision, streams, operator.asJSON)
 	}
-	// If the instance is behind, the preset may be declared all the same.
-	if inForce.HasConfigLease {
-		if err := requirePreset(change.Preset, inForce.Declarations); err != nil {
-			return fail(streams, err)
+	// Without a configuration lease, the instance's declarations may be outdated
+	// and lack the preset, so the replicated state decides.
+	if active.HasConfigLease {
+		if err := requirePreset(change.Preset, active.Declarations); err != nil {
+			return printError(streams, err)
 		}
 	}
-	return propose(ctx, client, change, inForce.Revision, streams, operator.asJSON)
+	return propose(ctx, client, change, active.Revision, streams, operator.asJSON)
 }
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -25,46 +25,46 @@
 func showQuarantine(ctx context.Context, operator *operatorFlags, lift []string, streams Streams) int {
 	digests, err := parseDigests(lift)
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
 	client, err := operator.client()
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
-	var listed []quarantine.Listing
+	var listings []quarantine.Listing
 	if len(digests) > 0 {
-		listed, err = client.Lift(ctx, digests)
+		listings, err = client.Lift(ctx, digests)
 	} else {
-		listed, err = client.Quarantined(ctx)
+		listings, err = client.Quarantined(ctx)
 	}
 	if err != nil {
-		return fail(streams, err)
+		return printError(streams, err)
 	}
 	if operator.asJSON {
-		writeJSON(streams.Out, listed)
+		writeJSON(streams.Out, listings)
 		return ExitOK
 	}
-	printQuarantine(listed, streams)
+	printQuarantine(listings, streams)
 	return ExitOK
 }
 
 func parseDigests(texts []string) ([]quarantine.Digest, error) {
-	var list finding.List
+	var findings finding.List
 	digests := make([]quarantine.Digest, len(texts))
-	for n, text := range texts {
-		if err := digests[n].UnmarshalText([]byte(text)); err != nil {
-			list.Add(flagPlace("lift"), err.Error(), "copy it from the output of quarantine")
+	for i, text := range texts {
+		if err := digests[i].UnmarshalText([]byte(text)); err != nil {
+			findings.Add(flagPlace("lift"), err.Error(), "copy it from the output of quarantine")
 		}
 	}
-	return digests, list.Err()
+	return digests, findings.Err()
 }
 
-func printQuarantine(listed []quarantine.Listing, streams Streams) {
-	if len(listed) == 0 {
+func printQuarantine(listings []quarantine.Listing, streams Streams) {
+	if len(listings) == 0 {
 		fmt.Fprintln(streams.Out, "no request is in quarantine or suspected")
 		return
 	}
-	for _, request := range listed {
+	for _, request := range listings {
 		fmt.Fprintf(streams.Out, "%s %s\n", request.State, request.Digest)
 		for _, crash := range request.Crashes {
 			fmt.Fprintf(streams.Out, "  %s upstream %s ended under request %s\n",
--- a/internal/command/quarantine_test.go
+++ b/internal/command/quarantine_test.go
@@ -18,47 +18,47 @@
 	BeforeEach(func(ctx SpecContext) {
 		instance = newFakeInstance()
 		for n := range 3 {
-			Expect(instance.note(ctx, quarantine.Update{Now: time.Now(), Reports: []quarantine.Report{{
+			Expect(instance.record(ctx, quarantine.Update{Now: time.Now(), Reports: []quarantine.Report{{
 				Lifetime: quarantine.Lifetime{Upstream: fmt.Sprint("engine-", n)},
 				Suspects: []quarantine.Suspect{{Digest: digest, Request: fmt.Sprint("r-", n)}},
 			}}})).To(Succeed())
 		}
 	})
 
-	operate := func(args ...string) (code int, out, errors string) {
-		tokenFile := write("kim.token", token+"\n")
+	runOperator := func(args ...string) (code int, out, errors string) {
+		tokenFile := writeTempFile("kim.token", validToken+"\n")
 		return run(append(args, "--operator-address", instance.address, "--token-file", tokenFile)...)
 	}
 
-	It("lists requests with the upstreams that ended under them", func() {
-		code, out, _ := operate("quarantine")
+	It("lists requests with the upstreams that crashed on them", func() {
+		code, out, _ := runOperator("quarantine")
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(HavePrefix("quarantined " + digest.String() + "\n"))
 		Expect(out).To(ContainSubstring("upstream engine-2 ended under request r-2\n"))
-		code, out, _ = operate("quarantine", "--json")
+		code, out, _ = runOperator("quarantine", "--json")
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(ContainSubstring(`"state": "quarantined"`))
 	})
 
-	It("lifts what is named, and may be run again", func() {
+	It("releases the given requests, and may be repeated", func() {
 		for range 2 {
-			code, out, _ := operate("quarantine", "--lift", digest.String())
+			code, out, _ := runOperator("quarantine", "--lift", digest.String())
 			Expect(code).To(Equal(command.ExitOK))
 			Expect(out).To(Equal("no request is in quarantine or suspected\n"))
 		}
 	})
 
-	It("lifts nothing if a digest is wrong", func() {
-		code, _, errors := operate("quarantine", "--lift", digest.String(), "--lift", "5f")
+	It("releases nothing if a digest is invalid", func() {
+		code, _, errors := runOperator("quarantine", "--lift", digest.String(), "--lift", "5f")
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(errors).To(ContainSubstring(`--lift: quarantine: "5f" is no digest`))
-		_, out, _ := operate("quarantine")
+		_, out, _ := runOperator("quarantine")
 		Expect(out).To(HavePrefix("quarantined"))
 	})
 
-	It("says that it is not known whether it is lifted if the answer is lost", func() {
-		instance.lose(true)
-		code, _, _ := operate("quarantine", "--lift", digest.String())
+	It("reports an unknown outcome if the response is lost", func() {
+		instance.setLoseAnswers(true)
+		code, _, _ := runOperator("quarantine", "--lift", digest.String())
 		Expect(code).To(Equal(command.ExitUnknown))
 	})
 })
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -24,13 +24,14 @@
 		options.Log = streams.Err
 		options.Version = Version
 		err := host.Run(ctx, options)
-		return exitOf(streams, err)
+		return exitCodeForRun(streams, err)
 	}
 	return command{flags: flags, run: run}
 }
 
-// exitOf tells why an instance ended, and returns the exit code.
-func exitOf(streams Streams, err error) int {
+// exitCodeForRun prints the error that an instance ended with, if any, and returns
+// the exit code.
+func exitCodeForRun(streams Streams, err error) int {
 	var findings *finding.Error
 	switch {
 	case errors.As(err, &findings):
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = Describe("serve", func() {
-	It("starts nothing with wrong settings, lists every finding and exits with 2", func() {
-		path := write("a.toml", "name = 1\nupstream-address = \"127.0.0.1:7600\"\nheartbeat = \"1s\"\n")
+	It("starts nothing with invalid settings, lists every finding and exits with 2", func() {
+		path := writeTempFile("a.toml", "name = 1\nupstream-address = \"127.0.0.1:7600\"\nheartbeat = \"1s\"\n")
 		code, out, errors := run("serve", path)
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(out).To(BeEmpty())
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -19,11 +19,11 @@
 	run := func(ctx context.Context, streams Streams) int {
 		client, err := operator.client()
 		if err != nil {
-			return fail(streams, err)
+			return printError(streams, err)
 		}
 		status, err := client.Status(ctx)
 		if err != nil {
-			return fail(streams, err)
+			return printError(streams, err)
 		}
 		if operator.asJSON {
 			writeJSON(streams.Out, status)
@@ -35,74 +35,75 @@
 	return command{flags: flags, run: run}
 }
 
-func printStatus(to io.Writer, s registrar.Status) {
-	fmt.Fprintf(to, "instance %s in %s, version %s: %s\n", s.Name, s.FailureDomain, s.Version,
-		strings.Join(stateWords(s.Draining, !s.Fresh), ", "))
-	fmt.Fprintf(to, "revision %d, preset %s, leader %s in term %d, %d requests in progress\n",
-		s.Revision, orNone(s.Preset), orNone(s.Leader), s.Term, s.Streams)
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printStatus(out io.Writer, status registrar.Status) {
+	fmt.Fprintf(out, "instance %s in %s, version %s: %s\n", status.Name, status.FailureDomain, status.Version,
+		strings.Join(instanceStates(status.Draining, !status.Fresh), ", "))
+	fmt.Fprintf(out, "revision %d, preset %s, leader %s in term %d, %d requests in progress\n",
+		status.Revision, valueOrNone(status.Preset), valueOrNone(status.Leader), status.Term, status.Streams)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\nINSTANCE\tADDRESS\tFAILURE DOMAIN\tVOTER\tSTATE\tREQUESTS\tLAST HEARD")
-	for _, i := range s.Instances {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s ago\n", i.Name, i.CallerAddress, i.FailureDomain, i.Voter,
-			strings.Join(stateWords(i.Draining, i.Stale), ", "), i.Streams, i.Silent.Round(time.Millisecond))
+	for _, instance := range status.Instances {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s ago\n", instance.Name, instance.CallerAddress, instance.FailureDomain, instance.Voter,
+			strings.Join(instanceStates(instance.Draining, instance.Stale), ", "), instance.Streams, instance.Silent.Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\nUPSTREAM\tKIND\tADDRESS\tFAILURE DOMAIN\tSTATE\tRUNNING\tWAITING\tHOLDS")
-	for _, u := range s.Upstreams {
+	for _, upstream := range status.Upstreams {
 		state := "serving"
-		if u.Leaving {
+		if upstream.Leaving {
 			state = "leaving"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", u.Name, u.Kind, u.Address, u.FailureDomain, state,
-			u.Running, u.Waiting, orNone(strings.Join(u.Holds, ", ")))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", upstream.Name, upstream.Kind, upstream.Address, upstream.FailureDomain, state,
+			upstream.Running, upstream.Waiting, valueOrNone(strings.Join(upstream.Holds, ", ")))
 	}
-	printPlacement(table, s.Engines)
-	// A reader that went away is no failure of the command.
+	printPlacement(table, status.Engines)
+	// A closed output is not a failure of the command.
 	_ = table.Flush()
 }
 
-// printPlacement prints the accounts of engines, their orders, and alarms.
-func printPlacement(table io.Writer, engines []registrar.EngineStatus) {
+// printPlacement prints the memory accounting, orders and alarms of engines.
+func printPlacement(out io.Writer, engines []registrar.EngineStatus) {
 	if len(engines) == 0 {
 		return
 	}
 	const mebibyte = 1 << 20
-	fmt.Fprintln(table, "\nENGINE\tACCELERATOR\tMEMORY MiB\tRESIDENT\tRESERVED\tPOSSIBLE")
-	for _, e := range engines {
-		for _, a := range e.Accelerators {
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n", e.Name, a.Name, a.Memory/mebibyte, a.Resident/mebibyte,
-				a.Reserved/mebibyte, a.Possible/mebibyte)
+	fmt.Fprintln(out, "\nENGINE\tACCELERATOR\tMEMORY MiB\tRESIDENT\tRESERVED\tPOSSIBLE")
+	for _, engine := range engines {
+		for _, accelerator := range engine.Accelerators {
+			fmt.Fprintf(out, "%s\t%s\t%d\t%d\t%d\t%d\n", engine.Name, accelerator.Name, accelerator.Memory/mebibyte, accelerator.Resident/mebibyte,
+				accelerator.Reserved/mebibyte, accelerator.Possible/mebibyte)
 		}
 	}
-	fmt.Fprintln(table, "\nENGINE\tORDER\tKIND\tMODEL\tADAPTER\tWHY\tAT\tSTATE\tREASON")
-	for _, e := range engines {
-		for _, o := range e.Orders {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, o.ID, o.Kind, o.Model+"@"+o.Version,
-				orNone(o.Adapter), o.Why, o.At.UTC().Format(time.RFC3339), o.State, orNone(o.Reason))
+	fmt.Fprintln(out, "\nENGINE\tORDER\tKIND\tMODEL\tADAPTER\tWHY\tAT\tSTATE\tREASON")
+	for _, engine := range engines {
+		for _, order := range engine.Orders {
+			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", engine.Name, order.ID, order.Kind, order.Model+"@"+order.Version,
+				valueOrNone(order.Adapter), order.Why, order.At.UTC().Format(time.RFC3339), order.State, valueOrNone(order.Reason))
 		}
 	}
-	for _, e := range engines {
-		for _, alarm := range e.Alarms {
-			fmt.Fprintf(table, "\nALARM: %s gets no orders: %s\n", e.Name, alarm)
+	for _, engine := range engines {
+		for _, alarm := range engine.Alarms {
+			fmt.Fprintf(out, "\nALARM: %s gets no orders: %s\n", engine.Name, alarm)
 		}
 	}
 }
 
-// stateWords says what keeps an instance from taking new work.
-func stateWords(draining, stale bool) []string {
-	var words []string
+// instanceStates lists the reasons why an instance admits no new requests, or
+// "serving" if there are none.
+func instanceStates(draining, stale bool) []string {
+	var states []string
 	if draining {
-		words = append(words, "draining")
+		states = append(states, "draining")
 	}
 	if stale {
-		words = append(words, "cannot confirm its configuration")
+		states = append(states, "cannot confirm its configuration")
 	}
-	if len(words) == 0 {
-		words = append(words, "serving")
+	if len(states) == 0 {
+		states = append(states, "serving")
 	}
-	return words
+	return states
 }
 
-func orNone(text string) string {
+func valueOrNone(text string) string {
 	if text == "" {
 		return "none"
 	}
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -22,7 +22,7 @@
 	return command{flags: flags, run: run}
 }
 
-// versionOutput is what version writes with --json.
+// versionOutput is the output of version with --json.
 type versionOutput struct {
 	Version  string `json:"version"`
 	Go       string `json:"go"`
