--- a/caller.go
+++ b/caller.go
@@ -13,14 +13,14 @@
 
 // CallerOptions configures a Caller.
 type CallerOptions struct {
-	// Instances are addresses of instances, IP number and port, to ask first
-	// which ones to use. At least one is needed.
+	// Instances are seed addresses, IP and port, of instances. The Caller queries
+	// them for the instances to use. At least one is required.
 	Instances []string
-	// TLS is used towards the instances, if it is not nil.
+	// TLS is the TLS configuration for connections to instances. Nil disables TLS.
 	TLS *tls.Config
 }
 
-// Caller asks models. It is safe for concurrent use.
+// Caller is a client that sends requests to models. It is safe for concurrent use.
 type Caller struct {
 	inner *caller.Caller
 }
@@ -30,26 +30,26 @@
 	return &Caller{inner: caller.New(caller.Options{Known: options.Instances, TLS: options.TLS})}
 }
 
-// Outcome says whether a request ran. docs/CALLERS.md describes the promise.
+// Outcome reports whether a request was executed. docs/CALLERS.md describes the
+// guarantees.
 type Outcome string
 
-// The outcomes.
 const (
-	// OutcomeNotRun means that no upstream has run the request, nor ever will.
+	// OutcomeNotRun means that no upstream has executed the request or ever will.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeRan means that an upstream ran it, wholly or in part.
+	// OutcomeRan means that an upstream executed the request, at least in part.
 	OutcomeRan Outcome = "ran"
-	// OutcomeUnknown means that an upstream may have run it.
+	// OutcomeUnknown means that an upstream may have executed the request.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Error is returned when there is no whole answer.
+// Error is returned when there is no complete answer.
 type Error struct {
 	Outcome Outcome
-	// Code names the reason, empty if the system gave none.
+	// Code is the error code, empty if unknown.
 	Code    string
 	Message string
-	// RetryAfter is when to come back, 0 if that was not said.
+	// RetryAfter is the suggested delay before a retry, or 0 if unknown.
 	RetryAfter time.Duration
 }
 
@@ -58,9 +58,9 @@
 	return "lovagelift: " + string(e.Outcome) + ": " + e.Message
 }
 
-// Ask asks a model and calls piece with each part of the answer as it comes. It
-// returns the whole answer. If there is none, Ask returns an *Error; parts may
-// have been handed to piece before.
+// Ask sends text to a model, calls piece with each part of the answer as it is
+// streamed, and returns the complete answer. If the answer is incomplete, Ask
+// returns an *Error. In this case, piece may already have received parts.
 func (c *Caller) Ask(ctx context.Context, model, text string, piece func(string)) (string, error) {
 	if piece == nil {
 		piece = func(string) {}
--- a/cmd/lovagelift/main.go
+++ b/cmd/lovagelift/main.go
@@ -1,4 +1,5 @@
-// Command lovagelift runs and operates lovagelift.
+// Command lovagelift runs lovagelift instances and provides the operators'
+// commands.
 package main
 
 import (
@@ -12,7 +13,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	code := command.Run(ctx, os.Args[1:], command.Streams{Out: os.Stdout, Err: os.Stderr})
+	exitCode := command.Run(ctx, os.Args[1:], command.Streams{Out: os.Stdout, Err: os.Stderr})
 	stop()
-	os.Exit(code)
+	os.Exit(exitCode)
 }
--- a/lovagelift.go
+++ b/lovagelift.go
@@ -1,9 +1,9 @@
-// Package lovagelift serves many models on fewer accelerators, for teams whose
-// callers wait on the line.
+// Package lovagelift is an inference proxy that serves many models on fewer
+// accelerators, for teams whose callers wait for answers interactively.
 //
-// An instance stands between callers and upstreams, which are model engines and
-// plain services. Serve runs one. A Caller looks up which instances to use, keeps
-// the answer, and asks them.
+// An instance proxies requests from callers to upstreams, which are model engines
+// and plain services. Serve runs an instance. A Caller discovers the instances,
+// caches the result, and sends requests to them.
 package lovagelift
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/lovagelift/lovagelift/internal/host"
 )
 
-// ServeOptions says what Serve runs. One of Settings and Example must be set.
+// ServeOptions configures Serve. One of Settings and Example must be set.
 type ServeOptions struct {
-	// Settings is the path of an instance's settings, a TOML file.
+	// Settings is the path of the instance's settings, a TOML file.
 	// docs/operators/settings.md describes it.
 	Settings string
-	// Example runs one instance with a built-in engine and service, whose state is
-	// gone when it ends.
+	// Example runs an instance with a built-in engine and service. Its state is
+	// discarded when the instance stops.
 	Example bool
-	// CallerAddress, an IP number and port, is where the example listens for
-	// callers. Empty stands for 127.0.0.1:7600.
+	// CallerAddress is the IP and port on which the example listens for callers.
+	// Empty means 127.0.0.1:7600.
 	CallerAddress string
-	// Log receives JSON lines. Nil stands for the standard error.
+	// Log receives the log as JSON lines. Nil means standard error.
 	Log io.Writer
 }
 
-// Serve runs one instance until ctx ends or an operator asks for a planned stop,
-// and then stops gracefully: it cuts off no request. If the settings are wrong,
+// Serve runs an instance until ctx ends or an operator drains it, and then shuts
+// down gracefully without interrupting requests. If the settings are invalid,
 // Serve starts nothing and returns an error that lists every finding with its
-// place, one a line.
+// place, one per line.
 func Serve(ctx context.Context, options ServeOptions) error {
 	if options.Log == nil {
 		options.Log = os.Stderr
--- a/lovagelift_test.go
+++ b/lovagelift_test.go
@@ -12,34 +12,34 @@
 	"github.com/lovagelift/lovagelift/internal/standin"
 )
 
-// TestAsk starts the example and asks it as a newcomer's program would.
+// TestAsk starts the example instance and sends requests to it through a Caller.
 func TestAsk(t *testing.T) {
-	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	defer cancel()
 	address := freeAddress(t)
-	ended := make(chan error, 1)
-	serving, end := context.WithCancel(ctx)
+	serveErr := make(chan error, 1)
+	serveCtx, stopServing := context.WithCancel(ctx)
 	go func() {
-		ended <- lovagelift.Serve(serving, lovagelift.ServeOptions{Example: true, CallerAddress: address, Log: io.Discard})
+		serveErr <- lovagelift.Serve(serveCtx, lovagelift.ServeOptions{Example: true, CallerAddress: address, Log: io.Discard})
 	}()
-	asking := lovagelift.NewCaller(lovagelift.CallerOptions{Instances: []string{address}})
+	caller := lovagelift.NewCaller(lovagelift.CallerOptions{Instances: []string{address}})
 	var answer string
 	var err error
 	for ctx.Err() == nil {
-		if answer, err = asking.Ask(ctx, "example-model", "where is the shuttle", nil); err == nil {
+		if answer, err = caller.Ask(ctx, "example-model", "where is the shuttle", nil); err == nil {
 			break
 		}
 	}
 	if answer != "where is the shuttle" {
 		t.Fatalf("got %q and %v", answer, err)
 	}
-	_, err = asking.Ask(ctx, "no-such-model", "x", nil)
+	_, err = caller.Ask(ctx, "no-such-model", "x", nil)
 	var failure *lovagelift.Error
 	if !errors.As(err, &failure) || failure.Outcome != lovagelift.OutcomeNotRun || failure.Code != "unknown-model" {
 		t.Fatalf("got %v, want not-run", err)
 	}
-	end()
-	if err := <-ended; err != nil {
+	stopServing()
+	if err := <-serveErr; err != nil {
 		t.Fatal(err)
 	}
 }
@@ -54,7 +54,7 @@
 }
 
 func ExampleCaller_Ask() {
-	asking := lovagelift.NewCaller(lovagelift.CallerOptions{Instances: []string{"127.0.0.1:7600"}})
-	answer, err := asking.Ask(context.Background(), "example-model", "Where is the shuttle?", nil)
+	caller := lovagelift.NewCaller(lovagelift.CallerOptions{Instances: []string{"127.0.0.1:7600"}})
+	answer, err := caller.Ask(context.Background(), "example-model", "Where is the shuttle?", nil)
 	fmt.Println(answer, err)
 }
