--- a/internal/command/check_test.go
+++ b/internal/command/check_test.go
@@ -14,7 +14,7 @@
 )
 
 // run runs a command and returns its exit code, standard output and standard error.
-func run(args ...string) (code int, out, errors string) {
+func run(args ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
 	code = command.Run(context.Background(), args, command.Streams{Out: &stdout, Err: &stderr})
 	return code, stdout.String(), stderr.String()
@@ -37,8 +37,8 @@
 var _ = Describe("check", func() {
 	It("passes on all examples", func() {
 		paths := append(exampleFiles("three/*.toml"), exampleFiles("declarations/*")...)
-		code, out, errors := run(append([]string{"check"}, paths...)...)
-		Expect(errors).To(BeEmpty())
+		code, out, errOut := run(append([]string{"check"}, paths...)...)
+		Expect(errOut).To(BeEmpty())
 		Expect(out).To(Equal("good: 3 settings files, 1 token files, 2 declaration folders\n"))
 		Expect(code).To(Equal(command.ExitOK))
 	})
@@ -47,10 +47,10 @@
 		bad := writeTempFile("bad.toml", "name = 1\n")
 		folder := filepath.Dir(writeTempFile("decl.toml", "[[preset]]\nname = \"x\"\n"))
 		tokens := writeTempFile("tokens.toml", "[[token]]\nname = \"kim\"\nsha256 = \"x\"\n")
-		code, out, errors := run("check", bad, folder, tokens, "no-such-file.toml")
+		code, out, errOut := run("check", bad, folder, tokens, "no-such-file.toml")
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(out).To(BeEmpty())
-		lines := strings.Split(strings.TrimSpace(errors), "\n")
+		lines := strings.Split(strings.TrimSpace(errOut), "\n")
 		Expect(lines).To(ConsistOf(
 			HavePrefix(bad+": key \"failure-domain\" is missing"),
 			HavePrefix(bad+": no instance is a voter"),
@@ -63,9 +63,9 @@
 
 	It("writes the findings as JSON for scripts", func() {
 		bad := writeTempFile("bad.toml", "x = \n")
-		code, out, errors := run("check", "--json", bad)
+		code, out, errOut := run("check", "--json", bad)
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(BeEmpty())
+		Expect(errOut).To(BeEmpty())
 		Expect(out).To(MatchJSON(`{"findings": [{"file": "` + bad + `", "line": 1, "column": 5, ` +
 			`"problem": "broken TOML: toml: unexpected character U+000A at start of value"}]}`))
 	})
@@ -76,9 +76,9 @@
 		contradicting := strings.NewReplacer("voter = true\ndata-folder", "voter = false\ndata-folder", `failure-domain = "kgn-b"`, `failure-domain = "kgn-x"`,
 			"127.0.0.1:7613", "127.0.0.1:7614").Replace(string(data)) + "[timing]\nheartbeat = \"50ms\"\n"
 		a, b := exampleFiles("three/instance-a.toml")[0], writeTempFile("instance-b.toml", contradicting)
-		code, _, errors := run("check", a, b)
+		code, _, errOut := run("check", a, b)
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(strings.Split(strings.TrimSpace(errors), "\n")).To(ConsistOf(
+		Expect(strings.Split(strings.TrimSpace(errOut), "\n")).To(ConsistOf(
 			ContainSubstring(`instance "b" has the inner-address 127.0.0.1:7613 here, and its own settings in `+b),
 			ContainSubstring(`instance "b" has the failure-domain kgn-b here`),
 			ContainSubstring(`instance "b" has voter = true here`),
@@ -90,9 +90,9 @@
 		a := exampleFiles("three/instance-a.toml")[0]
 		data, err := os.ReadFile(a)
 		Expect(err).NotTo(HaveOccurred())
-		code, _, errors := run("check", a, writeTempFile("copy.toml", string(data)))
+		code, _, errOut := run("check", a, writeTempFile("copy.toml", string(data)))
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(ContainSubstring(`instance "a" has settings in `))
+		Expect(errOut).To(ContainSubstring(`instance "a" has settings in `))
 	})
 })
 
--- a/internal/command/operator_test.go
+++ b/internal/command/operator_test.go
@@ -23,7 +23,7 @@
 	})
 
 	// runOperator runs an operators' command against the instance.
-	runOperator := func(args ...string) (code int, out, errors string) {
+	runOperator := func(args ...string) (code int, out, errOut string) {
 		return run(append(args, "--operator-address", instance.address, "--token-file", tokenFile)...)
 	}
 
@@ -75,10 +75,10 @@
 		runOperator("apply", "--expect", "0", kingston)
 		code, _, _ := runOperator("apply", "--expect", "1", editedDeclarations("reserve-percent = 10", "reserve-percent = 12"))
 		Expect(code).To(Equal(command.ExitOK))
-		code, out, errors := runOperator("apply", "--expect", "1", editedDeclarations("reserve-percent = 10", "reserve-percent = 13"))
+		code, out, errOut := runOperator("apply", "--expect", "1", editedDeclarations("reserve-percent = 10", "reserve-percent = 13"))
 		Expect(code).To(Equal(command.ExitConflict))
 		Expect(out).To(BeEmpty())
-		Expect(errors).To(ContainSubstring("revision 2 is in force\nrevision 2 by kim at "))
+		Expect(errOut).To(ContainSubstring("revision 2 is in force\nrevision 2 by kim at "))
 	})
 
 	It("tells the first answer to a change that is resent after its answer was lost", func() {
@@ -88,10 +88,10 @@
 		runOperator("apply", "--expect", "0", kingston)
 		folder := editedDeclarations("reserve-percent = 10", "reserve-percent = 12")
 		instance.setLoseAnswers(true)
-		code, out, errors := runOperator("apply", "--expect", "1", folder)
+		code, out, errOut := runOperator("apply", "--expect", "1", folder)
 		Expect(code).To(Equal(command.ExitUnknown))
 		Expect(out).To(BeEmpty())
-		Expect(errors).To(ContainSubstring("run the same command again"))
+		Expect(errOut).To(ContainSubstring("run the same command again"))
 		instance.setLoseAnswers(false)
 		runOperator("apply", "--expect", "2", editedDeclarations("reserve-percent = 10", "reserve-percent = 14"))
 		code, out, _ = runOperator("apply", "--expect", "1", "--json", folder)
@@ -102,18 +102,18 @@
 	})
 
 	It("rejects invalid declarations without contacting an instance", func() {
-		code, _, errors := run("apply", "--expect", "0", "--token-file", tokenFile, "--operator-address", "127.0.0.1:1",
+		code, _, errOut := run("apply", "--expect", "0", "--token-file", tokenFile, "--operator-address", "127.0.0.1:1",
 			editedDeclarations(`"status-answer"`, `"status-anser"`))
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(ContainSubstring(`presets.toml:11:15: model "status-anser" is not declared; write "status-answer"`))
+		Expect(errOut).To(ContainSubstring(`presets.toml:11:15: model "status-anser" is not declared; write "status-answer"`))
 	})
 
 	It("requires a preset if the declarations lack the active one", func() {
 		runOperator("apply", "--expect", "0", "--preset", "peak", kingston)
 		folder := editedDeclarations(`name = "peak"`, `name = "busy"`)
-		code, _, errors := runOperator("apply", "--expect", "1", folder)
+		code, _, errOut := runOperator("apply", "--expect", "1", folder)
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(Equal("preset: preset \"peak\" is not declared; the presets are busy, maintenance, ordinary\n"))
+		Expect(errOut).To(Equal("preset: preset \"peak\" is not declared; the presets are busy, maintenance, ordinary\n"))
 		code, out, _ := runOperator("apply", "--expect", "1", "--preset", "busy", folder)
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(Equal("accepted as revision 2\n"))
@@ -130,9 +130,9 @@
 		code, out, _ = runOperator("preset", "--expect", "1", "peak")
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(Equal("in force already at revision 2\n"))
-		code, _, errors := runOperator("preset", "--expect", "2", "paek")
+		code, _, errOut := runOperator("preset", "--expect", "2", "paek")
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(ContainSubstring(`write "peak"`))
+		Expect(errOut).To(ContainSubstring(`write "peak"`))
 		code, out, _ = runOperator("preset", "--json")
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(MatchJSON(`{"revision": 2, "fresh": true, "preset": "peak", "declared": ["maintenance", "ordinary", "peak"]}`))
@@ -140,9 +140,9 @@
 
 	It("requires the expected revision for a change", func() {
 		for _, args := range [][]string{{"apply", kingston}, {"preset", "peak"}} {
-			code, _, errors := runOperator(args...)
+			code, _, errOut := runOperator(args...)
 			Expect(code).To(Equal(command.ExitBadInput))
-			Expect(errors).To(HavePrefix("--expect: the revision that the change was made for is missing"))
+			Expect(errOut).To(HavePrefix("--expect: the revision that the change was made for is missing"))
 		}
 		Expect(instance.publisher.Latest().Revision).To(BeZero())
 	})
@@ -180,9 +180,9 @@
 	})
 
 	It("drains the one instance that is named", func() {
-		code, _, errors := run("drain", "--token-file", tokenFile)
+		code, _, errOut := run("drain", "--token-file", tokenFile)
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(ContainSubstring("drain stops one instance, and 0 are named"))
+		Expect(errOut).To(ContainSubstring("drain stops one instance, and 0 are named"))
 		instance.setLoseAnswers(true)
 		code, _, _ = runOperator("drain")
 		Expect(code).To(Equal(command.ExitUnknown))
@@ -195,9 +195,9 @@
 
 	DescribeTable("reports invalid flags",
 		func(want string, args ...string) {
-			code, _, errors := run(append([]string{"status"}, args...)...)
+			code, _, errOut := run(append([]string{"status"}, args...)...)
 			Expect(code).To(Equal(command.ExitBadInput))
-			Expect(errors).To(ContainSubstring(want))
+			Expect(errOut).To(ContainSubstring(want))
 		},
 		Entry("a token file without a token", "/dev/null is empty", "--token-file", "/dev/null"),
 		Entry("a missing token file", "--token-file: open no-such-file", "--token-file", "no-such-file"),
@@ -207,14 +207,14 @@
 	)
 
 	It("fails without a valid token or a reachable instance", func() {
-		code, _, errors := run("status", "--operator-address", instance.address, "--token-file", writeTempFile("x", "another token"))
+		code, _, errOut := run("status", "--operator-address", instance.address, "--token-file", writeTempFile("x", "another token"))
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(errors).To(ContainSubstring("token is missing or wrong"))
-		code, _, errors = run("status", "--operator-address", instance.address)
+		Expect(errOut).To(ContainSubstring("token is missing or wrong"))
+		code, _, errOut = run("status", "--operator-address", instance.address)
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(errors).To(ContainSubstring("token is missing or wrong"))
-		code, _, errors = run("status", "--operator-address", "127.0.0.1:1", "--token-file", tokenFile)
+		Expect(errOut).To(ContainSubstring("token is missing or wrong"))
+		code, _, errOut = run("status", "--operator-address", "127.0.0.1:1", "--token-file", tokenFile)
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(errors).To(ContainSubstring("connection refused"))
+		Expect(errOut).To(ContainSubstring("connection refused"))
 	})
 })
--- a/internal/command/quarantine_test.go
+++ b/internal/command/quarantine_test.go
@@ -25,7 +25,7 @@
 		}
 	})
 
-	runOperator := func(args ...string) (code int, out, errors string) {
+	runOperator := func(args ...string) (code int, out, errOut string) {
 		tokenFile := writeTempFile("kim.token", validToken+"\n")
 		return run(append(args, "--operator-address", instance.address, "--token-file", tokenFile)...)
 	}
@@ -49,9 +49,9 @@
 	})
 
 	It("releases nothing if a digest is invalid", func() {
-		code, _, errors := runOperator("quarantine", "--lift", digest.String(), "--lift", "5f")
+		code, _, errOut := runOperator("quarantine", "--lift", digest.String(), "--lift", "5f")
 		Expect(code).To(Equal(command.ExitBadInput))
-		Expect(errors).To(ContainSubstring(`--lift: quarantine: "5f" is no digest`))
+		Expect(errOut).To(ContainSubstring(`--lift: quarantine: "5f" is no digest`))
 		_, out, _ := runOperator("quarantine")
 		Expect(out).To(HavePrefix("quarantined"))
 	})
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -10,7 +10,7 @@
 var _ = Describe("serve", func() {
 	It("starts nothing with invalid settings, lists every finding and exits with 2", func() {
 		path := writeTempFile("a.toml", "name = 1\nupstream-address = \"127.0.0.1:7600\"\nheartbeat = \"1s\"\n")
-		code, out, errors := run("serve", path)
+		code, out, errOut := run("serve", path)
 		Expect(code).To(Equal(command.ExitBadInput))
 		Expect(out).To(BeEmpty())
 		for _, want := range []string{
@@ -19,7 +19,7 @@
 			path + ":2:20: upstream-address and caller-address are on one address",
 			path + `:3:1: unknown key "heartbeat"`,
 		} {
-			Expect(errors).To(ContainSubstring(want))
+			Expect(errOut).To(ContainSubstring(want))
 		}
 	})
 })
--- a/internal/registrar/client.go
+++ b/internal/registrar/client.go
@@ -83,7 +83,7 @@
 	if err := c.get(ctx, activeConfigPath, &reply); err != nil {
 		return ActiveConfig{}, err
 	}
-	config := ActiveConfig{Revision: reply.Revision, Preset: reply.Preset, HasConfigLease: reply.Fresh}
+	config := ActiveConfig{Revision: reply.Revision, Preset: reply.Preset, HasConfigLease: reply.HasConfigLease}
 	if len(reply.Declarations) == 0 {
 		return config, nil
 	}
@@ -103,7 +103,7 @@
 }
 
 // Drain starts a graceful shutdown of the instance at the first address, never of
-// another one. It returns the instance's number of active requests.
+// another one. It returns the number of requests that are still active there.
 func (c *Client) Drain(ctx context.Context) (int, error) {
 	var reply drainReply
 	response, err := c.send(ctx, c.options.Addresses[0], http.MethodPost, drainPath, nil)
--- a/internal/registrar/fakes_test.go
+++ b/internal/registrar/fakes_test.go
@@ -83,7 +83,7 @@
 	Expect(v.publisher.Publish(v.registry.View())).To(Succeed())
 }
 
-func (v *voter) register() *registrar.ReplicatedConfigStore {
+func (v *voter) configStore() *registrar.ReplicatedConfigStore {
 	return registrar.NewReplicated(registrar.ReplicatedOptions{
 		Gazette:     v.publisher,
 		Propose:     v.propose,
@@ -128,7 +128,7 @@
 func fixtureFor(v *voter) *fixture {
 	f := &fixture{voter: v, instance: &fakeInstance{}, log: &bytes.Buffer{}}
 	f.handler = registrar.New(registrar.Options{
-		Register: v.register(),
+		Register: v.configStore(),
 		House:    f.instance,
 		Holder: func(token string) (string, bool) {
 			name, ok := map[string]string{"token of kim": "kim", "token of ada": "ada"}[token]
@@ -143,7 +143,7 @@
 }
 
 func (f *fixture) activeConfig() registrar.ActiveConfig {
-	return f.voter.register().ActiveConfig(testTime)
+	return f.voter.configStore().ActiveConfig(testTime)
 }
 
 // serve serves handler on loopback and returns its address.
--- a/internal/registrar/moves.go
+++ b/internal/registrar/moves.go
@@ -36,7 +36,8 @@
 	For string `json:"for,omitempty"`
 	// Waits is "memory" if the move must wait for another move to free memory.
 	Waits string `json:"waits,omitempty"`
-	// Gain and Cost are in request-seconds within their latency goals.
+	// Gain and Cost are in request-seconds, counting requests that meet their
+	// latency goals.
 	Gain float64 `json:"expected-gain"`
 	Cost float64 `json:"cost"`
 }
--- a/internal/registrar/moves_test.go
+++ b/internal/registrar/moves_test.go
@@ -15,7 +15,7 @@
 // clientWithPreview returns a client of an instance that serves preview.
 func clientWithPreview(preview registrar.Preview) *registrar.Client {
 	return client("", serve(registrar.New(registrar.Options{
-		Register: newVoter().register(),
+		Register: newVoter().configStore(),
 		House:    &fakeInstance{},
 		Preview:  preview,
 		Holder:   func(string) (string, bool) { return "kim", true },
--- a/internal/registrar/quarantine.go
+++ b/internal/registrar/quarantine.go
@@ -14,7 +14,7 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// QuarantineStore lists and clears quarantined requests. Its methods must be safe
+// QuarantineStore lists and releases quarantined requests. Its methods must be safe
 // for concurrent use.
 type QuarantineStore interface {
 	// Quarantined returns the quarantined and the suspected requests. If the
@@ -44,9 +44,9 @@
 
 // NewQuarantineHandler returns a handler of only the quarantine endpoints, for
 // control instances whose other admin endpoints another program serves.
-func NewQuarantineHandler(keeper QuarantineStore, now func() time.Time, log zerolog.Logger) http.Handler {
+func NewQuarantineHandler(store QuarantineStore, now func() time.Time, log zerolog.Logger) http.Handler {
 	e := echo.New()
-	quarantineHandlers{store: keeper, now: now, log: log}.register(e)
+	quarantineHandlers{store: store, now: now, log: log}.register(e)
 	return e
 }
 
@@ -56,7 +56,7 @@
 }
 
 func (h quarantineHandlers) list(c echo.Context) error {
-	listed, err := h.store.Quarantined(h.now())
+	listings, err := h.store.Quarantined(h.now())
 	var unavailable *UnavailableError
 	if errors.As(err, &unavailable) {
 		return writeFailure(c, http.StatusServiceUnavailable, outcome.NotRun, failure{Code: codeUnavailable, Message: unavailable.Reason})
@@ -64,7 +64,7 @@
 	if err != nil {
 		return writeFailure(c, http.StatusBadGateway, outcome.Unknown, failure{Code: codeUnknown, Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, quarantineReply{Requests: listed})
+	return c.JSON(http.StatusOK, quarantineReply{Requests: listings})
 }
 
 func (h quarantineHandlers) lift(c echo.Context) error {
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -69,9 +69,9 @@
 			f.handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}))
-		answer, err := client("token of kim", lossy, serve(f.handler)).Change(ctx, change(0, "ordinary"))
+		result, err := client("token of kim", lossy, serve(f.handler)).Change(ctx, change(0, "ordinary"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Revision).To(Equal(uint64(1)))
+		Expect(result.Revision).To(Equal(uint64(1)))
 		Expect(f.activeConfig().Revision).To(Equal(uint64(1)))
 	})
 
@@ -211,10 +211,10 @@
 
 	DescribeTable("rejects invalid input with one clear error and changes nothing",
 		func(body string, status int, message string) {
-			answer := post(body)
-			Expect(answer.Code).To(Equal(status))
-			Expect(answer.Header().Get(outcome.Header)).To(Equal("not-run"))
-			Expect(answer.Body.String()).To(ContainSubstring(message))
+			response := post(body)
+			Expect(response.Code).To(Equal(status))
+			Expect(response.Header().Get(outcome.Header)).To(Equal("not-run"))
+			Expect(response.Body.String()).To(ContainSubstring(message))
 			Expect(f.activeConfig().Revision).To(BeZero())
 		},
 		Entry("invalid JSON", "{", 400, "the body is no change"),
@@ -240,10 +240,10 @@
 		fmt.Fprintf(connection, "POST /operator/v1/changes HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token of kim\r\nContent-Length: 500\r\n\r\n%s",
 			`{"change-id":"x","expected-revision":0,"preset":"p"}`)
 		Expect(connection.(*net.TCPConn).CloseWrite()).To(Succeed())
-		answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		Expect(err).NotTo(HaveOccurred())
-		defer answer.Body.Close()
-		Expect(answer.StatusCode).To(Equal(http.StatusBadRequest))
+		defer response.Body.Close()
+		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		Expect(f.activeConfig().Revision).To(BeZero())
 	})
 
--- a/internal/registrar/replicated.go
+++ b/internal/registrar/replicated.go
@@ -73,8 +73,8 @@
 	return changeResult(*result.Change)
 }
 
-// encodeChange returns the command for a change. It fails only with a
-// *RefusedError, since nothing has been proposed yet.
+// encodeChange returns the command for a change. Every error is a *RefusedError,
+// since nothing has been proposed yet.
 func encodeChange(change Change) ([]byte, error) {
 	prepared, err := registry.Change{
 		ID:           change.ID,
--- a/internal/registrar/server.go
+++ b/internal/registrar/server.go
@@ -139,7 +139,7 @@
 
 func (s *Server) activeConfig(c echo.Context) error {
 	config := s.options.activeConfig()
-	reply := activeConfigReply{Revision: config.Revision, Preset: config.Preset, Fresh: config.HasConfigLease}
+	reply := activeConfigReply{Revision: config.Revision, Preset: config.Preset, HasConfigLease: config.HasConfigLease}
 	if config.Revision > 0 {
 		reply.Declarations = config.Declarations.Canonical()
 	}
--- a/internal/registrar/timeout_test.go
+++ b/internal/registrar/timeout_test.go
@@ -19,23 +19,23 @@
 	It("costs the operator the timeout, and changes nothing twice", func() {
 		f := newFixture()
 		release := make(chan struct{})
-		silent := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		unresponsive := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.handler.ServeHTTP(httptest.NewRecorder(), r)
 			<-release
 		}))
 		DeferCleanup(func() { close(release) })
 		c, err := registrar.NewClient(registrar.ClientOptions{
-			Addresses: []netip.AddrPort{silent, serve(f.handler)}, Token: "token of kim", Timeout: 500 * time.Millisecond,
+			Addresses: []netip.AddrPort{unresponsive, serve(f.handler)}, Token: "token of kim", Timeout: 500 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		answers := make(chan registrar.Answer, 1)
+		results := make(chan registrar.Answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			answer, err := c.Change(ctx, change(0, "ordinary"))
+			result, err := c.Change(ctx, change(0, "ordinary"))
 			Expect(err).NotTo(HaveOccurred())
-			answers <- answer
+			results <- result
 		}()
-		Eventually(answers).WithTimeout(20 * time.Second).Should(Receive(Equal(registrar.Answer{Revision: 1})))
+		Eventually(results).WithTimeout(20 * time.Second).Should(Receive(Equal(registrar.Answer{Revision: 1})))
 		Expect(f.activeConfig().Revision).To(Equal(uint64(1)))
 	})
 })
--- a/internal/registrar/types.go
+++ b/internal/registrar/types.go
@@ -15,8 +15,8 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Register stores the active configuration in the replicated state machine. Its
-// methods must be safe for concurrent use.
+// Register reads and changes the active configuration, which the replicated state
+// machine stores. Its methods must be safe for concurrent use.
 type Register interface {
 	// ActiveConfig returns the latest configuration known to this instance.
 	ActiveConfig(now time.Time) ActiveConfig
@@ -29,7 +29,7 @@
 	Change(ctx context.Context, change Change) (Answer, error)
 }
 
-// ActiveConfig is the configuration in force.
+// ActiveConfig is the active configuration as known to one instance.
 type ActiveConfig struct {
 	// Revision is the number of accepted changes.
 	Revision uint64
--- a/internal/registrar/wire.go
+++ b/internal/registrar/wire.go
@@ -35,9 +35,9 @@
 const maxChangeIDBytes = 128
 
 type activeConfigReply struct {
-	Revision uint64 `json:"revision"`
-	Preset   string `json:"preset"`
-	Fresh    bool   `json:"fresh"`
+	Revision       uint64 `json:"revision"`
+	Preset         string `json:"preset"`
+	HasConfigLease bool   `json:"fresh"`
 	// Declarations is absent before the first change.
 	Declarations json.RawMessage `json:"declarations,omitempty"`
 }
