--- a/internal/registrar/moves.go
+++ b/internal/registrar/moves.go
@@ -36,8 +36,7 @@
 	For string `json:"for,omitempty"`
 	// Waits is "memory" if the move must wait for another move to free memory.
 	Waits string `json:"waits,omitempty"`
-	// Gain and Cost are in request-seconds, counting requests that meet their
-	// latency goals.
+	// Gain and Cost are in request-seconds of requests that meet their goals.
 	Gain float64 `json:"expected-gain"`
 	Cost float64 `json:"cost"`
 }
