--- a/internal/registrar/enginestatus.go
+++ b/internal/registrar/enginestatus.go
@@ -29,7 +29,8 @@
 	Possible int64 `json:"possible-bytes"`
 }
 
-// OrderStatus is the state of one order, a load or unload command to an engine.
+// OrderStatus is the state of one order, a command to an engine such as loading a
+// model.
 type OrderStatus struct {
 	ID      string `json:"id"`
 	Kind    string `json:"kind"`
