--- a/internal/host/example.go
+++ b/internal/host/example.go
@@ -18,7 +18,6 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// The example's addresses and names.
 const (
 	exampleName    = "example"
 	exampleAnyPort = "127.0.0.1:0"
@@ -27,17 +26,17 @@
 	exampleService = "seat-check"
 )
 
-// The example's engine is as fast as a small model on one accelerator.
+// The example's engine simulates a small model on one accelerator.
 const (
-	exampleFirstToken  = 40 * time.Millisecond
-	exampleTokenDelay  = 15 * time.Millisecond
-	exampleMemoryBytes = 16 << 30
-	exampleModelBytes  = 8 << 30
-	exampleStopTime    = 5 * time.Second
+	exampleFirstTokenDelay = 40 * time.Millisecond
+	exampleTokenInterval   = 15 * time.Millisecond
+	exampleMemoryBytes     = 16 << 30
+	exampleModelBytes      = 8 << 30
+	exampleTimeout         = 5 * time.Second
 )
 
-// example is one instance with a stand-in engine and a stand-in plain service
-// that announce themselves as any other upstream would.
+// example is one instance with a simulated engine and a simulated plain service,
+// which announce themselves like any other upstream.
 type example struct {
 	instance *instance.Instance
 	engine   *standin.Engine
@@ -45,74 +44,76 @@
 	servers  []*http.Server
 }
 
-// runExample serves the example until ctx ends.
+// runExample runs the example until ctx ends or an operator requests a drain, and then
+// deletes its state.
 func runExample(ctx context.Context, options Options) error {
 	folder, err := os.MkdirTemp("", "lovagelift-example-")
 	if err != nil {
 		return errors.Wrap(err, "host: the example's data folder")
 	}
 	defer os.RemoveAll(folder)
-	set, err := exampleSettings(options.CallerAddress, folder)
+	configured, err := exampleSettings(options.CallerAddress, folder)
 	if err != nil {
 		return err
 	}
-	log := newLog(options.Log, set)
-	running, err := newExample(ctx, set, options.Version, log)
+	log := newLog(options.Log, configured)
+	running, err := startExample(ctx, configured, options.Version, log)
 	if err != nil {
 		return err
 	}
-	if awaitServing(ctx, running.instance, exampleUpstreams) {
-		log.Info().Stringer("caller-address", set.Advertise.Caller).Str("model", exampleModel).Msg("example serves")
+	if awaitReady(ctx, running.instance, exampleUpstreams) {
+		log.Info().Stringer("caller-address", configured.Advertise.Caller).Str("model", exampleModel).Msg("example is ready")
 	}
 	select {
 	case <-ctx.Done():
-	case <-running.instance.DrainAsked():
+	case <-running.instance.DrainRequested():
 	}
 	running.stop(log)
 	return nil
 }
 
-// exampleUpstreams are the engine and the service of the example.
+// exampleUpstreams counts the engine and the service of the example.
 const exampleUpstreams = 2
 
-// exampleSettings are those of one instance that is the only voter.
+// exampleSettings returns the settings of a single instance that is the only voter.
 func exampleSettings(callerAddress, folder string) (settings.Settings, error) {
-	set := settings.Default()
-	set.Name = exampleName
-	set.FailureDomain = exampleDomain
-	set.Voter = true
-	set.DataFolder = folder
+	configured := settings.Default()
+	configured.Name = exampleName
+	configured.FailureDomain = exampleDomain
+	configured.Voter = true
+	configured.DataFolder = folder
 	anyPort := netip.MustParseAddrPort(exampleAnyPort)
 	if callerAddress != "" {
 		address, err := netip.ParseAddrPort(callerAddress)
 		if err != nil {
-			return set, errors.Wrap(err, "host: the example's caller address")
+			return configured, errors.Wrap(err, "host: the example's caller address")
 		}
-		// Another port for callers means that the usual ones may be taken.
-		set.Listen = settings.Addresses{Caller: address, Upstream: anyPort, Operator: anyPort, Inner: anyPort}
+		// If the caller port is overridden, the other default ports may be in use as
+		// well.
+		configured.Listen = settings.Addresses{Caller: address, Upstream: anyPort, Operator: anyPort, Inner: anyPort}
 	}
-	set.Advertise = set.Listen
-	return set, nil
+	configured.Advertise = configured.Listen
+	return configured, nil
 }
 
-// newExample starts the example. Its state is gone when it ends.
-func newExample(
-	ctx context.Context, set settings.Settings, version string, log zerolog.Logger,
+// startExample starts the example. If that fails, it stops everything that it started.
+func startExample(
+	ctx context.Context, configured settings.Settings, version string, log zerolog.Logger,
 ) (*example, error) {
-	running, err := start(ctx, set, version, log)
+	running, err := start(ctx, configured, version, log)
 	if err != nil {
 		return nil, err
 	}
 	e := &example{instance: running}
-	if err := e.open(ctx, log); err != nil {
+	if err := e.bootstrap(ctx, log); err != nil {
 		e.stop(log)
 		return nil, err
 	}
 	return e, nil
 }
 
-// open founds the cluster and starts the stand-ins.
-func (e *example) open(ctx context.Context, log zerolog.Logger) error {
+// bootstrap bootstraps the cluster and starts the simulated upstreams.
+func (e *example) bootstrap(ctx context.Context, log zerolog.Logger) error {
 	if err := e.instance.Bootstrap(ctx, registrar.Origin{}); err != nil {
 		return err
 	}
@@ -139,11 +140,11 @@
 			Accelerators: []string{"a0"},
 			MemoryBytes:  exampleModelBytes,
 		}},
-		FirstTokenDelay: exampleFirstToken,
-		TokenDelay:      exampleTokenDelay,
+		FirstTokenDelay: exampleFirstTokenDelay,
+		TokenDelay:      exampleTokenInterval,
 		Announce:        announce,
 	})
-	e.serve(listener, e.engine, log)
+	e.serveHTTP(listener, e.engine, log)
 	return nil
 }
 
@@ -159,32 +160,32 @@
 		Services:      []string{exampleService},
 		Announce:      announce,
 	})
-	e.serve(listener, e.service, log)
+	e.serveHTTP(listener, e.service, log)
 	return nil
 }
 
-func (e *example) serve(listener net.Listener, handler http.Handler, log zerolog.Logger) {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: exampleStopTime}
+func (e *example) serveHTTP(listener net.Listener, handler http.Handler, log zerolog.Logger) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: exampleTimeout}
 	e.servers = append(e.servers, server)
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			log.Error().Err(err).Msg("stand-in failed")
+			log.Error().Err(err).Msg("example upstream failed")
 		}
 	}()
 }
 
-// stop ends the stand-ins and the instance.
+// stop stops the simulated upstreams and the instance.
 func (e *example) stop(log zerolog.Logger) {
-	ctx, cancel := context.WithTimeout(context.Background(), exampleStopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), exampleTimeout)
 	defer cancel()
 	if e.engine != nil {
 		if err := e.engine.Close(ctx); err != nil {
-			log.Warn().Err(err).Msg("engine not taken off")
+			log.Warn().Err(err).Msg("engine failed to announce that it is leaving")
 		}
 	}
 	if e.service != nil {
 		if err := e.service.Close(ctx); err != nil {
-			log.Warn().Err(err).Msg("service not taken off")
+			log.Warn().Err(err).Msg("service failed to announce that it is leaving")
 		}
 	}
 	e.instance.Close()
--- a/internal/host/example_test.go
+++ b/internal/host/example_test.go
@@ -16,60 +16,61 @@
 )
 
 var _ = Describe("the example", func() {
-	It("gives a caller a whole streamed answer to its own question", func(ctx SpecContext) {
+	It("returns a complete streamed response to a caller's own prompt", func(ctx SpecContext) {
 		address := freeAddress()
-		serving, stop := context.WithCancel(ctx)
+		runCtx, stop := context.WithCancel(ctx)
 		ended := make(chan error, 1)
 		go func() {
-			ended <- host.Run(serving, host.Options{Example: true, CallerAddress: address, Log: io.Discard})
+			ended <- host.Run(runCtx, host.Options{Example: true, CallerAddress: address, Log: io.Discard})
 		}()
-		asking := caller.New(caller.Options{Known: []string{address}})
-		question := caller.Question{Model: "example-model", Text: "where is the shuttle"}
-		var answer caller.Answer
+		client := caller.New(caller.Options{Known: []string{address}})
+		request := caller.Question{Model: "example-model", Text: "where is the shuttle"}
+		var response caller.Answer
 		Eventually(ctx, func() (err error) {
-			answer, err = asking.Ask(ctx, question, func(string) {})
+			response, err = client.Ask(ctx, request, func(string) {})
 			return err
 		}).WithTimeout(10 * time.Second).Should(Succeed())
-		Expect(answer.Text).To(Equal(question.Text))
-		Expect(answer.Entry.Address).To(Equal(address))
+		Expect(response.Text).To(Equal(request.Text))
+		Expect(response.Entry.Address).To(Equal(address))
 		stop()
 		Eventually(ctx, ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
 	})
 
-	// A newcomer reads "example serves" and pastes the next command. The instance
-	// listens before its configuration is confirmed and before the engine is known:
-	// said then, the first request would be refused.
-	It("says that it serves when a request sent at once is served", func(ctx SpecContext) {
+	// A new user sees "example is ready" and sends a request. The instance listens
+	// before its configuration is confirmed and before the engine is known. If it
+	// logged the line at that point, the request would be refused.
+	It("logs that it is ready when a request sent immediately succeeds", func(ctx SpecContext) {
 		address := freeAddress()
-		serving, stop := context.WithCancel(ctx)
+		runCtx, stop := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		log := &heardLog{said: make(chan struct{}), text: "example serves"}
+		log := &logWatcher{found: make(chan struct{}), message: "example is ready"}
 		go func() {
-			ended <- host.Run(serving, host.Options{Example: true, CallerAddress: address, Log: log})
+			ended <- host.Run(runCtx, host.Options{Example: true, CallerAddress: address, Log: log})
 		}()
-		Eventually(ctx, log.said).WithTimeout(20 * time.Second).Should(BeClosed())
-		asking := caller.New(caller.Options{Known: []string{address}})
-		_, err := asking.Ask(ctx, caller.Question{Model: "example-model", Text: "now"}, func(string) {})
+		Eventually(ctx, log.found).WithTimeout(20 * time.Second).Should(BeClosed())
+		client := caller.New(caller.Options{Known: []string{address}})
+		_, err := client.Ask(ctx, caller.Question{Model: "example-model", Text: "now"}, func(string) {})
 		Expect(err).NotTo(HaveOccurred())
 		stop()
 		Eventually(ctx, ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
 	})
 })
 
-// heardLog closes said at the first line that holds text.
-type heardLog struct {
-	once sync.Once
-	said chan struct{}
-	text string
+// logWatcher is a log that closes found at the first line that contains message.
+type logWatcher struct {
+	once    sync.Once
+	found   chan struct{}
+	message string
 }
 
-func (l *heardLog) Write(line []byte) (int, error) {
-	if strings.Contains(string(line), l.text) {
-		l.once.Do(func() { close(l.said) })
+func (l *logWatcher) Write(line []byte) (int, error) {
+	if strings.Contains(string(line), l.message) {
+		l.once.Do(func() { close(l.found) })
 	}
 	return len(line), nil
 }
 
+// freeAddress returns a local address with a port that was free just now.
 func freeAddress() string {
 	listener, err := standin.Listen()
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/host/files.go
+++ b/internal/host/files.go
@@ -16,102 +16,102 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-// files is what stands in the files that settings name. Each is nil if the
-// settings name none.
-type files struct {
+// settingsFiles is the contents of the files that the settings refer to. A field is
+// nil if the settings don't set its file.
+type settingsFiles struct {
 	operatorTokens *badge.Book
 	upstreamTokens *badge.Book
-	callers        *seal.Seal
-	upstreams      *seal.Seal
-	operators      *seal.Seal
-	inner          *seal.Seal
+	callerTLS      *seal.Seal
+	upstreamTLS    *seal.Seal
+	operatorTLS    *seal.Seal
+	innerTLS       *seal.Seal
 }
 
-// openFiles reads all files that the settings name. If any are wrong, openFiles
-// returns a *finding.Error with every finding.
-func openFiles(set settings.Settings, log zerolog.Logger) (files, error) {
-	o := opener{now: time.Now, log: log, seals: map[settings.KeyPair]*seal.Seal{}}
-	opened := files{
-		operatorTokens: o.book(set.Tokens.OperatorsFile),
-		upstreamTokens: o.book(set.Tokens.UpstreamsFile),
-		callers:        o.seal(set.TLS.Callers),
-		upstreams:      o.seal(set.TLS.Upstreams),
-		operators:      o.seal(set.TLS.Operators),
-		inner:          o.seal(set.TLS.Inner),
+// loadFiles loads all files that the settings refer to. If any are invalid,
+// loadFiles returns a *finding.Error with the findings of all files.
+func loadFiles(configured settings.Settings, log zerolog.Logger) (settingsFiles, error) {
+	loader := fileLoader{now: time.Now, log: log, tlsFiles: map[settings.KeyPair]*seal.Seal{}}
+	loaded := settingsFiles{
+		operatorTokens: loader.loadTokens(configured.Tokens.OperatorsFile),
+		upstreamTokens: loader.loadTokens(configured.Tokens.UpstreamsFile),
+		callerTLS:      loader.loadTLS(configured.TLS.Callers),
+		upstreamTLS:    loader.loadTLS(configured.TLS.Upstreams),
+		operatorTLS:    loader.loadTLS(configured.TLS.Operators),
+		innerTLS:       loader.loadTLS(configured.TLS.Inner),
 	}
-	return opened, o.list.Err()
+	return loaded, loader.findings.Err()
 }
 
-// opener gathers what is wrong with files.
-type opener struct {
-	now  func() time.Time
-	log  zerolog.Logger
-	list finding.List
-	// seals keeps those that were opened, nil for files that are wrong, since
-	// several listeners may use the same.
-	seals map[settings.KeyPair]*seal.Seal
+// fileLoader loads files and collects the findings about them.
+type fileLoader struct {
+	now      func() time.Time
+	log      zerolog.Logger
+	findings finding.List
+	// tlsFiles caches loaded files, because several listeners may use the same. The
+	// value is nil if the files are invalid.
+	tlsFiles map[settings.KeyPair]*seal.Seal
 }
 
-func (o *opener) add(path string, err error) {
-	var found *finding.Error
-	if !errors.As(err, &found) {
-		o.list.Add(finding.Place{File: path}, err.Error(), "")
+func (l *fileLoader) addError(path string, err error) {
+	var findingErr *finding.Error
+	if !errors.As(err, &findingErr) {
+		l.findings.Add(finding.Place{File: path}, err.Error(), "")
 		return
 	}
-	for _, f := range found.Findings {
-		o.list.Add(f.Place, f.Problem, f.Advice)
+	for _, f := range findingErr.Findings {
+		l.findings.Add(f.Place, f.Problem, f.Advice)
 	}
 }
 
-func (o *opener) book(path string) *badge.Book {
+func (l *fileLoader) loadTokens(path string) *badge.Book {
 	if path == "" {
 		return nil
 	}
 	read, err := badge.Load(path)
 	if err != nil {
-		o.add(path, err)
+		l.addError(path, err)
 		return nil
 	}
 	return &read
 }
 
-func (o *opener) seal(pair settings.KeyPair) *seal.Seal {
+func (l *fileLoader) loadTLS(pair settings.KeyPair) *seal.Seal {
 	if !pair.IsSet() {
 		return nil
 	}
-	if opened, known := o.seals[pair]; known {
-		return opened
+	if loaded, known := l.tlsFiles[pair]; known {
+		return loaded
 	}
-	opened, err := seal.New(seal.Options{
+	loaded, err := seal.New(seal.Options{
 		Files: pair,
-		Now:   o.now,
+		Now:   l.now,
 		Failed: func(err error) {
-			o.log.Error().Err(err).Msg("replaced tls files cannot be used, the ones before stay in use")
+			l.log.Error().Err(err).Msg("replaced TLS files are invalid; continuing with the previous ones")
 		},
 	})
 	if err != nil {
-		o.add(pair.CertFile, err)
+		l.addError(pair.CertFile, err)
 	}
-	o.seals[pair] = opened
-	return opened
+	l.tlsFiles[pair] = loaded
+	return loaded
 }
 
-// secured returns listener with TLS, or as it is if sealed is nil.
-func secured(listener net.Listener, sealed *seal.Seal) net.Listener {
-	if sealed == nil {
+// withTLS returns listener with TLS, or unchanged if files is nil.
+func withTLS(listener net.Listener, files *seal.Seal) net.Listener {
+	if files == nil {
 		return listener
 	}
-	return tls.NewListener(listener, sealed.Server())
+	return tls.NewListener(listener, files.Server())
 }
 
-// dialer returns how to connect to other instances: nil, for plain TCP, if sealed
-// is nil.
-func dialer(sealed *seal.Seal) courier.Dial {
-	if sealed == nil {
+// newDial returns a function that connects to other instances with TLS, or nil, which
+// means plain TCP, if files is nil.
+func newDial(files *seal.Seal) courier.Dial {
+	if files == nil {
 		return nil
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		dialer := tls.Dialer{Config: sealed.Client()}
+		dialer := tls.Dialer{Config: files.Client()}
 		connection, err := dialer.DialContext(ctx, "tcp", address)
 		return connection, errors.Wrapf(err, "host: connecting to %s", address)
 	}
--- a/internal/host/files_test.go
+++ b/internal/host/files_test.go
@@ -28,10 +28,9 @@
 	"github.com/lovagelift/lovagelift/internal/registrar"
 )
 
-// writeCertificate writes cert.pem, key.pem and ca.pem into folder, for a
-// certificate of 127.0.0.1 that is its own authority, and returns the pool that
-// verifies it.
-func writeCertificate(folder string) *x509.CertPool {
+// writeTLSFiles writes cert.pem, key.pem and ca.pem of a self-signed certificate for
+// 127.0.0.1 into folder, and returns a pool that verifies it.
+func writeTLSFiles(folder string) *x509.CertPool {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	template := &x509.Certificate{
@@ -58,17 +57,17 @@
 	return pool
 }
 
-// member is the addresses of an instance in a test.
-type member struct {
+// testInstance is the name and the listen addresses of an instance in a test.
+type testInstance struct {
 	name, caller, upstream, operator, inner string
 }
 
-func newMember(name string) member {
-	return member{name, freeAddress(), freeAddress(), freeAddress(), freeAddress()}
+func newTestInstance(name string) testInstance {
+	return testInstance{name, freeAddress(), freeAddress(), freeAddress(), freeAddress()}
 }
 
-// settingsWith returns the settings of m beside other, with TLS everywhere.
-func (m member) settingsWith(other member) string {
+// tlsSettings returns the settings of t with TLS on all listeners, and with one peer.
+func (t testInstance) tlsSettings(peer testInstance) string {
 	return fmt.Sprintf(`
 name = %q
 failure-domain = "kgn-a"
@@ -90,22 +89,22 @@
 inner-address = %q
 caller-address = %q
 voter = true
-`, m.name, m.name, m.caller, m.upstream, m.operator, m.inner, other.name, other.inner, other.caller)
+`, t.name, t.name, t.caller, t.upstream, t.operator, t.inner, peer.name, peer.inner, peer.caller)
 }
 
-var _ = Describe("the files that settings name", func() {
-	It("are all reported at once when they are wrong, and nothing is started", func(ctx SpecContext) {
+var _ = Describe("files that the settings refer to", func() {
+	It("are reported together if they are invalid, and nothing is started", func(ctx SpecContext) {
 		folder := GinkgoT().TempDir()
-		writeCertificate(folder)
-		m := newMember("a")
+		writeTLSFiles(folder)
+		target := newTestInstance("a")
 		Expect(os.WriteFile(filepath.Join(folder, "ca.pem"), []byte("none"), 0o600)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(folder, "tokens.toml"), []byte("[[token]]\nname = 1\n"), 0o600)).To(Succeed())
 		path := filepath.Join(folder, "a.toml")
-		text := "tokens = { operators = \"tokens.toml\", upstreams = \"gone.toml\" }\n" + m.settingsWith(newMember("b"))
+		text := "tokens = { operators = \"tokens.toml\", upstreams = \"gone.toml\" }\n" + target.tlsSettings(newTestInstance("b"))
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		err := host.Run(ctx, host.Options{SettingsPath: path, Log: io.Discard})
-		var found *finding.Error
-		Expect(errors.As(err, &found)).To(BeTrue(), "%v", err)
+		var findingErr *finding.Error
+		Expect(errors.As(err, &findingErr)).To(BeTrue(), "%v", err)
 		Expect(strings.Split(err.Error(), "\n")).To(ConsistOf(
 			ContainSubstring("ca.pem holds no certificate in PEM"),
 			HavePrefix(filepath.Join(folder, "gone.toml")+": badge: reading the file"),
@@ -113,30 +112,30 @@
 			HavePrefix(filepath.Join(folder, "tokens.toml")+":2:8: \"name\" must be a text"),
 		))
 		Expect(filepath.Join(folder, "data-a")).NotTo(BeADirectory())
-		listener, err := net.Listen("tcp", m.caller)
+		listener, err := net.Listen("tcp", target.caller)
 		Expect(err).NotTo(HaveOccurred())
 		listener.Close()
 	})
 })
 
 var _ = Describe("TLS from settings", func() {
-	It("is on every listener and between instances", func(ctx SpecContext) {
+	It("is used on every listener and between instances", func(ctx SpecContext) {
 		folder := GinkgoT().TempDir()
-		pool := writeCertificate(folder)
-		a, b := newMember("a"), newMember("b")
-		serving, stop := context.WithCancel(ctx)
+		pool := writeTLSFiles(folder)
+		a, b := newTestInstance("a"), newTestInstance("b")
+		runCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		ended := make(chan error, 2)
-		for _, pair := range [][2]member{{a, b}, {b, a}} {
+		for _, pair := range [][2]testInstance{{a, b}, {b, a}} {
 			path := filepath.Join(folder, pair[0].name+".toml")
-			Expect(os.WriteFile(path, []byte(pair[0].settingsWith(pair[1])), 0o600)).To(Succeed())
+			Expect(os.WriteFile(path, []byte(pair[0].tlsSettings(pair[1])), 0o600)).To(Succeed())
 			go func() {
-				ended <- host.Run(serving, host.Options{SettingsPath: path, Log: io.Discard})
+				ended <- host.Run(runCtx, host.Options{SettingsPath: path, Log: io.Discard})
 			}()
 		}
-		trusting := &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
+		trustedTLS := &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 		operator, err := registrar.NewClient(registrar.ClientOptions{
-			Addresses: []netip.AddrPort{netip.MustParseAddrPort(a.operator)}, TLS: trusting, Timeout: 10 * time.Second,
+			Addresses: []netip.AddrPort{netip.MustParseAddrPort(a.operator)}, TLS: trustedTLS, Timeout: 10 * time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		names := func() ([]string, error) {
@@ -150,16 +149,16 @@
 		Eventually(ctx, names).WithTimeout(30 * time.Second).Should(ConsistOf("a", "b"))
 
 		for _, address := range []string{a.caller, a.upstream, a.operator} {
-			client := &http.Client{Transport: &http.Transport{TLSClientConfig: trusting}}
-			answer, err := get(ctx, client, "https://"+address+"/")
+			client := &http.Client{Transport: &http.Transport{TLSClientConfig: trustedTLS}}
+			response, err := get(ctx, client, "https://"+address+"/")
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.TLS).NotTo(BeNil())
-			answer, err = get(ctx, http.DefaultClient, "http://"+address+"/")
+			Expect(response.TLS).NotTo(BeNil())
+			response, err = get(ctx, http.DefaultClient, "http://"+address+"/")
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.StatusCode).To(Equal(http.StatusBadRequest))
+			Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		}
-		Expect(stranger(ctx, a.inner, trusting)).To(MatchError(ContainSubstring("certificate required")))
-		Expect(silent(ctx, a.inner)).To(MatchError(io.EOF))
+		Expect(readWithoutCertificate(ctx, a.inner, trustedTLS)).To(MatchError(ContainSubstring("certificate required")))
+		Expect(readWithoutHandshake(ctx, a.inner)).To(MatchError(io.EOF))
 		stop()
 		for range 2 {
 			Eventually(ctx, ended).WithTimeout(30 * time.Second).Should(Receive(BeNil()))
@@ -167,22 +166,22 @@
 	})
 })
 
-// get returns the answer without its body.
+// get returns the response with its body closed.
 func get(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	return answer, answer.Body.Close()
+	return response, response.Body.Close()
 }
 
-// stranger connects to an instance's inner listener without a certificate and
-// returns what it reads there.
-func stranger(ctx context.Context, address string, config *tls.Config) error {
+// readWithoutCertificate connects to an instance's inner listener without a client
+// certificate and returns the error of its first read.
+func readWithoutCertificate(ctx context.Context, address string, config *tls.Config) error {
 	dialer := tls.Dialer{Config: config}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -193,9 +192,9 @@
 	return err
 }
 
-// silent connects to address, says nothing, and returns what it reads once the
-// other side has had enough.
-func silent(ctx context.Context, address string) error {
+// readWithoutHandshake connects to address, sends nothing, and returns the error of a
+// read, which fails once the server closes the connection.
+func readWithoutHandshake(ctx context.Context, address string) error {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/host/handshake.go
+++ b/internal/host/handshake.go
@@ -10,19 +10,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// handshakeListener bounds the time of TLS handshakes on a listener whose server
-// does not.
+// handshakeListener limits the duration of TLS handshakes on a listener whose
+// server does not.
 //
-// Without it, whoever reaches the listener and then says nothing holds a
-// connection and its goroutine for good, and enough of them leave the instance
-// without file descriptors. The handshake is made at the first read, so that a
-// slow one holds up no other connection.
+// Without it, a client that connects and never sends anything holds a connection and
+// its goroutine forever, and enough of them exhaust the instance's file descriptors.
+// The handshake happens on the first read, so that a slow one does not block Accept.
 type handshakeListener struct {
 	net.Listener
 	timeout time.Duration
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection, before its handshake.
 func (l handshakeListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -31,31 +30,31 @@
 	connection, ok := accepted.(*tls.Conn)
 	if !ok {
 		accepted.Close()
-		return nil, errors.AssertionFailedf("host: handshakes on a listener without TLS")
+		return nil, errors.AssertionFailedf("host: handshakeListener wraps a listener without TLS")
 	}
 	return &handshakeConn{Conn: connection, timeout: l.timeout}, nil
 }
 
-// handshakeConn makes its handshake at the first read.
+// handshakeConn is a TLS connection that performs its handshake on the first read.
 type handshakeConn struct {
 	*tls.Conn
-	timeout time.Duration
-	once    sync.Once
-	failed  error
+	timeout      time.Duration
+	once         sync.Once
+	handshakeErr error
 }
 
-// Read reads once the handshake is made. If that takes too long or fails, Read
-// returns an error and the connection is closed.
-func (c *handshakeConn) Read(into []byte) (int, error) {
+// Read performs the handshake on its first call, then reads. If the handshake fails
+// or times out, Read closes the connection and returns an error.
+func (c *handshakeConn) Read(buffer []byte) (int, error) {
 	c.once.Do(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 		defer cancel()
-		if c.failed = c.HandshakeContext(ctx); c.failed != nil {
+		if c.handshakeErr = c.HandshakeContext(ctx); c.handshakeErr != nil {
 			c.Close()
 		}
 	})
-	if c.failed != nil {
-		return 0, c.failed
+	if c.handshakeErr != nil {
+		return 0, c.handshakeErr
 	}
-	return c.Conn.Read(into)
+	return c.Conn.Read(buffer)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host runs one instance from its settings until it is told to stop
-// (process main loop).
+// Package host is the main loop of the server process: it starts one instance from
+// its settings file and runs it until shutdown.
 package host
 
 import (
@@ -24,7 +24,7 @@
 	SettingsPath string
 	// Example starts the built-in example instead.
 	Example bool
-	// CallerAddress replaces the example's address for callers, if it is not
+	// CallerAddress overrides the example's listen address for callers if it is not
 	// empty.
 	CallerAddress string
 	// Version is the version of the program.
@@ -33,121 +33,122 @@
 	Log io.Writer
 }
 
-// Run serves until ctx ends or an operator asks for a planned stop, and then
-// stops gracefully. If the settings are wrong, Run starts nothing and returns a
-// *finding.Error.
+// Run runs an instance until ctx ends or an operator requests a drain, and then
+// shuts it down gracefully. If the settings are invalid, Run starts nothing and
+// returns a *finding.Error.
 func Run(ctx context.Context, options Options) error {
 	if options.Example {
 		return runExample(ctx, options)
 	}
-	set, err := settings.Load(options.SettingsPath)
+	configured, err := settings.Load(options.SettingsPath)
 	if err != nil {
 		return err
 	}
-	log := newLog(options.Log, set)
-	running, err := start(ctx, set, options.Version, log)
+	log := newLog(options.Log, configured)
+	running, err := start(ctx, configured, options.Version, log)
 	if err != nil {
 		return err
 	}
-	log.Info().Str("caller-address", set.Advertise.Caller.String()).Msg("instance started")
+	log.Info().Str("caller-address", configured.Advertise.Caller.String()).Msg("instance started")
 	go func() {
-		if awaitServing(ctx, running, 0) {
-			log.Info().Str("caller-address", set.Advertise.Caller.String()).Msg("instance serves")
+		if awaitReady(ctx, running, 0) {
+			log.Info().Str("caller-address", configured.Advertise.Caller.String()).Msg("instance is ready")
 		}
 	}()
-	return serve(ctx, running, set)
+	return serve(ctx, running, configured)
 }
 
-// servingEvery is how often a starting instance looks whether it serves.
-const servingEvery = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// awaitServing waits until an instance admits requests, callers are told of one to
-// use, and it knows so many upstreams.
-// It returns false if ctx ends before. An instance that says that it serves while it
-// refuses everybody misleads whoever waits for the line.
-func awaitServing(ctx context.Context, running *instance.Instance, upstreams int) bool {
+// awaitReady waits until the instance admits requests, lists at least one instance to
+// callers, and knows at least the given number of upstreams. It returns false if ctx
+// ends earlier. Requests sent before that point are refused, so the instance must not
+// log that it is ready any earlier.
+func awaitReady(ctx context.Context, running *instance.Instance, upstreams int) bool {
 	for {
 		now := time.Now()
-		listed := len(running.Entries(now, "").List) > 0
-		if running.Admits(now) == nil && listed && len(running.Upstreams(now)) >= upstreams {
+		hasEntry := len(running.Entries(now, "").List) > 0
+		if running.Admits(now) == nil && hasEntry && len(running.Upstreams(now)) >= upstreams {
 			return true
 		}
-		if !pause.For(ctx, servingEvery) {
+		if !pause.For(ctx, readyPollInterval) {
 			return false
 		}
 	}
 }
 
-// serve waits until it is time to stop, and drains.
-func serve(ctx context.Context, running *instance.Instance, set settings.Settings) error {
+// serve waits until ctx ends or an operator requests a drain, and then drains the
+// instance.
+func serve(ctx context.Context, running *instance.Instance, configured settings.Settings) error {
 	select {
 	case <-ctx.Done():
-	case <-running.DrainAsked():
+	case <-running.DrainRequested():
 	}
-	return drain(running, set)
+	return drain(running, configured)
 }
 
-// drain stops the instance gracefully. A drain that takes longer than expected
-// goes on: it cuts off no request.
-func drain(running *instance.Instance, set settings.Settings) error {
-	expected, cancel := context.WithTimeout(context.Background(), drainFactor*set.Timing.DrainTime)
+// drain shuts the instance down gracefully. A drain that exceeds DrainTime continues
+// without aborting requests, up to drainTimeoutFactor times DrainTime.
+func drain(running *instance.Instance, configured settings.Settings) error {
+	timeoutCtx, cancel := context.WithTimeout(context.Background(), drainTimeoutFactor*configured.Timing.DrainTime)
 	defer cancel()
-	return running.Drain(expected)
+	return running.Drain(timeoutCtx)
 }
 
-// drainFactor is how many drain times pass before a stop takes the requests that
-// are still open for lost. A caller's deadline has long passed by then.
-const drainFactor = 10
+// drainTimeoutFactor is the maximum duration of a drain in multiples of DrainTime. By
+// then, the deadlines of all callers have long passed, and open requests are aborted.
+const drainTimeoutFactor = 10
 
-func newLog(out io.Writer, set settings.Settings) zerolog.Logger {
-	level, err := zerolog.ParseLevel(string(set.LogLevel))
+func newLog(out io.Writer, configured settings.Settings) zerolog.Logger {
+	level, err := zerolog.ParseLevel(string(configured.LogLevel))
 	if err != nil {
 		level = zerolog.InfoLevel
 	}
-	return zerolog.New(out).Level(level).With().Timestamp().Str("instance", set.Name).Logger()
+	return zerolog.New(out).Level(level).With().Timestamp().Str("instance", configured.Name).Logger()
 }
 
-// start opens the files and listeners and starts an instance on them. Addresses
-// that name no port get one.
+// start loads the files named in the settings, opens the listeners, and starts an
+// instance on them. For port 0, the advertised address gets the port that the system
+// assigned.
 func start(
-	ctx context.Context, set settings.Settings, version string, log zerolog.Logger,
+	ctx context.Context, configured settings.Settings, version string, log zerolog.Logger,
 ) (*instance.Instance, error) {
-	opened, err := openFiles(set, log)
+	loaded, err := loadFiles(configured, log)
 	if err != nil {
 		return nil, err
 	}
 	options := instance.Options{
-		Settings:  set,
-		Dial:      dialer(opened.inner),
-		Operators: opened.operatorTokens,
-		Upstreams: opened.upstreamTokens,
+		Settings:  configured,
+		Dial:      newDial(loaded.innerTLS),
+		Operators: loaded.operatorTokens,
+		Upstreams: loaded.upstreamTokens,
 		Version:   version,
 		Log:       log,
 	}
 	advertise := &options.Settings.Advertise
-	for _, each := range []struct {
+	for _, endpoint := range []struct {
 		listen    netip.AddrPort
 		advertise *netip.AddrPort
-		sealed    *seal.Seal
+		tlsFiles  *seal.Seal
 		listener  *net.Listener
 	}{
-		{set.Listen.Caller, &advertise.Caller, opened.callers, &options.Listeners.Caller},
-		{set.Listen.Upstream, &advertise.Upstream, opened.upstreams, &options.Listeners.Upstream},
-		{set.Listen.Operator, &advertise.Operator, opened.operators, &options.Listeners.Operator},
-		{set.Listen.Inner, &advertise.Inner, opened.inner, &options.Listeners.Inner},
+		{configured.Listen.Caller, &advertise.Caller, loaded.callerTLS, &options.Listeners.Caller},
+		{configured.Listen.Upstream, &advertise.Upstream, loaded.upstreamTLS, &options.Listeners.Upstream},
+		{configured.Listen.Operator, &advertise.Operator, loaded.operatorTLS, &options.Listeners.Operator},
+		{configured.Listen.Inner, &advertise.Inner, loaded.innerTLS, &options.Listeners.Inner},
 	} {
-		listener, err := listen(ctx, each.listen.String())
+		listener, err := listen(ctx, endpoint.listen.String())
 		if err != nil {
 			options.Listeners.Close()
 			return nil, err
 		}
-		if each.advertise.Port() == 0 {
-			*each.advertise = listener.Addr().(*net.TCPAddr).AddrPort()
+		if endpoint.advertise.Port() == 0 {
+			*endpoint.advertise = listener.Addr().(*net.TCPAddr).AddrPort()
 		}
-		*each.listener = secured(listener, each.sealed)
+		*endpoint.listener = withTLS(listener, endpoint.tlsFiles)
 	}
-	if opened.inner != nil {
-		options.Listeners.Inner = handshakeListener{Listener: options.Listeners.Inner, timeout: set.Limits.HeaderTime}
+	if loaded.innerTLS != nil {
+		options.Listeners.Inner = handshakeListener{Listener: options.Listeners.Inner, timeout: configured.Limits.HeaderTime}
 	}
 	return instance.New(options)
 }
--- a/internal/host/placement_test.go
+++ b/internal/host/placement_test.go
@@ -20,7 +20,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// twoModels declares two models of 4 GiB.
+// twoModels declares two models that need 4 GiB each.
 const twoModels = `
 [[preset]]
 name = "ordinary"
@@ -45,76 +45,76 @@
 
 var _ = Describe("a voter that gives orders", func() {
 	It("has an empty engine load what is declared, and goes on with the account after a restart", func(ctx SpecContext) {
-		// An engine announces itself, empty. The models are declared, and loaded by
-		// orders. The instance restarts: it has the account and the orders again from
-		// its data folder.
-		m := newMember("a")
+		// An engine without models announces itself. Models are declared, and orders
+		// load them. After a restart, the instance must recover the memory ledger and
+		// the orders from its data folder.
+		target := newTestInstance("a")
 		path := filepath.Join(GinkgoT().TempDir(), "a.toml")
-		text := strings.NewReplacer("CALLER", m.caller, "UPSTREAM", m.upstream, "OPERATOR", m.operator, "INNER", m.inner).
-			Replace(alone + "placement.enabled = true\n")
+		text := strings.NewReplacer("CALLER", target.caller, "UPSTREAM", target.upstream, "OPERATOR", target.operator, "INNER", target.inner).
+			Replace(singleInstanceSettings + "placement.enabled = true\n")
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		client, err := registrar.NewClient(registrar.ClientOptions{
-			Addresses: []netip.AddrPort{netip.MustParseAddrPort(m.operator)}, Timeout: 10 * time.Second,
+			Addresses: []netip.AddrPort{netip.MustParseAddrPort(target.operator)}, Timeout: 10 * time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		set, err := declaration.Read(fstest.MapFS{"all.toml": {Data: []byte(twoModels)}}, "test")
+		declared, err := declaration.Read(fstest.MapFS{"all.toml": {Data: []byte(twoModels)}}, "test")
 		Expect(err).NotTo(HaveOccurred())
-		engine := startEngine(m.upstream, 100*time.Millisecond)
+		engine := startEngine(target.upstream, 100*time.Millisecond)
 
-		stop := run(ctx, path)
+		stop := runInstance(ctx, path)
 		Eventually(ctx, func() error {
 			_, err := client.Bootstrap(ctx, registrar.Origin{})
 			return err
 		}).WithTimeout(20 * time.Second).Should(Succeed())
 		Eventually(ctx, func() ([]registrar.Move, error) {
-			moves, err := client.Moves(ctx, set, "ordinary")
+			moves, err := client.Moves(ctx, declared, "ordinary")
 			return moves.Moves, err
 		}).WithTimeout(20 * time.Second).Should(ConsistOf(
 			And(HaveField("Engine", "engine-1"), HaveField("Kind", "load-model"), HaveField("Model", "letters")),
 			And(HaveField("Engine", "engine-1"), HaveField("Kind", "load-model"), HaveField("Model", "fares"))))
-		Expect(held(engine)).To(BeEmpty())
-		change := registrar.Change{ID: "first", Declarations: set.Canonical(), Preset: "ordinary"}
+		Expect(loadedModels(engine)).To(BeEmpty())
+		change := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
 		Eventually(ctx, client.Change).WithArguments(ctx, change).WithTimeout(20 * time.Second).
 			Should(Equal(registrar.Answer{Revision: 1}))
-		Eventually(ctx, held).WithArguments(engine).WithTimeout(60 * time.Second).Should(ConsistOf("letters", "fares"))
-		done := func() ([]registrar.OrderStatus, error) { return ordersOf(ctx, client) }
-		finished := And(HaveLen(2), HaveEach(HaveField("State", "done")), HaveEach(HaveField("Why", "unreachable")))
-		Eventually(ctx, done).WithTimeout(20 * time.Second).Should(finished)
+		Eventually(ctx, loadedModels).WithArguments(engine).WithTimeout(60 * time.Second).Should(ConsistOf("letters", "fares"))
+		currentOrders := func() ([]registrar.OrderStatus, error) { return engineOrders(ctx, client) }
+		allDone := And(HaveLen(2), HaveEach(HaveField("State", "done")), HaveEach(HaveField("Why", "unreachable")))
+		Eventually(ctx, currentOrders).WithTimeout(20 * time.Second).Should(allDone)
 		stop()
 
-		stop = run(ctx, path)
+		stop = runInstance(ctx, path)
 		defer stop()
-		Eventually(ctx, done).WithTimeout(20 * time.Second).Should(finished)
-		Expect(held(engine)).To(ConsistOf("letters", "fares"))
+		Eventually(ctx, currentOrders).WithTimeout(20 * time.Second).Should(allDone)
+		Expect(loadedModels(engine)).To(ConsistOf("letters", "fares"))
 		Expect(engine.Overcommits()).To(BeZero())
 	})
 })
 
 var _ = Describe("three voters that give orders", func() {
 	It("go on with the loads under way when the one that leads stops", func(ctx SpecContext) {
-		// An engine is loading two models by orders of the leader, which is stopped.
-		// Another voter leads, finds the orders and asks after them. Each model is
-		// loaded by the order that was given first.
-		members := []member{newMember("a"), newMember("b"), newMember("c")}
+		// The leader stops while an engine is loading two models on its orders. The new
+		// leader must find the recorded orders, query their state, and let them finish
+		// instead of issuing new ones.
+		voters := []testInstance{newTestInstance("a"), newTestInstance("b"), newTestInstance("c")}
 		clients, stops := map[string]*registrar.Client{}, map[string]func(){}
 		folder := GinkgoT().TempDir()
-		for _, m := range members {
-			path := filepath.Join(folder, m.name+".toml")
-			Expect(os.WriteFile(path, []byte(m.settingsAmong(members)), 0o600)).To(Succeed())
-			c, err := registrar.NewClient(registrar.ClientOptions{
-				Addresses: []netip.AddrPort{netip.MustParseAddrPort(m.operator)}, Timeout: 10 * time.Second,
+		for _, target := range voters {
+			path := filepath.Join(folder, target.name+".toml")
+			Expect(os.WriteFile(path, []byte(target.placementSettings(voters)), 0o600)).To(Succeed())
+			client, err := registrar.NewClient(registrar.ClientOptions{
+				Addresses: []netip.AddrPort{netip.MustParseAddrPort(target.operator)}, Timeout: 10 * time.Second,
 			})
 			Expect(err).NotTo(HaveOccurred())
-			clients[m.name], stops[m.name] = c, run(ctx, path)
+			clients[target.name], stops[target.name] = client, runInstance(ctx, path)
 		}
 		Eventually(ctx, func() error {
 			_, err := clients["a"].Bootstrap(ctx, registrar.Origin{})
 			return err
 		}).WithTimeout(30 * time.Second).Should(Succeed())
-		engine := startEngine(members[0].upstream, 4*time.Second)
-		set, err := declaration.Read(fstest.MapFS{"all.toml": {Data: []byte(twoModels)}}, "test")
+		engine := startEngine(voters[0].upstream, 4*time.Second)
+		declared, err := declaration.Read(fstest.MapFS{"all.toml": {Data: []byte(twoModels)}}, "test")
 		Expect(err).NotTo(HaveOccurred())
-		change := registrar.Change{ID: "first", Declarations: set.Canonical(), Preset: "ordinary"}
+		change := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
 		Eventually(ctx, clients["a"].Change).WithArguments(ctx, change).WithTimeout(30 * time.Second).
 			Should(Equal(registrar.Answer{Revision: 1}))
 
@@ -125,22 +125,23 @@
 		delete(stops, status.Leader)
 		for name := range stops {
 			defer stops[name]()
-			Eventually(ctx, func() ([]registrar.OrderStatus, error) { return ordersOf(ctx, clients[name]) }).
+			Eventually(ctx, func() ([]registrar.OrderStatus, error) { return engineOrders(ctx, clients[name]) }).
 				WithTimeout(60 * time.Second).Should(And(HaveLen(2), HaveEach(HaveField("State", "done"))))
 		}
-		Expect(held(engine)).To(ConsistOf("letters", "fares"))
+		Expect(loadedModels(engine)).To(ConsistOf("letters", "fares"))
 		Expect(engine.Overcommits()).To(BeZero())
 	})
 })
 
-// settingsAmong returns the settings of m, which gives orders, beside the others.
-func (m member) settingsAmong(all []member) string {
+// placementSettings returns the settings of t with placement enabled, and with the
+// other instances as its peers.
+func (t testInstance) placementSettings(instances []testInstance) string {
 	text := fmt.Sprintf("name = %q\nfailure-domain = \"kgn-a\"\nvoter = true\ndata-folder = \"data-%s\"\n"+
 		"timing.entry-time = \"10ms\"\nplacement.enabled = true\n"+
 		"caller-address = %q\nupstream-address = %q\noperator-address = %q\ninner-address = %q\n",
-		m.name, m.name, m.caller, m.upstream, m.operator, m.inner)
-	for _, other := range all {
-		if other != m {
+		t.name, t.name, t.caller, t.upstream, t.operator, t.inner)
+	for _, other := range instances {
+		if other != t {
 			text += fmt.Sprintf("[[instances]]\nname = %q\nfailure-domain = \"kgn-a\"\nvoter = true\n"+
 				"inner-address = %q\ncaller-address = %q\n", other.name, other.inner, other.caller)
 		}
@@ -148,8 +149,9 @@
 	return text
 }
 
-// startEngine starts an empty engine of 16 GiB that announces itself.
-func startEngine(to string, loadTime time.Duration) *standin.Engine {
+// startEngine starts a simulated engine with 16 GiB and no models, which announces
+// itself to the instance at an upstream address.
+func startEngine(upstreamAddress string, loadTime time.Duration) *standin.Engine {
 	listener, err := standin.Listen()
 	Expect(err).NotTo(HaveOccurred())
 	engine := standin.NewEngine(standin.EngineOptions{
@@ -157,20 +159,20 @@
 		Fencing:      upstreamapi.FencingChecked,
 		Accelerators: []upstreamapi.Accelerator{{Name: "a0", MemoryBytes: 16 << 30}},
 		LoadDelay:    loadTime,
-		Announce:     standin.AnnounceOptions{To: []string{to}},
+		Announce:     standin.AnnounceOptions{To: []string{upstreamAddress}},
 	})
 	server := &http.Server{Handler: engine, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
 	DeferCleanup(func() {
-		ended, cancel := context.WithTimeout(context.Background(), time.Second)
+		closeCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = engine.Close(ended)
+		_ = engine.Close(closeCtx)
 		server.Close()
 	})
 	return engine
 }
 
-func held(engine *standin.Engine) []string {
+func loadedModels(engine *standin.Engine) []string {
 	var names []string
 	for _, r := range engine.Announcement().Resident {
 		names = append(names, r.Model)
@@ -178,8 +180,9 @@
 	return names
 }
 
-// ordersOf returns the orders to the only engine.
-func ordersOf(ctx context.Context, client *registrar.Client) ([]registrar.OrderStatus, error) {
+// engineOrders returns the orders to the only engine, and none unless exactly one
+// engine is known.
+func engineOrders(ctx context.Context, client *registrar.Client) ([]registrar.OrderStatus, error) {
 	status, err := client.Status(ctx)
 	if err != nil || len(status.Engines) != 1 {
 		return nil, err
--- a/internal/host/restart_test.go
+++ b/internal/host/restart_test.go
@@ -17,8 +17,9 @@
 	"github.com/lovagelift/lovagelift/internal/registrar"
 )
 
-// alone are the settings of the only instance.
-const alone = `
+// singleInstanceSettings are the settings of a cluster of one instance, with
+// placeholders for its addresses.
+const singleInstanceSettings = `
 name = "a"
 failure-domain = "kgn-a"
 voter = true
@@ -32,23 +33,23 @@
 
 var _ = Describe("a voter", func() {
 	It("comes back from its data folder to the revision and the answers that it had", func(ctx SpecContext) {
-		// An instance founds a cluster, accepts declarations and a preset, and is
-		// stopped and started again. Callers must meet the same preset, and an
-		// operator whose answer was lost must get the first answer.
-		m := newMember("a")
+		// An instance bootstraps a cluster, accepts declarations and a preset, and
+		// restarts. The same preset must be in force, and an operator who repeats a
+		// change because the response was lost must get the original response.
+		target := newTestInstance("a")
 		path := filepath.Join(GinkgoT().TempDir(), "a.toml")
-		text := strings.NewReplacer("CALLER", m.caller, "UPSTREAM", m.upstream, "OPERATOR", m.operator, "INNER", m.inner).Replace(alone)
+		text := strings.NewReplacer("CALLER", target.caller, "UPSTREAM", target.upstream, "OPERATOR", target.operator, "INNER", target.inner).Replace(singleInstanceSettings)
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		client, err := registrar.NewClient(registrar.ClientOptions{
-			Addresses: []netip.AddrPort{netip.MustParseAddrPort(m.operator)}, Timeout: 10 * time.Second,
+			Addresses: []netip.AddrPort{netip.MustParseAddrPort(target.operator)}, Timeout: 10 * time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		set, err := declaration.Read(os.DirFS("../../examples/declarations/kingston"), "kingston")
+		declared, err := declaration.Read(os.DirFS("../../examples/declarations/kingston"), "kingston")
 		Expect(err).NotTo(HaveOccurred())
-		first := registrar.Change{ID: "first", Declarations: set.Canonical(), Preset: "ordinary"}
+		first := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
 		second := registrar.Change{ID: "second", Expected: 1, Preset: "peak"}
 
-		stop := run(ctx, path)
+		stop := runInstance(ctx, path)
 		Eventually(ctx, func() error {
 			_, err := client.Bootstrap(ctx, registrar.Origin{})
 			return err
@@ -57,24 +58,24 @@
 		Expect(client.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
 		stop()
 
-		stop = run(ctx, path)
+		stop = runInstance(ctx, path)
 		defer stop()
-		fresh := func() (registrar.Status, error) { return client.Status(ctx) }
-		Eventually(ctx, fresh).WithTimeout(20 * time.Second).Should(And(
+		status := func() (registrar.Status, error) { return client.Status(ctx) }
+		Eventually(ctx, status).WithTimeout(20 * time.Second).Should(And(
 			HaveField("Fresh", true), HaveField("Revision", uint64(2)), HaveField("Preset", "peak")))
 		Expect(client.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
 		Expect(client.Change(ctx, first)).To(Equal(registrar.Answer{Revision: 1}))
 		inForce, err := client.InForce(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(inForce.Declarations).To(Equal(set))
+		Expect(inForce.Declarations).To(Equal(declared))
 	})
 })
 
-// run runs an instance and returns a function that stops it gracefully.
-func run(ctx context.Context, path string) (stop func()) {
-	serving, cancel := context.WithCancel(ctx)
+// runInstance runs an instance and returns a function that shuts it down gracefully.
+func runInstance(ctx context.Context, path string) (stop func()) {
+	runCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- host.Run(serving, host.Options{SettingsPath: path, Log: io.Discard}) }()
+	go func() { ended <- host.Run(runCtx, host.Options{SettingsPath: path, Log: io.Discard}) }()
 	return func() {
 		cancel()
 		EventuallyWithOffset(1, ended).WithTimeout(30 * time.Second).Should(Receive(BeNil()))
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -18,19 +18,20 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// newChamber starts a replica on a voter, and a follower elsewhere.
-func (i *Instance) newChamber() (chamber.Chamber, error) {
-	s := i.options.Settings
+// newControlPlane starts a replica of the log on a voter, and a follower on any
+// other instance.
+func (i *Instance) newControlPlane() (chamber.Chamber, error) {
+	settings := i.options.Settings
 	options := chamber.Options{
-		Self:       s.Name,
+		Self:       settings.Name,
 		Calls:      i.pools.calls,
-		RenewEvery: s.Timing.ConfigurationRenewal,
-		Lease:      s.Timing.ConfigurationLease,
+		RenewEvery: settings.Timing.ConfigurationRenewal,
+		Lease:      settings.Timing.ConfigurationLease,
 		Now:        i.options.Now,
 		Log:        i.options.Log,
-		Metrics:    i.gauges.Scope(),
+		Metrics:    i.metrics.Scope(),
 	}
-	for _, peer := range s.Instances {
+	for _, peer := range settings.Instances {
 		if peer.Voter {
 			options.Voters = append(options.Voters, chamber.VoterAddress{
 				Name:         peer.Name,
@@ -38,35 +39,36 @@
 			})
 		}
 	}
-	if !s.Voter {
+	if !settings.Voter {
 		return chamber.NewFollower(options), nil
 	}
 	return chamber.NewVoter(chamber.VoterOptions{
 		Options:         options,
-		Folder:          s.DataFolder,
+		Folder:          settings.DataFolder,
 		Heartbeats:      i.pools.heartbeats,
-		Entries:         i.pools.entries,
-		Heartbeat:       s.Timing.Heartbeat,
-		ElectionTimeout: s.Timing.ElectionTimeout,
-		ClockDrift:      float64(s.Timing.ClockDriftPercent) / 100,
-		OrderFlight:     s.Timing.OrderFlightTime,
+		Entries:         i.pools.logEntries,
+		Heartbeat:       settings.Timing.Heartbeat,
+		ElectionTimeout: settings.Timing.ElectionTimeout,
+		ClockDrift:      float64(settings.Timing.ClockDriftPercent) / 100,
+		OrderFlight:     settings.Timing.OrderFlightTime,
 		Identities:      i.identities,
-		Docket:          i.docketLimits(),
-		Quarantine:      quarantine.Limits{Crashes: s.Quarantine.Crashes, Retention: s.Quarantine.Retention},
+		Docket:          i.idempotencyLimits(),
+		Quarantine:      quarantine.Limits{Crashes: settings.Quarantine.Crashes, Retention: settings.Quarantine.Retention},
 	})
 }
 
-func (i *Instance) docketLimits() docket.Limits {
-	set := i.options.Settings.Limits
+func (i *Instance) idempotencyLimits() docket.Limits {
+	configured := i.options.Settings.Limits
 	limits := docket.DefaultLimits()
-	limits.Retention = set.DocketRetention
-	limits.MaxRecords = set.DocketRecords
-	limits.MaxResponseBytes = set.DocketBytes
-	limits.MaxBodyBytes = int(set.DocketAnswerBytes)
+	limits.Retention = configured.DocketRetention
+	limits.MaxRecords = configured.DocketRecords
+	limits.MaxResponseBytes = configured.DocketBytes
+	limits.MaxBodyBytes = int(configured.DocketAnswerBytes)
 	return limits
 }
 
-// identities returns the identities of the other voters that are alive.
+// identities returns the identities of the other voters that are alive. It
+// returns nil before the roster exists.
 func (i *Instance) identities() []jury.Identity {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -84,53 +86,52 @@
 
 // Issue returns the configuration in force.
 func (i *Instance) Issue() *gazette.Issue {
-	return i.chamber.Gazette().Latest()
+	return i.controlPlane.Gazette().Latest()
 }
 
-// Propose has command carried out, see chamber.Chamber.
+// Propose replicates and applies command, see chamber.Chamber.
 func (i *Instance) Propose(ctx context.Context, command registry.Command) (registry.Result, error) {
-	return i.chamber.Propose(ctx, command)
+	return i.controlPlane.Propose(ctx, command)
 }
 
-// Lookup returns what is recorded of a request, see chamber.Chamber.
+// Lookup returns the idempotency record of a request, see chamber.Chamber.
 func (i *Instance) Lookup(ctx context.Context, key docket.Key) (docket.Answer, error) {
-	return i.chamber.Lookup(ctx, key)
+	return i.controlPlane.Lookup(ctx, key)
 }
 
-// abandonEarlier tells the voters that this instance was restarted, so that what
-// its earlier incarnations had claimed is unknown at once: nobody is left to
-// record what came of it, and callers who ask again would wait for the timeout.
-func (i *Instance) abandonEarlier(ctx context.Context) {
+// abandonEarlierClaims reports the restart of this instance to the voters, which
+// then mark the requests claimed by its earlier incarnations as unknown. Those
+// incarnations can no longer record an outcome, so callers that retry would
+// otherwise wait for the claim to time out.
+func (i *Instance) abandonEarlierClaims(ctx context.Context) {
 	command := docket.Abandon{Instance: i.options.Settings.Name, Incarnation: i.incarnation}
 	for ctx.Err() == nil {
-		tryCtx, cancel := context.WithTimeout(ctx, abandonTimeout)
-		_, err := i.chamber.Propose(tryCtx, command)
+		attemptCtx, cancel := context.WithTimeout(ctx, abandonAttemptTimeout)
+		_, err := i.controlPlane.Propose(attemptCtx, command)
 		cancel()
 		if err == nil {
 			return
 		}
-		// A refusal may come at once, again and again.
+		// Propose may fail without delay, so wait before the next attempt.
 		select {
 		case <-ctx.Done():
-		case <-time.After(abandonPause):
+		case <-time.After(abandonRetryDelay):
 		}
 	}
 }
 
 const (
-	// abandonTimeout bounds one try to tell of a restart.
-	abandonTimeout = 10 * time.Second
-	// abandonPause is the time between two tries.
-	abandonPause = time.Second
+	abandonAttemptTimeout = 10 * time.Second
+	abandonRetryDelay     = time.Second
 )
 
-// register returns what operators change, over the replicated state.
-func (i *Instance) register() registrar.Register {
+// configurationState returns the operators' access to the replicated configuration.
+func (i *Instance) configurationState() registrar.Register {
 	return registrar.NewReplicated(registrar.ReplicatedOptions{
-		Gazette:     i.chamber.Gazette(),
+		Gazette:     i.controlPlane.Gazette(),
 		Propose:     i.proposeEncoded,
 		NotAccepted: func(err error) bool { return errors.Is(err, chamber.ErrNotAccepted) },
-		Fresh:       i.chamber.Fresh,
+		Fresh:       i.controlPlane.Fresh,
 		RetryAfter:  i.options.Settings.Timing.ElectionTimeout,
 	})
 }
@@ -140,12 +141,12 @@
 	if err != nil {
 		return registry.Result{}, errors.Mark(err, chamber.ErrNotAccepted)
 	}
-	return i.chamber.Propose(ctx, decoded)
+	return i.controlPlane.Propose(ctx, decoded)
 }
 
-// Bootstrap founds the cluster of all voters, see chamber.Voter.
+// Bootstrap bootstraps the cluster with all voters, see chamber.Voter.
 func (i *Instance) Bootstrap(ctx context.Context, origin registrar.Origin) error {
-	voter, ok := i.chamber.(*chamber.Voter)
+	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok {
 		return errors.New("instance: only a voter can bootstrap")
 	}
@@ -156,30 +157,31 @@
 	})
 }
 
-// Voters returns the set of voters as this instance knows it.
+// Voters returns the voters as known to this instance. Live instances that run a
+// replica but are not voters of the cluster yet are listed as waiting.
 func (i *Instance) Voters(time.Time) registrar.Voters {
-	leader, term := i.chamber.Leader()
+	leader, term := i.controlPlane.Leader()
 	set := registrar.Voters{Leader: leader.Instance(), Term: uint64(term), Voters: []string{}, Waiting: []string{}}
-	var counted []jury.Identity
-	if voter, ok := i.chamber.(*chamber.Voter); ok {
+	var voters []jury.Identity
+	if voter, ok := i.controlPlane.(*chamber.Voter); ok {
 		status := voter.Status()
 		set.Cluster = status.Cluster
-		counted = status.Voters
+		voters = status.Voters
 	}
-	for _, identity := range counted {
+	for _, identity := range voters {
 		set.Voters = append(set.Voters, string(identity))
 	}
-	for _, identity := range append(i.identities(), i.chamber.Identity()) {
-		if identity != "" && !slices.Contains(counted, identity) {
+	for _, identity := range append(i.identities(), i.controlPlane.Identity()) {
+		if identity != "" && !slices.Contains(voters, identity) {
 			set.Waiting = append(set.Waiting, string(identity))
 		}
 	}
 	return set
 }
 
-// ChangeVoters makes a caught-up voter count, or removes one.
+// ChangeVoters adds a caught-up voter to the cluster, or removes one.
 func (i *Instance) ChangeVoters(ctx context.Context, change registrar.VotersChange) error {
-	err := i.chamber.ChangeVoters(ctx, courier.VotersChange{
+	err := i.controlPlane.ChangeVoters(ctx, courier.VotersChange{
 		Add:    jury.Identity(change.Add),
 		Remove: jury.Identity(change.Remove),
 	})
@@ -189,19 +191,20 @@
 	return err
 }
 
-// Status returns the state of this instance and what it knows of the others.
+// Status returns the state of this instance and its view of other instances and
+// upstreams.
 func (i *Instance) Status(now time.Time) registrar.Status {
-	s := i.options.Settings
-	leader, term := i.chamber.Leader()
-	issue := i.chamber.Gazette().Latest()
+	settings := i.options.Settings
+	leader, term := i.controlPlane.Leader()
+	issue := i.controlPlane.Gazette().Latest()
 	status := registrar.Status{
-		Name:          s.Name,
-		FailureDomain: s.FailureDomain,
+		Name:          settings.Name,
+		FailureDomain: settings.FailureDomain,
 		Version:       i.options.Version,
 		Revision:      uint64(issue.Revision),
 		Preset:        issue.Preset.Name,
-		Fresh:         i.chamber.Fresh(now),
-		Streams:       i.desk.Streams(),
+		Fresh:         i.controlPlane.Fresh(now),
+		Streams:       i.callerAPI.Streams(),
 		Leader:        leader.Instance(),
 		Term:          uint64(term),
 		Engines:       i.placementStatus(),
@@ -227,7 +230,7 @@
 			Kind:          string(upstream.Announcement.Kind),
 			Address:       upstream.Announcement.Address,
 			FailureDomain: upstream.Announcement.FailureDomain,
-			Holds:         holds(upstream.Announcement),
+			Holds:         servedNames(upstream.Announcement),
 			Running:       upstream.Announcement.Load.Running,
 			Waiting:       upstream.Announcement.Load.Waiting,
 			Leaving:       upstream.Leaving,
@@ -236,29 +239,31 @@
 	return status
 }
 
-// askDrain starts the planned stop that an operator asked for.
-func (i *Instance) askDrain(by string) {
+// requestDrain closes drainRequested. Further calls do nothing.
+func (i *Instance) requestDrain(by string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	select {
-	case <-i.drainAsked:
+	case <-i.drainRequested:
 	default:
-		i.options.Log.Info().Str("by", by).Msg("planned stop asked for")
-		close(i.drainAsked)
+		i.options.Log.Info().Str("by", by).Msg("graceful shutdown requested")
+		close(i.drainRequested)
 	}
 }
 
-// house answers operators for an Instance, whose own Drain waits.
-type house struct {
+// operatorTarget is an Instance for the operator API, with a Drain that does not
+// block.
+type operatorTarget struct {
 	*Instance
 }
 
-// Drain starts the planned stop and returns at once.
-func (h house) Drain(by string) {
-	h.askDrain(by)
+// Drain requests a drain and returns immediately.
+func (t operatorTarget) Drain(by string) {
+	t.requestDrain(by)
 }
 
-func holds(announcement upstreamapi.Announcement) []string {
+// servedNames returns the services, resident models and adapters of an upstream.
+func servedNames(announcement upstreamapi.Announcement) []string {
 	names := slices.Clone(announcement.Services)
 	for _, resident := range announcement.Resident {
 		names = append(names, resident.Model)
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -13,26 +13,27 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// newCoroner returns what looks for upstreams that end under requests.
-func (i *Instance) newCoroner() *coroner.Coroner {
+// newCrashDetector returns the detector of upstreams that end while they have
+// requests.
+func (i *Instance) newCrashDetector() *coroner.Coroner {
 	return coroner.New(coroner.Options{
-		Contact: i.contact,
+		Contact: i.upstreamContact,
 		Report:  i.reportCrashes,
 		Line:    func(string) *zerolog.Event { return i.options.Log.Warn() },
 		Now:     i.options.Now,
-		Metrics: i.gauges.Scope(),
+		Metrics: i.metrics.Scope(),
 	})
 }
 
-// Upstream returns what was heard last of an upstream, and false if it is not known.
+// Upstream returns the latest known state of an upstream, and false if it is unknown.
 func (i *Instance) Upstream(name string) (roster.Upstream, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.roster.Upstream(name)
 }
 
-// contact returns what is known of an upstream.
-func (i *Instance) contact(place quarantine.Place) quarantine.Contact {
+// upstreamContact returns the roster's evidence on whether an upstream has ended.
+func (i *Instance) upstreamContact(place quarantine.Place) quarantine.Contact {
 	known, found := i.Upstream(place.Upstream)
 	switch {
 	case !found:
@@ -46,39 +47,43 @@
 	}
 }
 
-// reportCrashes has the voters record an update, and returns whether they have.
+// reportCrashes proposes an update to the crash records, and reports whether it was
+// recorded.
 func (i *Instance) reportCrashes(ctx context.Context, update quarantine.Update) bool {
-	_, err := i.chamber.Propose(ctx, update)
+	_, err := i.controlPlane.Propose(ctx, update)
 	if err != nil {
-		i.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crashes not recorded")
+		i.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
 	}
 	return err == nil
 }
 
-// Quarantined returns the requests in quarantine, and those that are suspected.
+// Quarantined returns the requests that are in quarantine or suspected. Only a voter has
+// the records.
 func (i *Instance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
-	voter, ok := i.chamber.(*chamber.Voter)
+	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok {
 		return nil, &registrar.UnavailableError{Reason: "this instance is no voter and keeps no records; ask a voter"}
 	}
 	return voter.Quarantined(now)
 }
 
-// Lift has requests in quarantine be sent again.
+// Lift releases requests from quarantine.
 func (i *Instance) Lift(ctx context.Context, digests []quarantine.Digest) error {
-	_, err := i.chamber.Propose(ctx, quarantine.Update{Now: i.options.Now(), Lifted: digests})
+	_, err := i.controlPlane.Propose(ctx, quarantine.Update{Now: i.options.Now(), Lifted: digests})
 	return err
 }
 
-// followCrashes keeps the news of requests in quarantine until ctx ends.
-func (i *Instance) followCrashes(ctx context.Context) {
-	ticker := time.NewTicker(pullEvery)
+// runCrashDetection keeps the crash detector's view of the quarantine and of upstreams
+// up to date until ctx ends. On the leader, it also retracts crashes of upstreams that
+// are still alive.
+func (i *Instance) runCrashDetection(ctx context.Context) {
+	ticker := time.NewTicker(pullInterval)
 	defer ticker.Stop()
 	for {
-		i.coroner.Follow(i.chamber.Quarantine(i.options.Now()))
-		i.coroner.Review(i.contact)
-		if voter, ok := i.chamber.(*chamber.Voter); ok {
-			voter.RecallCrashes(ctx, i.heard)
+		i.crashDetector.Follow(i.controlPlane.Quarantine(i.options.Now()))
+		i.crashDetector.Review(i.upstreamContact)
+		if voter, ok := i.controlPlane.(*chamber.Voter); ok {
+			voter.RecallCrashes(ctx, i.lastHeard)
 		}
 		select {
 		case <-ctx.Done():
@@ -88,8 +93,9 @@
 	}
 }
 
-// heard returns when a lifetime of an upstream was heard of last.
-func (i *Instance) heard(lifetime quarantine.Lifetime) (time.Time, bool) {
+// lastHeard returns when an upstream was last heard of. It returns false if the known
+// incarnation of the upstream is not that of lifetime.
+func (i *Instance) lastHeard(lifetime quarantine.Lifetime) (time.Time, bool) {
 	known, found := i.Upstream(lifetime.Upstream)
 	return known.Heard, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
--- a/internal/instance/drain_test.go
+++ b/internal/instance/drain_test.go
@@ -17,42 +17,42 @@
 )
 
 var _ = Describe("a planned stop", func() {
-	const answerPause = 500 * time.Millisecond
-	var stopping *placed
-	var trio map[string]*placed
+	const maxResponsePause = 500 * time.Millisecond
+	var stopping *testInstance
+	var cluster map[string]*testInstance
 
 	BeforeEach(func(ctx SpecContext) {
-		trio = newTrio(ctx, answerPause)
-		stopping = trio["b"]
+		cluster = newCluster(ctx, maxResponsePause)
+		stopping = cluster["b"]
 	})
 
-	// Two callers read streams from an instance that is stopped. The connection
-	// behind one of them goes silent for good. Its caller sees a broken answer,
-	// not one that looks whole; the other one is answered to the end; and the
-	// stop waits for the living stream alone.
+	// Two callers read streams from an instance while it drains, and the upstream of
+	// one stream stops sending without closing its connection. That caller must
+	// get an error instead of a response that looks complete, the other one its
+	// complete response, and the drain must wait for the active stream only.
 	It("cuts off the silent connection alone, and ends", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		release, gone := make(chan struct{}), make(chan struct{})
-		defer close(gone)
-		var asked atomic.Int32
+		finishActive, testDone := make(chan struct{}), make(chan struct{})
+		defer close(testDone)
+		var requests atomic.Int32
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			event := func(text string) {
 				fmt.Fprint(w, "data: "+text+"\n\n")
 				_ = http.NewResponseController(w).Flush()
 			}
-			// The number is taken before the first event: the second request is sent once that
-			// has come.
-			number := asked.Add(1)
+			// The number must be taken before the first event, because the test sends its
+			// second request as soon as it has read that event.
+			number := requests.Add(1)
 			event("{}")
 			if number == 1 {
-				<-gone
+				<-testDone
 				return
 			}
-			tokens := time.NewTicker(answerPause / 10)
+			tokens := time.NewTicker(maxResponsePause / 10)
 			defer tokens.Stop()
 			for {
 				select {
-				case <-release:
+				case <-finishActive:
 					event("[DONE]")
 					return
 				case <-tokens.C:
@@ -61,57 +61,57 @@
 			}
 		}))
 		DeferCleanup(upstream.Close)
-		defer keepAnnounced(ctx, trio["a"], upstream.Listener.Addr().String())()
+		defer keepAnnounced(ctx, cluster["a"], upstream.Listener.Addr().String())()
 		Eventually(ctx, func() int { return len(stopping.Upstreams(time.Now())) }).Should(Equal(1))
-		open := func() *http.Response {
-			stream, err := stopping.ask(ctx)
+		openStream := func() *http.Response {
+			stream, err := stopping.complete(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(stream.Body.Close)
 			return stream
 		}
-		silent := open()
+		silent := openStream()
 		first, err := bufio.NewReader(silent.Body).ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first).To(Equal("data: {}\n"))
-		living := open()
+		active := openStream()
 
 		stopped := make(chan error, 1)
 		go func() { stopped <- stopping.Drain(ctx) }()
-		broken := make(chan error, 1)
+		silentRead := make(chan error, 1)
 		go func() {
 			_, err := io.Copy(io.Discard, silent.Body)
-			broken <- err
+			silentRead <- err
 		}()
-		Eventually(ctx, broken).WithTimeout(10 * time.Second).Should(Receive(HaveOccurred()))
+		Eventually(ctx, silentRead).WithTimeout(10 * time.Second).Should(Receive(HaveOccurred()))
 		Expect(stopped).NotTo(Receive())
-		close(release)
-		rest, err := io.ReadAll(living.Body)
+		close(finishActive)
+		rest, err := io.ReadAll(active.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(rest)).To(HaveSuffix("data: [DONE]\n\n"))
 		Eventually(ctx, stopped).Should(Receive(BeNil()))
-		stopping.ended = true
+		stopping.closed = true
 	})
 
-	// An operator's answer to a drain is lost, and the same is asked again, by two
-	// operators at once. Each is told that it is under way, and it begins once.
+	// The response to a drain request is lost, and two operators repeat the request
+	// concurrently. Each request must succeed, and the drain must start only once.
 	It("is asked for twice, and begins once", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		client, err := registrar.NewClient(registrar.ClientOptions{
-			Addresses: []netip.AddrPort{stopping.set.Advertise.Operator}, Timeout: 10 * time.Second,
+			Addresses: []netip.AddrPort{stopping.settings.Advertise.Operator}, Timeout: 10 * time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		answers := make(chan error, 3)
-		ask := func() {
+		requestDrain := func() {
 			_, err := client.Drain(ctx)
 			answers <- err
 		}
-		ask()
-		go ask()
-		go ask()
+		requestDrain()
+		go requestDrain()
+		go requestDrain()
 		for range 3 {
 			Eventually(ctx, answers).Should(Receive(BeNil()))
 		}
-		Expect(stopping.DrainAsked()).To(BeClosed())
+		Expect(stopping.DrainRequested()).To(BeClosed())
 		Expect(stopping.Drain(ctx)).To(Succeed())
-		stopping.ended = true
+		stopping.closed = true
 	})
 })
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,6 +1,6 @@
-// Package instance puts one instance together: its listeners, its roster, its
-// part in the replicated state, and the handlers of callers, upstreams and
-// operators (server process).
+// Package instance is the server process of one instance. It wires the listeners,
+// the roster, the control plane, and the handlers for callers, upstreams and
+// operators.
 package instance
 
 import (
@@ -27,50 +27,53 @@
 
 // Instance is one running instance. It is safe for concurrent use.
 type Instance struct {
-	options     Options
-	incarnation uint64
-	pools       pools
-	inner       *courier.Server
-	chamber     chamber.Chamber
-	shuttle     *shuttle.Shuttle
-	coroner     *coroner.Coroner
-	desk        *desk.Desk
-	// foreman is nil unless this instance is a voter that may give orders.
-	foreman *foreman.Foreman
-	gauges  *gauge.Gauges
-	// callers, upstreams and operators serve the listeners of those names.
-	callers   *http.Server
-	upstreams *http.Server
-	operators *http.Server
+	options       Options
+	incarnation   uint64
+	pools         pools
+	innerServer   *courier.Server
+	controlPlane  chamber.Chamber
+	proxy         *shuttle.Shuttle
+	crashDetector *coroner.Coroner
+	callerAPI     *desk.Desk
+	// placementController is nil unless this instance is a voter and placement is enabled.
+	placementController *foreman.Foreman
+	metrics             *gauge.Gauges
+	// The HTTP servers are nil until startServers succeeds.
+	callerServer   *http.Server
+	upstreamServer *http.Server
+	operatorServer *http.Server
 
 	mu     sync.Mutex
 	roster *roster.Roster
-	peers  map[string]*pulled
-	// told says how far the desk knows the upstreams.
-	told uint64
-	// lastBeat is the last state that others were told, at lastBeatAt.
+	peers  map[string]*rosterPeer
+	// forwardedChange is the sequence number of the last upstream change in the roster
+	// that was forwarded to the caller API.
+	forwardedChange uint64
+	// lastBeat is the last published state of this instance, published at
+	// lastBeatAt.
 	lastBeat   roster.InstanceBeat
 	lastBeatAt time.Time
-	// draining is set at the start of a planned stop, refusing when callers have
-	// had the time to go elsewhere. refusing is never set without draining.
-	draining bool
-	refusing bool
-	// drainAsked is closed when an operator asks for a planned stop.
-	drainAsked chan struct{}
+	// draining is set when a drain starts. refusingRequests is set later, once
+	// callers have had time to switch to other instances, and never without draining.
+	draining         bool
+	refusingRequests bool
+	// drainRequested is closed when an operator requests a drain.
+	drainRequested chan struct{}
 
-	stop context.CancelFunc
-	done sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// pools are the connections to other instances, by what must not wait for what.
+// pools are the connections to other instances. Each kind of traffic has its own
+// pool, so that one kind cannot delay another.
 type pools struct {
 	rosters    *courier.Pool
 	calls      *courier.Pool
 	heartbeats *courier.Pool
-	entries    *courier.Pool
+	logEntries *courier.Pool
 }
 
-// New starts an instance. It answers callers until Drain or Close. If it can't
+// New starts an instance, which serves callers until Drain or Close. If it cannot
 // start, New closes the listeners and returns an error.
 func New(options Options) (*Instance, error) {
 	if options.Now == nil {
@@ -87,38 +90,38 @@
 			rosters:    courier.NewPool(options.Dial, callTimeout),
 			calls:      courier.NewPool(options.Dial, callTimeout),
 			heartbeats: courier.NewPool(options.Dial, callTimeout),
-			entries:    courier.NewPool(options.Dial, callTimeout),
+			logEntries: courier.NewPool(options.Dial, callTimeout),
 		},
-		shuttle: shuttle.New(shuttle.Options{
+		proxy: shuttle.New(shuttle.Options{
 			SilenceTime: options.Settings.Timing.SilenceTime,
-			BodySilence: options.AnswerPause,
+			BodySilence: options.MaxResponsePause,
 		}),
-		peers:      map[string]*pulled{},
-		drainAsked: make(chan struct{}),
-		gauges:     gauge.New(options.Settings.Name),
-		stop:       cancel,
+		peers:          map[string]*rosterPeer{},
+		drainRequested: make(chan struct{}),
+		metrics:        gauge.New(options.Settings.Name),
+		cancel:         cancel,
 	}
-	if err := i.join(); err != nil {
+	if err := i.startControlPlane(); err != nil {
 		cancel()
 		options.Listeners.Close()
 		return nil, err
 	}
-	i.coroner = i.newCoroner()
-	i.desk = desk.New(desk.Options{
+	i.crashDetector = i.newCrashDetector()
+	i.callerAPI = desk.New(desk.Options{
 		Instance:    i,
 		Name:        options.Settings.Name,
 		Incarnation: i.incarnation,
-		Shuttle:     i.shuttle,
-		Coroner:     i.coroner,
+		Shuttle:     i.proxy,
+		Coroner:     i.crashDetector,
 
 		FailureDomain: options.Settings.FailureDomain,
-		RemoteDelay:   remoteDelay,
+		RemoteDelay:   remoteDomainDelay,
 		Instances:     len(options.Settings.Instances) + 1,
 		UpstreamLease: options.Settings.Timing.UpstreamLease,
 
 		Now:     options.Now,
 		Log:     options.Log,
-		Metrics: i.gauges.Scope(),
+		Metrics: i.metrics.Scope(),
 		Limits: desk.Limits{
 			BodyBytes: options.Settings.Limits.BodyBytes,
 			Deadline:  options.Settings.Goals.Deadline,
@@ -131,74 +134,74 @@
 			RecordedBytes: options.Settings.Limits.DocketAnswerBytes,
 		},
 	})
-	i.beatNow()
-	if err := i.listen(); err != nil {
+	i.renew()
+	if err := i.startServers(); err != nil {
 		i.Close()
 		options.Listeners.Close()
 		return nil, err
 	}
-	i.done.Go(func() { i.pull(ctx) })
-	i.done.Go(func() { i.beat(ctx) })
-	i.done.Go(func() { i.followCrashes(ctx) })
-	i.done.Go(func() { i.abandonEarlier(ctx) })
-	i.foreman = i.newForeman()
+	i.goroutines.Go(func() { i.runPulls(ctx) })
+	i.goroutines.Go(func() { i.runRenewal(ctx) })
+	i.goroutines.Go(func() { i.runCrashDetection(ctx) })
+	i.goroutines.Go(func() { i.abandonEarlierClaims(ctx) })
+	i.placementController = i.newPlacementController()
 	return i, nil
 }
 
-// join starts this instance's part in the replicated state, and its roster,
-// which tells others of that part.
-func (i *Instance) join() error {
-	control, err := i.newChamber()
+// startControlPlane starts the control plane and then creates the roster, because
+// the roster's record of this instance contains the control plane's identity.
+func (i *Instance) startControlPlane() error {
+	control, err := i.newControlPlane()
 	if err != nil {
 		return err
 	}
-	i.chamber = control
+	i.controlPlane = control
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.roster = roster.New(roster.Options{
 		Self:        i.options.Settings.Name,
 		Incarnation: i.incarnation,
-		Static:      i.static(),
+		Static:      i.staticRecord(),
 		Lease:       i.options.Settings.Timing.UpstreamLease,
 	})
 	return nil
 }
 
-func (i *Instance) listen() error {
+func (i *Instance) startServers() error {
 	services := courier.Services{
-		Roster: courier.NewRosterService(i.answerPull),
+		Roster: courier.NewRosterService(i.servePull),
 		Others: map[string]any{},
 	}
-	if voter, ok := i.chamber.(*chamber.Voter); ok {
+	if voter, ok := i.controlPlane.(*chamber.Voter); ok {
 		services.Others["Control"] = courier.NewControlService(voter.Control())
 	}
 	inner, err := courier.NewServer(i.options.Listeners.Inner, services)
 	if err != nil {
 		return errors.Wrap(err, "instance: inner listener")
 	}
-	i.inner = inner
-	i.callers = i.serve("callers", i.options.Listeners.Caller, i.desk)
-	i.upstreams = i.serve("upstreams", i.options.Listeners.Upstream, arrivals.New(arrivals.Options{
+	i.innerServer = inner
+	i.callerServer = i.startHTTPServer("callers", i.options.Listeners.Caller, i.callerAPI)
+	i.upstreamServer = i.startHTTPServer("upstreams", i.options.Listeners.Upstream, arrivals.New(arrivals.Options{
 		Instance: i,
-		Holder:   holder(i.options.Upstreams, "upstream"),
+		Holder:   tokenHolder(i.options.Upstreams, "upstream"),
 		Now:      i.options.Now,
 		Log:      i.options.Log,
 	}))
-	i.operators = i.serve("operators", i.options.Listeners.Operator, registrar.New(registrar.Options{
-		Register:   i.register(),
-		House:      house{i},
-		Metrics:    i.gauges,
+	i.operatorServer = i.startHTTPServer("operators", i.options.Listeners.Operator, registrar.New(registrar.Options{
+		Register:   i.configurationState(),
+		House:      operatorTarget{i},
+		Metrics:    i.metrics,
 		Quarantine: i,
 		Electorate: i,
-		Preview:    i.preview,
-		Holder:     holder(i.options.Operators, "operator"),
+		Preview:    i.previewPlacement,
+		Holder:     tokenHolder(i.options.Operators, "operator"),
 		Now:        i.options.Now,
 		Log:        i.options.Log,
 	}))
 	return nil
 }
 
-func (i *Instance) serve(whom string, listener net.Listener, handler http.Handler) *http.Server {
+func (i *Instance) startHTTPServer(name string, listener net.Listener, handler http.Handler) *http.Server {
 	limits := i.options.Settings.Limits
 	server := &http.Server{
 		Handler:           handler,
@@ -206,85 +209,86 @@
 		ReadTimeout:       limits.HeaderTime + limits.BodyTime,
 		MaxHeaderBytes:    int(limits.HeaderBytes),
 	}
-	i.done.Go(func() {
+	i.goroutines.Go(func() {
 		err := server.Serve(listener)
 		if !errors.Is(err, http.ErrServerClosed) {
-			i.options.Log.Error().Err(err).Str("listener", whom).Msg("listener failed")
+			i.options.Log.Error().Err(err).Str("listener", name).Msg("listener failed")
 		}
 	})
 	return server
 }
 
-// Drain stops the instance gracefully: it cuts off no request.
+// Drain shuts the instance down gracefully, without aborting requests.
 //
-// First the instance disappears from what callers are told, and goes on serving
-// those that kept its address for as long as they may keep it. Then it refuses
-// new work, naming other instances, and closes once no request is in progress.
-// If ctx ends before, Drain closes all the same and returns an error that says
-// how many requests it cut off.
+// First the instance is no longer listed to callers, but continues to serve
+// those that have cached its address until their cache entries expire. Then it
+// refuses new requests with the addresses of other instances, and closes once no
+// request is in progress. If ctx ends earlier, Drain closes the instance anyway
+// and returns an error with the number of aborted requests.
 func (i *Instance) Drain(ctx context.Context) error {
 	i.mu.Lock()
 	i.draining = true
-	i.beatLocked(i.options.Now())
+	i.renewIfDueLocked(i.options.Now())
 	i.mu.Unlock()
 	i.options.Log.Info().Msg("draining")
-	// The news are everywhere after three pulls and one call. An answer with this
-	// instance in it may have been given until then.
-	keep := time.NewTimer(i.options.Settings.Timing.EntryTime + 3*pullEvery + callTimeout)
-	defer keep.Stop()
+	// The drain state reaches every instance within three pulls and one call. Until
+	// then, another instance may still list this one to callers.
+	addressExpiry := time.NewTimer(i.options.Settings.Timing.EntryTime + 3*pullInterval + callTimeout)
+	defer addressExpiry.Stop()
 	select {
-	case <-keep.C:
+	case <-addressExpiry.C:
 	case <-ctx.Done():
 	}
 	i.mu.Lock()
-	i.refusing = true
+	i.refusingRequests = true
 	i.mu.Unlock()
-	// Shutdown stops listening before it waits, so no request can come in
-	// between the last answer and the close.
-	err := i.callers.Shutdown(ctx)
+	// Shutdown closes the listener before it waits, so no request can arrive
+	// between the last response and Close.
+	err := i.callerServer.Shutdown(ctx)
 	if err != nil {
-		err = errors.Wrapf(err, "instance: %d requests cut off", i.desk.Streams())
+		err = errors.Wrapf(err, "instance: %d requests cut off", i.callerAPI.Streams())
 	}
-	// What was run must be recorded before the voters are left.
-	i.desk.Wait()
-	i.stopOrders()
-	i.chamber.Close(ctx)
+	// Outcomes of requests must be recorded before the control plane closes.
+	i.callerAPI.Wait()
+	i.stopPlacementController()
+	i.controlPlane.Close(ctx)
 	i.Close()
 	return err
 }
 
-// UpstreamAddress returns where upstreams announce themselves.
+// UpstreamAddress returns the address where upstreams announce themselves.
 func (i *Instance) UpstreamAddress() string {
 	return i.options.Settings.Advertise.Upstream.String()
 }
 
-// DrainAsked is closed when an operator asks for a planned stop.
-func (i *Instance) DrainAsked() <-chan struct{} {
-	return i.drainAsked
+// DrainRequested returns a channel that is closed when an operator requests a
+// drain.
+func (i *Instance) DrainRequested() <-chan struct{} {
+	return i.drainRequested
 }
 
-// Close stops the instance at once, cutting off requests in progress.
+// Close stops the instance immediately and aborts requests in progress.
 func (i *Instance) Close() {
-	i.stop()
-	for _, server := range []*http.Server{i.callers, i.upstreams, i.operators} {
+	i.cancel()
+	for _, server := range []*http.Server{i.callerServer, i.upstreamServer, i.operatorServer} {
 		if server != nil {
 			server.Close()
 		}
 	}
-	i.stopOrders()
-	i.coroner.Close()
-	ended, cancel := context.WithCancel(context.Background())
+	i.stopPlacementController()
+	i.crashDetector.Close()
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	i.chamber.Close(ended)
-	if i.inner != nil {
-		i.inner.Close()
+	i.controlPlane.Close(expired)
+	if i.innerServer != nil {
+		i.innerServer.Close()
 	}
-	for _, pool := range []*courier.Pool{i.pools.rosters, i.pools.calls, i.pools.heartbeats, i.pools.entries} {
+	for _, pool := range []*courier.Pool{i.pools.rosters, i.pools.calls, i.pools.heartbeats, i.pools.logEntries} {
 		pool.Close()
 	}
-	i.done.Wait()
-	i.shuttle.Close()
-	if err := i.gauges.Close(); err != nil {
-		i.options.Log.Debug().Err(err).Msg("metrics not closed")
+	i.goroutines.Wait()
+	i.proxy.Close()
+	if err := i.metrics.Close(); err != nil {
+		i.options.Log.Debug().Err(err).Msg("cannot close metrics")
 	}
 }
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -12,15 +12,15 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Admits returns the refusal of new work while the instance is stopping, or
-// can't confirm that its configuration is in force.
+// Admits returns the refusal of new requests while the instance is shutting down
+// or cannot confirm that its configuration is in force, and nil otherwise.
 func (i *Instance) Admits(now time.Time) *desk.RefusalError {
-	fresh := i.chamber.Fresh(now)
+	fresh := i.controlPlane.Fresh(now)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	refusal := &desk.RefusalError{Status: http.StatusServiceUnavailable, Outcome: outcome.NotRun}
 	switch {
-	case i.refusing:
+	case i.refusingRequests:
 		refusal.Code = desk.CodeDraining
 		refusal.Message = "this instance is stopping; use another"
 	case !fresh:
@@ -38,20 +38,21 @@
 	return refusal
 }
 
-// static is what others are told of this instance.
-func (i *Instance) static() roster.InstanceStatic {
-	s := i.options.Settings
+// staticRecord returns the part of this instance's roster record that does not
+// change while it runs.
+func (i *Instance) staticRecord() roster.InstanceStatic {
+	settings := i.options.Settings
 	return roster.InstanceStatic{
-		CallerAddress:   s.Advertise.Caller.String(),
-		UpstreamAddress: s.Advertise.Upstream.String(),
-		InnerAddress:    s.Advertise.Inner.String(),
-		FailureDomain:   s.FailureDomain,
-		Voter:           s.Voter,
-		Identity:        string(i.chamber.Identity()),
+		CallerAddress:   settings.Advertise.Caller.String(),
+		UpstreamAddress: settings.Advertise.Upstream.String(),
+		InnerAddress:    settings.Advertise.Inner.String(),
+		FailureDomain:   settings.FailureDomain,
+		Voter:           settings.Voter,
+		Identity:        string(i.controlPlane.Identity()),
 	}
 }
 
-// Entries returns the instances that the caller may use, the one to use first.
+// Entries returns the instances that the caller may use, in order of preference.
 func (i *Instance) Entries(now time.Time, caller string) desk.Entries {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -65,18 +66,19 @@
 			Open:          instance.Streams,
 		})
 	}
-	answer := entries.Choose(now, caller, choices, entries.Options{Keep: i.options.Settings.Timing.EntryTime})
-	told := desk.Entries{Keep: answer.Keep}
-	for _, instance := range answer.Instances {
-		told.List = append(told.List, desk.Entry{
+	chosen := entries.Choose(now, caller, choices, entries.Options{Keep: i.options.Settings.Timing.EntryTime})
+	reply := desk.Entries{Keep: chosen.Keep}
+	for _, instance := range chosen.Instances {
+		reply.List = append(reply.List, desk.Entry{
 			Name:          instance.Name,
 			Address:       instance.Address,
 			FailureDomain: instance.FailureDomain,
 		})
 	}
-	return told
+	return reply
 }
 
+// entriesLocked returns the instances that accept requests.
 func (i *Instance) entriesLocked(now time.Time) []desk.Entry {
 	var entries []desk.Entry
 	for _, instance := range i.roster.Instances(now) {
@@ -99,14 +101,14 @@
 	return i.roster.Upstreams(now)
 }
 
-// Announce takes an announcement that an upstream made to this instance.
+// Announce records an announcement of an upstream.
 func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if err := i.roster.Announce(now, announcement); err != nil {
 		return upstreamapi.Welcome{}, err
 	}
-	i.tellDeskLocked()
+	i.forwardUpstreamChangesLocked()
 	welcome := upstreamapi.Welcome{
 		RenewEvery: i.options.Settings.Timing.UpstreamRenewal,
 		Lease:      i.options.Settings.Timing.UpstreamLease,
@@ -119,40 +121,42 @@
 	return welcome, nil
 }
 
-// Load takes a load report between two announcements.
+// Load records an upstream's load report between two announcements.
 func (i *Instance) Load(now time.Time, report upstreamapi.LoadReport) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.roster.Load(now, report)
-	i.tellDeskLocked()
+	i.forwardUpstreamChangesLocked()
 }
 
-// Leave takes an upstream's word that it goes.
+// Leave records that an upstream is leaving.
 func (i *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.roster.Leave(now, leave)
-	i.tellDeskLocked()
+	i.forwardUpstreamChangesLocked()
 }
 
-// Cached takes what happened in an engine's prefix cache. It stays with this
-// instance: it moves choices only, and the others learn from what they send.
+// Cached applies events of an engine's prefix cache. They are not shared with other
+// instances: they only affect the choice of an engine, and other instances learn
+// the cache contents from the requests that they send.
 func (i *Instance) Cached(now time.Time, events upstreamapi.CacheEvents) {
-	i.desk.Cached(now, events)
+	i.callerAPI.Cached(now, events)
 }
 
-// tellDeskLocked passes on what has changed of the upstreams.
-func (i *Instance) tellDeskLocked() {
+// forwardUpstreamChangesLocked forwards upstream changes in the roster to the
+// caller API.
+func (i *Instance) forwardUpstreamChangesLocked() {
 	var changed []roster.Upstream
-	changed, i.told = i.roster.UpstreamsSince(i.told)
+	changed, i.forwardedChange = i.roster.UpstreamsSince(i.forwardedChange)
 	if len(changed) > 0 {
-		i.desk.Update(changed)
+		i.callerAPI.Update(changed)
 	}
 }
 
-// beat renews this instance's own record and forgets members long lost.
-func (i *Instance) beat(ctx context.Context) {
-	ticker := time.NewTicker(pullEvery)
+// runRenewal calls renew until ctx ends.
+func (i *Instance) runRenewal(ctx context.Context) {
+	ticker := time.NewTicker(pullInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -160,25 +164,27 @@
 			return
 		case <-ticker.C:
 		}
-		i.beatNow()
+		i.renew()
 	}
 }
 
-func (i *Instance) beatNow() {
+// renew renews this instance's own record if due, and removes members from the
+// roster that have not been heard of for long.
+func (i *Instance) renew() {
 	now := i.options.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.beatLocked(now)
+	i.renewIfDueLocked(now)
 	i.roster.Sweep(now)
 }
 
-// beatLocked renews this instance's own record when it is due, and at once when
-// callers must be sent elsewhere or may be sent here again.
-func (i *Instance) beatLocked(now time.Time) {
+// renewIfDueLocked renews this instance's own record once per renewal interval, and
+// immediately when the instance starts or stops accepting requests.
+func (i *Instance) renewIfDueLocked(now time.Time) {
 	beat := roster.InstanceBeat{
 		Draining: i.draining,
-		Stale:    !i.chamber.Fresh(now),
-		Streams:  i.desk.Streams(),
+		Stale:    !i.controlPlane.Fresh(now),
+		Streams:  i.callerAPI.Streams(),
 	}
 	urgent := beat.Draining != i.lastBeat.Draining || beat.Stale != i.lastBeat.Stale
 	if !urgent && now.Sub(i.lastBeatAt) < i.options.Settings.Timing.UpstreamRenewal {
--- a/internal/instance/options.go
+++ b/internal/instance/options.go
@@ -13,27 +13,27 @@
 
 // Options configures an Instance.
 type Options struct {
-	// Settings are valid, see package settings.
+	// Settings must be valid, see package settings.
 	Settings settings.Settings
-	// Listeners are open; the instance closes them.
+	// Listeners must be open. The instance closes them.
 	Listeners Listeners
-	// Dial connects to another instance. Nil stands for TCP without TLS.
+	// Dial connects to another instance. Nil means TCP without TLS.
 	Dial courier.Dial
-	// Operators and Upstreams hold the tokens that may be shown. If one is nil,
-	// none is asked for.
+	// Operators and Upstreams contain the valid tokens. If one is nil, no token is
+	// required.
 	Operators *badge.Book
 	Upstreams *badge.Book
-	// AnswerPause is how long an upstream's answer may pause before it counts as
-	// cut off. 0 stands for the default of package shuttle.
-	AnswerPause time.Duration
+	// MaxResponsePause is the longest pause within an upstream's response before
+	// the response counts as broken off. 0 means the default of package shuttle.
+	MaxResponsePause time.Duration
 	// Version is the version of the program.
 	Version string
 	Log     zerolog.Logger
-	// Now returns the present time. Nil stands for time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Listeners are where an instance is reached.
+// Listeners are the listening sockets of an instance. Inner is for other instances.
 type Listeners struct {
 	Caller   net.Listener
 	Upstream net.Listener
@@ -41,7 +41,7 @@
 	Inner    net.Listener
 }
 
-// Close closes those that are open.
+// Close closes all listeners that are not nil.
 func (l Listeners) Close() {
 	for _, listener := range []net.Listener{l.Caller, l.Upstream, l.Operator, l.Inner} {
 		if listener != nil {
@@ -50,23 +50,23 @@
 	}
 }
 
-// The intervals that no setting changes.
 const (
-	// pullEvery is the time between two pulls of another's roster. An upstream
-	// that leaves is known everywhere after two pulls.
-	pullEvery = 250 * time.Millisecond
-	// remoteDelay is about the time one way to another failure domain, as the
-	// users give it. It makes the upstreams of one's own domain go first among
-	// equals.
-	remoteDelay = time.Millisecond
-	// callTimeout bounds one call between instances.
+	// pullInterval is the time between two roster pulls from the same instance. All
+	// instances know that an upstream is leaving after two pulls.
+	pullInterval = 250 * time.Millisecond
+	// remoteDomainDelay is the approximate one-way latency to another failure domain, as
+	// specified by users. Among otherwise equal upstreams, it favors those in the
+	// instance's own domain.
+	remoteDomainDelay = time.Millisecond
+	// callTimeout limits one RPC between instances.
 	callTimeout = time.Second
 )
 
-// holder returns the check of tokens that book stands for.
-func holder(book *badge.Book, nobody string) func(token string) (string, bool) {
+// tokenHolder returns a function that looks up the holder of a token in book. If
+// book is nil, every token is valid and its holder is anonymous.
+func tokenHolder(book *badge.Book, anonymous string) func(token string) (string, bool) {
 	if book == nil {
-		return func(string) (string, bool) { return nobody, true }
+		return func(string) (string, bool) { return anonymous, true }
 	}
 	return book.Holder
 }
--- a/internal/instance/orders.go
+++ b/internal/instance/placement.go
@@ -11,13 +11,13 @@
 	"github.com/lovagelift/lovagelift/internal/registrar"
 )
 
-// newForeman starts what gives orders to engines while this instance leads. If
-// this is no voter, or the settings do not have orders given, newForeman returns
-// nil.
-func (i *Instance) newForeman() *foreman.Foreman {
-	s := i.options.Settings
-	voter, ok := i.chamber.(*chamber.Voter)
-	if !ok || !s.Placement.Enabled {
+// newPlacementController starts the controller that issues orders to engines while
+// this instance is the leader. It returns nil if this instance is not a voter or
+// placement is disabled.
+func (i *Instance) newPlacementController() *foreman.Foreman {
+	settings := i.options.Settings
+	voter, ok := i.controlPlane.(*chamber.Voter)
+	if !ok || !settings.Placement.Enabled {
 		return nil
 	}
 	return foreman.New(foreman.Options{
@@ -25,36 +25,35 @@
 		World:    i,
 		Planner:  placement.New(placement.Options{}),
 		WeightStore: placement.WeightStore{
-			LoadsPerSecond: s.WeightStore.LoadsPerSecond,
-			Concurrent:     s.WeightStore.Concurrent,
+			LoadsPerSecond: settings.WeightStore.LoadsPerSecond,
+			Concurrent:     settings.WeightStore.Concurrent,
 		},
-		WeightOfMoves: s.Policy.WeightOfMoves,
+		WeightOfMoves: settings.Policy.WeightOfMoves,
 		Client: &http.Client{
-			// Orders are rare, and each goes by a connection of its own: one that is
-			// kept open may have gone silent, and one that can't be opened proves
-			// that no byte was sent.
+			// Orders are rare, so each uses a new connection: a kept-alive one may be
+			// dead, whereas a failure to connect proves that no byte was sent.
 			Transport: &http.Transport{DisableKeepAlives: true},
-			// Elsewhere is another engine, which the order is not meant for.
+			// A redirect would send the order to an engine that it is not meant for.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		OrderFlight:   s.Timing.OrderFlightTime,
-		UpstreamLease: s.Timing.UpstreamLease,
+		OrderFlight:   settings.Timing.OrderFlightTime,
+		UpstreamLease: settings.Timing.UpstreamLease,
 		Now:           i.options.Now,
 		Log:           i.options.Log,
 	})
 }
 
-// stopOrders ends the giving of orders. It may be called more than once.
-func (i *Instance) stopOrders() {
-	if i.foreman != nil {
-		i.foreman.Close()
+// stopPlacementController may be called more than once.
+func (i *Instance) stopPlacementController() {
+	if i.placementController != nil {
+		i.placementController.Close()
 	}
 }
 
-// placementStatus returns what is recorded of engines and orders. It is empty on
-// an instance that is no voter.
+// placementStatus returns the recorded state of engines and orders. It is nil on
+// an instance that is not a voter.
 func (i *Instance) placementStatus() []registrar.EngineStatus {
-	voter, ok := i.chamber.(*chamber.Voter)
+	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok {
 		return nil
 	}
@@ -92,20 +91,20 @@
 	return list
 }
 
-// preview returns the moves that declarations and a preset would cause, as far
-// as this instance knows.
-func (i *Instance) preview(
+// previewPlacement returns the moves that declarations and a preset would cause,
+// planned from the state known to this instance.
+func (i *Instance) previewPlacement(
 	now time.Time, declared declaration.Set, preset declaration.Preset,
 ) (registrar.Moves, error) {
-	voter, ok := i.chamber.(*chamber.Voter)
+	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok {
 		return registrar.Moves{}, registrar.ErrNoPlacement
 	}
 	weight := i.options.Settings.Policy.WeightOfMoves
 	moves, problems := foreman.Preview(now, voter.Manifest(), i.Upstreams(now), declared, preset, weight)
-	answer := registrar.Moves{Moves: []registrar.Move{}, Unmet: []string{}}
+	reply := registrar.Moves{Moves: []registrar.Move{}, Unmet: []string{}}
 	for _, m := range moves {
-		answer.Moves = append(answer.Moves, registrar.Move{
+		reply.Moves = append(reply.Moves, registrar.Move{
 			Engine:  m.Engine,
 			Kind:    string(m.Order.Kind),
 			Model:   m.Order.Model,
@@ -119,7 +118,7 @@
 		})
 	}
 	for _, p := range problems {
-		answer.Unmet = append(answer.Unmet, p.Text)
+		reply.Unmet = append(reply.Unmet, p.Text)
 	}
-	return answer, nil
+	return reply, nil
 }
--- a/internal/instance/pulls.go
+++ b/internal/instance/pulls.go
@@ -8,30 +8,32 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// introduceEvery is how many pulls pass between two introductions to the same
-// instance, so that one that has forgotten this instance learns of it again.
-const introduceEvery = 40
+// pullsPerIntroduction is the interval, in pulls from the same instance, at which a
+// pull includes this instance's own record. The record is repeated because the other
+// instance may have removed it.
+const pullsPerIntroduction = 40
 
-// pulled is another instance that this one pulls from.
-type pulled struct {
-	address string
-	source  roster.Source
-	// direct says to ask only for what the other heard itself.
-	direct bool
-	// busy is true while a pull is under way.
-	busy bool
-	// failed is true if the last pull got no answer.
-	failed bool
-	pulls  int
+// rosterPeer is another instance that this one pulls roster changes from.
+type rosterPeer struct {
+	address      string
+	rosterSource roster.Source
+	// directOnly limits pulls to members that announce themselves to the peer, without
+	// those that the peer knows from other instances.
+	directOnly bool
+	// pulling is true while a pull is in progress.
+	pulling bool
+	// lastPullFailed is true if the last pull returned an error.
+	lastPullFailed bool
+	pullCount      int
 }
 
-// pull keeps asking other instances for what changed in their rosters.
-func (i *Instance) pull(ctx context.Context) {
-	ticker := time.NewTicker(pullEvery)
+// runPulls pulls roster changes from other instances until ctx ends.
+func (i *Instance) runPulls(ctx context.Context) {
+	ticker := time.NewTicker(pullInterval)
 	defer ticker.Stop()
 	for {
-		for _, peer := range i.beginPulls(i.options.Now()) {
-			i.done.Go(func() { i.pullFrom(ctx, peer) })
+		for _, peer := range i.startPulls(i.options.Now()) {
+			i.goroutines.Go(func() { i.pullFrom(ctx, peer) })
 		}
 		select {
 		case <-ctx.Done():
@@ -41,105 +43,108 @@
 	}
 }
 
-// beginPulls returns whom to pull from now, each marked as busy.
-func (i *Instance) beginPulls(now time.Time) []*pulled {
+// startPulls returns the peers to pull from now, and marks each as pulling.
+func (i *Instance) startPulls(now time.Time) []*rosterPeer {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	sites, lost, addresses := i.sitesLocked(now)
+	candidates, unreachable, addresses := i.pullCandidatesLocked(now)
 	self := roster.Site{
 		Name:          i.options.Settings.Name,
 		FailureDomain: i.options.Settings.FailureDomain,
 		Voter:         i.options.Settings.Voter,
 	}
-	sources := roster.SourcesOf(self, sites)
-	wanted := slices.Concat(sources.All, i.firstAnswering(sources.FirstOf), lost)
-	begun := i.beginLocked(wanted, addresses, false)
-	return append(begun, i.beginLocked(sources.Direct, addresses, true)...)
+	sources := roster.SourcesOf(self, candidates)
+	fullPulls := slices.Concat(sources.All, i.throughFirstReachable(sources.FirstOf), unreachable)
+	started := i.markPullingLocked(fullPulls, addresses, false)
+	return append(started, i.markPullingLocked(sources.Direct, addresses, true)...)
 }
 
-func (i *Instance) beginLocked(names []string, addresses map[string]string, direct bool) []*pulled {
-	var begun []*pulled
+// markPullingLocked marks the named peers as pulling and returns them, without
+// those that already were.
+func (i *Instance) markPullingLocked(names []string, addresses map[string]string, directOnly bool) []*rosterPeer {
+	var started []*rosterPeer
 	for _, name := range names {
 		peer := i.peers[name]
 		if peer == nil || peer.address != addresses[name] {
-			peer = &pulled{address: addresses[name]}
+			peer = &rosterPeer{address: addresses[name]}
 			i.peers[name] = peer
 		}
-		if !peer.busy {
-			peer.busy = true
-			peer.direct = direct
-			peer.pulls++
-			begun = append(begun, peer)
+		if !peer.pulling {
+			peer.pulling = true
+			peer.directOnly = directOnly
+			peer.pullCount++
+			started = append(started, peer)
 		}
 	}
-	return begun
+	return started
 }
 
-// firstAnswering returns the names up to the first whose last pull was answered
-// or was never tried. The ones before it are tried too, to see when they are
-// back.
-func (i *Instance) firstAnswering(names []string) []string {
+// throughFirstReachable returns names up to and including the first peer whose
+// last pull succeeded or that was never pulled from. The unreachable peers before
+// it are included to detect when they are reachable again.
+func (i *Instance) throughFirstReachable(names []string) []string {
 	for n, name := range names {
-		if peer := i.peers[name]; peer == nil || !peer.failed {
+		if peer := i.peers[name]; peer == nil || !peer.lastPullFailed {
 			return names[:n+1]
 		}
 	}
 	return names
 }
 
-// sitesLocked returns the other instances that are alive, or that the settings
-// name and that were not tried yet, and the names of those of the settings that
-// are lost. These are asked all the same, to see when they are back, but nobody
-// must lean on them: what an instance hears would reach no one.
-func (i *Instance) sitesLocked(now time.Time) (sites []roster.Site, lost []string, addresses map[string]string) {
+// pullCandidatesLocked returns the other instances that are alive, and those from
+// the settings that are neither alive nor known to be unreachable. Unreachable
+// instances from the settings are returned separately: they are pulled from to detect
+// when they are back, but this instance must not depend on them, since its own updates
+// would not propagate through them.
+func (i *Instance) pullCandidatesLocked(now time.Time) (candidates []roster.Site, unreachable []string, addresses map[string]string) {
 	addresses = map[string]string{}
 	for _, alive := range i.roster.Instances(now) {
 		if alive.Name == i.options.Settings.Name {
 			continue
 		}
 		addresses[alive.Name] = alive.InnerAddress
-		sites = append(sites, roster.Site{Name: alive.Name, FailureDomain: alive.FailureDomain, Voter: alive.Voter})
+		candidates = append(candidates, roster.Site{Name: alive.Name, FailureDomain: alive.FailureDomain, Voter: alive.Voter})
 	}
-	for _, named := range i.options.Settings.Instances {
-		if addresses[named.Name] != "" {
+	for _, configured := range i.options.Settings.Instances {
+		if addresses[configured.Name] != "" {
 			continue
 		}
-		addresses[named.Name] = named.InnerAddress.String()
-		if peer := i.peers[named.Name]; peer != nil && peer.failed {
-			lost = append(lost, named.Name)
+		addresses[configured.Name] = configured.InnerAddress.String()
+		if peer := i.peers[configured.Name]; peer != nil && peer.lastPullFailed {
+			unreachable = append(unreachable, configured.Name)
 			continue
 		}
-		sites = append(sites, roster.Site{Name: named.Name, FailureDomain: named.FailureDomain, Voter: named.Voter})
+		candidates = append(candidates, roster.Site{Name: configured.Name, FailureDomain: configured.FailureDomain, Voter: configured.Voter})
 	}
-	return sites, lost, addresses
+	return candidates, unreachable, addresses
 }
 
-func (i *Instance) pullFrom(ctx context.Context, peer *pulled) {
+func (i *Instance) pullFrom(ctx context.Context, peer *rosterPeer) {
 	i.mu.Lock()
-	cursor := peer.source.Cursor(peer.direct)
+	cursor := peer.rosterSource.Cursor(peer.directOnly)
 	var introduction *roster.InstanceRecord
-	if cursor.Incarnation == 0 || peer.pulls%introduceEvery == 0 {
+	if cursor.Incarnation == 0 || peer.pullCount%pullsPerIntroduction == 0 {
 		introduction = i.roster.Introduction(i.options.Now())
 	}
 	i.mu.Unlock()
-	asked := i.options.Now()
+	requestedAt := i.options.Now()
 	changes, err := i.pools.rosters.PullRoster(ctx, peer.address, cursor, introduction)
 	if err != nil {
-		i.options.Log.Debug().Err(err).Str("peer", peer.address).Msg("roster not pulled")
+		i.options.Log.Debug().Err(err).Str("peer", peer.address).Msg("roster pull failed")
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	peer.busy = false
-	peer.failed = err != nil
+	peer.pulling = false
+	peer.lastPullFailed = err != nil
 	if err == nil {
-		i.roster.Merge(asked, &peer.source, changes)
-		i.tellDeskLocked()
+		i.roster.Merge(requestedAt, &peer.rosterSource, changes)
+		i.forwardUpstreamChangesLocked()
 	}
 }
 
-// answerPull answers another instance's pull. The one that pulls may be new
-// here: it brings its own record, so that it is pulled from as well.
-func (i *Instance) answerPull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
+// servePull handles a pull of another instance. That instance may be unknown here:
+// it sends its own record, so that this instance pulls from it as well.
+func (i *Instance) servePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
 	now := i.options.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/instance/silence_test.go
+++ b/internal/instance/silence_test.go
@@ -14,22 +14,23 @@
 
 var _ = Describe("an announcement whose connection goes silent", func() {
 	// An upstream sends the header and half of the body of its announcement, and
-	// no more. It is cut off after the time for both, and nothing is known of it.
+	// nothing more. The server must close the connection after the timeouts for both,
+	// and must not record the upstream.
 	It("is cut off and changes nothing", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		at := newTrio(ctx, 0)["a"]
-		conn, err := net.Dial("tcp", at.set.Advertise.Upstream.String())
+		receiver := newCluster(ctx, 0)["a"]
+		conn, err := net.Dial("tcp", receiver.settings.Advertise.Upstream.String())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
 		half := `{"name":"engine-1","incarnation":1,"sequence":1,"address":"127.0.0.1:1001",`
 		_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", upstreamapi.AnnouncePath, 2*len(half), half)
 		Expect(err).NotTo(HaveOccurred())
-		ended := make(chan struct{})
+		closedByServer := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(closedByServer)
 			_, _ = io.Copy(io.Discard, conn)
 		}()
-		bound := at.set.Limits.HeaderTime + at.set.Limits.BodyTime
-		Eventually(ctx, ended).WithTimeout(2*bound + 5*time.Second).Should(BeClosed())
-		Expect(at.Upstreams(time.Now())).To(BeEmpty())
+		maxReadTime := receiver.settings.Limits.HeaderTime + receiver.settings.Limits.BodyTime
+		Eventually(ctx, closedByServer).WithTimeout(2*maxReadTime + 5*time.Second).Should(BeClosed())
+		Expect(receiver.Upstreams(time.Now())).To(BeEmpty())
 	})
 })
