--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,8 +1,8 @@
-// Package explain finds the life of one request in the saved logs of several
-// instances.
+// Package explain is the log search for one request: it collects the log lines that
+// concern the request from the saved logs of several instances.
 //
-// It orders what the logs say and guesses nothing: lines that can't be read are
-// counted and told.
+// It only selects and sorts lines and infers nothing. Lines that cannot be parsed are
+// counted.
 package explain
 
 import (
@@ -27,36 +27,38 @@
 	Time     time.Time
 	Instance string
 	Message  string
-	// Fields are the others, by name.
+	// Fields are the remaining fields by name, without the level.
 	Fields map[string]any
 }
 
-// Story is what the logs say of a request.
+// Story is the history of a request according to the logs.
 type Story struct {
-	// Lines are those of the request, and Around those that changed what the
-	// instances concerned believed meanwhile, both by time.
+	// Lines are the lines of the request itself. Around are lines without a request
+	// from about the same time that concern the same instances, upstreams or model, or
+	// a change of leader. Both are sorted by time.
 	Lines  []Line
 	Around []Line
-	// Quarantine is why the request was quarantined, if its attempts have a digest: what
-	// became of other attempts at it, by time.
+	// Quarantine are the lines that explain the quarantine of the request: lines about
+	// upstreams that ended while they had another request with the same digest, and
+	// lines about the quarantine itself. They are sorted by time.
 	Quarantine []Line
-	// Read is how many lines there were, and Bad how many of them could not be read.
+	// Read is the number of nonempty lines, and Bad the number of those that could not
+	// be parsed.
 	Read int
 	Bad  int
 }
 
-// Log is the saved log of some instances.
+// Log is the merged log of several instances.
 type Log struct {
-	lines []Line
-	read  int
-	bad   int
+	lines         []Line
+	lineCount     int
+	unparsedCount int
 }
 
-// maxLineBytes bounds a log line.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of in. A line may have a prefix of another program's before
-// its JSON. If in can't be read, Read returns an error.
+// Read adds the lines of in. The JSON of a line may follow a prefix that another
+// program has added. Read returns an error if reading in fails.
 func (l *Log) Read(in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -65,10 +67,10 @@
 		if len(text) == 0 {
 			continue
 		}
-		l.read++
+		l.lineCount++
 		line, ok := parse(text)
 		if !ok {
-			l.bad++
+			l.unparsedCount++
 			continue
 		}
 		l.lines = append(l.lines, line)
@@ -76,7 +78,7 @@
 	return errors.Wrap(scanner.Err(), "explain: log")
 }
 
-// The names of fields that all lines have.
+// Names of fields in log lines.
 const (
 	fieldTime     = "time"
 	fieldInstance = "instance"
@@ -86,19 +88,20 @@
 	fieldModel    = "model"
 )
 
+// parse returns false if text contains no JSON object or no valid time.
 func parse(text []byte) (Line, bool) {
-	begin := bytes.IndexByte(text, '{')
-	if begin < 0 {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var fields map[string]any
-	if err := json.Unmarshal(text[begin:], &fields); err != nil {
+	if err := json.Unmarshal(text[start:], &fields); err != nil {
 		return Line{}, false
 	}
 	var line Line
-	at, _ := fields[fieldTime].(string)
+	timestamp, _ := fields[fieldTime].(string)
 	var err error
-	if line.Time, err = time.Parse(time.RFC3339Nano, at); err != nil {
+	if line.Time, err = time.Parse(time.RFC3339Nano, timestamp); err != nil {
 		return Line{}, false
 	}
 	line.Instance, _ = fields[fieldInstance].(string)
@@ -110,49 +113,48 @@
 	return line, true
 }
 
-// Story returns what the log says of the request with id.
+// Story returns the history of the request with the given id.
 func (l *Log) Story(id string) Story {
-	story := Story{Read: l.read, Bad: l.bad}
-	concerned := map[string]bool{}
+	history := Story{Read: l.lineCount, Bad: l.unparsedCount}
+	related := map[string]bool{}
 	model := ""
 	for _, line := range l.lines {
 		if line.Fields[fieldRequest] != id {
 			continue
 		}
-		story.Lines = append(story.Lines, line)
-		concerned[line.Instance] = true
+		history.Lines = append(history.Lines, line)
+		related[line.Instance] = true
 		if value, ok := line.Fields[fieldModel].(string); ok && value != "" {
 			model = value
 		}
 		for _, name := range []string{"upstream", "engine"} {
 			if value, ok := line.Fields[name].(string); ok {
-				concerned[value] = true
+				related[value] = true
 			}
 		}
 	}
-	if len(story.Lines) == 0 {
-		return story
+	if len(history.Lines) == 0 {
+		return history
 	}
-	byTime(story.Lines)
-	first, last := story.Lines[0].begins(), story.Lines[len(story.Lines)-1].Time
+	sortByTime(history.Lines)
+	first, last := history.Lines[0].startTime(), history.Lines[len(history.Lines)-1].Time
 	for _, line := range l.lines {
-		if line.around(concerned, model) && !line.Time.Before(first.Add(-before)) && !line.Time.After(last) {
-			story.Around = append(story.Around, line)
+		if line.isRelated(related, model) && !line.Time.Before(first.Add(-lookback)) && !line.Time.After(last) {
+			history.Around = append(history.Around, line)
 		}
 	}
-	byTime(story.Around)
-	story.Quarantine = l.quarantine(id, story.Lines)
-	return story
+	sortByTime(history.Around)
+	history.Quarantine = l.quarantineLines(id, history.Lines)
+	return history
 }
 
-// maxQuarantine bounds the lines that tell why a request was quarantined.
-const maxQuarantine = 40
+const maxQuarantineLines = 40
 
-// quarantine returns the lines on other attempts at a request that tell of upstreams that
-// ended under it, and of its quarantine. Of too many, the newest are kept.
-func (l *Log) quarantine(id string, own []Line) []Line {
+// quarantineLines returns the lines that explain the quarantine of a request, limited to
+// the newest. They are found by the digest in the request's own lines.
+func (l *Log) quarantineLines(id string, ownLines []Line) []Line {
 	digest := ""
-	for _, line := range own {
+	for _, line := range ownLines {
 		if value, ok := line.Fields[quarantine.FieldDigest].(string); ok {
 			digest = value
 		}
@@ -160,68 +162,70 @@
 	if digest == "" {
 		return nil
 	}
-	var told []Line
+	var related []Line
 	for _, line := range l.lines {
-		if line.Fields[fieldRequest] != id && line.tellsOfQuarantine(digest) {
-			told = append(told, line)
+		if line.Fields[fieldRequest] != id && line.explainsQuarantine(digest) {
+			related = append(related, line)
 		}
 	}
-	byTime(told)
-	return told[max(0, len(told)-maxQuarantine):]
+	sortByTime(related)
+	return related[max(0, len(related)-maxQuarantineLines):]
 }
 
-// tellsOfQuarantine reports whether the line is of the quarantine of a request, or of an
-// upstream that ended under it. Some lines have the beginning of the digest alone.
-func (l Line) tellsOfQuarantine(digest string) bool {
+// explainsQuarantine reports whether the line is about the quarantine of the request with
+// the given digest, or about an upstream that ended while it had the request. Some lines
+// contain only a prefix of the digest.
+func (l Line) explainsQuarantine(digest string) bool {
 	switch l.Message {
 	case quarantine.LineEnded, quarantine.LineEntered, quarantine.LineLeft, quarantine.LineLifted:
 	default:
 		return false
 	}
-	told, _ := l.Fields[quarantine.FieldDigest].(string)
-	return told != "" && (strings.HasPrefix(told, digest) || strings.HasPrefix(digest, told))
+	lineDigest, _ := l.Fields[quarantine.FieldDigest].(string)
+	return lineDigest != "" && (strings.HasPrefix(lineDigest, digest) || strings.HasPrefix(digest, lineDigest))
 }
 
-// before is how long before a request a change may explain what became of it: a
-// model that is loaded, a leader that is elected.
-const before = 10 * time.Second
+// lookback is how long before the start of a request a line may explain its outcome, for
+// example the loading of a model or the election of a leader.
+const lookback = 10 * time.Second
 
-// begins returns when what the line tells of began.
-func (l Line) begins() time.Time {
+// startTime returns the time of the line minus its "took" field in milliseconds, if any.
+func (l Line) startTime() time.Time {
 	if took, ok := l.Fields["took"].(float64); ok {
 		return l.Time.Add(-time.Duration(took * float64(time.Millisecond)))
 	}
 	return l.Time
 }
 
-// around reports whether the line is of no request and concerns one of names, which it
-// comes from or names, or the model of the request. What is told of other models is left
-// out: four of five lines around a refusal were.
-func (l Line) around(names map[string]bool, model string) bool {
-	if _, ofRequest := l.Fields[fieldRequest]; ofRequest {
+// isRelated reports whether the line belongs to no request and concerns the model, one of
+// the related instances and upstreams, or a change of leader. Lines about other models
+// are excluded, because they can be four out of five lines around a refusal.
+func (l Line) isRelated(related map[string]bool, model string) bool {
+	if _, hasRequest := l.Fields[fieldRequest]; hasRequest {
 		return false
 	}
-	if told, ok := l.Fields[fieldModel].(string); ok && told != "" && model != "" {
-		return told == model
+	if lineModel, ok := l.Fields[fieldModel].(string); ok && lineModel != "" && model != "" {
+		return lineModel == model
 	}
-	if names[l.Instance] {
+	if related[l.Instance] {
 		return true
 	}
 	for _, name := range []string{"upstream", "engine", "peer", "control"} {
-		if value, ok := l.Fields[name].(string); ok && names[value] {
+		if value, ok := l.Fields[name].(string); ok && related[value] {
 			return true
 		}
 	}
 	return l.Message == "leader changed"
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Instance, b.Instance))
 	})
 }
 
-// String returns the line as people read it.
+// String returns the line in human-readable form, without the request's id and without
+// empty fields.
 func (l Line) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %-18s %s", l.Time.Format("15:04:05.000"), l.Instance, l.Message)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagelift/lovagelift/internal/explain"
 )
 
-const log = `
+const logText = `
 {"level":"info","instance":"entry-2","time":"2026-12-02T08:00:03.000Z","request":"r7","upstream":"e1","send":1,"status":0,"took":40,"verdict":"may-have-run","message":"EOF"}
    2.0910 core-1 {"level":"info","instance":"core-1","time":"2026-12-02T08:00:02.500Z","engine":"e1","order":"unload","message":"order to an engine"}
 {"level":"info","instance":"entry-2","time":"2026-12-02T08:00:03.001Z","request":"r7","status":502,"reason":"the upstream's answer was lost","message":"request not served"}
@@ -22,24 +22,24 @@
 `
 
 var _ = Describe("Log", func() {
-	story := func(id string) explain.Story {
+	historyOf := func(id string) explain.Story {
 		GinkgoHelper()
 		var l explain.Log
-		Expect(l.Read(strings.NewReader(log))).To(Succeed())
+		Expect(l.Read(strings.NewReader(logText))).To(Succeed())
 		return l.Story(id)
 	}
 
-	It("tells a request's life in order", func() {
-		lines := story("r7").Lines
+	It("returns the lines of a request sorted by time", func() {
+		lines := historyOf("r7").Lines
 		Expect(lines).To(HaveLen(2))
 		Expect(lines[0].String()).To(Equal(
 			"08:00:03.000 entry-2            EOF send=1 status=0 took=40 upstream=e1 verdict=may-have-run"))
 		Expect(lines[1].Fields["reason"]).To(Equal("the upstream's answer was lost"))
 	})
 
-	It("tells what changed around it, of those concerned", func() {
+	It("returns related lines from about the same time", func() {
 		var messages []string
-		for _, line := range story("r7").Around {
+		for _, line := range historyOf("r7").Around {
 			messages = append(messages, line.Message)
 		}
 		Expect(messages).To(Equal([]string{
@@ -47,9 +47,9 @@
 		}))
 	})
 
-	// A caller was refused, as no engine held its model. Of the leader's lines, those of
-	// this model say why; eight times a second, others tell of other models.
-	It("tells what became of the request's model, and leaves out other models", func() {
+	// A caller is refused because no engine has loaded its model. The leader's lines about
+	// this model explain the refusal, but it logs eight lines per second about other models.
+	It("returns lines about the request's model and excludes other models", func() {
 		var l explain.Log
 		Expect(l.Read(strings.NewReader(`
 {"instance":"core-1","time":"2026-12-02T08:00:01.000Z","engine":"e1","model":"m","unload":true,"message":"placement move"}
@@ -57,14 +57,14 @@
 {"instance":"entry-1","time":"2026-12-02T08:00:01.200Z","model":"other","message":"not loaded"}
 {"instance":"entry-1","time":"2026-12-02T08:00:02.000Z","request":"r1","model":"m","message":"request not served"}
 `))).To(Succeed())
-		around := l.Story("r1").Around
-		Expect(around).To(HaveLen(1))
-		Expect(around[0].Fields["engine"]).To(Equal("e1"))
+		related := l.Story("r1").Around
+		Expect(related).To(HaveLen(1))
+		Expect(related[0].Fields["engine"]).To(Equal("e1"))
 	})
 
-	// A caller is refused at an instance that has never seen the request: the cause is in
-	// the lines on attempts under other ids, at other instances.
-	It("tells which other attempts brought a request into quarantine", func() {
+	// A quarantined request is refused by an instance that has not received it before. The
+	// cause is in the lines of attempts under other ids at other instances.
+	It("returns lines of the other attempts that caused the quarantine of a request", func() {
 		var l explain.Log
 		Expect(l.Read(strings.NewReader(`
 {"instance":"entry-1","time":"2026-12-02T08:00:01.000Z","request":"r1","digest":"aa11","upstream":"e1","message":"the upstream ended while it had the request"}
@@ -73,20 +73,20 @@
 {"instance":"core-1","time":"2026-12-02T08:00:03.000Z","digest":"aa11cc","upstreams":["e1"],"message":"request in quarantine: upstreams end that run it"}
 {"instance":"entry-3","time":"2026-12-02T08:00:04.000Z","request":"r3","digest":"aa11cc","message":"request not served"}
 `))).To(Succeed())
-		why := l.Story("r3").Quarantine
-		Expect(why).To(HaveLen(2))
-		Expect(why[0].Fields["request"]).To(Equal("r1"))
-		Expect(why[1].Instance).To(Equal("core-1"))
+		lines := l.Story("r3").Quarantine
+		Expect(lines).To(HaveLen(2))
+		Expect(lines[0].Fields["request"]).To(Equal("r1"))
+		Expect(lines[1].Instance).To(Equal("core-1"))
 	})
 
-	It("counts what can't be read", func() {
-		s := story("r7")
-		Expect(s.Read).To(Equal(9))
-		Expect(s.Bad).To(Equal(2))
+	It("counts lines that cannot be parsed", func() {
+		history := historyOf("r7")
+		Expect(history.Read).To(Equal(9))
+		Expect(history.Bad).To(Equal(2))
 	})
 
-	It("finds nothing of a request that no line names", func() {
-		Expect(story("r9").Lines).To(BeEmpty())
-		Expect(story("r9").Around).To(BeEmpty())
+	It("returns no lines for an unknown request", func() {
+		Expect(historyOf("r9").Lines).To(BeEmpty())
+		Expect(historyOf("r9").Around).To(BeEmpty())
 	})
 })
