--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller asks the system as its callers do (client): it looks up which
-// instances to use, keeps that answer for as long as it may, and connects there
-// itself.
+// Package caller is the client of the system with client-side load balancing. It
+// fetches the list of instances, caches it for as long as the list is valid, and
+// sends requests directly to those instances.
 package caller
 
 import (
@@ -18,33 +18,33 @@
 
 // Options configures a Caller.
 type Options struct {
-	// Known are addresses of instances, IP number and port, to ask first for
-	// entries.
+	// Known are seed addresses of instances (IP address and port), used to fetch the
+	// entries when no cached instance answers.
 	Known []string
-	// Client sends the requests. Nil stands for a client of the caller's own.
+	// Client sends the requests. Nil means a new client that uses TLS as set below.
 	Client *http.Client
-	// TLS is used towards the instances, if it is not nil.
+	// TLS configures TLS connections to the instances. Nil means plain HTTP.
 	TLS *tls.Config
-	// Now returns the present time. Nil stands for time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Entry is one instance that may be used.
+// Entry is one instance that accepts requests.
 type Entry struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure-domain"`
 }
 
-// Caller asks the system. It is safe for concurrent use.
+// Caller is a client. It is safe for concurrent use.
 type Caller struct {
 	options Options
 
-	mu      sync.Mutex
-	entries []Entry
-	expires time.Time
-	// next is the entry that the next request goes to.
-	next int
+	mu            sync.Mutex
+	entries       []Entry
+	entriesExpiry time.Time
+	// pickCount counts picked entries, for round-robin selection.
+	pickCount int
 }
 
 // New returns a Caller.
@@ -61,56 +61,56 @@
 	return &Caller{options: options}
 }
 
-type entriesReply struct {
+type entriesResponse struct {
 	Entries     []Entry `json:"entries"`
 	KeepSeconds float64 `json:"keep-seconds"`
 }
 
-// lookupTimeout bounds one look-up of entries, so that an address that went
-// silent costs no more than this before the next is asked.
+// lookupTimeout limits one lookup of entries, and thereby the delay that an
+// unresponsive address adds before the next one is tried.
 const lookupTimeout = 2 * time.Second
 
-// Entries returns the instances that may be used. It asks only if the last
-// answer may no longer be kept. If no known instance answers, Entries returns
-// the kept answer if there is one, however old, and else an error.
+// Entries returns the instances that accept requests. It fetches them only if the
+// cached list has expired. If no instance answers with a nonempty list, Entries
+// returns the cached list regardless of its age, or an error if there is none.
 func (c *Caller) Entries(ctx context.Context) ([]Entry, error) {
 	c.mu.Lock()
-	kept, expires := c.entries, c.expires
+	cached, expiry := c.entries, c.entriesExpiry
 	c.mu.Unlock()
-	if len(kept) > 0 && c.options.Now().Before(expires) {
-		return kept, nil
+	if len(cached) > 0 && c.options.Now().Before(expiry) {
+		return cached, nil
 	}
-	var failed error
-	for _, address := range c.lookupAddresses(kept) {
-		reply, err := c.lookUp(ctx, address)
+	var lookupErr error
+	for _, address := range c.lookupAddresses(cached) {
+		reply, err := c.fetchEntries(ctx, address)
 		if err == nil && len(reply.Entries) > 0 {
-			return c.keep(reply), nil
+			return c.cacheEntries(reply), nil
 		}
-		failed = errors.CombineErrors(failed, err)
+		lookupErr = errors.CombineErrors(lookupErr, err)
 	}
-	if len(kept) > 0 {
-		return kept, nil
+	if len(cached) > 0 {
+		return cached, nil
 	}
-	if failed == nil {
-		failed = errors.New("caller: no instance takes new work")
+	if lookupErr == nil {
+		lookupErr = errors.New("caller: no instance takes new work")
 	}
-	return nil, failed
+	return nil, lookupErr
 }
 
-// lookupAddresses returns where to ask: first the instances in use, then those
-// known from the start.
-func (c *Caller) lookupAddresses(kept []Entry) []string {
+// lookupAddresses returns the addresses to fetch entries from: first the cached
+// instances, then the seeds.
+func (c *Caller) lookupAddresses(cached []Entry) []string {
 	var addresses []string
-	for _, entry := range kept {
+	for _, entry := range cached {
 		addresses = append(addresses, entry.Address)
 	}
 	return append(addresses, c.options.Known...)
 }
 
-func (c *Caller) lookUp(ctx context.Context, address string) (entriesReply, error) {
+func (c *Caller) fetchEntries(ctx context.Context, address string) (entriesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	var reply entriesReply
+	var reply entriesResponse
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(address, "/v1/entries"), nil)
 	if err != nil {
 		return reply, errors.Wrap(err, "caller: entries")
@@ -136,41 +136,41 @@
 	return "http://" + address + path
 }
 
-func (c *Caller) keep(reply entriesReply) []Entry {
+func (c *Caller) cacheEntries(response entriesResponse) []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entries = reply.Entries
-	c.expires = c.options.Now().Add(time.Duration(reply.KeepSeconds * float64(time.Second)))
-	return reply.Entries
+	c.entries = response.Entries
+	c.entriesExpiry = c.options.Now().Add(time.Duration(response.KeepSeconds * float64(time.Second)))
+	return response.Entries
 }
 
-// forget makes the next request look up the entries again.
-func (c *Caller) forget() {
+// expireEntries expires the cached entries, so that the next request fetches them again.
+func (c *Caller) expireEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expires = time.Time{}
+	c.entriesExpiry = time.Time{}
 }
 
-// pick returns the entry that the next request goes to, each in turn.
+// pick returns the entry for the next request in round-robin order.
 func (c *Caller) pick(entries []Entry) Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entry := entries[c.next%len(entries)]
-	c.next++
+	entry := entries[c.pickCount%len(entries)]
+	c.pickCount++
 	return entry
 }
 
-// Error is what a caller is left with when it got no whole answer.
+// Error reports that there was no complete response.
 type Error struct {
 	// Outcome says whether the request ran.
 	Outcome outcome.Outcome
-	// Status is the HTTP status, 0 if there was none.
+	// Status is the HTTP status of an error response, otherwise 0.
 	Status int
-	// Code names the reason, empty if the system gave none.
-	Code string
-	// Message says what happened.
+	// Code is the error code in the response, empty if there is none.
+	Code    string
 	Message string
-	// RetryAfter is when to come back, 0 if that was not said.
+	// RetryAfter is the delay that the response requests before a retry, 0 if it
+	// requests none.
 	RetryAfter time.Duration
 }
 
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -15,117 +15,117 @@
 	"github.com/lovagelift/lovagelift/internal/outcome"
 )
 
-// entry is an instance with one way to answer a question.
-type entry struct {
+// fakeInstance is an instance that handles all completion requests in the same way.
+type fakeInstance struct {
 	*httptest.Server
-	lookups atomic.Int32
-	asked   atomic.Int32
+	lookups     atomic.Int32
+	completions atomic.Int32
 }
 
-// newEntry starts an instance that names the given others as entries, or only
-// itself, and answers questions with then.
-func newEntry(then http.HandlerFunc, others ...*entry) *entry {
-	e := &entry{}
+// newFakeInstance starts an instance that lists itself and others as entries, and
+// handles completion requests with complete.
+func newFakeInstance(complete http.HandlerFunc, others ...*fakeInstance) *fakeInstance {
+	f := &fakeInstance{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", func(w http.ResponseWriter, _ *http.Request) {
-		e.lookups.Add(1)
-		list := fmt.Sprintf(`{"name":"self","address":%q}`, e.address())
+		f.lookups.Add(1)
+		list := fmt.Sprintf(`{"name":"self","address":%q}`, f.address())
 		for _, other := range others {
 			list += fmt.Sprintf(`,{"name":"other","address":%q}`, other.address())
 		}
 		fmt.Fprintf(w, `{"entries":[%s],"keep-seconds":60}`, list)
 	})
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) {
-		e.asked.Add(1)
-		then(w, r)
+		f.completions.Add(1)
+		complete(w, r)
 	})
-	e.Server = httptest.NewServer(mux)
-	DeferCleanup(e.Close)
-	return e
+	f.Server = httptest.NewServer(mux)
+	DeferCleanup(f.Close)
+	return f
 }
 
-func (e *entry) address() string {
-	return e.Listener.Addr().String()
+func (f *fakeInstance) address() string {
+	return f.Listener.Addr().String()
 }
 
-func answer(w http.ResponseWriter, _ *http.Request) {
+func respondComplete(w http.ResponseWriter, _ *http.Request) {
 	for _, word := range []string{"in", " ten", " minutes"} {
 		fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", word)
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request) {
+func respondDraining(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(outcome.Header, "not-run")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	fmt.Fprint(w, `{"error":{"message":"stopping","code":"draining"}}`)
 }
 
-func half(w http.ResponseWriter, _ *http.Request) {
+func respondPartial(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"in\"}}]}\n\n")
 }
 
 var question = caller.Question{Model: "m", Text: "when"}
 
-func ignore(string) {}
+func discardText(string) {}
 
 var _ = Describe("Caller", func() {
-	It("looks up the entries once and keeps them", func(ctx SpecContext) {
-		e := newEntry(answer)
-		asking := caller.New(caller.Options{Known: []string{e.address()}})
+	It("fetches the entries once and caches them", func(ctx SpecContext) {
+		instance := newFakeInstance(respondComplete)
+		client := caller.New(caller.Options{Known: []string{instance.address()}})
 		for range 3 {
-			got, err := asking.Ask(ctx, question, ignore)
+			answer, err := client.Ask(ctx, question, discardText)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(got.Text).To(Equal("in ten minutes"))
+			Expect(answer.Text).To(Equal("in ten minutes"))
 		}
-		Expect(e.lookups.Load()).To(BeEquivalentTo(1))
+		Expect(instance.lookups.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("asks for the entries again when they may no longer be kept", func(ctx SpecContext) {
-		e := newEntry(answer)
+	It("fetches the entries again when the cached ones have expired", func(ctx SpecContext) {
+		instance := newFakeInstance(respondComplete)
 		now := time.Now()
-		asking := caller.New(caller.Options{Known: []string{e.address()}, Now: func() time.Time { return now }})
-		_, err := asking.Entries(ctx)
+		client := caller.New(caller.Options{Known: []string{instance.address()}, Now: func() time.Time { return now }})
+		_, err := client.Entries(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(time.Hour)
-		_, err = asking.Entries(ctx)
+		_, err = client.Entries(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(e.lookups.Load()).To(BeEquivalentTo(2))
+		Expect(instance.lookups.Load()).To(BeEquivalentTo(2))
 	})
 
-	// The instance that the caller kept is stopping and refuses. Its answer says
-	// not-run, so the caller asks the other one at once.
+	// The cached instance is draining and refuses the request. The caller must retry
+	// on the other instance.
 	It("goes to another instance when one refuses", func(ctx SpecContext) {
-		serving := newEntry(answer)
-		stopping := newEntry(refuse, serving)
-		asking := caller.New(caller.Options{Known: []string{stopping.address()}})
-		got, err := asking.Ask(ctx, question, ignore)
+		serving := newFakeInstance(respondComplete)
+		draining := newFakeInstance(respondDraining, serving)
+		client := caller.New(caller.Options{Known: []string{draining.address()}})
+		answer, err := client.Ask(ctx, question, discardText)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got.Entry.Address).To(Equal(serving.address()))
-		Expect(got.Attempts).To(Equal(2))
+		Expect(answer.Entry.Address).To(Equal(serving.address()))
+		Expect(answer.Attempts).To(Equal(2))
 	})
 
-	// The answer breaks off after its first piece, which the caller has seen. It
-	// is neither taken for whole nor begun again behind the piece.
+	// The response breaks off after the first chunk, which was already delivered. The
+	// caller must neither treat it as complete nor retry and append another response.
 	It("never takes half an answer for the whole", func(ctx SpecContext) {
-		e := newEntry(half)
-		asking := caller.New(caller.Options{Known: []string{e.address()}})
-		seen := ""
-		_, err := asking.Ask(ctx, question, func(piece string) { seen += piece })
-		var failure *caller.Error
-		Expect(errors.As(err, &failure)).To(BeTrue())
-		Expect(failure.Outcome).To(Equal(outcome.Ran))
-		Expect(seen).To(Equal("in"))
-		Expect(e.asked.Load()).To(BeEquivalentTo(1))
+		instance := newFakeInstance(respondPartial)
+		client := caller.New(caller.Options{Known: []string{instance.address()}})
+		received := ""
+		_, err := client.Ask(ctx, question, func(chunk string) { received += chunk })
+		var callErr *caller.Error
+		Expect(errors.As(err, &callErr)).To(BeTrue())
+		Expect(callErr.Outcome).To(Equal(outcome.Ran))
+		Expect(received).To(Equal("in"))
+		Expect(instance.completions.Load()).To(BeEquivalentTo(1))
 	})
 
 	It("gives up with the reason when nobody takes the question", func(ctx SpecContext) {
-		e := newEntry(refuse)
-		asking := caller.New(caller.Options{Known: []string{e.address()}})
-		_, err := asking.Ask(ctx, question, ignore)
-		var failure *caller.Error
-		Expect(errors.As(err, &failure)).To(BeTrue())
-		Expect(failure.Outcome).To(Equal(outcome.NotRun))
-		Expect(failure.Code).To(Equal("draining"))
+		instance := newFakeInstance(respondDraining)
+		client := caller.New(caller.Options{Known: []string{instance.address()}})
+		_, err := client.Ask(ctx, question, discardText)
+		var callErr *caller.Error
+		Expect(errors.As(err, &callErr)).To(BeTrue())
+		Expect(callErr.Outcome).To(Equal(outcome.NotRun))
+		Expect(callErr.Code).To(Equal("draining"))
 	})
 })
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -19,81 +19,80 @@
 
 // Question is a request for a chat completion.
 type Question struct {
-	// Service is the service that the question belongs to. It may be empty.
+	// Service is the service that the request belongs to. It may be empty.
 	Service string
 	Model   string
 	Text    string
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
-	// Entry is the instance that gave the answer.
+	// Entry is the instance that answered.
 	Entry Entry
 	Text  string
-	// Attempts is the number of instances that were asked.
+	// Attempts is the number of times the request was sent.
 	Attempts int
 }
 
-// askAttempts is how many instances one question is sent to at the most.
-const askAttempts = 4
+const maxAttempts = 4
 
 // serviceHeader names the service that a request belongs to.
 const serviceHeader = "Lovagelift-Service"
 
-// Ask sends a question and calls token with each piece of the answer as it
-// comes. A completion changes nothing, so Ask tries another instance after any
-// failure before the first piece. Once all have failed, it waits as long as it
-// was told to before it goes on. If no whole answer comes, Ask returns an
-// *Error.
-func (c *Caller) Ask(ctx context.Context, question Question, token func(string)) (Answer, error) {
-	var last error
-	for attempt := 1; attempt <= askAttempts; attempt++ {
+// Ask sends a chat completion request and calls onChunk with each chunk of text as it
+// arrives. A completion has no side effects, so Ask retries on the next instance if an
+// attempt fails before the first chunk, unless the response has a 4xx status. Once all
+// entries have failed, it first waits for the retry delay of the last response. If Ask
+// receives no complete response, it returns an *Error.
+func (c *Caller) Ask(ctx context.Context, question Question, onChunk func(string)) (Answer, error) {
+	var lastErr error
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		entries, err := c.Entries(ctx)
 		if err != nil {
 			return Answer{}, &Error{Outcome: outcome.NotRun, Message: err.Error()}
 		}
 		entry := c.pick(entries)
 		started := false
-		text, err := c.stream(ctx, entry, question, func(piece string) {
+		text, err := c.stream(ctx, entry, question, func(chunk string) {
 			started = true
-			token(piece)
+			onChunk(chunk)
 		})
 		if err == nil {
 			return Answer{Entry: entry, Text: text, Attempts: attempt}, nil
 		}
-		last = err
+		lastErr = err
 		if started || isFinal(err) || ctx.Err() != nil {
 			break
 		}
-		c.forget()
-		if attempt%len(entries) == 0 && !pause.For(ctx, retryAfterOf(err)) {
+		c.expireEntries()
+		if attempt%len(entries) == 0 && !pause.For(ctx, retryDelay(err)) {
 			break
 		}
 	}
-	return Answer{}, last
+	return Answer{}, lastErr
 }
 
-// The bounds of the wait before an instance is asked again.
+// Limits of the delay before a failed instance is tried again.
 const (
-	minWait = 100 * time.Millisecond
-	maxWait = 5 * time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-func retryAfterOf(err error) time.Duration {
-	var failure *Error
-	if !errors.As(err, &failure) {
-		return minWait
+func retryDelay(err error) time.Duration {
+	var callErr *Error
+	if !errors.As(err, &callErr) {
+		return minRetryDelay
 	}
-	return max(minWait, min(failure.RetryAfter, maxWait))
+	return max(minRetryDelay, min(callErr.RetryAfter, maxRetryDelay))
 }
 
-// isFinal reports whether another instance would answer the same.
+// isFinal reports whether every instance would respond with the same error.
 func isFinal(err error) bool {
-	var failure *Error
-	if !errors.As(err, &failure) {
+	var callErr *Error
+	if !errors.As(err, &callErr) {
 		return false
 	}
-	return failure.Status >= http.StatusBadRequest && failure.Status < http.StatusInternalServerError
+	return callErr.Status >= http.StatusBadRequest && callErr.Status < http.StatusInternalServerError
 }
 
 type chatRequest struct {
@@ -108,7 +107,7 @@
 }
 
 func (c *Caller) stream(
-	ctx context.Context, entry Entry, question Question, token func(string),
+	ctx context.Context, entry Entry, question Question, onChunk func(string),
 ) (string, error) {
 	body, err := json.Marshal(chatRequest{
 		Model:    question.Model,
@@ -133,9 +132,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return "", refused(response)
+		return "", errorFromResponse(response)
 	}
-	return readEvents(response.Body, token)
+	return readEvents(response.Body, onChunk)
 }
 
 type chatEvent struct {
@@ -150,12 +149,11 @@
 	} `json:"error"`
 }
 
-// maxEventBytes bounds one line of a stream of events.
 const maxEventBytes = 1 << 20
 
-// readEvents reads a stream of events up to its last one. If the stream ends
-// before, readEvents returns an *Error.
-func readEvents(body io.Reader, token func(string)) (string, error) {
+// readEvents reads server-sent events up to the final one, "[DONE]". If the stream
+// ends earlier, readEvents returns an *Error.
+func readEvents(body io.Reader, onChunk func(string)) (string, error) {
 	var text strings.Builder
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
@@ -179,7 +177,7 @@
 				continue
 			}
 			text.WriteString(choice.Delta.Content)
-			token(choice.Delta.Content)
+			onChunk(choice.Delta.Content)
 		}
 	}
 	message := "the answer ended before it was whole"
@@ -196,28 +194,29 @@
 	} `json:"error"`
 }
 
-// maxErrorBytes bounds the body of an error that is read.
+// maxErrorBytes limits how much of the body of an error response is read.
 const maxErrorBytes = 64 << 10
 
-func refused(response *http.Response) *Error {
-	failure := &Error{
+// errorFromResponse returns the Error that describes an error response.
+func errorFromResponse(response *http.Response) *Error {
+	callErr := &Error{
 		Status:  response.StatusCode,
 		Message: "status " + strconv.Itoa(response.StatusCode),
 	}
 	if parsed, err := outcome.Parse(response.Header.Get(outcome.Header)); err == nil {
-		failure.Outcome = parsed
+		callErr.Outcome = parsed
 	}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		failure.RetryAfter = time.Duration(seconds) * time.Second
+		callErr.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
-		return failure
+		return callErr
 	}
 	var parsed errorBody
 	if json.Unmarshal(body, &parsed) == nil && parsed.Error.Message != "" {
-		failure.Message = parsed.Error.Message
-		failure.Code = parsed.Error.Code
+		callErr.Message = parsed.Error.Message
+		callErr.Code = parsed.Error.Code
 	}
-	return failure
+	return callErr
 }
--- a/internal/caller/silence_test.go
+++ b/internal/caller/silence_test.go
@@ -12,20 +12,20 @@
 )
 
 var _ = Describe("a look-up whose connection goes silent", func() {
-	// The first instance takes the connection and never answers. The caller
-	// waits for the bound of a look-up and asks the next one it knows.
+	// The first instance accepts the connection and never responds. The caller must
+	// try the next known address after the lookup timeout.
 	It("costs the caller the bound of a look-up", SpecTimeout(20*time.Second), func(ctx SpecContext) {
-		gone := make(chan struct{})
-		silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-gone }))
+		testDone := make(chan struct{})
+		unresponsive := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-testDone }))
 		DeferCleanup(func() {
-			close(gone)
-			silent.Close()
+			close(testDone)
+			unresponsive.Close()
 		})
-		serving := newEntry(answer)
-		asking := caller.New(caller.Options{Known: []string{silent.Listener.Addr().String(), serving.address()}})
-		got, err := asking.Ask(ctx, question, ignore)
+		serving := newFakeInstance(respondComplete)
+		client := caller.New(caller.Options{Known: []string{unresponsive.Listener.Addr().String(), serving.address()}})
+		answer, err := client.Ask(ctx, question, discardText)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got.Text).To(Equal("in ten minutes"))
-		Expect(got.Entry.Address).To(Equal(serving.address()))
+		Expect(answer.Text).To(Equal("in ten minutes"))
+		Expect(answer.Entry.Address).To(Equal(serving.address()))
 	})
 })
