--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -39,8 +39,8 @@
 	Lines  []Line
 	Around []Line
 	// Quarantine are the lines that explain the quarantine of the request: lines about
-	// upstreams that ended while they had another request with the same digest, and
-	// lines about the quarantine itself. They are sorted by time.
+	// upstreams that terminated while they processed another request with the same
+	// digest, and lines about the quarantine itself. They are sorted by time.
 	Quarantine []Line
 	// Read is the number of nonempty lines, and Bad the number of those that could not
 	// be parsed.
@@ -173,8 +173,8 @@
 }
 
 // explainsQuarantine reports whether the line is about the quarantine of the request with
-// the given digest, or about an upstream that ended while it had the request. Some lines
-// contain only a prefix of the digest.
+// the given digest, or about an upstream that terminated while it processed the request.
+// Some lines contain only a prefix of the digest.
 func (l Line) explainsQuarantine(digest string) bool {
 	switch l.Message {
 	case quarantine.LineEnded, quarantine.LineEntered, quarantine.LineLeft, quarantine.LineLifted:
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -22,7 +22,7 @@
 type Options struct {
 	// SettingsPath is the TOML file of the instance's settings.
 	SettingsPath string
-	// Example starts the built-in example instead.
+	// Example runs the built-in example instead of an instance with a settings file.
 	Example bool
 	// CallerAddress overrides the example's listen address for callers if it is not
 	// empty.
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -13,8 +13,8 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// newCrashDetector returns the detector of upstreams that end while they have
-// requests.
+// newCrashDetector returns the detector of upstreams that terminate while they
+// process requests.
 func (i *Instance) newCrashDetector() *coroner.Coroner {
 	return coroner.New(coroner.Options{
 		Contact: i.upstreamContact,
@@ -32,7 +32,7 @@
 	return i.roster.Upstream(name)
 }
 
-// upstreamContact returns the roster's evidence on whether an upstream has ended.
+// upstreamContact returns the roster's evidence on whether an upstream has terminated.
 func (i *Instance) upstreamContact(place quarantine.Place) quarantine.Contact {
 	known, found := i.Upstream(place.Upstream)
 	switch {
--- a/internal/instance/drain_test.go
+++ b/internal/instance/drain_test.go
@@ -26,9 +26,9 @@
 		stopping = cluster["b"]
 	})
 
-	// Two callers read streams from an instance while it drains, and the upstream of
-	// one stream stops sending without closing its connection. That caller must
-	// get an error instead of a response that looks complete, the other one its
+	// Two callers read streams from an instance while it drains, and the upstream
+	// connection of one stream goes silent without closing. That caller must get an
+	// error instead of a response that looks complete. The other caller must get its
 	// complete response, and the drain must wait for the active stream only.
 	It("cuts off the silent connection alone, and ends", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		finishActive, testDone := make(chan struct{}), make(chan struct{})
