--- a/internal/declaration/capacity.go
+++ b/internal/declaration/capacity.go
@@ -2,47 +2,49 @@
 
 import "fmt"
 
-// capacity finds declarations that can fit on the declared accelerators in no
-// way: it counts memory as one whole, so what it refuses is certain not to fit,
-// while what it accepts may still not. It must see only content without other
-// findings.
-func (v *validator) capacity() {
+// checkCapacity adds findings for models and presets that cannot fit on the
+// declared accelerators. It treats the memory of all accelerators as a single
+// pool, so everything it refuses is certain not to fit, but content that it
+// accepts may still not fit. The content must have no other findings.
+func (v *validator) checkCapacity() {
 	classes := v.content.AcceleratorClasses
 	if len(classes) == 0 {
 		return
 	}
-	var total float64
+	var totalMemory float64
 	for _, class := range classes {
-		total += float64(class.Memory) * float64(class.Count)
+		totalMemory += float64(class.Memory) * float64(class.Count)
 	}
-	adapters := v.adapterMemory()
-	leasts := map[string]footprint{}
+	adapterMemory := v.adapterMemory()
+	footprints := map[string]footprint{}
 	for i, model := range v.content.Models {
-		least, ok := leastFootprint(model, adapters[model.Name], classes)
+		smallest, ok := smallestFootprint(model, adapterMemory[model.Name], classes)
 		if !ok {
-			v.add(item("models", i)+".layouts", fmt.Sprintf("model %q with its KV space fits on no declared accelerator class", model.Name),
+			v.addFinding(elementPath("models", i)+".layouts", fmt.Sprintf("model %q with its KV space fits on no declared accelerator class", model.Name),
 				"write a layout over more accelerators, or declare a larger class")
 			continue
 		}
-		leasts[model.Name] = least
+		footprints[model.Name] = smallest
 	}
-	if len(leasts) < len(v.content.Models) {
+	if len(footprints) < len(v.content.Models) {
 		return
 	}
 	for i, preset := range v.content.Presets {
-		v.presetCapacity(item("presets", i), preset, leasts, total)
+		v.checkPresetCapacity(elementPath("presets", i), preset, footprints, totalMemory)
 	}
 }
 
-// footprint is what a model takes over all accelerators of a copy.
+// footprint is the memory in bytes that a model takes, summed over all
+// accelerators of a copy.
 type footprint struct {
-	// copy is what each copy takes.
+	// copy is the memory of each copy.
 	copy float64
-	// adapters is what the model's adapters take, each beside one copy.
+	// adapters is the memory of the model's adapters, each loaded beside one
+	// copy.
 	adapters float64
 }
 
-// adapterMemory returns the memory of all adapters of each model, for each
+// adapterMemory returns, for each model, the memory of all its adapters on one
 // accelerator of a copy.
 func (v *validator) adapterMemory() map[string]float64 {
 	sums := map[string]float64{}
@@ -54,53 +56,53 @@
 
 // leastFootprint returns the smallest footprint among the layouts that fit on
 // classes. It returns false if none fits.
-func leastFootprint(m Model, adapters float64, classes []AcceleratorClass) (footprint, bool) {
-	var least footprint
+func smallestFootprint(model Model, adapterMemory float64, classes []AcceleratorClass) (footprint, bool) {
+	var smallest footprint
 	found := false
-	for _, layout := range m.Layouts {
-		if !fits(m, layout, classes) {
+	for _, layout := range model.Layouts {
+		if !fits(model, layout, classes) {
 			continue
 		}
-		spread := float64(layout.Accelerators)
-		candidate := footprint{copy: spread * float64(layout.Memory+m.KVSpace), adapters: spread * adapters}
-		if !found || candidate.copy+candidate.adapters < least.copy+least.adapters {
-			least, found = candidate, true
+		accelerators := float64(layout.Accelerators)
+		candidate := footprint{copy: accelerators * float64(layout.Memory+model.KVSpace), adapters: accelerators * adapterMemory}
+		if !found || candidate.copy+candidate.adapters < smallest.copy+smallest.adapters {
+			smallest, found = candidate, true
 		}
 	}
-	return least, found
+	return smallest, found
 }
 
-func fits(m Model, layout Layout, classes []AcceleratorClass) bool {
+func fits(model Model, layout Layout, classes []AcceleratorClass) bool {
 	for _, class := range classes {
-		if layout.Memory+m.KVSpace <= class.Memory && layout.Accelerators <= class.Count {
+		if layout.Memory+model.KVSpace <= class.Memory && layout.Accelerators <= class.Count {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *validator) presetCapacity(path string, p Preset, leasts map[string]footprint, total float64) {
-	var models, adapters float64
+func (v *validator) checkPresetCapacity(path string, preset Preset, footprints map[string]footprint, totalMemory float64) {
+	var modelMemory, adapterMemory float64
 	floors := map[string]int{}
-	for _, floor := range p.Floors {
+	for _, floor := range preset.Floors {
 		floors[floor.Model] = floor.Copies
 	}
 	copies := 0
 	for _, model := range v.content.Models {
-		floor, named := floors[model.Name]
-		if !named {
-			floor = p.Copies
+		floor, listed := floors[model.Name]
+		if !listed {
+			floor = preset.Copies
 		}
 		copies += floor
-		models += float64(floor) * leasts[model.Name].copy
-		adapters += leasts[model.Name].adapters
+		modelMemory += float64(floor) * footprints[model.Name].copy
+		adapterMemory += footprints[model.Name].adapters
 	}
-	reserve := total * float64(p.ReservePercent) / 100
-	if models+adapters+reserve <= total {
+	reserveMemory := totalMemory * float64(preset.ReservePercent) / 100
+	if modelMemory+adapterMemory+reserveMemory <= totalMemory {
 		return
 	}
-	v.add(path, fmt.Sprintf("preset %q does not fit: %d copies take %s, adapters %s, the reserve of %d%% %s, together %s of %s",
-		p.Name, copies, Bytes(models), Bytes(adapters), p.ReservePercent, Bytes(reserve),
-		Bytes(models+adapters+reserve), Bytes(total)),
+	v.addFinding(path, fmt.Sprintf("preset %q does not fit: %d copies take %s, adapters %s, the reserve of %d%% %s, together %s of %s",
+		preset.Name, copies, Bytes(modelMemory), Bytes(adapterMemory), preset.ReservePercent, Bytes(reserveMemory),
+		Bytes(modelMemory+adapterMemory+reserveMemory), Bytes(totalMemory)),
 		"lower its floors or its reserve")
 }
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// Change is one difference between two Sets: Added, Removed or Altered.
+// Change is one difference between two Sets: Added, Removed or Altered. No
+// other type implements it.
 type Change interface {
 	// String returns the change as one line, without its fields.
 	String() string
-	// Fields returns what changes inside the item.
+	// Fields returns the fields of the item that change.
 	Fields() []FieldChange
-	change()
+	isChange()
 }
 
 // Item is one declaration: a FailureDomain, an AcceleratorClass, a Service, a
@@ -23,8 +24,8 @@
 	fields() []field
 }
 
-// FieldChange is a field that differs. The value before is empty for an added
-// item, the value after for a removed one.
+// FieldChange is a field that differs. Before is empty for an added item, After
+// for a removed one.
 type FieldChange struct {
 	Name   string
 	Before string
@@ -37,15 +38,15 @@
 // Removed is an item that only the earlier Set has.
 type Removed struct{ Item Item }
 
-// Altered is an item that both Sets have and that differs.
+// Altered is an item that both Sets have with different fields.
 type Altered struct {
 	Before Item
 	After  Item
 }
 
-func (Added) change()   {}
-func (Removed) change() {}
-func (Altered) change() {}
+func (Added) isChange()   {}
+func (Removed) isChange() {}
+func (Altered) isChange() {}
 
 // String returns "add" and the item's title.
 func (a Added) String() string { return "add " + a.Item.Title() }
@@ -56,7 +57,7 @@
 // String returns "change" and the item's title.
 func (a Altered) String() string { return "change " + a.After.Title() }
 
-// Fields returns all fields of the item as values after.
+// Fields returns all fields of the item, with their values in After.
 func (a Added) Fields() []FieldChange {
 	changes := make([]FieldChange, 0)
 	for _, f := range a.Item.fields() {
@@ -65,7 +66,7 @@
 	return changes
 }
 
-// Fields returns all fields of the item as values before.
+// Fields returns all fields of the item, with their values in Before.
 func (r Removed) Fields() []FieldChange {
 	changes := make([]FieldChange, 0)
 	for _, f := range r.Item.fields() {
@@ -86,25 +87,25 @@
 	return changes
 }
 
-// Diff returns the changes that lead from before to after, in the order in
-// which a Set lists its items and then by title. It returns none if both are
-// equal.
+// Diff returns the changes that turn before into after. They are grouped by
+// kind, in the order of the fields of content, and sorted by title within a
+// kind. Equal Sets have no changes.
 func Diff(before, after Set) []Change {
 	changes := make([]Change, 0)
-	b, a := before.content, after.content
-	changes = append(changes, diffItems(items(b.FailureDomains), items(a.FailureDomains))...)
-	changes = append(changes, diffItems(items(b.AcceleratorClasses), items(a.AcceleratorClasses))...)
-	changes = append(changes, diffItems(items(b.Services), items(a.Services))...)
-	changes = append(changes, diffItems(items(b.Models), items(a.Models))...)
-	changes = append(changes, diffItems(items(b.Adapters), items(a.Adapters))...)
-	changes = append(changes, diffItems(items(b.Presets), items(a.Presets))...)
+	beforeContent, afterContent := before.content, after.content
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.FailureDomains), itemsByTitle(afterContent.FailureDomains))...)
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.AcceleratorClasses), itemsByTitle(afterContent.AcceleratorClasses))...)
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.Services), itemsByTitle(afterContent.Services))...)
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.Models), itemsByTitle(afterContent.Models))...)
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.Adapters), itemsByTitle(afterContent.Adapters))...)
+	changes = append(changes, diffItems(itemsByTitle(beforeContent.Presets), itemsByTitle(afterContent.Presets))...)
 	return changes
 }
 
-func items[T Item](typed []T) map[string]Item {
+func itemsByTitle[T Item](list []T) map[string]Item {
 	byTitle := map[string]Item{}
-	for _, one := range typed {
-		byTitle[one.Title()] = one
+	for _, entry := range list {
+		byTitle[entry.Title()] = entry
 	}
 	return byTitle
 }
@@ -115,29 +116,29 @@
 		titles = append(titles, title)
 	}
 	for title := range after {
-		if _, both := before[title]; !both {
+		if _, inBefore := before[title]; !inBefore {
 			titles = append(titles, title)
 		}
 	}
 	slices.Sort(titles)
 	changes := make([]Change, 0)
 	for _, title := range titles {
-		b, had := before[title]
-		a, has := after[title]
+		beforeItem, inBefore := before[title]
+		afterItem, inAfter := after[title]
 		switch {
-		case !had:
-			changes = append(changes, Added{Item: a})
-		case !has:
-			changes = append(changes, Removed{Item: b})
-		case len(Altered{Before: b, After: a}.Fields()) > 0:
-			changes = append(changes, Altered{Before: b, After: a})
+		case !inBefore:
+			changes = append(changes, Added{Item: afterItem})
+		case !inAfter:
+			changes = append(changes, Removed{Item: beforeItem})
+		case len(Altered{Before: beforeItem, After: afterItem}.Fields()) > 0:
+			changes = append(changes, Altered{Before: beforeItem, After: afterItem})
 		default:
 		}
 	}
 	return changes
 }
 
-// field is a field of an item as it is shown to people.
+// field is a field of an item, formatted for operators.
 type field struct {
 	name  string
 	value string
@@ -153,7 +154,7 @@
 
 func (a AcceleratorClass) fields() []field {
 	return []field{
-		{"memory", a.Memory.exact()},
+		{"memory", a.Memory.exactString()},
 		{"count", fmt.Sprint(a.Count)},
 	}
 }
@@ -170,8 +171,8 @@
 		{"goal.priority", fmt.Sprint(s.Goal.Priority)},
 		{"models", strings.Join(s.Models, ", ")},
 		{"non-idempotent", fmt.Sprint(s.NonIdempotent)},
-		{"non-repeatable", strings.Join(callTexts(s.NonRepeatable), ", ")},
-		{"repeatable", strings.Join(callTexts(s.Repeatable), ", ")},
+		{"non-repeatable", strings.Join(callStrings(s.NonRepeatable), ", ")},
+		{"repeatable", strings.Join(callStrings(s.Repeatable), ", ")},
 	}
 }
 
@@ -181,7 +182,7 @@
 func (m Model) fields() []field {
 	layouts := make([]string, 0, len(m.Layouts))
 	for _, layout := range m.Layouts {
-		layouts = append(layouts, fmt.Sprintf("%d × %s", layout.Accelerators, layout.Memory.exact()))
+		layouts = append(layouts, fmt.Sprintf("%d × %s", layout.Accelerators, layout.Memory.exactString()))
 	}
 	versions := make([]string, 0, len(m.Versions))
 	for _, version := range m.Versions {
@@ -189,7 +190,7 @@
 	}
 	return []field{
 		{"layouts", strings.Join(layouts, ", ")},
-		{"kv-space", m.KVSpace.exact()},
+		{"kv-space", m.KVSpace.exactString()},
 		{"versions", strings.Join(versions, ", ")},
 		{"version", m.Version},
 	}
@@ -201,7 +202,7 @@
 func (a Adapter) fields() []field {
 	return []field{
 		{"model", a.Model},
-		{"memory", a.Memory.exact()},
+		{"memory", a.Memory.exactString()},
 		{"weights", a.Weights},
 		{"services", strings.Join(a.Services, ", ")},
 	}
@@ -219,9 +220,9 @@
 	for _, share := range p.Shares {
 		shares = append(shares, fmt.Sprintf("%s: %g", share.Service, share.Weight))
 	}
-	weight := "as in settings"
+	moveWeight := "as in settings"
 	if p.WeightOfMoves >= 0 {
-		weight = fmt.Sprint(p.WeightOfMoves)
+		moveWeight = fmt.Sprint(p.WeightOfMoves)
 	}
 	return []field{
 		{"first", fmt.Sprint(p.First)},
@@ -230,13 +231,14 @@
 		{"reserve-percent", fmt.Sprint(p.ReservePercent)},
 		{"tolerate-engines", fmt.Sprint(p.TolerateEngines)},
 		{"tolerate-failure-domains", fmt.Sprint(p.TolerateFailureDomains)},
-		{"weight-of-moves", weight},
+		{"weight-of-moves", moveWeight},
 		{"shares", strings.Join(shares, ", ")},
 	}
 }
 
-// exact returns the amount such that different amounts differ.
-func (b Bytes) exact() string {
+// exactString formats b without rounding, in the largest unit that divides it,
+// so that different amounts have different texts.
+func (b Bytes) exactString() string {
 	for _, unit := range []struct {
 		size Bytes
 		name string
--- a/internal/declaration/fuzz_test.go
+++ b/internal/declaration/fuzz_test.go
@@ -11,10 +11,11 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// FuzzRead shows that any bytes give declarations that come back from their
-// canonical encoding, or findings with a place, and never a panic.
+// FuzzRead checks that Read never panics, and that any file gives either
+// findings with a place or declarations that survive a round trip through their
+// canonical encoding.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validDeclarations))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		files := fstest.MapFS{"a.toml": {Data: data}}
 		set, err := declaration.Read(files, "decl")
@@ -24,19 +25,19 @@
 		}
 		var found *finding.Error
 		if !errors.As(err, &found) || len(found.Findings) == 0 {
-			t.Fatalf("an error without findings: %v", err)
+			t.Fatalf("error without findings: %v", err)
 		}
-		for _, one := range found.Findings {
-			if one.Place.File == "" || one.Problem == "" || one.Place.Line < 0 {
-				t.Fatalf("a finding without a place: %+v", one)
+		for _, item := range found.Findings {
+			if item.Place.File == "" || item.Problem == "" || item.Place.Line < 0 {
+				t.Fatalf("finding without a place: %+v", item)
 			}
 		}
 	})
 }
 
-// FuzzDecode shows that whatever is accepted as canonical is canonical.
+// FuzzDecode checks that Decode accepts only canonical encodings.
 func FuzzDecode(f *testing.F) {
-	set, err := declaration.Read(fstest.MapFS{"a.toml": {Data: []byte(whole)}}, "decl")
+	set, err := declaration.Read(fstest.MapFS{"a.toml": {Data: []byte(validDeclarations)}}, "decl")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -47,10 +48,10 @@
 			return
 		}
 		if !bytes.Equal(set.Canonical(), data) {
-			t.Fatalf("accepted %q, which is not canonical", data)
+			t.Fatalf("Decode accepted %q, which is not canonical", data)
 		}
 		if len(declaration.Diff(set, set)) > 0 {
-			t.Fatal("declarations differ from themselves")
+			t.Fatal("Diff found changes between equal declarations")
 		}
 	})
 }
@@ -59,9 +60,9 @@
 	t.Helper()
 	decoded, err := declaration.Decode(set.Canonical())
 	if err != nil {
-		t.Fatalf("read, but not accepted as canonical: %v", err)
+		t.Fatalf("Decode refused the canonical encoding of valid declarations: %v", err)
 	}
 	if len(declaration.Diff(set, decoded)) > 0 {
-		t.Fatal("changed on the way through the canonical encoding")
+		t.Fatal("the round trip through the canonical encoding changed the declarations")
 	}
 }
--- a/internal/declaration/presets.go
+++ b/internal/declaration/presets.go
@@ -6,81 +6,81 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-func (v *validator) allPresets() {
+func (v *validator) checkPresets() {
 	if len(v.content.Presets) == 0 {
 		place := finding.Place{File: "declarations"}
-		v.list.Add(place, "no preset is declared, and exactly one must be in force",
+		v.findings.Add(place, "no preset is declared, and exactly one must be in force",
 			`write [[preset]] with name = "ordinary" and first = true`)
 		return
 	}
-	first := ""
+	initialPath := ""
 	for i, preset := range v.content.Presets {
-		path := item("presets", i)
-		v.preset(path, preset)
+		path := elementPath("presets", i)
+		v.checkPreset(path, preset)
 		if !preset.First {
 			continue
 		}
-		if first != "" {
-			v.add(path+".first", fmt.Sprintf("two presets are the first, the other at %s", v.origin.at(first)), "leave one out")
+		if initialPath != "" {
+			v.addFinding(path+".first", fmt.Sprintf("two presets are the first, the other at %s", v.sources.placeOf(initialPath)), "leave one out")
 			continue
 		}
-		first = path + ".first"
+		initialPath = path + ".first"
 	}
-	if first == "" {
-		v.add("presets[0].first", "no preset is the first to be in force", "write first = true in one preset")
+	if initialPath == "" {
+		v.addFinding("presets[0].first", "no preset is the first to be in force", "write first = true in one preset")
 	}
 }
 
-func (v *validator) preset(path string, p Preset) {
-	v.between(path, "copies", p.Copies, 1, maxCopies)
-	v.between(path, "reserve-percent", p.ReservePercent, 0, maxReserve)
-	v.between(path, "tolerate-engines", p.TolerateEngines, 0, maxCount)
-	v.between(path, "tolerate-failure-domains", p.TolerateFailureDomains, 0, maxCount)
-	if p.WeightOfMoves > maxWeight || (p.WeightOfMoves < 0 && p.WeightOfMoves != notDeclared) {
-		v.add(path+".weight-of-moves", fmt.Sprintf("%q must be from 0 to %d, not %g", "weight-of-moves", maxWeight, p.WeightOfMoves),
+func (v *validator) checkPreset(path string, preset Preset) {
+	v.checkRange(path, "copies", preset.Copies, 1, maxCopies)
+	v.checkRange(path, "reserve-percent", preset.ReservePercent, 0, maxReservePercent)
+	v.checkRange(path, "tolerate-engines", preset.TolerateEngines, 0, maxCount)
+	v.checkRange(path, "tolerate-failure-domains", preset.TolerateFailureDomains, 0, maxCount)
+	if preset.WeightOfMoves > maxWeight || (preset.WeightOfMoves < 0 && preset.WeightOfMoves != unsetWeightOfMoves) {
+		v.addFinding(path+".weight-of-moves", fmt.Sprintf("%q must be from 0 to %d, not %g", "weight-of-moves", maxWeight, preset.WeightOfMoves),
 			"write for example weight-of-moves = 1")
 	}
-	models := make([]string, 0, len(p.Floors))
-	for i, floor := range p.Floors {
-		v.floor(item(path+".floors", i), floor)
+	models := make([]string, 0, len(preset.Floors))
+	for i, floor := range preset.Floors {
+		v.checkFloor(elementPath(path+".floors", i), floor)
 		models = append(models, floor.Model)
 	}
-	v.unique(path+".floors", models)
-	services := make([]string, 0, len(p.Shares))
-	for i, share := range p.Shares {
-		v.share(item(path+".shares", i), share)
+	v.checkUnique(path+".floors", models)
+	services := make([]string, 0, len(preset.Shares))
+	for i, share := range preset.Shares {
+		v.checkShare(elementPath(path+".shares", i), share)
 		services = append(services, share.Service)
 	}
-	v.unique(path+".shares", services)
+	v.checkUnique(path+".shares", services)
 }
 
-func (v *validator) floor(path string, f Floor) {
-	if f.Model == "" {
-		v.missing(path, "model", `"..."`)
+func (v *validator) checkFloor(path string, floor Floor) {
+	if floor.Model == "" {
+		v.addMissingKey(path, "model", `"..."`)
 	} else {
-		v.refer(v.targets, path+".model", "model", f.Model)
+		v.checkReference(v.targets, path+".model", "model", floor.Model)
 	}
-	v.between(path, "copies", f.Copies, 1, maxCopies)
-	if f.FailureDomains > f.Copies && f.Copies >= 1 {
-		v.add(path+".failure-domains", fmt.Sprintf("%d copies cannot be in %d failure domains", f.Copies, f.FailureDomains),
-			fmt.Sprintf("write copies = %d, or fewer failure domains", f.FailureDomains))
+	v.checkRange(path, "copies", floor.Copies, 1, maxCopies)
+	if floor.FailureDomains > floor.Copies && floor.Copies >= 1 {
+		v.addFinding(path+".failure-domains", fmt.Sprintf("%d copies cannot be in %d failure domains", floor.Copies, floor.FailureDomains),
+			fmt.Sprintf("write copies = %d, or fewer failure domains", floor.FailureDomains))
 		return
 	}
-	v.between(path, "failure-domains", f.FailureDomains, 1, maxCopies)
-	if known := len(v.content.FailureDomains); known > 0 && f.FailureDomains > known {
-		v.add(path+".failure-domains", fmt.Sprintf("%d failure domains, and %d are declared", f.FailureDomains, known),
-			fmt.Sprintf("write failure-domains = %d", known))
+	v.checkRange(path, "failure-domains", floor.FailureDomains, 1, maxCopies)
+	if declaredCount := len(v.content.FailureDomains); declaredCount > 0 && floor.FailureDomains > declaredCount {
+		v.addFinding(path+".failure-domains", fmt.Sprintf("%d failure domains, and %d are declared", floor.FailureDomains, declaredCount),
+			fmt.Sprintf("write failure-domains = %d", declaredCount))
 	}
 }
 
-func (v *validator) share(path string, s Share) {
-	if s.Service == "" {
-		v.missing(path, "service", `"..."`)
+func (v *validator) checkShare(path string, share Share) {
+	if share.Service == "" {
+		v.addMissingKey(path, "service", `"..."`)
 	} else {
-		v.refer(v.services, path+".service", "service", s.Service)
+		v.checkReference(v.services, path+".service", "service", share.Service)
 	}
-	if s.Weight <= 0 || s.Weight > maxWeight {
-		v.add(path+".weight", fmt.Sprintf("%q must be above 0 and at most %d, not %g", "weight", maxWeight, s.Weight),
+	if share.Weight <= 0 || share.Weight > maxWeight {
+		v.addFinding(path+".weight", fmt.Sprintf("%q must be above 0 and at most %d, not %g", "weight", maxWeight, share.Weight),
 			"write for example weight = 1")
 	}
 }
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -11,12 +11,14 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// format numbers the canonical encoding. An instance refuses declarations of
-// another format before they are accepted, so that an instance that is not yet
-// upgraded never drops a part of them without a word.
-const format = 1
+// formatVersion is the version of the canonical encoding. An instance refuses
+// declarations of another version before they are accepted, so that an instance
+// that is not yet upgraded never silently drops fields that it does not know.
+const formatVersion = 1
 
-// content is the canonical encoding. Each list is sorted by name.
+// content is the structure of the canonical encoding. Each list is sorted by
+// name. The name of the type is part of the error text of encoding/json for a
+// value of a wrong type.
 type content struct {
 	Format             int                `json:"format"`
 	FailureDomains     []FailureDomain    `json:"failure-domains"`
@@ -27,49 +29,50 @@
 	Presets            []Preset           `json:"presets"`
 }
 
-// Set is declarations that fit together. It is immutable and safe for
-// concurrent use; what its methods return must not be changed. The zero value
+// Set is a valid set of declarations. It is immutable and safe for concurrent
+// use; callers must not modify the values that its methods return. The zero value
 // declares nothing.
 type Set struct {
-	content  content
-	services map[string]int
-	models   map[string]int
-	adapters map[string]int
-	presets  map[string]int
-	// users holds the first service that uses each model or adapter.
-	users map[string]int
+	content      content
+	serviceIndex map[string]int
+	modelIndex   map[string]int
+	adapterIndex map[string]int
+	presetIndex  map[string]int
+	// targetServiceIndex maps each model and adapter to the first service that
+	// uses it.
+	targetServiceIndex map[string]int
 }
 
 func newSet(c content) Set {
-	c.Format = format
-	c.sort()
+	c.Format = formatVersion
+	c.normalize()
 	s := Set{
-		content:  c,
-		services: map[string]int{},
-		models:   map[string]int{},
-		adapters: map[string]int{},
-		presets:  map[string]int{},
-		users:    map[string]int{},
+		content:            c,
+		serviceIndex:       map[string]int{},
+		modelIndex:         map[string]int{},
+		adapterIndex:       map[string]int{},
+		presetIndex:        map[string]int{},
+		targetServiceIndex: map[string]int{},
 	}
 	for i, service := range c.Services {
-		s.services[service.Name] = i
+		s.serviceIndex[service.Name] = i
 		for _, model := range service.Models {
-			if _, used := s.users[model]; !used {
-				s.users[model] = i
+			if _, used := s.targetServiceIndex[model]; !used {
+				s.targetServiceIndex[model] = i
 			}
 		}
 	}
 	for i := range c.Models {
-		s.models[c.Models[i].Name] = i
+		s.modelIndex[c.Models[i].Name] = i
 	}
 	for i, adapter := range c.Adapters {
-		s.adapters[adapter.Name] = i
+		s.adapterIndex[adapter.Name] = i
 		if len(adapter.Services) > 0 {
-			s.users[adapter.Name] = s.services[adapter.Services[0]]
+			s.targetServiceIndex[adapter.Name] = s.serviceIndex[adapter.Services[0]]
 		}
 	}
 	for i := range c.Presets {
-		s.presets[c.Presets[i].Name] = i
+		s.presetIndex[c.Presets[i].Name] = i
 	}
 	return s
 }
@@ -96,33 +99,33 @@
 
 // Service returns the service called name, if there is one.
 func (s Set) Service(name string) (Service, bool) {
-	return find(s.content.Services, s.services, name)
+	return lookup(s.content.Services, s.serviceIndex, name)
 }
 
 // ServiceOf returns the first service, by name, that uses the model or adapter
 // called target, if there is one.
 func (s Set) ServiceOf(target string) (Service, bool) {
-	return find(s.content.Services, s.users, target)
+	return lookup(s.content.Services, s.targetServiceIndex, target)
 }
 
 // Model returns the model called name, if there is one.
 func (s Set) Model(name string) (Model, bool) {
-	return find(s.content.Models, s.models, name)
+	return lookup(s.content.Models, s.modelIndex, name)
 }
 
 // Adapter returns the adapter called name, if there is one. No model has the
 // name of an adapter.
 func (s Set) Adapter(name string) (Adapter, bool) {
-	return find(s.content.Adapters, s.adapters, name)
+	return lookup(s.content.Adapters, s.adapterIndex, name)
 }
 
 // Preset returns the preset called name, if there is one.
 func (s Set) Preset(name string) (Preset, bool) {
-	return find(s.content.Presets, s.presets, name)
+	return lookup(s.content.Presets, s.presetIndex, name)
 }
 
-// FirstPreset returns the preset that is in force when there is none yet. It is
-// empty only for the zero Set.
+// FirstPreset returns the preset that is in force until an operator selects one.
+// It is empty only for the zero Set.
 func (s Set) FirstPreset() Preset {
 	for _, preset := range s.content.Presets {
 		if preset.First {
@@ -132,8 +135,8 @@
 	return Preset{}
 }
 
-// PresetNames returns the names of the presets, FirstPreset's first and the
-// others sorted.
+// PresetNames returns the name of FirstPreset, followed by the sorted names of
+// the other presets.
 func (s Set) PresetNames() []string {
 	names := make([]string, 0, len(s.content.Presets))
 	for _, preset := range s.content.Presets {
@@ -146,11 +149,11 @@
 	return names
 }
 
-func find[T any](items []T, index map[string]int, name string) (T, bool) {
+func lookup[T any](items []T, index map[string]int, name string) (T, bool) {
 	i, ok := index[name]
 	if !ok {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	return items[i], true
 }
@@ -159,9 +162,9 @@
 // bytes, however they were split into files.
 func (s Set) Canonical() []byte {
 	c := s.content
-	c.Format = format
-	c.sort()
-	// Encoding fails for no value of these types: all numbers are finite.
+	c.Format = formatVersion
+	c.normalize()
+	// Encoding values of these types cannot fail, since all numbers are finite.
 	data, err := json.Marshal(c)
 	if err != nil {
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "declaration: encoding"))
@@ -169,18 +172,18 @@
 	return data
 }
 
-// Decode returns the declarations that data holds in the encoding of Canonical.
-// If they are wrong, Decode returns a *finding.Error, in which the place of a
-// finding is a path such as services[3].models. If data is not what Canonical
-// returns for them, Decode returns an error too, so that equal revisions have
-// equal bytes.
+// Decode decodes declarations in the encoding of Canonical. If they are invalid,
+// Decode returns a *finding.Error, in which the place of a finding is a path such
+// as services[3].models. Decode also returns an error if data differs from the
+// result of Canonical for these declarations, so that equal revisions have equal
+// bytes.
 func Decode(data []byte) (Set, error) {
 	var list finding.List
 	c, err := decodeContent(data)
 	if err != nil {
 		return Set{}, err
 	}
-	validate(c, origin{}, &list)
+	validate(c, sourceMap{}, &list)
 	if err := list.Err(); err != nil {
 		return Set{}, err
 	}
@@ -191,8 +194,8 @@
 	return s, nil
 }
 
-// Check returns the PresetNames of the declarations that data holds, or the
-// error of Decode. It depends on data alone.
+// Check decodes data and returns the PresetNames of the declarations, or the
+// error of Decode. Its result depends on data alone.
 func Check(data []byte) ([]string, error) {
 	set, err := Decode(data)
 	if err != nil {
@@ -202,15 +205,15 @@
 }
 
 func decodeContent(data []byte) (content, error) {
-	var version struct {
+	var header struct {
 		Format int `json:"format"`
 	}
-	if err := json.Unmarshal(data, &version); err != nil {
+	if err := json.Unmarshal(data, &header); err != nil {
 		return content{}, errors.Wrap(err, "declaration: broken JSON")
 	}
-	if version.Format != format {
+	if header.Format != formatVersion {
 		return content{}, errors.Newf("declaration: format %d, but this version knows only %d; upgrade all instances first",
-			version.Format, format)
+			header.Format, formatVersion)
 	}
 	var c content
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -221,43 +224,44 @@
 	return c, nil
 }
 
-// sort brings every list into the order of the canonical encoding and makes
-// absent lists empty.
-func (c *content) sort() {
-	c.FailureDomains = sorted(c.FailureDomains, func(d FailureDomain) string { return d.Name })
-	c.AcceleratorClasses = sorted(c.AcceleratorClasses, func(a AcceleratorClass) string { return a.Name })
-	c.Services = sorted(c.Services, func(s Service) string { return s.Name })
+// normalize puts every list into the order of the canonical encoding and replaces
+// nil lists by empty ones.
+func (c *content) normalize() {
+	c.FailureDomains = sortedCopy(c.FailureDomains, func(d FailureDomain) string { return d.Name })
+	c.AcceleratorClasses = sortedCopy(c.AcceleratorClasses, func(a AcceleratorClass) string { return a.Name })
+	c.Services = sortedCopy(c.Services, func(s Service) string { return s.Name })
 	for i := range c.Services {
 		s := &c.Services[i]
-		s.Models = sorted(s.Models, itself)
-		s.NonRepeatable = sorted(s.NonRepeatable, Call.String)
-		s.Repeatable = sorted(s.Repeatable, Call.String)
+		s.Models = sortedCopy(s.Models, identity)
+		s.NonRepeatable = sortedCopy(s.NonRepeatable, Call.String)
+		s.Repeatable = sortedCopy(s.Repeatable, Call.String)
 	}
-	c.Models = sorted(c.Models, func(m Model) string { return m.Name })
+	c.Models = sortedCopy(c.Models, func(m Model) string { return m.Name })
 	for i := range c.Models {
 		m := &c.Models[i]
 		m.Layouts = slices.Clone(m.Layouts)
 		slices.SortFunc(m.Layouts, func(a, b Layout) int { return a.Accelerators - b.Accelerators })
-		m.Versions = sorted(m.Versions, func(v Version) string { return v.Name })
+		m.Versions = sortedCopy(m.Versions, func(v Version) string { return v.Name })
 	}
-	c.Adapters = sorted(c.Adapters, func(a Adapter) string { return a.Name })
+	c.Adapters = sortedCopy(c.Adapters, func(a Adapter) string { return a.Name })
 	for i := range c.Adapters {
-		c.Adapters[i].Services = sorted(c.Adapters[i].Services, itself)
+		c.Adapters[i].Services = sortedCopy(c.Adapters[i].Services, identity)
 	}
-	c.Presets = sorted(c.Presets, func(p Preset) string { return p.Name })
+	c.Presets = sortedCopy(c.Presets, func(p Preset) string { return p.Name })
 	for i := range c.Presets {
 		p := &c.Presets[i]
-		p.Floors = sorted(p.Floors, func(f Floor) string { return f.Model })
-		p.Shares = sorted(p.Shares, func(s Share) string { return s.Service })
+		p.Floors = sortedCopy(p.Floors, func(f Floor) string { return f.Model })
+		p.Shares = sortedCopy(p.Shares, func(s Share) string { return s.Service })
 	}
 }
 
-// sorted returns a sorted copy, so that sorting one Set leaves others alone.
-func sorted[T any](items []T, key func(T) string) []T {
-	copied := make([]T, len(items))
-	copy(copied, items)
-	slices.SortStableFunc(copied, func(a, b T) int { return strings.Compare(key(a), key(b)) })
-	return copied
+// sortedCopy returns a sorted copy of items. It copies because Sets can share
+// their lists.
+func sortedCopy[T any](items []T, key func(T) string) []T {
+	result := make([]T, len(items))
+	copy(result, items)
+	slices.SortStableFunc(result, func(a, b T) int { return strings.Compare(key(a), key(b)) })
+	return result
 }
 
-func itself(s string) string { return s }
+func identity(s string) string { return s }
--- a/internal/declaration/set_test.go
+++ b/internal/declaration/set_test.go
@@ -9,10 +9,10 @@
 	"github.com/lovagelift/lovagelift/internal/declaration"
 )
 
-// split returns the sections of whole as one file each, named so that they are
-// read in the opposite order.
-func split() []string {
-	sections := strings.Split(strings.TrimSpace(whole), "\n\n")
+// splitFiles returns each section of validDeclarations as a file of its own. The
+// file names reverse the order in which the sections are read.
+func splitFiles() []string {
+	sections := strings.Split(strings.TrimSpace(validDeclarations), "\n\n")
 	files := make([]string, 0)
 	for i, section := range sections {
 		files = append(files, string(rune('z'-i))+".toml", section)
@@ -21,17 +21,17 @@
 }
 
 var _ = Describe("Canonical", func() {
-	It("is equal for equal content, whatever the files", func() {
-		Expect(string(read(split()...).Canonical())).To(Equal(string(read("a.toml", whole).Canonical())))
+	It("is equal for equal declarations, however they are split into files", func() {
+		Expect(string(mustRead(splitFiles()...).Canonical())).To(Equal(string(mustRead("a.toml", validDeclarations).Canonical())))
 	})
 
-	It("lists nothing, and not null, when nothing is declared", func() {
+	It("encodes absent lists as empty arrays, not null", func() {
 		Expect(string(declaration.Set{}.Canonical())).To(Equal(
 			`{"format":1,"failure-domains":[],"accelerator-classes":[],"services":[],"models":[],"adapters":[],"presets":[]}`))
 	})
 
-	It("comes back from Decode as it was", func() {
-		set := read("a.toml", whole)
+	It("is decoded by Decode to an equal Set", func() {
+		set := mustRead("a.toml", validDeclarations)
 		decoded, err := declaration.Decode(set.Canonical())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decoded).To(Equal(set))
@@ -40,7 +40,7 @@
 })
 
 var _ = Describe("Check", func() {
-	canonical := func() string { return string(read("a.toml", whole).Canonical()) }
+	canonical := func() string { return string(mustRead("a.toml", validDeclarations).Canonical()) }
 
 	check := func(data string) error {
 		names, err := declaration.Check([]byte(data))
@@ -48,47 +48,47 @@
 		return err
 	}
 
-	It("names the first preset first", func() {
-		second := strings.Replace(strings.Replace(whole, "first = true\n", "", 1), `name = "peak"`, "name = \"peak\"\nfirst = true", 1)
-		Expect(declaration.Check(read("a.toml", second).Canonical())).To(Equal([]string{"peak", "ordinary"}))
+	It("returns the name of the first preset first", func() {
+		second := strings.Replace(strings.Replace(validDeclarations, "first = true\n", "", 1), `name = "peak"`, "name = \"peak\"\nfirst = true", 1)
+		Expect(declaration.Check(mustRead("a.toml", second).Canonical())).To(Equal([]string{"peak", "ordinary"}))
 	})
 
-	It("finds the same as Read, with the path as the place", func() {
+	It("reports the same findings as Read, with paths as places", func() {
 		bad := strings.NewReplacer(`"model":"base"`, `"model":"bsae"`, `"kind":"plain"`, `"kind":"odd"`).Replace(canonical())
-		Expect(lines(check(bad))).To(Equal([]string{
+		Expect(findingLines(check(bad))).To(Equal([]string{
 			`adapters[0].model: model "bsae" is not declared; write "base"`,
 			`presets[0].floors[0].model: model "bsae" is not declared; write "base"`,
 			`services[0].kind: "kind" cannot be "odd"; write "model-backed" or "plain"`,
 		}))
 	})
 
-	DescribeTable("refuses another encoding",
+	DescribeTable("refuses any other encoding",
 		func(old, replacement, want string) {
 			bad := strings.Replace(canonical(), old, replacement, 1)
 			Expect(bad).NotTo(Equal(canonical()))
 			Expect(check(bad)).To(MatchError(ContainSubstring(want)))
 		},
-		Entry("of a newer version", `{"format":1`, `{"format":2`, "format 2, but this version knows only 1"),
-		Entry("with a key nobody knows", `{"format":1`, `{"format":1,"new":true`, `unknown field "new"`),
-		Entry("with a key twice", `{"format":1`, `{"format":1,"format":1`, "not in the canonical encoding"),
-		Entry("with space", `{"format":1`, `{ "format":1`, "not in the canonical encoding"),
-		Entry("that ends early", `"services":`, ``, "broken JSON"),
+		Entry("with a newer format version", `{"format":1`, `{"format":2`, "format 2, but this version knows only 1"),
+		Entry("with an unknown key", `{"format":1`, `{"format":1,"new":true`, `unknown field "new"`),
+		Entry("with a duplicate key", `{"format":1`, `{"format":1,"format":1`, "not in the canonical encoding"),
+		Entry("with whitespace", `{"format":1`, `{ "format":1`, "not in the canonical encoding"),
+		Entry("that is broken JSON", `"services":`, ``, "broken JSON"),
 	)
 
-	It("refuses what is no JSON", func() {
+	It("refuses empty input", func() {
 		Expect(check("")).To(MatchError(ContainSubstring("declaration: broken JSON")))
 	})
 })
 
 var _ = Describe("Diff", func() {
-	It("finds nothing between equal declarations", func() {
-		Expect(declaration.Diff(read("a.toml", whole), read(split()...))).To(BeEmpty())
+	It("reports no changes between equal declarations", func() {
+		Expect(declaration.Diff(mustRead("a.toml", validDeclarations), mustRead(splitFiles()...))).To(BeEmpty())
 	})
 
-	It("names what is added, removed and changed, field by field", func() {
-		before := read("a.toml", whole)
-		changed := strings.NewReplacer(`"540ms"`, `"300ms"`, "copies = 2", "copies = 3", `"base-kgn"`, `"base-stt"`).Replace(whole)
-		changes := declaration.Diff(before, read("a.toml", changed))
+	It("reports added, removed and changed items with their fields", func() {
+		before := mustRead("a.toml", validDeclarations)
+		changed := strings.NewReplacer(`"540ms"`, `"300ms"`, "copies = 2", "copies = 3", `"base-kgn"`, `"base-stt"`).Replace(validDeclarations)
+		changes := declaration.Diff(before, mustRead("a.toml", changed))
 		Expect(changes).To(HaveLen(4))
 		titles := make([]string, 0)
 		for _, change := range changes {
@@ -105,7 +105,7 @@
 		Expect(removed.Fields()).To(ContainElement(declaration.FieldChange{Name: "memory", Before: "200 MiB"}))
 	})
 
-	It("adds everything to nothing", func() {
-		Expect(declaration.Diff(declaration.Set{}, read("a.toml", whole))).To(HaveLen(6))
+	It("reports every item as added to an empty Set", func() {
+		Expect(declaration.Diff(declaration.Set{}, mustRead("a.toml", validDeclarations))).To(HaveLen(6))
 	})
 })
--- a/internal/declaration/types.go
+++ b/internal/declaration/types.go
@@ -1,10 +1,11 @@
-// Package declaration holds what operators declare and all instances must agree
-// on: services with their goals, models, adapters and presets (desired state).
+// Package declaration is the desired state of the system, which operators declare
+// and all instances must agree on: failure domains, accelerator classes, services
+// with their goals, models, adapters and presets.
 //
-// Declarations are kept in version control as a folder of TOML files, see Read.
-// Once accepted they travel as canonical JSON, see Set.Canonical and Decode. The
-// package is pure: it does no I/O but through the file system it is given.
-// docs/operators/declarations.md describes every key.
+// Operators keep declarations in version control as a folder of TOML files, see
+// Read. Accepted declarations are transmitted as canonical JSON, see
+// Set.Canonical and Decode. The package does no I/O except through the fs.FS
+// passed to Read. docs/operators/declarations.md describes every key.
 package declaration
 
 import (
@@ -29,18 +30,19 @@
 	Name string `json:"name"`
 }
 
-// AcceleratorClass is a number of equal accelerators that are paid for. With
-// classes declared, declarations that cannot fit on them are refused.
+// AcceleratorClass is a group of identical accelerators that the operator pays
+// for. If any class is declared, declarations that cannot fit on the accelerators
+// of all classes are refused.
 type AcceleratorClass struct {
 	Name string `json:"name"`
-	// Memory is what models, adapters and KV space may take of one accelerator.
-	// It is above 0.
+	// Memory is the memory of one accelerator that is available for models,
+	// adapters and the KV cache. It is above 0.
 	Memory Bytes `json:"memory-bytes"`
-	// Count is how many accelerators there are. It is above 0.
+	// Count is the number of accelerators. It is above 0.
 	Count int `json:"count"`
 }
 
-// ServiceKind says what answers a service's requests.
+// ServiceKind is the kind of back end that answers a service's requests.
 type ServiceKind string
 
 // The kinds of service.
@@ -51,11 +53,11 @@
 	Plain ServiceKind = "plain"
 )
 
-// DefaultPriority is the priority of a service that names none.
+// DefaultPriority is the priority of a service that does not set one.
 const DefaultPriority = 1
 
-// Goal is what a service's requests must meet. A duration of 0 stands for the
-// default in the instance's settings.
+// Goal is the service level objective for the requests of a service. A duration
+// of 0 stands for the default in the instance's settings.
 type Goal struct {
 	FirstToken    time.Duration `json:"first-token-nanoseconds"`
 	BetweenTokens time.Duration `json:"between-tokens-nanoseconds"`
@@ -65,8 +67,8 @@
 	Priority int `json:"priority"`
 }
 
-// WithDefaults returns the goal with the durations of defaults where it has
-// none.
+// WithDefaults returns the goal with each duration of 0 replaced by that of
+// defaults.
 func (g Goal) WithDefaults(defaults Goal) Goal {
 	if g.FirstToken == 0 {
 		g.FirstToken = defaults.FirstToken
@@ -80,39 +82,40 @@
 	return g
 }
 
-// Call names calls of a plain service.
+// Call is a pattern that matches calls of a plain service.
 type Call struct {
 	// Method is an HTTP method in capitals, or * for any.
 	Method string `json:"method"`
-	// Path is a pattern as of path.Match, in which * stands for any part of one
-	// segment. A last segment of ** stands for one or more segments.
+	// Path is a pattern in the syntax of path.Match. If its last segment is **,
+	// that matches one or more segments.
 	Path string `json:"path"`
 }
 
-// String returns the call as it is declared.
+// String returns the call as written in a declaration, such as "POST /pay/**".
 func (c Call) String() string {
 	return c.Method + " " + c.Path
 }
 
-// Matches tells whether the pattern covers a call of method at the unescaped
-// path below the service.
-func (c Call) Matches(method, called string) bool {
+// Matches reports whether the pattern matches a call of method. callPath is the
+// unescaped path after the name of the service.
+func (c Call) Matches(method, callPath string) bool {
 	if c.Method != anyMethod && c.Method != method {
 		return false
 	}
 	if prefix, ok := strings.CutSuffix(c.Path, "/**"); ok {
-		return matchesBelow(prefix, called)
+		return matchesDescendant(prefix, callPath)
 	}
-	matched, err := path.Match(c.Path, called)
+	matched, err := path.Match(c.Path, callPath)
 	return err == nil && matched
 }
 
 const anyMethod = "*"
 
-// matchesBelow tells whether called is below a path that matches prefix.
-func matchesBelow(prefix, called string) bool {
+// matchesDescendant reports whether callPath is a descendant of a path that
+// matches prefix.
+func matchesDescendant(prefix, callPath string) bool {
 	depth := strings.Count(prefix, "/")
-	segments := strings.Split(called, "/")
+	segments := strings.Split(callPath, "/")
 	if len(segments) < depth+2 {
 		return false
 	}
@@ -120,36 +123,37 @@
 	return err == nil && matched
 }
 
-// Service is what callers call by name.
+// Service is an API that callers address by name.
 type Service struct {
 	Name string      `json:"name"`
 	Kind ServiceKind `json:"kind"`
 	Goal Goal        `json:"goal"`
 	// Models are the models that a model-backed service uses, at least one.
 	Models []string `json:"models"`
-	// NonIdempotent tells that completions of a model-backed service have
+	// NonIdempotent is set if completions of a model-backed service have side
 	// effects, so that none may run twice.
 	NonIdempotent bool `json:"non-idempotent"`
-	// NonRepeatable and Repeatable say which calls of a plain service may not,
-	// or may, run twice, see MayRepeat.
+	// NonRepeatable matches the calls of a plain service that must not run
+	// twice, Repeatable those that may. See MayRepeat for all other calls.
 	NonRepeatable []Call `json:"non-repeatable"`
 	Repeatable    []Call `json:"repeatable"`
 }
 
-// MayRepeat tells whether a call of a plain service may run twice: method and
-// the unescaped path below the service.
+// MayRepeat reports whether a call of a plain service may run twice. callPath is
+// the unescaped path after the name of the service.
 //
-// A call that NonRepeatable covers may not. Any other may if Repeatable covers
-// it, or if HTTP defines its method as idempotent. A POST that nobody declared
-// is therefore not repeated: a forgotten line must not charge a rider twice.
-func (s Service) MayRepeat(method, called string) bool {
-	// A path such as /a/../pay reaches the upstream as written, which may well
-	// serve it as /pay.
-	cleaned := path.Clean("/" + called)
-	if covers(s.NonRepeatable, method, called) || covers(s.NonRepeatable, method, cleaned) {
+// A call that NonRepeatable matches must not run twice. Any other call may if
+// Repeatable matches it, or if HTTP defines its method as idempotent. An
+// undeclared POST is therefore never repeated: a missing declaration must not
+// charge a rider twice.
+func (s Service) MayRepeat(method, callPath string) bool {
+	// The upstream receives a path such as /a/../pay unchanged, and may serve it
+	// as /pay.
+	cleanedPath := path.Clean("/" + callPath)
+	if anyMatches(s.NonRepeatable, method, callPath) || anyMatches(s.NonRepeatable, method, cleanedPath) {
 		return false
 	}
-	if covers(s.Repeatable, method, called) && cleaned == called {
+	if anyMatches(s.Repeatable, method, callPath) && cleanedPath == callPath {
 		return true
 	}
 	switch method {
@@ -160,29 +164,29 @@
 	}
 }
 
-func covers(calls []Call, method, called string) bool {
+func anyMatches(calls []Call, method, callPath string) bool {
 	for _, call := range calls {
-		if call.Matches(method, called) {
+		if call.Matches(method, callPath) {
 			return true
 		}
 	}
 	return false
 }
 
-// Layout is what one copy of a model takes when it is spread over a number of
-// accelerators.
+// Layout is the number of accelerators that a copy of a model is spread over, and
+// the memory that it takes on each.
 type Layout struct {
 	// Accelerators is above 0.
 	Accelerators int `json:"accelerators"`
-	// Memory is what the weights take of each of the accelerators. It is above
-	// 0.
+	// Memory is the memory of the weights on each of the accelerators. It is
+	// above 0.
 	Memory Bytes `json:"memory-bytes"`
 }
 
 // Version is one version of a model's weights.
 type Version struct {
 	Name string `json:"name"`
-	// Weights is what the weight store knows the version by.
+	// Weights identifies the version in the weight store.
 	Weights string `json:"weights"`
 }
 
@@ -192,11 +196,12 @@
 	// Layouts are the ways to lay out a copy, at least one, with different
 	// numbers of accelerators.
 	Layouts []Layout `json:"layouts"`
-	// KVSpace is the KV cache that a copy needs on each of its accelerators.
+	// KVSpace is the memory that the KV cache of a copy needs on each of its
+	// accelerators.
 	KVSpace Bytes `json:"kv-space-bytes"`
-	// Versions has at least one version; names differ.
+	// Versions has at least one version. Their names are unique.
 	Versions []Version `json:"versions"`
-	// Version names the one of Versions that is to run.
+	// Version is the name of the version in Versions that engines must run.
 	Version string `json:"version"`
 }
 
@@ -205,54 +210,58 @@
 	Name string `json:"name"`
 	// Model is the base model.
 	Model string `json:"model"`
-	// Memory is what it takes of each accelerator of the copy. It is above 0.
+	// Memory is the memory that the adapter takes on each accelerator of the
+	// copy. It is above 0.
 	Memory Bytes `json:"memory-bytes"`
-	// Weights is what the weight store knows the adapter by.
+	// Weights identifies the adapter in the weight store.
 	Weights string `json:"weights"`
-	// Services are the services that use it. Each of them uses Model.
+	// Services are the services that use the adapter. Each of them uses Model.
 	Services []string `json:"services"`
 }
 
-// Floor is the least a model keeps.
+// Floor is the minimum of copies and failure domains of a model.
 type Floor struct {
 	Model string `json:"model"`
 	// Copies is at least 1: every model stays reachable.
 	Copies int `json:"copies"`
-	// FailureDomains is over how many failure domains the copies are spread,
+	// FailureDomains is the minimum number of failure domains that hold a copy,
 	// from 1 to Copies.
 	FailureDomains int `json:"failure-domains"`
 }
 
-// Share is the weight of a service against others of its priority.
+// Share is the weight of a service relative to others of the same priority.
 type Share struct {
 	Service string `json:"service"`
-	// Weight is above 0. Services that no Share names have a weight of 1.
+	// Weight is above 0. Services without a Share have a weight of 1.
 	Weight float64 `json:"weight"`
 }
 
-// Preset is a mode of running the whole system. Exactly one is in force.
+// Preset is an operating mode of the whole system. Exactly one is in force.
 type Preset struct {
 	Name string `json:"name"`
-	// First marks the preset that is in force when there is none yet. Exactly
-	// one preset of a Set has it.
+	// First marks the preset that is in force until an operator selects one.
+	// Exactly one preset of a Set has it.
 	First bool `json:"first"`
-	// Copies is the floor of models that Floors does not name, at least 1.
+	// Copies is the minimum of copies, at least 1, of models without an entry in
+	// Floors.
 	Copies int `json:"copies"`
-	// Floors and Shares are sorted by the names of their models and services.
+	// Floors is sorted by model, Shares by service.
 	Floors []Floor `json:"floors"`
-	// ReservePercent is the part of accelerator memory that is kept free.
+	// ReservePercent is the percentage of accelerator memory that is kept free.
 	ReservePercent int `json:"reserve-percent"`
-	// TolerateEngines and TolerateFailureDomains are the losses that must leave
-	// each model reachable, as far as memory allows.
+	// TolerateEngines and TolerateFailureDomains are the numbers of engines and
+	// failure domains whose loss must leave each model reachable, as far as
+	// memory allows.
 	TolerateEngines        int `json:"tolerate-engines"`
 	TolerateFailureDomains int `json:"tolerate-failure-domains"`
-	// WeightOfMoves is the attainment that a move must gain as a multiple of its
-	// cost. A negative number stands for the one in the instance's settings.
+	// WeightOfMoves is the gain in goal attainment that a move must bring, as a
+	// multiple of the cost of the move. A negative number stands for the value in
+	// the instance's settings.
 	WeightOfMoves float64 `json:"weight-of-moves"`
 	Shares        []Share `json:"shares"`
 }
 
-// Floor returns the least that the model keeps under the preset.
+// Floor returns the floor of the model under the preset.
 func (p Preset) Floor(model string) Floor {
 	i, ok := slices.BinarySearchFunc(p.Floors, model, func(f Floor, name string) int { return strings.Compare(f.Model, name) })
 	if ok {
--- a/internal/declaration/validate.go
+++ b/internal/declaration/validate.go
@@ -11,99 +11,103 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-// Bounds of declared numbers. They leave room above the target of the project
-// and keep sums far from overflow.
+// Upper bounds of declared numbers. They are above the sizes that the system is
+// designed for, and keep sums far from overflow. maxMemory is in bytes; maxCount
+// bounds numbers of accelerators, engines and failure domains.
 const (
-	maxMemory       = Bytes(4 << 40)
-	maxAccelerators = 64
-	maxCount        = 100_000
-	maxCopies       = 10_000
-	maxPriority     = 9
-	maxReserve      = 90
-	maxWeight       = 1000
+	maxMemory                = Bytes(4 << 40)
+	maxAcceleratorsPerLayout = 64
+	maxCount                 = 100_000
+	maxCopies                = 10_000
+	maxPriority              = 9
+	maxReservePercent        = 90
+	maxWeight                = 1000
 )
 
 var (
-	// servicePattern keeps names of services to what stands in a URL's path as
-	// it is.
-	servicePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
-	// modelPattern allows the slashes and colons that models' names have.
-	modelPattern  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,199}$`)
-	methodPattern = regexp.MustCompile(`^([A-Z]{1,20}|\*)$`)
+	// namePattern allows only characters that need no escaping in a URL path,
+	// since callers address services by their names there.
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
+	// modelNamePattern also allows slashes and colons, which are common in names
+	// of models.
+	modelNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,199}$`)
+	methodPattern    = regexp.MustCompile(`^([A-Z]{1,20}|\*)$`)
 )
 
-// validator checks one content. All findings go to list.
+// validator checks one content and adds its findings to the list findings.
 type validator struct {
-	content content
-	origin  origin
-	list    *finding.List
+	content  content
+	sources  sourceMap
+	findings *finding.List
 
-	domains  names
-	classes  names
-	services names
-	// targets are the models and adapters, which callers name alike.
-	targets names
-	presets names
-	// uses holds the models of each service by its name.
-	uses map[string][]string
+	failureDomains     namespace
+	acceleratorClasses namespace
+	services           namespace
+	// targets holds models and adapters. They share a namespace because callers
+	// use either name as the model of a request.
+	targets namespace
+	presets namespace
+	// modelsOfService holds the models that each service uses, by the name of the
+	// service.
+	modelsOfService map[string][]string
 }
 
-// validate adds a finding for everything that is wrong with c or does not fit
-// together.
-func validate(c content, o origin, list *finding.List) {
+// validate adds a finding for each invalid value in c and for each conflict
+// between its declarations.
+func validate(c content, sources sourceMap, findings *finding.List) {
 	v := &validator{
-		content: c, origin: o, list: list,
-		domains: newNames(), classes: newNames(), services: newNames(), targets: newNames(), presets: newNames(),
-		uses: map[string][]string{},
+		content: c, sources: sources, findings: findings,
+		failureDomains: newNamespace(), acceleratorClasses: newNamespace(), services: newNamespace(), targets: newNamespace(), presets: newNamespace(),
+		modelsOfService: map[string][]string{},
 	}
 	v.collectNames()
 	for i, class := range c.AcceleratorClasses {
-		v.acceleratorClass(item("accelerator-classes", i), class)
+		v.checkAcceleratorClass(elementPath("accelerator-classes", i), class)
 	}
 	for i, service := range c.Services {
-		v.service(item("services", i), service)
+		v.checkService(elementPath("services", i), service)
 	}
 	for i, model := range c.Models {
-		v.model(item("models", i), model)
+		v.checkModel(elementPath("models", i), model)
 	}
 	for i, adapter := range c.Adapters {
-		v.adapter(item("adapters", i), adapter)
+		v.checkAdapter(elementPath("adapters", i), adapter)
 	}
-	v.allPresets()
-	if list.Len() == 0 {
-		v.capacity()
+	v.checkPresets()
+	if findings.Len() == 0 {
+		v.checkCapacity()
 	}
 }
 
-// add adds a finding at path, unless the value there already made one.
-func (v *validator) add(path, problem, advice string) {
-	if v.origin.failed[path] {
+// addFinding adds a finding at path, unless the value there already has one.
+func (v *validator) addFinding(path, problem, advice string) {
+	if v.sources.invalid[path] {
 		return
 	}
-	v.list.Add(v.origin.at(path), problem, advice)
+	v.findings.Add(v.sources.placeOf(path), problem, advice)
 }
 
-// missing adds a finding for the key of path that is not there.
-func (v *validator) missing(path, key, example string) {
-	v.add(path+"."+key, fmt.Sprintf("key %q is missing", key), fmt.Sprintf("write %s = %s", key, example))
+// addMissingKey adds a finding for a missing key of the element at path.
+func (v *validator) addMissingKey(path, key, example string) {
+	v.addFinding(path+"."+key, fmt.Sprintf("key %q is missing", key), fmt.Sprintf("write %s = %s", key, example))
 }
 
-// between adds a finding if the number at path and key is out of bounds.
-func (v *validator) between(path, key string, number, least, most int) {
-	if number < least || number > most {
-		v.add(path+"."+key, fmt.Sprintf("%q must be from %d to %d, not %d", key, least, most, number),
-			fmt.Sprintf("write for example %s = %d", key, least))
+// checkRange adds a finding if number, the value of key at path, is out of bounds.
+func (v *validator) checkRange(path, key string, number, minimum, maximum int) {
+	if number < minimum || number > maximum {
+		v.addFinding(path+"."+key, fmt.Sprintf("%q must be from %d to %d, not %d", key, minimum, maximum, number),
+			fmt.Sprintf("write for example %s = %d", key, minimum))
 	}
 }
 
-// memory adds a finding if the size at path and key is out of bounds.
-func (v *validator) memory(path, key string, size, least Bytes) {
-	if size == 0 && least > 0 {
-		v.missing(path, key, `"18 GiB"`)
+// checkMemory adds a finding if size, the value of key at path, is out of bounds.
+func (v *validator) checkMemory(path, key string, size, minimum Bytes) {
+	if size == 0 && minimum > 0 {
+		v.addMissingKey(path, key, `"18 GiB"`)
 		return
 	}
-	if size < least || size > maxMemory {
-		v.add(path+"."+key, fmt.Sprintf("%q must be from %d B to %s, not %d B", key, least, maxMemory, size),
+	if size < minimum || size > maxMemory {
+		v.addFinding(path+"."+key, fmt.Sprintf("%q must be from %d B to %s, not %d B", key, minimum, maxMemory, size),
 			"write for example "+key+` = "18 GiB"`)
 	}
 }
@@ -111,262 +115,265 @@
 func (v *validator) collectNames() {
 	c := v.content
 	for i, d := range c.FailureDomains {
-		v.declare(v.domains, item("failure-domains", i), "failure domain", d.Name, servicePattern)
+		v.declareName(v.failureDomains, elementPath("failure-domains", i), "failure domain", d.Name, namePattern)
 	}
 	for i, a := range c.AcceleratorClasses {
-		v.declare(v.classes, item("accelerator-classes", i), "accelerator class", a.Name, servicePattern)
+		v.declareName(v.acceleratorClasses, elementPath("accelerator-classes", i), "accelerator class", a.Name, namePattern)
 	}
 	for i, s := range c.Services {
-		v.declare(v.services, item("services", i), "service", s.Name, servicePattern)
-		v.uses[s.Name] = append(v.uses[s.Name], s.Models...)
+		v.declareName(v.services, elementPath("services", i), "service", s.Name, namePattern)
+		v.modelsOfService[s.Name] = append(v.modelsOfService[s.Name], s.Models...)
 	}
 	for i, m := range c.Models {
-		v.declare(v.targets, item("models", i), "model", m.Name, modelPattern)
+		v.declareName(v.targets, elementPath("models", i), "model", m.Name, modelNamePattern)
 	}
 	for i, a := range c.Adapters {
-		v.declare(v.targets, item("adapters", i), "adapter", a.Name, modelPattern)
+		v.declareName(v.targets, elementPath("adapters", i), "adapter", a.Name, modelNamePattern)
 	}
 	for i, p := range c.Presets {
-		v.declare(v.presets, item("presets", i), "preset", p.Name, servicePattern)
+		v.declareName(v.presets, elementPath("presets", i), "preset", p.Name, namePattern)
 	}
 }
 
-// declare adds name to all, or a finding if it is no name or taken.
-func (v *validator) declare(all names, path, kind, name string, pattern *regexp.Regexp) {
+// declareName adds name to space, or adds a finding if name is invalid or already
+// in use.
+func (v *validator) declareName(space namespace, path, kind, name string, pattern *regexp.Regexp) {
 	if name == "" {
-		v.missing(path, "name", `"..."`)
+		v.addMissingKey(path, "name", `"..."`)
 		return
 	}
-	where := path + ".name"
+	namePath := path + ".name"
 	if !pattern.MatchString(name) {
-		v.add(where, fmt.Sprintf("%s cannot be called %q", kind, name),
+		v.addFinding(namePath, fmt.Sprintf("%s cannot be called %q", kind, name),
 			"begin with a letter or digit, then write letters, digits, dots, dashes and underscores")
 		return
 	}
-	if first, taken := all.first[name]; taken {
-		v.add(where, fmt.Sprintf("%s %q is already the name of the %s at %s", kind, name, first.kind, first.place),
+	if owner, taken := space.owners[name]; taken {
+		v.addFinding(namePath, fmt.Sprintf("%s %q is already the name of the %s at %s", kind, name, owner.kind, owner.place),
 			"remove one or write another name")
 		return
 	}
-	all.first[name] = declared{kind: kind, place: v.origin.at(where)}
+	space.owners[name] = nameOwner{kind: kind, place: v.sources.placeOf(namePath)}
 }
 
-// refer adds a finding if no declaration of kind in all is called name.
-func (v *validator) refer(all names, where, kind, name string) bool {
-	found, ok := all.first[name]
-	if ok && found.kind == kind {
+// checkReference reports whether space has a declaration of kind called name, and
+// adds a finding if not.
+func (v *validator) checkReference(space namespace, referencePath, kind, name string) bool {
+	owner, ok := space.owners[name]
+	if ok && owner.kind == kind {
 		return true
 	}
-	known := all.ofKind(kind)
-	advice := fmt.Sprintf("declare it, or write one of the %d %ss that are declared", len(known), kind)
-	if nearest, ok := form.Nearest(name, known); ok {
+	candidates := space.namesOfKind(kind)
+	advice := fmt.Sprintf("declare it, or write one of the %d %ss that are declared", len(candidates), kind)
+	if nearest, ok := form.Nearest(name, candidates); ok {
 		advice = fmt.Sprintf("write %q", nearest)
 	}
 	problem := fmt.Sprintf("%s %q is not declared", kind, name)
 	if ok {
-		problem = fmt.Sprintf("%q is not a %s but the %s at %s", name, kind, found.kind, found.place)
+		problem = fmt.Sprintf("%q is not a %s but the %s at %s", name, kind, owner.kind, owner.place)
 	}
-	v.add(where, problem, advice)
+	v.addFinding(referencePath, problem, advice)
 	return false
 }
 
-func (v *validator) acceleratorClass(path string, a AcceleratorClass) {
-	v.memory(path, "memory", a.Memory, 1)
-	v.between(path, "count", a.Count, 1, maxCount)
+func (v *validator) checkAcceleratorClass(path string, class AcceleratorClass) {
+	v.checkMemory(path, "memory", class.Memory, 1)
+	v.checkRange(path, "count", class.Count, 1, maxCount)
 }
 
-func (v *validator) service(path string, s Service) {
-	v.goal(path+".goal", s.Goal)
-	for i, model := range s.Models {
-		v.refer(v.targets, item(path+".models", i), "model", model)
+func (v *validator) checkService(path string, service Service) {
+	v.checkGoal(path+".goal", service.Goal)
+	for i, model := range service.Models {
+		v.checkReference(v.targets, elementPath(path+".models", i), "model", model)
 	}
-	v.unique(path+".models", s.Models)
-	switch s.Kind {
+	v.checkUnique(path+".models", service.Models)
+	switch service.Kind {
 	case ModelBacked:
-		v.modelBacked(path, s)
+		v.checkModelBacked(path, service)
 	case Plain:
-		v.plain(path, s)
+		v.checkPlain(path, service)
 	case "":
-		v.missing(path, "kind", `"model-backed" or "plain"`)
+		v.addMissingKey(path, "kind", `"model-backed" or "plain"`)
 	default:
-		v.add(path+".kind", fmt.Sprintf("%q cannot be %q", "kind", s.Kind), `write "model-backed" or "plain"`)
+		v.addFinding(path+".kind", fmt.Sprintf("%q cannot be %q", "kind", service.Kind), `write "model-backed" or "plain"`)
 	}
 }
 
-func (v *validator) modelBacked(path string, s Service) {
-	if len(s.Models) == 0 {
-		v.missing(path, "models", `["..."]`)
+func (v *validator) checkModelBacked(path string, service Service) {
+	if len(service.Models) == 0 {
+		v.addMissingKey(path, "models", `["..."]`)
 	}
-	if len(s.NonRepeatable) > 0 {
-		v.add(path+".non-repeatable", "a model-backed service has no calls to list",
+	if len(service.NonRepeatable) > 0 {
+		v.addFinding(path+".non-repeatable", "a model-backed service has no calls to list",
 			"write non-idempotent = true if its completions have effects")
 	}
-	if len(s.Repeatable) > 0 {
-		v.add(path+".repeatable", "a model-backed service has no calls to list", "leave it out")
+	if len(service.Repeatable) > 0 {
+		v.addFinding(path+".repeatable", "a model-backed service has no calls to list", "leave it out")
 	}
 }
 
-func (v *validator) plain(path string, s Service) {
-	if len(s.Models) > 0 {
-		v.add(path+".models", "a plain service uses no models", `leave it out, or write kind = "model-backed"`)
+func (v *validator) checkPlain(path string, service Service) {
+	if len(service.Models) > 0 {
+		v.addFinding(path+".models", "a plain service uses no models", `leave it out, or write kind = "model-backed"`)
 	}
-	if s.NonIdempotent {
-		v.add(path+".non-idempotent", "a plain service names its calls",
+	if service.NonIdempotent {
+		v.addFinding(path+".non-idempotent", "a plain service names its calls",
 			`write for example non-repeatable = ["POST /bookings"]`)
 	}
-	for i, call := range s.NonRepeatable {
-		v.call(item(path+".non-repeatable", i), call)
+	for i, call := range service.NonRepeatable {
+		v.checkCall(elementPath(path+".non-repeatable", i), call)
 	}
-	for i, call := range s.Repeatable {
-		v.call(item(path+".repeatable", i), call)
+	for i, call := range service.Repeatable {
+		v.checkCall(elementPath(path+".repeatable", i), call)
 	}
-	v.unique(path+".non-repeatable", callTexts(s.NonRepeatable))
-	v.unique(path+".repeatable", callTexts(s.Repeatable))
-	denied := map[string]bool{}
-	for _, call := range s.NonRepeatable {
-		denied[call.String()] = true
+	v.checkUnique(path+".non-repeatable", callStrings(service.NonRepeatable))
+	v.checkUnique(path+".repeatable", callStrings(service.Repeatable))
+	nonRepeatable := map[string]bool{}
+	for _, call := range service.NonRepeatable {
+		nonRepeatable[call.String()] = true
 	}
-	for i, call := range s.Repeatable {
-		if denied[call.String()] {
-			v.add(item(path+".repeatable", i), fmt.Sprintf("%q is in non-repeatable as well", call), "leave one out")
+	for i, call := range service.Repeatable {
+		if nonRepeatable[call.String()] {
+			v.addFinding(elementPath(path+".repeatable", i), fmt.Sprintf("%q is in non-repeatable as well", call), "leave one out")
 		}
 	}
 }
 
-func callTexts(calls []Call) []string {
-	texts := make([]string, 0, len(calls))
+func callStrings(calls []Call) []string {
+	formatted := make([]string, 0, len(calls))
 	for _, call := range calls {
-		texts = append(texts, call.String())
+		formatted = append(formatted, call.String())
 	}
-	return texts
+	return formatted
 }
 
-func (v *validator) call(where string, c Call) {
+func (v *validator) checkCall(callPath string, call Call) {
 	const example = `write for example "POST /bookings/*"`
-	_, err := path.Match(c.Path, "/")
-	inner, _ := strings.CutSuffix(c.Path, "/**")
+	_, err := path.Match(call.Path, "/")
+	prefix, _ := strings.CutSuffix(call.Path, "/**")
 	switch {
-	case !methodPattern.MatchString(c.Method) || !strings.HasPrefix(c.Path, "/"):
-		v.add(where, fmt.Sprintf("%q is no method and path", c), example)
+	case !methodPattern.MatchString(call.Method) || !strings.HasPrefix(call.Path, "/"):
+		v.addFinding(callPath, fmt.Sprintf("%q is no method and path", call), example)
 	case err != nil:
-		v.add(where, fmt.Sprintf("%q is no pattern of a path", c.Path), example)
-	case strings.Contains(inner, "**"):
-		v.add(where, fmt.Sprintf("** may only be the last segment of %q", c.Path), `write for example "POST /bookings/**"`)
-	case inner != "" && path.Clean(inner) != inner:
-		v.add(where, fmt.Sprintf("%q never matches a call", c.Path), fmt.Sprintf("write %q", path.Clean(inner)))
+		v.addFinding(callPath, fmt.Sprintf("%q is no pattern of a path", call.Path), example)
+	case strings.Contains(prefix, "**"):
+		v.addFinding(callPath, fmt.Sprintf("** may only be the last segment of %q", call.Path), `write for example "POST /bookings/**"`)
+	case prefix != "" && path.Clean(prefix) != prefix:
+		v.addFinding(callPath, fmt.Sprintf("%q never matches a call", call.Path), fmt.Sprintf("write %q", path.Clean(prefix)))
 	default:
 	}
 }
 
-func (v *validator) goal(path string, g Goal) {
-	v.duration(path, "first-token", g.FirstToken)
-	v.duration(path, "between-tokens", g.BetweenTokens)
-	v.duration(path, "deadline", g.Deadline)
-	v.between(path, "priority", g.Priority, 0, maxPriority)
-	if g.Deadline > 0 && g.Deadline <= g.FirstToken {
-		v.add(path+".deadline", fmt.Sprintf("the deadline %s is not after the first token's goal %s", g.Deadline, g.FirstToken),
+func (v *validator) checkGoal(path string, goal Goal) {
+	v.checkDuration(path, "first-token", goal.FirstToken)
+	v.checkDuration(path, "between-tokens", goal.BetweenTokens)
+	v.checkDuration(path, "deadline", goal.Deadline)
+	v.checkRange(path, "priority", goal.Priority, 0, maxPriority)
+	if goal.Deadline > 0 && goal.Deadline <= goal.FirstToken {
+		v.addFinding(path+".deadline", fmt.Sprintf("the deadline %s is not after the first token's goal %s", goal.Deadline, goal.FirstToken),
 			"write a longer deadline")
 	}
 }
 
-func (v *validator) duration(path, key string, d time.Duration) {
-	if d < 0 || d > maxTime {
-		v.add(path+"."+key, fmt.Sprintf("%q must be from 0s to %s, not %s", key, maxTime, d), "write for example \"540ms\"")
+func (v *validator) checkDuration(path, key string, d time.Duration) {
+	if d < 0 || d > maxDuration {
+		v.addFinding(path+"."+key, fmt.Sprintf("%q must be from 0s to %s, not %s", key, maxDuration, d), "write for example \"540ms\"")
 	}
 }
 
-func (v *validator) model(path string, m Model) {
-	v.memory(path, "kv-space", m.KVSpace, 0)
-	if len(m.Layouts) == 0 {
-		v.missing(path, "layouts", `[{ accelerators = 1, memory = "18 GiB" }]`)
-	}
-	counts := make([]string, 0, len(m.Layouts))
-	for i, layout := range m.Layouts {
-		where := item(path+".layouts", i)
-		v.between(where, "accelerators", layout.Accelerators, 1, maxAccelerators)
-		v.memory(where, "memory", layout.Memory, 1)
-		counts = append(counts, fmt.Sprintf("%d accelerators", layout.Accelerators))
-	}
-	v.unique(path+".layouts", counts)
-	v.versions(path, m)
+func (v *validator) checkModel(path string, model Model) {
+	v.checkMemory(path, "kv-space", model.KVSpace, 0)
+	if len(model.Layouts) == 0 {
+		v.addMissingKey(path, "layouts", `[{ accelerators = 1, memory = "18 GiB" }]`)
+	}
+	acceleratorCounts := make([]string, 0, len(model.Layouts))
+	for i, layout := range model.Layouts {
+		layoutPath := elementPath(path+".layouts", i)
+		v.checkRange(layoutPath, "accelerators", layout.Accelerators, 1, maxAcceleratorsPerLayout)
+		v.checkMemory(layoutPath, "memory", layout.Memory, 1)
+		acceleratorCounts = append(acceleratorCounts, fmt.Sprintf("%d accelerators", layout.Accelerators))
+	}
+	v.checkUnique(path+".layouts", acceleratorCounts)
+	v.checkVersions(path, model)
 }
 
-func (v *validator) versions(path string, m Model) {
-	if len(m.Versions) == 0 {
-		v.missing(path, "versions", `[{ name = "1", weights = "..." }]`)
+func (v *validator) checkVersions(path string, model Model) {
+	if len(model.Versions) == 0 {
+		v.addMissingKey(path, "versions", `[{ name = "1", weights = "..." }]`)
 		return
 	}
-	known := make([]string, 0, len(m.Versions))
-	runs := false
-	for i, version := range m.Versions {
-		where := item(path+".versions", i)
-		known = append(known, version.Name)
+	versionNames := make([]string, 0, len(model.Versions))
+	selected := false
+	for i, version := range model.Versions {
+		versionPath := elementPath(path+".versions", i)
+		versionNames = append(versionNames, version.Name)
 		if version.Name == "" {
-			v.missing(where, "name", `"1"`)
+			v.addMissingKey(versionPath, "name", `"1"`)
 			continue
 		}
 		if version.Weights == "" {
-			v.missing(where, "weights", `"..."`)
+			v.addMissingKey(versionPath, "weights", `"..."`)
 		}
-		runs = runs || version.Name == m.Version
+		selected = selected || version.Name == model.Version
 	}
-	v.unique(path+".versions", known)
+	v.checkUnique(path+".versions", versionNames)
 	switch {
-	case m.Version == "":
-		v.missing(path, "version", fmt.Sprintf("%q", m.Versions[0].Name))
-	case !runs:
-		advice := "write one of " + strings.Join(known, ", ")
-		if nearest, ok := form.Nearest(m.Version, known); ok {
+	case model.Version == "":
+		v.addMissingKey(path, "version", fmt.Sprintf("%q", model.Versions[0].Name))
+	case !selected:
+		advice := "write one of " + strings.Join(versionNames, ", ")
+		if nearest, ok := form.Nearest(model.Version, versionNames); ok {
 			advice = fmt.Sprintf("write %q", nearest)
 		}
-		v.add(path+".version", fmt.Sprintf("version %q is not among the versions", m.Version), advice)
+		v.addFinding(path+".version", fmt.Sprintf("version %q is not among the versions", model.Version), advice)
 	default:
 	}
 }
 
-func (v *validator) adapter(path string, a Adapter) {
-	v.memory(path, "memory", a.Memory, 1)
-	if a.Weights == "" {
-		v.missing(path, "weights", `"..."`)
-	}
-	known := false
-	if a.Model == "" {
-		v.missing(path, "model", `"..."`)
+func (v *validator) checkAdapter(path string, adapter Adapter) {
+	v.checkMemory(path, "memory", adapter.Memory, 1)
+	if adapter.Weights == "" {
+		v.addMissingKey(path, "weights", `"..."`)
+	}
+	modelDeclared := false
+	if adapter.Model == "" {
+		v.addMissingKey(path, "model", `"..."`)
 	} else {
-		known = v.refer(v.targets, path+".model", "model", a.Model)
-	}
-	v.unique(path+".services", a.Services)
-	for i, service := range a.Services {
-		where := item(path+".services", i)
-		if v.refer(v.services, where, "service", service) && known && v.cannotUse(service, a.Model) {
-			v.add(where, fmt.Sprintf("service %q does not use model %q, which the adapter is loaded beside", service, a.Model),
-				fmt.Sprintf("write %q among the models of that service, or leave the service out", a.Model))
+		modelDeclared = v.checkReference(v.targets, path+".model", "model", adapter.Model)
+	}
+	v.checkUnique(path+".services", adapter.Services)
+	for i, service := range adapter.Services {
+		servicePath := elementPath(path+".services", i)
+		if v.checkReference(v.services, servicePath, "service", service) && modelDeclared && v.usesOtherModelsOnly(service, adapter.Model) {
+			v.addFinding(servicePath, fmt.Sprintf("service %q does not use model %q, which the adapter is loaded beside", service, adapter.Model),
+				fmt.Sprintf("write %q among the models of that service, or leave the service out", adapter.Model))
 		}
 	}
 }
 
-// cannotUse tells whether the service called name does not use model. If it
-// uses one that is not declared, that finding comes first: the model may be the
-// misspelt one, and its adapters are no mistakes of their own.
-func (v *validator) cannotUse(name, model string) bool {
-	for _, used := range v.uses[name] {
-		if used == model || v.targets.first[used].kind != "model" {
+// usesOtherModelsOnly reports whether all models of service are declared and none
+// of them is model. A service with an undeclared model already has a finding: that
+// model may be a misspelling of model, so that a finding for the adapter would
+// report the same mistake twice.
+func (v *validator) usesOtherModelsOnly(service, model string) bool {
+	for _, used := range v.modelsOfService[service] {
+		if used == model || v.targets.owners[used].kind != "model" {
 			return false
 		}
 	}
 	return true
 }
 
-// unique adds a finding for each text of the list at path that stands in it
-// twice. Empty texts have findings of their own.
-func (v *validator) unique(path string, texts []string) {
-	seen := map[string]int{}
-	for i, text := range texts {
-		first, twice := seen[text]
-		if !twice || text == "" {
-			seen[text] = i
+// checkUnique adds a finding for each duplicate in values, the list at path. It
+// ignores empty values, which have findings of their own.
+func (v *validator) checkUnique(path string, values []string) {
+	firstIndex := map[string]int{}
+	for i, value := range values {
+		first, duplicate := firstIndex[value]
+		if !duplicate || value == "" {
+			firstIndex[value] = i
 			continue
 		}
-		v.add(item(path, i), fmt.Sprintf("%q stands twice, first at %s", text, v.origin.at(item(path, first))), "leave one out")
+		v.addFinding(elementPath(path, i), fmt.Sprintf("%q stands twice, first at %s", value, v.sources.placeOf(elementPath(path, first))), "leave one out")
 	}
 }
--- a/internal/form/nearest.go
+++ b/internal/form/nearest.go
@@ -6,19 +6,19 @@
 // returns false. Among equals, the first of known wins.
 func Nearest(word string, known []string) (string, bool) {
 	best := ""
-	least := max(2, len(word)/3) + 1
+	bound := max(2, len(word)/3) + 1
 	for _, candidate := range known {
-		if len(candidate)-len(word) >= least || len(word)-len(candidate) >= least {
+		if len(candidate)-len(word) >= bound || len(word)-len(candidate) >= bound {
 			continue
 		}
-		if d := distance(word, candidate); d < least {
-			best, least = candidate, d
+		if distance := editDistance(word, candidate); distance < bound {
+			best, bound = candidate, distance
 		}
 	}
 	return best, best != ""
 }
 
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/form/reader.go
+++ b/internal/form/reader.go
@@ -18,11 +18,11 @@
 	// table is not nil. It is empty if the document does not have it.
 	table *table
 	// name is how findings call the table, empty for the root.
-	name  string
-	known []string
+	name     string
+	readKeys []string
 	// failed holds the keys whose values made a finding.
-	failed map[string]bool
-	list   *finding.List
+	invalid  map[string]bool
+	findings *finding.List
 }
 
 // Text is a text of a document, with its place.
@@ -35,12 +35,12 @@
 // of all findings name file; the findings go to list.
 //
 // If data is not TOML, Open adds a finding and returns false.
-func Open(file string, data []byte, list *finding.List) (*Reader, bool) {
-	root, ok := parse(file, data, list)
+func Open(file string, data []byte, findings *finding.List) (*Reader, bool) {
+	root, ok := parse(file, data, findings)
 	if !ok {
 		return nil, false
 	}
-	return &Reader{table: root, failed: map[string]bool{}, list: list}, true
+	return &Reader{table: root, invalid: map[string]bool{}, findings: findings}, true
 }
 
 // Has tells whether the table holds key.
@@ -58,11 +58,11 @@
 	return r.table.place
 }
 
-// Good tells whether none of keys made a finding when it was read. What keys say
+// Valid tells whether none of keys made a finding when it was read. What keys say
 // together is judged only then, since a bad value was replaced by its fallback.
-func (r *Reader) Good(keys ...string) bool {
+func (r *Reader) Valid(keys ...string) bool {
 	for _, key := range keys {
-		if r.failed[key] {
+		if r.invalid[key] {
 			return false
 		}
 	}
@@ -71,7 +71,7 @@
 
 // Add adds a finding at the place of key.
 func (r *Reader) Add(key, problem, advice string) {
-	r.list.Add(r.Place(key), problem, advice)
+	r.findings.Add(r.Place(key), problem, advice)
 }
 
 // Require adds a finding if the table does not hold key. The advice is an
@@ -80,18 +80,18 @@
 	if r.Has(key) {
 		return
 	}
-	r.list.Add(r.table.place, fmt.Sprintf("key %q is missing%s", key, r.where()), fmt.Sprintf("write %s = %s", key, example))
+	r.findings.Add(r.table.place, fmt.Sprintf("key %q is missing%s", key, r.location()), fmt.Sprintf("write %s = %s", key, example))
 }
 
 // Table returns a Reader of the table under key, which is empty if there is
 // none.
 func (r *Reader) Table(key string) *Reader {
-	v := r.take(key)
+	v := r.lookup(key)
 	if v == nil {
 		return r.child(newTable(r.table.place), key)
 	}
 	if v.table == nil {
-		r.wrongType(key, v, "a table", "["+key+"]")
+		r.addWrongType(key, v, "a table", "["+key+"]")
 		return r.child(newTable(v.place), key)
 	}
 	return r.child(v.table, key)
@@ -100,18 +100,18 @@
 // Tables returns Readers of the tables in the array under key, none if there is
 // no such array.
 func (r *Reader) Tables(key string) []*Reader {
-	v := r.take(key)
+	v := r.lookup(key)
 	if v == nil {
 		return nil
 	}
 	if v.kind != unstable.Array {
-		r.wrongType(key, v, "an array of tables", "[["+key+"]]")
+		r.addWrongType(key, v, "an array of tables", "[["+key+"]]")
 		return nil
 	}
 	readers := make([]*Reader, 0, len(v.items))
 	for _, item := range v.items {
 		if item.table == nil {
-			r.wrongType(key, item, "a table", "[["+key+"]]")
+			r.addWrongType(key, item, "a table", "[["+key+"]]")
 			continue
 		}
 		readers = append(readers, r.child(item.table, key))
@@ -124,39 +124,39 @@
 func (r *Reader) Done() {
 	unknown := make([]string, 0)
 	for key := range r.table.values {
-		if !r.isKnown(key) {
+		if !r.isRead(key) {
 			unknown = append(unknown, key)
 		}
 	}
 	sort.Strings(unknown)
 	for _, key := range unknown {
-		r.list.Add(r.table.values[key].keyPlace, fmt.Sprintf("unknown key %q%s", key, r.where()), r.adviseKey(key))
+		r.findings.Add(r.table.values[key].keyPlace, fmt.Sprintf("unknown key %q%s", key, r.location()), r.unknownKeyAdvice(key))
 	}
 }
 
-func (r *Reader) adviseKey(key string) string {
-	if nearest, ok := Nearest(key, r.known); ok {
+func (r *Reader) unknownKeyAdvice(key string) string {
+	if nearest, ok := Nearest(key, r.readKeys); ok {
 		return fmt.Sprintf("write %q", nearest)
 	}
-	known := append([]string(nil), r.known...)
-	sort.Strings(known)
-	return "the keys here are " + strings.Join(known, ", ")
+	sortedKeys := append([]string(nil), r.readKeys...)
+	sort.Strings(sortedKeys)
+	return "the keys here are " + strings.Join(sortedKeys, ", ")
 }
 
 func (r *Reader) child(t *table, key string) *Reader {
-	return &Reader{table: t, name: key, failed: map[string]bool{}, list: r.list}
+	return &Reader{table: t, name: key, invalid: map[string]bool{}, findings: r.findings}
 }
 
-func (r *Reader) where() string {
+func (r *Reader) location() string {
 	if r.name == "" {
 		return ""
 	}
 	return " in " + r.name
 }
 
-func (r *Reader) isKnown(key string) bool {
-	for _, k := range r.known {
-		if k == key {
+func (r *Reader) isRead(key string) bool {
+	for _, read := range r.readKeys {
+		if read == key {
 			return true
 		}
 	}
@@ -164,24 +164,24 @@
 }
 
 // take makes key known and returns its value, or nil.
-func (r *Reader) take(key string) *value {
-	if !r.isKnown(key) {
-		r.known = append(r.known, key)
+func (r *Reader) lookup(key string) *value {
+	if !r.isRead(key) {
+		r.readKeys = append(r.readKeys, key)
 	}
 	return r.table.values[key]
 }
 
-func (r *Reader) wrongType(key string, v *value, want, example string) {
-	r.failed[key] = true
-	r.list.Add(v.place, fmt.Sprintf("%q must be %s, not %s", key, want, describe(v.kind)), "write for example "+example)
+func (r *Reader) addWrongType(key string, v *value, want, example string) {
+	r.invalid[key] = true
+	r.findings.Add(v.place, fmt.Sprintf("%q must be %s, not %s", key, want, kindName(v.kind)), "write for example "+example)
 }
 
-func (r *Reader) badValue(key string, v *value, problem, example string) {
-	r.failed[key] = true
-	r.list.Add(v.place, fmt.Sprintf("%q %s", key, problem), "write for example "+example)
+func (r *Reader) addInvalidValue(key string, v *value, problem, example string) {
+	r.invalid[key] = true
+	r.findings.Add(v.place, fmt.Sprintf("%q %s", key, problem), "write for example "+example)
 }
 
-func describe(kind unstable.Kind) string {
+func kindName(kind unstable.Kind) string {
 	switch kind {
 	case unstable.String:
 		return "a text"
--- a/internal/form/reader_test.go
+++ b/internal/form/reader_test.go
@@ -12,24 +12,24 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-func open(text string) (*form.Reader, *finding.List) {
-	list := &finding.List{}
-	r, ok := form.Open("x.toml", []byte(text), list)
-	ExpectWithOffset(1, ok).To(BeTrue(), "%v", list.Err())
-	return r, list
+func openDocument(text string) (*form.Reader, *finding.List) {
+	findings := &finding.List{}
+	r, ok := form.Open("x.toml", []byte(text), findings)
+	ExpectWithOffset(1, ok).To(BeTrue(), "%v", findings.Err())
+	return r, findings
 }
 
-func lines(list *finding.List) []string {
-	found := make([]string, 0)
-	for _, f := range list.All() {
-		found = append(found, f.String())
+func findingLines(findings *finding.List) []string {
+	formatted := make([]string, 0)
+	for _, f := range findings.All() {
+		formatted = append(formatted, f.String())
 	}
-	return found
+	return formatted
 }
 
 var _ = Describe("Reader", func() {
 	It("reads every kind of value", func() {
-		r, list := open(strings.Join([]string{
+		r, list := openDocument(strings.Join([]string{
 			`text = "a"`,
 			`count = 1_000`,
 			`number = 1.6`,
@@ -48,36 +48,36 @@
 			`key = 5`,
 		}, "\n"))
 		Expect(r.Text("text", "")).To(Equal("a"))
-		Expect(r.Count("count", 0, 0, 2000)).To(Equal(1000))
-		Expect(r.Number("number", 0, 0, 2)).To(Equal(1.6))
-		Expect(r.Flag("flag", false)).To(BeTrue())
+		Expect(r.Int("count", 0, 0, 2000)).To(Equal(1000))
+		Expect(r.Float("number", 0, 0, 2)).To(Equal(1.6))
+		Expect(r.Bool("flag", false)).To(BeTrue())
 		Expect(r.Duration("duration", 0, 0, time.Second)).To(Equal(540 * time.Millisecond))
 		Expect(r.Size("size", 0, 0)).To(Equal(int64(24 << 30)))
 		Expect(r.Address("address", netip.AddrPort{})).To(Equal(netip.MustParseAddrPort("127.0.0.1:7600")))
 		Expect(r.Texts("texts")).To(HaveLen(2))
 		Expect(r.Texts("texts")[1].Place).To(Equal(finding.Place{File: "x.toml", Line: 8, Column: 15}))
-		Expect(r.Table("dotted").Count("key", 0, 0, 9)).To(Equal(1))
-		Expect(r.Table("inline").Count("key", 0, 0, 9)).To(Equal(2))
+		Expect(r.Table("dotted").Int("key", 0, 0, 9)).To(Equal(1))
+		Expect(r.Table("inline").Int("key", 0, 0, 9)).To(Equal(2))
 		array := r.Tables("array")
 		Expect(array).To(HaveLen(2))
-		Expect(array[0].Count("key", 0, 0, 9)).To(Equal(3))
-		Expect(array[0].Table("under").Count("key", 0, 0, 9)).To(Equal(4))
-		Expect(array[1].Count("key", 0, 0, 9)).To(Equal(5))
+		Expect(array[0].Int("key", 0, 0, 9)).To(Equal(3))
+		Expect(array[0].Table("under").Int("key", 0, 0, 9)).To(Equal(4))
+		Expect(array[1].Int("key", 0, 0, 9)).To(Equal(5))
 		r.Done()
 		Expect(list.Err()).NotTo(HaveOccurred())
 	})
 
 	It("reports all wrong types and bad values with their places", func() {
-		r, list := open("a = 1\nb = \"x\"\nc = \"12 parsecs\"\nd = \"24\"\ne = \"localhost:80\"\nf = \"hgih\"\ng = \"-1 GiB\"\n")
+		r, list := openDocument("a = 1\nb = \"x\"\nc = \"12 parsecs\"\nd = \"24\"\ne = \"localhost:80\"\nf = \"hgih\"\ng = \"-1 GiB\"\n")
 		r.Text("a", "")
-		r.Count("b", 3, 0, 5)
+		r.Int("b", 3, 0, 5)
 		r.Duration("c", time.Second, 0, time.Minute)
 		r.Size("d", 0, 0)
 		r.Address("e", netip.AddrPort{})
-		r.Choice("f", "low", "low", "high")
+		r.Enum("f", "low", "low", "high")
 		r.Size("g", 0, 0)
 		r.Done()
-		Expect(lines(list)).To(Equal([]string{
+		Expect(findingLines(list)).To(Equal([]string{
 			`x.toml:1:5: "a" must be a text, not a whole number; write for example "..."`,
 			`x.toml:2:5: "b" must be a whole number, not a text; write for example 3`,
 			`x.toml:3:5: "c" is no duration: "12 parsecs"; write for example "1s"`,
@@ -86,16 +86,16 @@
 			`x.toml:6:5: "f" cannot be "hgih"; write "high"`,
 			`x.toml:7:5: "g" must be at least 0 B, not -1 GiB; write for example "24 GiB"`,
 		}))
-		Expect(r.Good("a")).To(BeFalse())
-		Expect(r.Good("absent")).To(BeTrue())
+		Expect(r.Valid("a")).To(BeFalse())
+		Expect(r.Valid("absent")).To(BeTrue())
 	})
 
 	It("reports unknown keys with the nearest known one, or with all known ones", func() {
-		r, list := open("log-lvel = \"info\"\n[zzzzzz]\nb = 1\n")
+		r, list := openDocument("log-lvel = \"info\"\n[zzzzzz]\nb = 1\n")
 		r.Text("log-level", "")
 		r.Text("name", "")
 		r.Done()
-		Expect(lines(list)).To(Equal([]string{
+		Expect(findingLines(list)).To(Equal([]string{
 			`x.toml:1:1: unknown key "log-lvel"; write "log-level"`,
 			`x.toml:2:2: unknown key "zzzzzz"; the keys here are log-level, name`,
 		}))
@@ -106,8 +106,8 @@
 			list := &finding.List{}
 			_, ok := form.Open("x.toml", []byte(text), list)
 			Expect(ok).To(BeFalse())
-			Expect(lines(list)).To(HaveLen(1))
-			Expect(lines(list)[0]).To(HavePrefix(place + ": broken TOML"))
+			Expect(findingLines(list)).To(HaveLen(1))
+			Expect(findingLines(list)[0]).To(HavePrefix(place + ": broken TOML"))
 		},
 		Entry("no value", "a = 1\nb =\n", "x.toml:2:4"),
 		Entry("a key twice", "a = 1\na = 2\n", "x.toml:2:1"),
--- a/internal/form/scalar.go
+++ b/internal/form/scalar.go
@@ -13,26 +13,26 @@
 )
 
 // maxSize bounds sizes, so that sums of thousands of them fit in an int64.
-const maxSize = 1 << 50
+const maxSizeBytes = 1 << 50
 
 // Text returns the text under key, or fallback if there is none. An empty text
 // makes a finding.
 func (r *Reader) Text(key, fallback string) string {
-	v := r.takeKind(key, "a text", `"..."`, unstable.String)
+	v := r.lookupKind(key, "a text", `"..."`, unstable.String)
 	if v == nil {
 		return fallback
 	}
 	if v.text == "" {
-		r.badValue(key, v, "is empty", `"..."`)
+		r.addInvalidValue(key, v, "is empty", `"..."`)
 		return fallback
 	}
 	return v.text
 }
 
-// Choice returns the text under key, which must be one of choices, or fallback
+// Enum returns the text under key, which must be one of choices, or fallback
 // if there is none.
-func (r *Reader) Choice(key, fallback string, choices ...string) string {
-	v := r.takeKind(key, "a text", strconv.Quote(choices[0]), unstable.String)
+func (r *Reader) Enum(key, fallback string, choices ...string) string {
+	v := r.lookupKind(key, "a text", strconv.Quote(choices[0]), unstable.String)
 	if v == nil {
 		return fallback
 	}
@@ -45,21 +45,21 @@
 	if nearest, ok := Nearest(v.text, choices); ok {
 		advice = fmt.Sprintf("write %q", nearest)
 	}
-	r.failed[key] = true
-	r.list.Add(v.place, fmt.Sprintf("%q cannot be %q", key, v.text), advice)
+	r.invalid[key] = true
+	r.findings.Add(v.place, fmt.Sprintf("%q cannot be %q", key, v.text), advice)
 	return fallback
 }
 
 // Texts returns the texts in the array under key.
 func (r *Reader) Texts(key string) []Text {
-	v := r.takeKind(key, "an array of texts", `["..."]`, unstable.Array)
+	v := r.lookupKind(key, "an array of texts", `["..."]`, unstable.Array)
 	if v == nil {
 		return nil
 	}
 	texts := make([]Text, 0, len(v.items))
 	for _, item := range v.items {
 		if item.kind != unstable.String {
-			r.wrongType(key, item, "an array of texts", `["..."]`)
+			r.addWrongType(key, item, "an array of texts", `["..."]`)
 			continue
 		}
 		texts = append(texts, Text{Value: item.text, Place: item.place})
@@ -67,42 +67,42 @@
 	return texts
 }
 
-// Flag returns true or false as under key, or fallback if there is none.
-func (r *Reader) Flag(key string, fallback bool) bool {
-	v := r.takeKind(key, "true or false", "true", unstable.Bool)
+// Bool returns true or false as under key, or fallback if there is none.
+func (r *Reader) Bool(key string, fallback bool) bool {
+	v := r.lookupKind(key, "true or false", "true", unstable.Bool)
 	if v == nil {
 		return fallback
 	}
 	return v.text == "true"
 }
 
-// Count returns the whole number under key, or fallback if there is none. A
+// Int returns the whole number under key, or fallback if there is none. A
 // number below least or above most makes a finding.
-func (r *Reader) Count(key string, fallback, least, most int) int {
-	example := strconv.Itoa(max(least, min(fallback, most)))
-	v := r.takeKind(key, "a whole number", example, unstable.Integer)
+func (r *Reader) Int(key string, fallback, minimum, maximum int) int {
+	example := strconv.Itoa(max(minimum, min(fallback, maximum)))
+	v := r.lookupKind(key, "a whole number", example, unstable.Integer)
 	if v == nil {
 		return fallback
 	}
 	n, err := strconv.ParseInt(strings.ReplaceAll(v.text, "_", ""), 0, 64)
-	if err != nil || n < int64(least) || n > int64(most) {
-		r.badValue(key, v, fmt.Sprintf("must be from %d to %d, not %s", least, most, v.text), example)
+	if err != nil || n < int64(minimum) || n > int64(maximum) {
+		r.addInvalidValue(key, v, fmt.Sprintf("must be from %d to %d, not %s", minimum, maximum, v.text), example)
 		return fallback
 	}
 	return int(n)
 }
 
-// Number returns the number under key, or fallback if there is none. A number
+// Float returns the number under key, or fallback if there is none. A number
 // below least or above most makes a finding.
-func (r *Reader) Number(key string, fallback, least, most float64) float64 {
-	example := strconv.FormatFloat(max(least, min(fallback, most)), 'g', -1, 64)
-	v := r.takeKind(key, "a number", example, unstable.Float, unstable.Integer)
+func (r *Reader) Float(key string, fallback, minimum, maximum float64) float64 {
+	example := strconv.FormatFloat(max(minimum, min(fallback, maximum)), 'g', -1, 64)
+	v := r.lookupKind(key, "a number", example, unstable.Float, unstable.Integer)
 	if v == nil {
 		return fallback
 	}
 	n, err := strconv.ParseFloat(strings.ReplaceAll(v.text, "_", ""), 64)
-	if err != nil || math.IsNaN(n) || n < least || n > most {
-		r.badValue(key, v, fmt.Sprintf("must be from %g to %g, not %s", least, most, v.text), example)
+	if err != nil || math.IsNaN(n) || n < minimum || n > maximum {
+		r.addInvalidValue(key, v, fmt.Sprintf("must be from %g to %g, not %s", minimum, maximum, v.text), example)
 		return fallback
 	}
 	return n
@@ -111,19 +111,19 @@
 // Duration returns the duration under key, or fallback if there is none. It is
 // written as a text with a unit, such as "540ms". A duration below least or
 // above most makes a finding.
-func (r *Reader) Duration(key string, fallback, least, most time.Duration) time.Duration {
-	example := strconv.Quote(max(least, min(fallback, most)).String())
-	v := r.takeKind(key, "a duration with its unit", example, unstable.String)
+func (r *Reader) Duration(key string, fallback, minimum, maximum time.Duration) time.Duration {
+	example := strconv.Quote(max(minimum, min(fallback, maximum)).String())
+	v := r.lookupKind(key, "a duration with its unit", example, unstable.String)
 	if v == nil {
 		return fallback
 	}
 	d, err := time.ParseDuration(v.text)
 	if err != nil {
-		r.badValue(key, v, fmt.Sprintf("is no duration: %q", v.text), example)
+		r.addInvalidValue(key, v, fmt.Sprintf("is no duration: %q", v.text), example)
 		return fallback
 	}
-	if d < least || d > most {
-		r.badValue(key, v, fmt.Sprintf("must be from %s to %s, not %s", least, most, v.text), example)
+	if d < minimum || d > maximum {
+		r.addInvalidValue(key, v, fmt.Sprintf("must be from %s to %s, not %s", minimum, maximum, v.text), example)
 		return fallback
 	}
 	return d
@@ -132,22 +132,22 @@
 // Size returns the bytes under key, or fallback if there is none. A size is
 // written as a text with a unit, such as "24 GiB". A size below least makes a
 // finding.
-func (r *Reader) Size(key string, fallback, least int64) int64 {
-	v := r.takeKind(key, "a size with its unit", `"24 GiB"`, unstable.String)
+func (r *Reader) Size(key string, fallback, minimum int64) int64 {
+	v := r.lookupKind(key, "a size with its unit", `"24 GiB"`, unstable.String)
 	if v == nil {
 		return fallback
 	}
 	n, err := bytes.Parse(v.text)
 	if err != nil || !strings.HasSuffix(strings.ToUpper(v.text), "B") {
-		r.badValue(key, v, fmt.Sprintf("is no size: %q", v.text), `"24 GiB"`)
+		r.addInvalidValue(key, v, fmt.Sprintf("is no size: %q", v.text), `"24 GiB"`)
 		return fallback
 	}
-	if n < least {
-		r.badValue(key, v, fmt.Sprintf("must be at least %d B, not %s", least, v.text), `"24 GiB"`)
+	if n < minimum {
+		r.addInvalidValue(key, v, fmt.Sprintf("must be at least %d B, not %s", minimum, v.text), `"24 GiB"`)
 		return fallback
 	}
-	if n > maxSize {
-		r.badValue(key, v, fmt.Sprintf("must be at most %d TiB, not %s", maxSize>>40, v.text), `"24 GiB"`)
+	if n > maxSizeBytes {
+		r.addInvalidValue(key, v, fmt.Sprintf("must be at most %d TiB, not %s", maxSizeBytes>>40, v.text), `"24 GiB"`)
 		return fallback
 	}
 	return n
@@ -156,13 +156,13 @@
 // Address returns the IP number and port under key, or fallback if there is
 // none. Host names are refused: instances find each other by IP numbers.
 func (r *Reader) Address(key string, fallback netip.AddrPort) netip.AddrPort {
-	v := r.takeKind(key, "an IP number and a port", `"127.0.0.1:7600"`, unstable.String)
+	v := r.lookupKind(key, "an IP number and a port", `"127.0.0.1:7600"`, unstable.String)
 	if v == nil {
 		return fallback
 	}
 	address, err := netip.ParseAddrPort(v.text)
 	if err != nil || address.Port() == 0 {
-		r.badValue(key, v, fmt.Sprintf("must be an IP number and a port, not %q", v.text), `"127.0.0.1:7600"`)
+		r.addInvalidValue(key, v, fmt.Sprintf("must be an IP number and a port, not %q", v.text), `"127.0.0.1:7600"`)
 		return fallback
 	}
 	return address
@@ -170,8 +170,8 @@
 
 // takeKind makes key known and returns its value if that is of one of kinds. If
 // it is of another kind, takeKind adds a finding and returns nil.
-func (r *Reader) takeKind(key, want, example string, kinds ...unstable.Kind) *value {
-	v := r.take(key)
+func (r *Reader) lookupKind(key, want, example string, kinds ...unstable.Kind) *value {
+	v := r.lookup(key)
 	if v == nil {
 		return nil
 	}
@@ -180,6 +180,6 @@
 			return v
 		}
 	}
-	r.wrongType(key, v, want, example)
+	r.addWrongType(key, v, want, example)
 	return nil
 }
--- a/internal/form/table.go
+++ b/internal/form/table.go
@@ -38,10 +38,10 @@
 
 // parse returns the root table of the document data, whose places name file.
 // If data is not TOML, parse adds one finding with its place and returns false.
-func parse(file string, data []byte, list *finding.List) (*table, bool) {
-	var ignored map[string]any
-	if err := toml.Unmarshal(data, &ignored); err != nil {
-		addBroken(file, err, list)
+func parse(file string, data []byte, findings *finding.List) (*table, bool) {
+	var decoded map[string]any
+	if err := toml.Unmarshal(data, &decoded); err != nil {
+		addSyntaxError(file, err, findings)
 		return nil, false
 	}
 	b := newBuilder(file, data)
@@ -49,19 +49,19 @@
 		b.add(b.parser.Expression())
 	}
 	if err := b.parser.Error(); err != nil {
-		addBroken(file, err, list)
+		addSyntaxError(file, err, findings)
 		return nil, false
 	}
 	return b.root, true
 }
 
-func addBroken(file string, err error, list *finding.List) {
+func addSyntaxError(file string, err error, findings *finding.List) {
 	place := finding.Place{File: file}
-	var broken *toml.DecodeError
-	if errors.As(err, &broken) {
-		place.Line, place.Column = broken.Position()
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		place.Line, place.Column = decodeError.Position()
 	}
-	list.Add(place, "broken TOML: "+err.Error(), "")
+	findings.Add(place, "broken TOML: "+err.Error(), "")
 }
 
 // builder makes tables of the expressions of a document.
@@ -69,21 +69,21 @@
 	file   string
 	parser unstable.Parser
 	// lines holds the offset of the first byte of each line.
-	lines []int
-	root  *table
+	lineOffsets []int
+	root        *table
 	// current takes the keys that follow the last table header.
-	current *table
+	currentTable *table
 }
 
 func newBuilder(file string, data []byte) *builder {
-	b := &builder{file: file, lines: []int{0}}
+	b := &builder{file: file, lineOffsets: []int{0}}
 	for i, c := range data {
 		if c == '\n' {
-			b.lines = append(b.lines, i+1)
+			b.lineOffsets = append(b.lineOffsets, i+1)
 		}
 	}
 	b.root = newTable(finding.Place{File: file})
-	b.current = b.root
+	b.currentTable = b.root
 	b.parser.Reset(data)
 	return b
 }
@@ -94,26 +94,26 @@
 
 func (b *builder) place(raw unstable.Range) finding.Place {
 	offset := int(raw.Offset)
-	line := sort.SearchInts(b.lines, offset+1)
-	return finding.Place{File: b.file, Line: line, Column: offset - b.lines[line-1] + 1}
+	line := sort.SearchInts(b.lineOffsets, offset+1)
+	return finding.Place{File: b.file, Line: line, Column: offset - b.lineOffsets[line-1] + 1}
 }
 
 func (b *builder) add(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Table:
 		parent, last := b.descend(b.root, node.Key())
-		b.current = b.child(parent, last)
+		b.currentTable = b.child(parent, last)
 	case unstable.ArrayTable:
 		parent, last := b.descend(b.root, node.Key())
-		b.current = b.appendItem(parent, last)
+		b.currentTable = b.appendItem(parent, last)
 	case unstable.KeyValue:
-		b.addKeyValue(b.current, node)
+		b.addKeyValue(b.currentTable, node)
 	default:
 	}
 }
 
-func (b *builder) addKeyValue(to *table, node *unstable.Node) {
-	parent, last := b.descend(to, node.Key())
+func (b *builder) addKeyValue(target *table, node *unstable.Node) {
+	parent, last := b.descend(target, node.Key())
 	keyPlace := b.place(last.Raw)
 	v := b.value(node.Value(), keyPlace)
 	v.keyPlace = keyPlace
@@ -122,14 +122,14 @@
 
 // descend walks all parts of key but the last, making tables where there are
 // none, and returns the table it came to and the last part.
-func (b *builder) descend(from *table, key unstable.Iterator) (*table, *unstable.Node) {
+func (b *builder) descend(table *table, key unstable.Iterator) (*table, *unstable.Node) {
 	key.Next()
 	last := key.Node()
 	for key.Next() {
-		from = b.child(from, last)
+		table = b.child(table, last)
 		last = key.Node()
 	}
-	return from, last
+	return table, last
 }
 
 // child returns the table that key names in parent: for an array of tables, its
@@ -137,33 +137,33 @@
 func (b *builder) child(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
-	held, ok := parent.values[name]
+	existing, ok := parent.values[name]
 	if !ok {
-		made := newTable(place)
-		parent.values[name] = &value{place: place, keyPlace: place, kind: unstable.Table, table: made}
-		return made
+		created := newTable(place)
+		parent.values[name] = &value{place: place, keyPlace: place, kind: unstable.Table, table: created}
+		return created
 	}
-	if len(held.items) > 0 {
-		held = held.items[len(held.items)-1]
+	if len(existing.items) > 0 {
+		existing = existing.items[len(existing.items)-1]
 	}
-	if held.table == nil {
+	if existing.table == nil {
 		// go-toml has refused such a document before it came here.
-		held.table = newTable(place)
+		existing.table = newTable(place)
 	}
-	return held.table
+	return existing.table
 }
 
 func (b *builder) appendItem(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
-	held, ok := parent.values[name]
+	array, ok := parent.values[name]
 	if !ok {
-		held = &value{place: place, keyPlace: place, kind: unstable.Array}
-		parent.values[name] = held
+		array = &value{place: place, keyPlace: place, kind: unstable.Array}
+		parent.values[name] = array
 	}
-	made := newTable(place)
-	held.items = append(held.items, &value{place: place, keyPlace: place, kind: unstable.Table, table: made})
-	return made
+	created := newTable(place)
+	array.items = append(array.items, &value{place: place, keyPlace: place, kind: unstable.Table, table: created})
+	return created
 }
 
 // value returns the value of node. Arrays have no place of their own in the
--- a/internal/settings/combinations.go
+++ b/internal/settings/combinations.go
@@ -9,7 +9,7 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-func (p *parser) checkAdvertised(root *form.Reader, l listener) {
+func (p *parser) checkAdvertisedAddress(root *form.Reader, l listener) {
 	if !l.advertise.Addr().IsUnspecified() {
 		return
 	}
@@ -27,7 +27,7 @@
 	all := listeners(s)
 	for i, later := range all {
 		for _, earlier := range all[:i] {
-			if !root.Good(earlier.key, later.key) || !overlap(*earlier.listen, *later.listen) {
+			if !root.Valid(earlier.key, later.key) || !addressesOverlap(*earlier.listen, *later.listen) {
 				continue
 			}
 			key, other := later.key, earlier.key
@@ -40,7 +40,7 @@
 	}
 }
 
-func overlap(a, b netip.AddrPort) bool {
+func addressesOverlap(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() {
 		return false
 	}
@@ -64,7 +64,7 @@
 }
 
 func (p *parser) checkVoters(root *form.Reader, s Settings) {
-	if s.Voter && s.DataFolder == "" && root.Good("data-folder") {
+	if s.Voter && s.DataFolder == "" && root.Valid("data-folder") {
 		root.Add("voter", "a voter must keep its vote, and there is no data-folder",
 			`write data-folder = "data", or voter = false`)
 	}
@@ -77,19 +77,19 @@
 			voters++
 		}
 	}
-	if voters == 0 && root.Good("voter") {
+	if voters == 0 && root.Valid("voter") {
 		root.Add("voter", "no instance is a voter, so no configuration could ever be accepted",
 			"write voter = true here or in one of the instances with a disk")
 	}
 }
 
-func (p *parser) checkName(r *form.Reader, name, own string, names map[string]finding.Place) {
+func (p *parser) checkName(r *form.Reader, name, ownName string, names map[string]finding.Place) {
 	if name == "" {
 		return
 	}
 	first, taken := names[name]
 	switch {
-	case name == own:
+	case name == ownName:
 		r.Add("name", fmt.Sprintf("%q is this instance's own name (%s)", name, first),
 			"list only the other instances, or write another name")
 	case taken:
@@ -126,12 +126,12 @@
 		root.Add("operator-address", fmt.Sprintf("whoever reaches %s would be an operator", s.Listen.Operator),
 			`write [tokens] with operators = "operators.toml", or allow-open-listeners = true`)
 	}
-	p.checkOpen(root, "operator-address", s.Listen.Operator, s.TLS.Operators, "tls.operators")
-	p.checkOpen(root, "inner-address", s.Listen.Inner, s.TLS.Inner, "tls.inner")
+	p.checkPlaintext(root, "operator-address", s.Listen.Operator, s.TLS.Operators, "tls.operators")
+	p.checkPlaintext(root, "inner-address", s.Listen.Inner, s.TLS.Inner, "tls.inner")
 }
 
-func (p *parser) checkOpen(root *form.Reader, key string, listen netip.AddrPort, pair KeyPair, section string) {
-	if pair.IsSet() || listen.Addr().IsLoopback() {
+func (p *parser) checkPlaintext(root *form.Reader, key string, listen netip.AddrPort, keyPair KeyPair, section string) {
+	if keyPair.IsSet() || listen.Addr().IsLoopback() {
 		return
 	}
 	root.Add(key, fmt.Sprintf("%s %s is beyond loopback without TLS", key, listen),
@@ -152,16 +152,16 @@
 }
 
 // pair is two durations of which one must be longer by a factor.
-type pair struct {
-	long, short           string
-	longValue, shortValue time.Duration
+type durationRule struct {
+	longerKey, shorterKey string
+	longer, shorter       time.Duration
 	// factor is by how much longer, at least 1.
 	factor int
 	reason string
 }
 
 func checkTiming(r *form.Reader, t Timing) {
-	pairs := []pair{
+	rules := []durationRule{
 		{
 			"election-timeout", "heartbeat", t.ElectionTimeout, t.Heartbeat, 3,
 			"a lost heartbeat must not start an election",
@@ -183,29 +183,29 @@
 			"callers would still come when the instance has stopped",
 		},
 	}
-	for _, c := range pairs {
-		checkPair(r, c)
+	for _, rule := range rules {
+		checkDurationRule(r, rule)
 	}
 }
 
-func checkPair(r *form.Reader, c pair) {
-	if !r.Good(c.long, c.short) || c.longValue > c.shortValue*time.Duration(c.factor) {
+func checkDurationRule(r *form.Reader, rule durationRule) {
+	if !r.Valid(rule.longerKey, rule.shorterKey) || rule.longer > rule.shorter*time.Duration(rule.factor) {
 		return
 	}
-	key := c.long
+	key := rule.longerKey
 	if !r.Has(key) {
-		key = c.short
+		key = rule.shorterKey
 	}
-	bound := "is not longer than"
-	if c.factor > 1 {
-		bound = fmt.Sprintf("is not longer than %d times", c.factor)
+	relation := "is not longer than"
+	if rule.factor > 1 {
+		relation = fmt.Sprintf("is not longer than %d times", rule.factor)
 	}
-	r.Add(key, fmt.Sprintf("%s %s %s %s %s: %s", c.long, c.longValue, bound, c.short, c.shortValue, c.reason),
-		fmt.Sprintf("write %s above %s", c.long, c.shortValue*time.Duration(c.factor)))
+	r.Add(key, fmt.Sprintf("%s %s %s %s %s: %s", rule.longerKey, rule.longer, relation, rule.shorterKey, rule.shorter, rule.reason),
+		fmt.Sprintf("write %s above %s", rule.longerKey, rule.shorter*time.Duration(rule.factor)))
 }
 
 func checkLimits(r *form.Reader, l Limits) {
-	if !r.Good("docket-answer-size", "docket-size") || l.DocketAnswerBytes <= l.DocketBytes {
+	if !r.Valid("docket-answer-size", "docket-size") || l.DocketAnswerBytes <= l.DocketBytes {
 		return
 	}
 	key := "docket-answer-size"
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -40,9 +40,9 @@
 		if !errors.As(err, &found) || len(found.Findings) == 0 {
 			t.Fatalf("an error without findings: %v", err)
 		}
-		for _, one := range found.Findings {
-			if one.Place.File != "x.toml" || one.Problem == "" || one.Place.Line < 0 {
-				t.Fatalf("a finding without a place: %+v", one)
+		for _, item := range found.Findings {
+			if item.Place.File != "x.toml" || item.Problem == "" || item.Place.Line < 0 {
+				t.Fatalf("a finding without a place: %+v", item)
 			}
 		}
 	})
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxTime  = 24 * time.Hour
-	maxCount = 10_000_000
+	maxDuration = 24 * time.Hour
+	maxCount    = 10_000_000
 )
 
 // Load returns the settings in the file path. If they are wrong, Load returns a
@@ -32,14 +32,14 @@
 // settings are wrong, Parse returns a *finding.Error with every finding. Parse
 // does no I/O.
 func Parse(name string, data []byte) (Settings, error) {
-	var list finding.List
-	root, ok := form.Open(name, data, &list)
+	var findings finding.List
+	root, ok := form.Open(name, data, &findings)
 	if !ok {
-		return Settings{}, list.Err()
+		return Settings{}, findings.Err()
 	}
-	p := parser{folder: filepath.Dir(name), list: &list}
-	s := p.settings(root)
-	if err := list.Err(); err != nil {
+	p := parser{folder: filepath.Dir(name), findings: &findings}
+	s := p.readSettings(root)
+	if err := findings.Err(); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
@@ -48,40 +48,40 @@
 // parser reads settings and checks what they say together.
 type parser struct {
 	// folder is what relative paths are relative to.
-	folder string
-	list   *finding.List
+	folder   string
+	findings *finding.List
 }
 
-func (p *parser) settings(root *form.Reader) Settings {
+func (p *parser) readSettings(root *form.Reader) Settings {
 	s := Default()
 	root.Require("name", `"a"`)
 	root.Require("failure-domain", `"kgn-a"`)
 	s.Name = root.Text("name", "")
 	s.FailureDomain = root.Text("failure-domain", "")
-	s.DataFolder = p.path(root, "data-folder")
-	s.Voter = root.Flag("voter", false)
-	s.AllowOpenListeners = root.Flag("allow-open-listeners", false)
-	s.LogLevel = LogLevel(root.Choice("log-level", string(s.LogLevel),
+	s.DataFolder = p.readPath(root, "data-folder")
+	s.Voter = root.Bool("voter", false)
+	s.AllowOpenListeners = root.Bool("allow-open-listeners", false)
+	s.LogLevel = LogLevel(root.Enum("log-level", string(s.LogLevel),
 		string(LogDebug), string(LogInfo), string(LogWarn), string(LogError)))
-	p.addresses(root, &s)
-	others := root.Tables("instances")
-	s.Instances = p.instances(others)
-	p.timing(root.Table("timing"), &s.Timing)
-	p.limits(root.Table("limits"), &s.Limits)
-	s.TLS = p.tls(root.Table("tls"))
-	s.Tokens = p.tokens(root.Table("tokens"))
-	p.placement(root.Table("placement"), &s.Placement)
-	p.weightStore(root.Table("weight-store"), &s.WeightStore)
-	p.policy(root.Table("policy"), &s.Policy)
-	p.goals(root.Table("goals"), &s.Goals)
-	p.quarantine(root.Table("quarantine"), &s.Quarantine)
+	p.readAddresses(root, &s)
+	instanceTables := root.Tables("instances")
+	s.Instances = p.readInstances(instanceTables)
+	p.readTiming(root.Table("timing"), &s.Timing)
+	p.readLimits(root.Table("limits"), &s.Limits)
+	s.TLS = p.readTLS(root.Table("tls"))
+	s.Tokens = p.readTokens(root.Table("tokens"))
+	p.readPlacement(root.Table("placement"), &s.Placement)
+	p.readWeightStore(root.Table("weight-store"), &s.WeightStore)
+	p.readPolicy(root.Table("policy"), &s.Policy)
+	p.readGoals(root.Table("goals"), &s.Goals)
+	p.readQuarantine(root.Table("quarantine"), &s.Quarantine)
 	root.Done()
-	p.checkInstances(root, s, others)
+	p.checkInstances(root, s, instanceTables)
 	p.checkOpenListeners(root, s)
 	return s
 }
 
-func (p *parser) path(r *form.Reader, key string) string {
+func (p *parser) readPath(r *form.Reader, key string) string {
 	path := r.Text(key, "")
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -89,11 +89,11 @@
 	return filepath.Join(p.folder, path)
 }
 
-func (p *parser) addresses(root *form.Reader, s *Settings) {
+func (p *parser) readAddresses(root *form.Reader, s *Settings) {
 	for _, l := range listeners(s) {
 		*l.listen = root.Address(l.key, *l.listen)
 		*l.advertise = root.Address("advertise-"+l.key, *l.listen)
-		p.checkAdvertised(root, l)
+		p.checkAdvertisedAddress(root, l)
 	}
 	p.checkListeners(root, s)
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-func (p *parser) instances(tables []*form.Reader) []Instance {
+func (p *parser) readInstances(tables []*form.Reader) []Instance {
 	instances := make([]Instance, 0, len(tables))
 	for _, r := range tables {
 		r.Require("name", `"b"`)
@@ -126,39 +126,39 @@
 			InnerAddress:  r.Address("inner-address", netip.AddrPort{}),
 			CallerAddress: r.Address("caller-address", netip.AddrPort{}),
 			FailureDomain: r.Text("failure-domain", ""),
-			Voter:         r.Flag("voter", false),
+			Voter:         r.Bool("voter", false),
 		})
 		r.Done()
 	}
 	return instances
 }
 
-func (p *parser) timing(r *form.Reader, t *Timing) {
-	const least = time.Millisecond
-	t.Heartbeat = r.Duration("heartbeat", t.Heartbeat, least, maxTime)
-	t.ElectionTimeout = r.Duration("election-timeout", t.ElectionTimeout, least, maxTime)
-	t.ClockDriftPercent = r.Count("clock-drift-percent", t.ClockDriftPercent, 0, 50)
-	t.ConfigurationRenewal = r.Duration("configuration-renewal", t.ConfigurationRenewal, least, maxTime)
-	t.ConfigurationLease = r.Duration("configuration-lease", t.ConfigurationLease, least, maxTime)
-	t.UpstreamRenewal = r.Duration("upstream-renewal", t.UpstreamRenewal, least, maxTime)
-	t.UpstreamLease = r.Duration("upstream-lease", t.UpstreamLease, least, maxTime)
-	t.SilenceTime = r.Duration("silence-time", t.SilenceTime, least, maxTime)
-	t.OrderFlightTime = r.Duration("order-flight-time", t.OrderFlightTime, least, maxTime)
-	t.EntryTime = r.Duration("entry-time", t.EntryTime, least, maxTime)
-	t.DrainTime = r.Duration("drain-time", t.DrainTime, least, maxTime)
+func (p *parser) readTiming(r *form.Reader, t *Timing) {
+	const minDuration = time.Millisecond
+	t.Heartbeat = r.Duration("heartbeat", t.Heartbeat, minDuration, maxDuration)
+	t.ElectionTimeout = r.Duration("election-timeout", t.ElectionTimeout, minDuration, maxDuration)
+	t.ClockDriftPercent = r.Int("clock-drift-percent", t.ClockDriftPercent, 0, 50)
+	t.ConfigurationRenewal = r.Duration("configuration-renewal", t.ConfigurationRenewal, minDuration, maxDuration)
+	t.ConfigurationLease = r.Duration("configuration-lease", t.ConfigurationLease, minDuration, maxDuration)
+	t.UpstreamRenewal = r.Duration("upstream-renewal", t.UpstreamRenewal, minDuration, maxDuration)
+	t.UpstreamLease = r.Duration("upstream-lease", t.UpstreamLease, minDuration, maxDuration)
+	t.SilenceTime = r.Duration("silence-time", t.SilenceTime, minDuration, maxDuration)
+	t.OrderFlightTime = r.Duration("order-flight-time", t.OrderFlightTime, minDuration, maxDuration)
+	t.EntryTime = r.Duration("entry-time", t.EntryTime, minDuration, maxDuration)
+	t.DrainTime = r.Duration("drain-time", t.DrainTime, minDuration, maxDuration)
 	r.Done()
 	checkTiming(r, *t)
 }
 
-func (p *parser) limits(r *form.Reader, l *Limits) {
-	const leastTime = 10 * time.Millisecond
+func (p *parser) readLimits(r *form.Reader, l *Limits) {
+	const minDuration = 10 * time.Millisecond
 	l.BodyBytes = r.Size("body-size", l.BodyBytes, 1)
 	l.HeaderBytes = r.Size("header-size", l.HeaderBytes, 1<<10)
-	l.HeaderTime = r.Duration("header-time", l.HeaderTime, leastTime, maxTime)
-	l.BodyTime = r.Duration("body-time", l.BodyTime, leastTime, maxTime)
-	l.QueueLength = r.Count("queue-length", l.QueueLength, 1, maxCount)
-	l.Streams = r.Count("streams", l.Streams, 1, maxCount)
-	l.DocketRecords = r.Count("docket-records", l.DocketRecords, 1, maxCount)
+	l.HeaderTime = r.Duration("header-time", l.HeaderTime, minDuration, maxDuration)
+	l.BodyTime = r.Duration("body-time", l.BodyTime, minDuration, maxDuration)
+	l.QueueLength = r.Int("queue-length", l.QueueLength, 1, maxCount)
+	l.Streams = r.Int("streams", l.Streams, 1, maxCount)
+	l.DocketRecords = r.Int("docket-records", l.DocketRecords, 1, maxCount)
 	l.DocketBytes = r.Size("docket-size", l.DocketBytes, 1<<10)
 	l.DocketAnswerBytes = r.Size("docket-answer-size", l.DocketAnswerBytes, 0)
 	l.DocketRetention = r.Duration("docket-retention", l.DocketRetention, time.Second, 30*24*time.Hour)
@@ -166,14 +166,14 @@
 	checkLimits(r, *l)
 }
 
-func (p *parser) tls(r *form.Reader) TLS {
+func (p *parser) readTLS(r *form.Reader) TLS {
 	t := TLS{
-		Callers:   p.keyPair(r.Table("callers")),
-		Upstreams: p.keyPair(r.Table("upstreams")),
-		Operators: p.keyPair(r.Table("operators")),
+		Callers:   p.readKeyPair(r.Table("callers")),
+		Upstreams: p.readKeyPair(r.Table("upstreams")),
+		Operators: p.readKeyPair(r.Table("operators")),
 	}
 	inner := r.Table("inner")
-	t.Inner = p.keyPair(inner)
+	t.Inner = p.readKeyPair(inner)
 	if t.Inner.IsSet() && t.Inner.CAFile == "" {
 		inner.Add("cert", "tls between instances checks both sides, and tls.inner has no ca",
 			`write ca = "inner-ca.pem"`)
@@ -182,56 +182,56 @@
 	return t
 }
 
-func (p *parser) keyPair(r *form.Reader) KeyPair {
+func (p *parser) readKeyPair(r *form.Reader) KeyPair {
 	k := KeyPair{
-		CertFile: p.path(r, "cert"),
-		KeyFile:  p.path(r, "key"),
-		CAFile:   p.path(r, "ca"),
+		CertFile: p.readPath(r, "cert"),
+		KeyFile:  p.readPath(r, "key"),
+		CAFile:   p.readPath(r, "ca"),
 	}
 	r.Done()
 	checkKeyPair(r)
 	return k
 }
 
-func (p *parser) tokens(r *form.Reader) Tokens {
+func (p *parser) readTokens(r *form.Reader) Tokens {
 	t := Tokens{
-		OperatorsFile: p.path(r, "operators"),
-		UpstreamsFile: p.path(r, "upstreams"),
+		OperatorsFile: p.readPath(r, "operators"),
+		UpstreamsFile: p.readPath(r, "upstreams"),
 	}
 	r.Done()
 	return t
 }
 
-func (p *parser) placement(r *form.Reader, set *Placement) {
-	set.Enabled = r.Flag("enabled", set.Enabled)
+func (p *parser) readPlacement(r *form.Reader, placement *Placement) {
+	placement.Enabled = r.Bool("enabled", placement.Enabled)
 	r.Done()
 }
 
-func (p *parser) weightStore(r *form.Reader, w *WeightStore) {
-	w.LoadsPerSecond = r.Number("loads-per-second", w.LoadsPerSecond, 0.001, 10_000)
-	w.Concurrent = r.Count("concurrent", w.Concurrent, 1, 10_000)
+func (p *parser) readWeightStore(r *form.Reader, w *WeightStore) {
+	w.LoadsPerSecond = r.Float("loads-per-second", w.LoadsPerSecond, 0.001, 10_000)
+	w.Concurrent = r.Int("concurrent", w.Concurrent, 1, 10_000)
 	r.Done()
 }
 
-func (p *parser) policy(r *form.Reader, policy *Policy) {
-	policy.WeightOfMoves = r.Number("weight-of-moves", policy.WeightOfMoves, 0, 1000)
+func (p *parser) readPolicy(r *form.Reader, policy *Policy) {
+	policy.WeightOfMoves = r.Float("weight-of-moves", policy.WeightOfMoves, 0, 1000)
 	r.Done()
 }
 
-func (p *parser) quarantine(r *form.Reader, q *Quarantine) {
+func (p *parser) readQuarantine(r *form.Reader, q *Quarantine) {
 	// One crash says nothing of which request of an upstream brought it about.
-	q.Crashes = r.Count("crashes", q.Crashes, 2, 6)
-	q.Retention = r.Duration("retention", q.Retention, time.Minute, maxTime)
+	q.Crashes = r.Int("crashes", q.Crashes, 2, 6)
+	q.Retention = r.Duration("retention", q.Retention, time.Minute, maxDuration)
 	r.Done()
 }
 
-func (p *parser) goals(r *form.Reader, g *Goals) {
-	const least = time.Millisecond
-	g.FirstToken = r.Duration("first-token", g.FirstToken, least, maxTime)
-	g.BetweenTokens = r.Duration("between-tokens", g.BetweenTokens, least, maxTime)
-	g.Deadline = r.Duration("deadline", g.Deadline, least, maxTime)
+func (p *parser) readGoals(r *form.Reader, g *Goals) {
+	const minDuration = time.Millisecond
+	g.FirstToken = r.Duration("first-token", g.FirstToken, minDuration, maxDuration)
+	g.BetweenTokens = r.Duration("between-tokens", g.BetweenTokens, minDuration, maxDuration)
+	g.Deadline = r.Duration("deadline", g.Deadline, minDuration, maxDuration)
 	r.Done()
-	if r.Good("deadline", "first-token") && g.Deadline <= g.FirstToken {
+	if r.Valid("deadline", "first-token") && g.Deadline <= g.FirstToken {
 		r.Add("deadline", "the deadline "+g.Deadline.String()+" is not after the first token's goal "+g.FirstToken.String(),
 			"write a longer deadline")
 	}
--- a/internal/settings/parse_test.go
+++ b/internal/settings/parse_test.go
@@ -15,13 +15,13 @@
 	"github.com/lovagelift/lovagelift/internal/settings"
 )
 
-const least = `name = "a"
+const minimalSettings = `name = "a"
 failure-domain = "kgn-a"
 data-folder = "data"
 voter = true
 `
 
-func findings(text string) []string {
+func findingsOf(text string) []string {
 	_, err := settings.Parse("etc/a.toml", []byte(text))
 	if err == nil {
 		return nil
@@ -38,7 +38,7 @@
 
 var _ = Describe("Parse", func() {
 	It("fills in the defaults", func() {
-		s, err := settings.Parse("etc/a.toml", []byte(least))
+		s, err := settings.Parse("etc/a.toml", []byte(minimalSettings))
 		Expect(err).NotTo(HaveOccurred())
 		want := settings.Default()
 		want.Name, want.FailureDomain = "a", "kgn-a"
@@ -48,7 +48,7 @@
 	})
 
 	It("advertises what it listens on unless told otherwise", func() {
-		s, err := settings.Parse("a.toml", []byte(least+
+		s, err := settings.Parse("a.toml", []byte(minimalSettings+
 			"caller-address = \"0.0.0.0:80\"\nadvertise-caller-address = \"10.0.0.7:80\"\nupstream-address = \"127.0.0.1:81\"\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Listen.Caller).To(Equal(netip.MustParseAddrPort("0.0.0.0:80")))
@@ -57,7 +57,7 @@
 	})
 
 	It("reads what instances keep among themselves", func() {
-		s, err := settings.Parse("a.toml", []byte(least+`
+		s, err := settings.Parse("a.toml", []byte(minimalSettings+`
 [[instances]]
 name = "b"
 inner-address = "127.0.0.1:7613"
@@ -79,15 +79,15 @@
 	})
 
 	It("reads when requests that crash upstreams are refused, and bounds it", func() {
-		set, err := settings.Parse("a.toml", []byte(least+"[quarantine]\ncrashes = 2\nretention = \"2h\"\n"))
+		set, err := settings.Parse("a.toml", []byte(minimalSettings+"[quarantine]\ncrashes = 2\nretention = \"2h\"\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Quarantine).To(Equal(settings.Quarantine{Crashes: 2, Retention: 2 * time.Hour}))
-		_, err = settings.Parse("a.toml", []byte(least+"[quarantine]\ncrashes = 1\nretention = \"1s\"\n"))
+		_, err = settings.Parse("a.toml", []byte(minimalSettings+"[quarantine]\ncrashes = 1\nretention = \"1s\"\n"))
 		Expect(err).To(MatchError(And(ContainSubstring("crashes"), ContainSubstring("retention"))))
 	})
 
 	It("reports every finding of a file in one error", func() {
-		Expect(findings(`naem = "a"
+		Expect(findingsOf(`naem = "a"
 failure-domain = 3
 voter = true
 inner-address = "127.0.0.1:7600"
@@ -108,7 +108,7 @@
 
 	DescribeTable("refuses impossible combinations",
 		func(addition, want string) {
-			found := findings(least + addition)
+			found := findingsOf(minimalSettings + addition)
 			Expect(found).To(HaveLen(1), strings.Join(found, "\n"))
 			Expect(found[0]).To(HavePrefix("etc/a.toml:" + want))
 		},
@@ -125,15 +125,15 @@
 		Entry("instances that check one side only", "[tls.inner]\ncert = \"c.pem\"\nkey = \"k.pem\"\n", "6:8: tls between instances checks both sides"),
 		Entry("a deadline before the first token", "[goals]\ndeadline = \"200ms\"\n", "6:12: the deadline 200ms is not after"),
 		Entry("an answer larger than the docket", "[limits]\ndocket-size = \"32 KiB\"\n", "6:15: docket-answer-size 65536 B is above docket-size 32768 B"),
-		Entry("its own name among the others", other("a", 7613, 7610), `6:8: "a" is this instance's own name (etc/a.toml:1:8)`),
-		Entry("an instance twice", other("b", 7613, 7610)+other("b", 7623, 7620), `11:8: instance "b" stands twice, first at etc/a.toml:6:8`),
-		Entry("two instances on one address", other("b", 7613, 7610)+other("c", 7613, 7620), "12:17: 127.0.0.1:7613 is already the address of another listener, at etc/a.toml:7:17"),
-		Entry("another instance on its own address", other("b", 7613, 7600), "8:18: 127.0.0.1:7600 is already the address of another listener"),
+		Entry("its own name among the others", otherInstance("a", 7613, 7610), `6:8: "a" is this instance's own name (etc/a.toml:1:8)`),
+		Entry("an instance twice", otherInstance("b", 7613, 7610)+otherInstance("b", 7623, 7620), `11:8: instance "b" stands twice, first at etc/a.toml:6:8`),
+		Entry("two instances on one address", otherInstance("b", 7613, 7610)+otherInstance("c", 7613, 7620), "12:17: 127.0.0.1:7613 is already the address of another listener, at etc/a.toml:7:17"),
+		Entry("another instance on its own address", otherInstance("b", 7613, 7600), "8:18: 127.0.0.1:7600 is already the address of another listener"),
 		Entry("an instance without its failure domain", "[[instances]]\nname = \"b\"\ninner-address = \"127.0.0.1:7613\"\ncaller-address = \"127.0.0.1:7610\"\n", `5:3: key "failure-domain" is missing in instances`),
 	)
 
 	It("makes one finding of one mistake", func() {
-		Expect(findings(least + "caller-address = 3\nupstream-address = \"127.0.0.1:7600\"\n" +
+		Expect(findingsOf(minimalSettings + "caller-address = 3\nupstream-address = \"127.0.0.1:7600\"\n" +
 			"[timing]\nheartbeat = 1\nelection-timeout = \"200ms\"\n")).To(Equal([]string{
 			`etc/a.toml:5:18: "caller-address" must be an IP number and a port, not a whole number; write for example "127.0.0.1:7600"`,
 			`etc/a.toml:8:13: "heartbeat" must be a duration with its unit, not a whole number; write for example "100ms"`,
@@ -141,12 +141,12 @@
 	})
 
 	It("asks for one voter among all instances", func() {
-		Expect(findings("name = \"a\"\nfailure-domain = \"kgn-a\"\n")).To(ConsistOf(
+		Expect(findingsOf("name = \"a\"\nfailure-domain = \"kgn-a\"\n")).To(ConsistOf(
 			HavePrefix("etc/a.toml: no instance is a voter")))
 	})
 
 	It("allows open listeners when told explicitly", func() {
-		Expect(findings(least + "operator-address = \"10.0.0.7:7602\"\nallow-open-listeners = true\n")).To(BeEmpty())
+		Expect(findingsOf(minimalSettings + "operator-address = \"10.0.0.7:7602\"\nallow-open-listeners = true\n")).To(BeEmpty())
 	})
 })
 
@@ -169,7 +169,7 @@
 	})
 })
 
-func other(name string, inner, caller int) string {
+func otherInstance(name string, inner, caller int) string {
 	return strings.NewReplacer("NAME", name, "INNER", itoa(inner), "CALLER", itoa(caller)).Replace(`[[instances]]
 name = "NAME"
 inner-address = "127.0.0.1:INNER"
