--- a/internal/settings/combinations.go
+++ b/internal/settings/combinations.go
@@ -9,6 +9,8 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
+// checkAdvertisedAddress adds a finding if the advertised address of l is
+// unspecified, such as 0.0.0.0, so that no peer could connect to it.
 func (p *parser) checkAdvertisedAddress(root *form.Reader, l listener) {
 	if !l.advertise.Addr().IsUnspecified() {
 		return
@@ -21,8 +23,8 @@
 		fmt.Sprintf("write advertise-%s with an IP number of this instance", l.key))
 }
 
-// checkListeners finds two listeners on one address. Listening on every address
-// takes the port from all.
+// checkListeners adds a finding for each pair of listeners whose addresses overlap.
+// A listener on an unspecified address uses its port on every address.
 func (p *parser) checkListeners(root *form.Reader, s *Settings) {
 	all := listeners(s)
 	for i, later := range all {
@@ -47,8 +49,8 @@
 	return a.Addr() == b.Addr() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// checkInstances finds what is wrong with this instance and the others together.
-// The readers in tables are those of s.Instances.
+// checkInstances checks that names and addresses are unique among all instances,
+// and checks the voters. tables holds the Reader of each of s.Instances.
 func (p *parser) checkInstances(root *form.Reader, s Settings, tables []*form.Reader) {
 	names := map[string]finding.Place{s.Name: root.Place("name")}
 	addresses := map[netip.AddrPort]finding.Place{
@@ -63,6 +65,8 @@
 	p.checkVoters(root, s)
 }
 
+// checkVoters checks that there is a voter, and that this instance has a data folder
+// if it is one.
 func (p *parser) checkVoters(root *form.Reader, s Settings) {
 	if s.Voter && s.DataFolder == "" && root.Valid("data-folder") {
 		root.Add("voter", "a voter must keep its vote, and there is no data-folder",
@@ -114,10 +118,10 @@
 	addresses[address] = r.Place(key)
 }
 
-// checkOpenListeners refuses to give operators' and inner traffic to a network
-// without TLS or tokens. Without TLS, whoever reads the network reads the
-// operators' token, and whoever reaches the inner listener speaks as an
-// instance.
+// checkOpenListeners refuses operators' and inner listeners beyond loopback that
+// have no TLS, and an operators' listener beyond loopback that requires no token.
+// Without TLS, anyone who can read the network traffic learns the operators' token,
+// and anyone who can connect to the inner listener can impersonate an instance.
 func (p *parser) checkOpenListeners(root *form.Reader, s Settings) {
 	if s.AllowOpenListeners {
 		return
@@ -130,6 +134,8 @@
 	p.checkPlaintext(root, "inner-address", s.Listen.Inner, s.TLS.Inner, "tls.inner")
 }
 
+// checkPlaintext adds a finding if the listener of key is beyond loopback and has no
+// TLS.
 func (p *parser) checkPlaintext(root *form.Reader, key string, listen netip.AddrPort, keyPair KeyPair, section string) {
 	if keyPair.IsSet() || listen.Addr().IsLoopback() {
 		return
@@ -151,12 +157,13 @@
 	}
 }
 
-// pair is two durations of which one must be longer by a factor.
+// durationRule requires one duration to be longer than a multiple of another.
 type durationRule struct {
 	longerKey, shorterKey string
 	longer, shorter       time.Duration
-	// factor is by how much longer, at least 1.
+	// factor is the multiple, at least 1.
 	factor int
+	// reason explains the rule in the finding.
 	reason string
 }
 
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("docs/operators/settings.md", func() {
-	It("lists the defaults of the code", func() {
+	It("lists the default settings", func() {
 		page, err := os.ReadFile("../../docs/operators/settings.md")
 		Expect(err).NotTo(HaveOccurred())
 		_, rest, found := strings.Cut(string(page), "```toml\n")
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -14,12 +14,12 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// FuzzParse shows that any bytes give settings or findings with a place inside
-// the file, and never a panic.
+// FuzzParse checks that Parse never panics, and that any input gives either
+// settings or findings with a place in the file.
 func FuzzParse(f *testing.F) {
 	paths, err := filepath.Glob("../../examples/three/*.toml")
 	if err != nil || len(paths) == 0 {
-		f.Fatalf("no examples: %v", err)
+		f.Fatalf("no example settings found: %v", err)
 	}
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
@@ -32,17 +32,17 @@
 		s, err := settings.Parse("x.toml", data)
 		if err == nil {
 			if s.Name == "" || s.FailureDomain == "" || s.Timing.UpstreamLease <= s.Timing.UpstreamRenewal {
-				t.Fatalf("accepted %+v", s)
+				t.Fatalf("Parse accepted invalid settings: %+v", s)
 			}
 			return
 		}
 		var found *finding.Error
 		if !errors.As(err, &found) || len(found.Findings) == 0 {
-			t.Fatalf("an error without findings: %v", err)
+			t.Fatalf("error without findings: %v", err)
 		}
 		for _, item := range found.Findings {
 			if item.Place.File != "x.toml" || item.Problem == "" || item.Place.Line < 0 {
-				t.Fatalf("a finding without a place: %+v", item)
+				t.Fatalf("finding without a place: %+v", item)
 			}
 		}
 	})
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -17,8 +17,8 @@
 	maxCount    = 10_000_000
 )
 
-// Load returns the settings in the file path. If they are wrong, Load returns a
-// *finding.Error with every finding.
+// Load reads the settings from the file at path. If they are invalid, Load returns
+// a *finding.Error with all findings.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return Parse(path, data)
 }
 
-// Parse returns the settings in data. The places of its findings name the file
-// name; relative paths in data are relative to the folder of name. If the
-// settings are wrong, Parse returns a *finding.Error with every finding. Parse
+// Parse parses data, the content of the settings file called name. Findings have
+// their places in name, and paths in data are relative to the folder of name. If
+// the settings are invalid, Parse returns a *finding.Error with all findings. Parse
 // does no I/O.
 func Parse(name string, data []byte) (Settings, error) {
 	var findings finding.List
@@ -45,9 +45,9 @@
 	return s, nil
 }
 
-// parser reads settings and checks what they say together.
+// parser reads the values of settings and checks them, alone and in combination.
 type parser struct {
-	// folder is what relative paths are relative to.
+	// folder is the base of relative paths.
 	folder   string
 	findings *finding.List
 }
@@ -98,7 +98,7 @@
 	p.checkListeners(root, s)
 }
 
-// listener ties the key of a listener to its fields.
+// listener is the key of a listener, with pointers to its fields in Settings.
 type listener struct {
 	key       string
 	listen    *netip.AddrPort
@@ -219,7 +219,7 @@
 }
 
 func (p *parser) readQuarantine(r *form.Reader, q *Quarantine) {
-	// One crash says nothing of which request of an upstream brought it about.
+	// After a single crash, any request that ran on the upstream may be the cause.
 	q.Crashes = r.Int("crashes", q.Crashes, 2, 6)
 	q.Retention = r.Duration("retention", q.Retention, time.Minute, maxDuration)
 	r.Done()
--- a/internal/settings/parse_test.go
+++ b/internal/settings/parse_test.go
@@ -47,7 +47,7 @@
 		Expect(s).To(Equal(want))
 	})
 
-	It("advertises what it listens on unless told otherwise", func() {
+	It("advertises the listen address unless another is set", func() {
 		s, err := settings.Parse("a.toml", []byte(minimalSettings+
 			"caller-address = \"0.0.0.0:80\"\nadvertise-caller-address = \"10.0.0.7:80\"\nupstream-address = \"127.0.0.1:81\"\n"))
 		Expect(err).NotTo(HaveOccurred())
@@ -56,7 +56,7 @@
 		Expect(s.Advertise.Upstream).To(Equal(netip.MustParseAddrPort("127.0.0.1:81")))
 	})
 
-	It("reads what instances keep among themselves", func() {
+	It("reads other instances, timing, weight store and policy", func() {
 		s, err := settings.Parse("a.toml", []byte(minimalSettings+`
 [[instances]]
 name = "b"
@@ -78,7 +78,7 @@
 		Expect(s.Policy.WeightOfMoves).To(Equal(4.0))
 	})
 
-	It("reads when requests that crash upstreams are refused, and bounds it", func() {
+	It("reads the quarantine settings and checks their bounds", func() {
 		set, err := settings.Parse("a.toml", []byte(minimalSettings+"[quarantine]\ncrashes = 2\nretention = \"2h\"\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Quarantine).To(Equal(settings.Quarantine{Crashes: 2, Retention: 2 * time.Hour}))
@@ -86,7 +86,7 @@
 		Expect(err).To(MatchError(And(ContainSubstring("crashes"), ContainSubstring("retention"))))
 	})
 
-	It("reports every finding of a file in one error", func() {
+	It("reports all findings of a file in one error", func() {
 		Expect(findingsOf(`naem = "a"
 failure-domain = 3
 voter = true
@@ -106,33 +106,33 @@
 		}))
 	})
 
-	DescribeTable("refuses impossible combinations",
+	DescribeTable("refuses invalid combinations",
 		func(addition, want string) {
 			found := findingsOf(minimalSettings + addition)
 			Expect(found).To(HaveLen(1), strings.Join(found, "\n"))
 			Expect(found[0]).To(HavePrefix("etc/a.toml:" + want))
 		},
-		Entry("an election before three heartbeats", "[timing]\nelection-timeout = \"300ms\"\n", "6:20: election-timeout 300ms is not longer than 3 times heartbeat 100ms"),
-		Entry("a lease that ends before its renewal", "[timing]\nconfiguration-renewal = \"3s\"\n", "6:25: configuration-lease 3s is not longer than configuration-renewal 3s"),
-		Entry("a drain that ends before callers forget", "[timing]\nentry-time = \"60s\"\n", "6:14: drain-time 1m0s is not longer than entry-time 1m0s"),
-		Entry("one port for every address and for one", "caller-address = \"0.0.0.0:7601\"\nadvertise-caller-address = \"10.0.0.7:7601\"\n", "5:18: caller-address and upstream-address are on one address"),
-		Entry("an address nobody can be told", "caller-address = \"0.0.0.0:7600\"\n", "5:18: caller-address listens on every address"),
-		Entry("operators beyond loopback without tokens", "operator-address = \"10.0.0.7:7602\"\n[tls.operators]\ncert = \"c\"\nkey = \"k\"\n", "5:20: whoever reaches 10.0.0.7:7602 would be an operator"),
-		Entry("operators beyond loopback without TLS", "operator-address = \"10.0.0.7:7602\"\ntokens.operators = \"t.toml\"\n", "5:20: operator-address 10.0.0.7:7602 is beyond loopback without TLS"),
-		Entry("instances beyond loopback without TLS", "inner-address = \"10.0.0.7:7603\"\n", "5:17: inner-address 10.0.0.7:7603 is beyond loopback without TLS"),
+		Entry("an election timeout of three heartbeats", "[timing]\nelection-timeout = \"300ms\"\n", "6:20: election-timeout 300ms is not longer than 3 times heartbeat 100ms"),
+		Entry("a lease that expires before its renewal", "[timing]\nconfiguration-renewal = \"3s\"\n", "6:25: configuration-lease 3s is not longer than configuration-renewal 3s"),
+		Entry("a drain time that does not exceed the entry time", "[timing]\nentry-time = \"60s\"\n", "6:14: drain-time 1m0s is not longer than entry-time 1m0s"),
+		Entry("one port on the unspecified address and on a specific one", "caller-address = \"0.0.0.0:7601\"\nadvertise-caller-address = \"10.0.0.7:7601\"\n", "5:18: caller-address and upstream-address are on one address"),
+		Entry("an unspecified address without an advertised one", "caller-address = \"0.0.0.0:7600\"\n", "5:18: caller-address listens on every address"),
+		Entry("an operators' listener beyond loopback without tokens", "operator-address = \"10.0.0.7:7602\"\n[tls.operators]\ncert = \"c\"\nkey = \"k\"\n", "5:20: whoever reaches 10.0.0.7:7602 would be an operator"),
+		Entry("an operators' listener beyond loopback without TLS", "operator-address = \"10.0.0.7:7602\"\ntokens.operators = \"t.toml\"\n", "5:20: operator-address 10.0.0.7:7602 is beyond loopback without TLS"),
+		Entry("an inner listener beyond loopback without TLS", "inner-address = \"10.0.0.7:7603\"\n", "5:17: inner-address 10.0.0.7:7603 is beyond loopback without TLS"),
 		Entry("a certificate without a key", "[tls.callers]\ncert = \"c.pem\"\n", "6:8: a certificate without its key"),
 		Entry("a key without a certificate", "[tls.callers]\nkey = \"k.pem\"\n", "6:7: a key without its certificate"),
-		Entry("instances that check one side only", "[tls.inner]\ncert = \"c.pem\"\nkey = \"k.pem\"\n", "6:8: tls between instances checks both sides"),
+		Entry("TLS between instances without a CA", "[tls.inner]\ncert = \"c.pem\"\nkey = \"k.pem\"\n", "6:8: tls between instances checks both sides"),
 		Entry("a deadline before the first token", "[goals]\ndeadline = \"200ms\"\n", "6:12: the deadline 200ms is not after"),
-		Entry("an answer larger than the docket", "[limits]\ndocket-size = \"32 KiB\"\n", "6:15: docket-answer-size 65536 B is above docket-size 32768 B"),
-		Entry("its own name among the others", otherInstance("a", 7613, 7610), `6:8: "a" is this instance's own name (etc/a.toml:1:8)`),
-		Entry("an instance twice", otherInstance("b", 7613, 7610)+otherInstance("b", 7623, 7620), `11:8: instance "b" stands twice, first at etc/a.toml:6:8`),
-		Entry("two instances on one address", otherInstance("b", 7613, 7610)+otherInstance("c", 7613, 7620), "12:17: 127.0.0.1:7613 is already the address of another listener, at etc/a.toml:7:17"),
-		Entry("another instance on its own address", otherInstance("b", 7613, 7600), "8:18: 127.0.0.1:7600 is already the address of another listener"),
-		Entry("an instance without its failure domain", "[[instances]]\nname = \"b\"\ninner-address = \"127.0.0.1:7613\"\ncaller-address = \"127.0.0.1:7610\"\n", `5:3: key "failure-domain" is missing in instances`),
+		Entry("a bound of one answer above that of all idempotency records", "[limits]\ndocket-size = \"32 KiB\"\n", "6:15: docket-answer-size 65536 B is above docket-size 32768 B"),
+		Entry("the name of this instance among the others", otherInstance("a", 7613, 7610), `6:8: "a" is this instance's own name (etc/a.toml:1:8)`),
+		Entry("two instances with one name", otherInstance("b", 7613, 7610)+otherInstance("b", 7623, 7620), `11:8: instance "b" stands twice, first at etc/a.toml:6:8`),
+		Entry("two instances with one address", otherInstance("b", 7613, 7610)+otherInstance("c", 7613, 7620), "12:17: 127.0.0.1:7613 is already the address of another listener, at etc/a.toml:7:17"),
+		Entry("another instance with the address of this instance", otherInstance("b", 7613, 7600), "8:18: 127.0.0.1:7600 is already the address of another listener"),
+		Entry("an instance without a failure domain", "[[instances]]\nname = \"b\"\ninner-address = \"127.0.0.1:7613\"\ncaller-address = \"127.0.0.1:7610\"\n", `5:3: key "failure-domain" is missing in instances`),
 	)
 
-	It("makes one finding of one mistake", func() {
+	It("reports each mistake once", func() {
 		Expect(findingsOf(minimalSettings + "caller-address = 3\nupstream-address = \"127.0.0.1:7600\"\n" +
 			"[timing]\nheartbeat = 1\nelection-timeout = \"200ms\"\n")).To(Equal([]string{
 			`etc/a.toml:5:18: "caller-address" must be an IP number and a port, not a whole number; write for example "127.0.0.1:7600"`,
@@ -140,18 +140,18 @@
 		}))
 	})
 
-	It("asks for one voter among all instances", func() {
+	It("requires a voter among all instances", func() {
 		Expect(findingsOf("name = \"a\"\nfailure-domain = \"kgn-a\"\n")).To(ConsistOf(
 			HavePrefix("etc/a.toml: no instance is a voter")))
 	})
 
-	It("allows open listeners when told explicitly", func() {
+	It("accepts listeners beyond loopback without TLS if allow-open-listeners is set", func() {
 		Expect(findingsOf(minimalSettings + "operator-address = \"10.0.0.7:7602\"\nallow-open-listeners = true\n")).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Load", func() {
-	It("accepts the three instances of the examples", func() {
+	It("accepts the example settings of three instances", func() {
 		paths, err := filepath.Glob("../../examples/three/instance-*.toml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(paths).To(HaveLen(3))
@@ -162,7 +162,7 @@
 		}
 	})
 
-	It("says which file it could not read", func() {
+	It("names the file that cannot be read", func() {
 		_, err := settings.Load("no-such-file.toml")
 		Expect(errors.Is(err, os.ErrNotExist)).To(BeTrue())
 		Expect(err).To(MatchError(ContainSubstring("settings: reading the file: open no-such-file.toml")))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the settings of one instance, a TOML file that is read
-// once when the instance starts.
+// Package settings is the configuration file of one instance, a TOML file that is
+// read once when the instance starts.
 //
-// What all instances must agree on (services, models, presets) is not here but
-// in declarations, see package declaration. docs/operators/settings.md lists
-// every key with its unit, its default and the source of the default.
+// Services, models, presets and everything else that all instances must agree on
+// is in package declaration. docs/operators/settings.md lists every key with its
+// unit, its default and the source of the default.
 package settings
 
 import (
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// Settings is the settings of one instance. Values made by Parse satisfy every
-// invariant that is stated on the fields.
+// Settings is the configuration of one instance. Values returned by Parse satisfy
+// the invariants in the comments of the fields.
 type Settings struct {
 	// Name is unique among the instances.
 	Name string
-	// FailureDomain is the failure domain that this instance runs in.
+	// FailureDomain is the failure domain of this instance.
 	FailureDomain string
-	// DataFolder is where an instance with a disk keeps what must survive. It
-	// is empty for an instance without one, and never empty if Voter is true.
+	// DataFolder is the folder for persistent state. It is empty for an instance
+	// without a disk, and never empty if Voter is true.
 	DataFolder string
-	// Voter tells whether this instance takes part in agreement.
+	// Voter is set if this instance is a voting member of the consensus group.
 	Voter bool
-	// AllowOpenListeners lets the operators' and the inner listener listen
-	// beyond loopback without TLS.
+	// AllowOpenListeners permits the operators' and the inner listener to listen
+	// beyond loopback without TLS, and the former without tokens.
 	AllowOpenListeners bool
 	LogLevel           LogLevel
 	// Listen holds the addresses that this instance listens on. No two of them
-	// are equal.
+	// overlap.
 	Listen Addresses
-	// Advertise holds the addresses that others are told. They differ from
-	// Listen where addresses are translated, and are never unspecified.
+	// Advertise holds the addresses that peers connect to. They differ from Listen
+	// behind network address translation or if Listen is unspecified, and are
+	// themselves never unspecified.
 	Advertise Addresses
-	// Instances are the other instances. Their names differ from each other and
-	// from Name, as do their addresses.
+	// Instances are the other instances. Their names and addresses are unique, and
+	// differ from those of this instance.
 	Instances   []Instance
 	Timing      Timing
 	Limits      Limits
@@ -47,7 +48,8 @@
 	Quarantine  Quarantine
 }
 
-// Addresses is one address for each kind of peer.
+// Addresses holds the address of the listener for each kind of peer. Inner is for
+// traffic between instances.
 type Addresses struct {
 	Caller   netip.AddrPort
 	Upstream netip.AddrPort
@@ -55,7 +57,7 @@
 	Inner    netip.AddrPort
 }
 
-// Instance is another instance.
+// Instance is another instance of the deployment.
 type Instance struct {
 	Name          string
 	InnerAddress  netip.AddrPort
@@ -64,7 +66,7 @@
 	Voter         bool
 }
 
-// LogLevel is the least level that is logged.
+// LogLevel is the minimum level of log messages that are written.
 type LogLevel string
 
 // The log levels. Routing and placement decisions are logged at LogInfo.
@@ -75,42 +77,47 @@
 	LogError LogLevel = "error"
 )
 
-// Timing is the times that instances keep among themselves and towards callers
-// and upstreams. They must be equal on all instances.
+// Timing holds the intervals, leases and timeouts of the protocols among
+// instances, and with callers and upstreams. They must be equal on all instances.
 type Timing struct {
-	// Heartbeat is how often a leader tells the voters that it lives. Three of
-	// them fit into ElectionTimeout.
+	// Heartbeat is the interval between heartbeats of the leader. ElectionTimeout
+	// is longer than three of them, so that a lost heartbeat starts no election.
 	Heartbeat time.Duration
-	// ElectionTimeout is how long a voter waits for a heartbeat before it
-	// stands for election.
+	// ElectionTimeout is how long a voter waits for a heartbeat before it becomes
+	// a candidate.
 	ElectionTimeout time.Duration
-	// ClockDriftPercent bounds by how much the rates of two clocks differ.
+	// ClockDriftPercent bounds the difference between the rates of two clocks.
 	ClockDriftPercent int
-	// ConfigurationRenewal is how often an instance confirms that its
+	// ConfigurationRenewal is the interval at which an instance confirms that its
 	// configuration is the latest. It is shorter than ConfigurationLease.
 	ConfigurationRenewal time.Duration
-	// ConfigurationLease is how long a confirmed configuration is used.
+	// ConfigurationLease is how long an instance uses a configuration after
+	// confirming it. It is longer than ElectionTimeout: otherwise new work would
+	// stop at every change of leader.
 	ConfigurationLease time.Duration
-	// UpstreamRenewal is how often an upstream announces itself. It is shorter
-	// than UpstreamLease.
+	// UpstreamRenewal is the interval between announcements of an upstream. It is
+	// shorter than UpstreamLease.
 	UpstreamRenewal time.Duration
-	// UpstreamLease is how long an upstream gets new work after an
+	// UpstreamLease is how long an upstream receives new work after an
 	// announcement.
 	UpstreamLease time.Duration
-	// SilenceTime is how long an open connection may be silent before a fresh
-	// one is tried beside it.
+	// SilenceTime is how long an idempotent request waits for an answer on a
+	// connection before the upstream is probed over a second one.
 	SilenceTime time.Duration
-	// OrderFlightTime is the longest time that an order can be under way.
+	// OrderFlightTime is the timeout of the call that sends an order to an engine.
+	// No order is in flight for longer.
 	OrderFlightTime time.Duration
-	// EntryTime is how long a caller keeps the answer which instance to use. It
-	// is shorter than DrainTime.
+	// EntryTime is how long a caller caches the instance that it has been referred
+	// to. It is shorter than DrainTime: otherwise callers would still connect to an
+	// instance that has stopped.
 	EntryTime time.Duration
-	// DrainTime is the longest time that a planned stop is expected to take.
-	// After it, each request that is still open is logged; none is cut off.
+	// DrainTime is the expected maximum duration of a planned stop. A stop goes on
+	// after that, but aborts the requests still in progress after ten times as
+	// long.
 	DrainTime time.Duration
 }
 
-// Limits bounds what callers and upstreams can make an instance hold.
+// Limits bounds the resources that callers and upstreams can use on an instance.
 type Limits struct {
 	// BodyBytes bounds the body of a request.
 	BodyBytes int64
@@ -120,92 +127,97 @@
 	HeaderTime time.Duration
 	// BodyTime bounds how long a client takes to send the body.
 	BodyTime time.Duration
-	// QueueLength bounds the requests that wait for the upstreams of one model
-	// or plain service.
+	// QueueLength bounds the requests that are queued for the upstreams of one
+	// model or plain service.
 	QueueLength int
-	// Streams bounds the requests that are open at once.
+	// Streams bounds the requests in progress.
 	Streams int
-	// DocketRecords and DocketBytes bound the idempotency records.
+	// DocketRecords and DocketBytes bound the number and the total size of
+	// idempotency records.
 	DocketRecords int
 	DocketBytes   int64
-	// DocketAnswerBytes bounds the answer kept in one idempotency record. It is
+	// DocketAnswerBytes bounds the answer stored in one idempotency record. It is
 	// at most DocketBytes.
 	DocketAnswerBytes int64
 	// DocketRetention is how long an idempotency record is kept.
 	DocketRetention time.Duration
 }
 
-// KeyPair names the files of a TLS certificate and its key. Both are empty or
-// neither is.
+// KeyPair holds the paths of the files of a TLS certificate and its key. Either
+// both or neither are set.
 type KeyPair struct {
 	CertFile string
 	KeyFile  string
-	// CAFile verifies the other side. If it is set, so are the other two.
+	// CAFile holds the certificate authorities that verify the certificates of
+	// peers. It is set only if the other two are.
 	CAFile string
 }
 
-// IsSet tells whether TLS is to be used.
+// IsSet reports whether TLS is enabled.
 func (k KeyPair) IsSet() bool {
 	return k.CertFile != ""
 }
 
-// TLS holds one KeyPair for each listener. The files are read again when they
+// TLS holds one KeyPair for each listener. The files are reloaded when they
 // change.
 type TLS struct {
 	Callers   KeyPair
 	Upstreams KeyPair
 	Operators KeyPair
-	// Inner has a CAFile if it is set: both sides show a certificate.
+	// Inner has a CAFile if it is set, since instances use mutual TLS.
 	Inner KeyPair
 }
 
-// Tokens names the files that hold the hashes of bearer tokens. An empty path
-// means that no token is asked for.
+// Tokens holds the paths of the files with the hashes of bearer tokens. If a path
+// is empty, no token is required.
 type Tokens struct {
 	OperatorsFile string
 	UpstreamsFile string
 }
 
-// Placement says whether the system gives orders to engines.
+// Placement is the configuration of the placement of models on engines.
 type Placement struct {
-	// Enabled has the voter that leads give orders. All voters must run a program
-	// that knows them, and all have the same setting.
+	// Enabled makes the leader of the voters send load and unload orders to
+	// engines. It must be equal on all voters, and all must run a version that
+	// supports orders.
 	Enabled bool
 }
 
-// WeightStore is what the weight store allows.
+// WeightStore is the load that the weight store supports.
 type WeightStore struct {
-	// LoadsPerSecond is the rate at which loads may start.
+	// LoadsPerSecond is the maximum rate at which loads start.
 	LoadsPerSecond float64
-	// Concurrent is how many loads run at once at full speed.
+	// Concurrent is the number of concurrent loads that run at full speed.
 	Concurrent int
 }
 
-// Policy weighs the system's aims against each other.
+// Policy is the weighting between competing goals of placement.
 type Policy struct {
-	// WeightOfMoves is the attainment that one move must gain, as a multiple of
-	// the measured cost of a move. A preset can name another.
+	// WeightOfMoves is the gain in goal attainment that a move must bring, as a
+	// multiple of the measured cost of a move. A preset can override it.
 	WeightOfMoves float64
 }
 
-// Goals is used for services whose declaration names none.
+// Goals holds the default goals of services, for those that their declarations do
+// not set.
 type Goals struct {
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 	Deadline      time.Duration
 }
 
-// Quarantine says when a request that crashes upstreams is not sent on, and for how long.
-// It must be equal on all voters.
+// Quarantine is the rule by which requests that crash upstreams are refused. It
+// must be equal on all voters.
 type Quarantine struct {
-	// Crashes is how many upstreams must have ended under a request, at least 2.
+	// Crashes is the number of upstreams, at least 2, that must have crashed while
+	// they ran a request, before it is refused.
 	Crashes int
-	// Retention is how long the request is refused after the last of them.
+	// Retention is how long the request is refused after the last crash.
 	Retention time.Duration
 }
 
-// Default returns the settings of an instance whose file names nothing but what
-// is required. Its Name and FailureDomain are empty.
+// Default returns the settings for a file with only the required keys. Name and
+// FailureDomain, which are required, are empty.
 func Default() Settings {
 	listen := Addresses{
 		Caller:   netip.MustParseAddrPort("127.0.0.1:7600"),
