--- a/internal/form/nearest.go
+++ b/internal/form/nearest.go
@@ -1,9 +1,8 @@
 package form
 
-// Nearest returns the one of known that differs least from word, by the number
-// of bytes to insert, remove or replace (Levenshtein distance). If all of known
-// differ in more than a third of word, and in more than two bytes, Nearest
-// returns false. Among equals, the first of known wins.
+// Nearest returns the element of known with the smallest Levenshtein distance in
+// bytes to word, and the first of them in a tie. It returns false if each distance
+// is above both 2 and a third of the length of word.
 func Nearest(word string, known []string) (string, bool) {
 	best := ""
 	bound := max(2, len(word)/3) + 1
@@ -18,6 +17,7 @@
 	return best, best != ""
 }
 
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/form/reader.go
+++ b/internal/form/reader.go
@@ -10,31 +10,31 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// Reader reads the keys of one table. Each method that reads a key makes the
-// key known; Done reports the keys of the table that are not known.
+// Reader decodes the keys of one table. Each method that returns the value of a key
+// marks the key as known. Done adds findings for the unknown keys of the table.
 //
 // A Reader is not safe for concurrent use.
 type Reader struct {
-	// table is not nil. It is empty if the document does not have it.
+	// table is not nil. It is empty if the document does not contain the table.
 	table *table
-	// name is how findings call the table, empty for the root.
-	name     string
-	readKeys []string
-	// failed holds the keys whose values made a finding.
+	// name is the name of the table in findings. It is empty for the root table.
+	name      string
+	knownKeys []string
+	// invalid holds the keys whose values have findings.
 	invalid  map[string]bool
 	findings *finding.List
 }
 
-// Text is a text of a document, with its place.
+// Text is a string in a document, with its place.
 type Text struct {
 	Value string
 	Place finding.Place
 }
 
-// Open returns a Reader of the root table of the TOML document data. The places
-// of all findings name file; the findings go to list.
+// Open returns a Reader for the root table of the TOML document data. The Reader
+// adds its findings to findings, with places in file.
 //
-// If data is not TOML, Open adds a finding and returns false.
+// If data is not valid TOML, Open adds a finding and returns false.
 func Open(file string, data []byte, findings *finding.List) (*Reader, bool) {
 	root, ok := parse(file, data, findings)
 	if !ok {
@@ -43,14 +43,14 @@
 	return &Reader{table: root, invalid: map[string]bool{}, findings: findings}, true
 }
 
-// Has tells whether the table holds key.
+// Has reports whether the table contains key.
 func (r *Reader) Has(key string) bool {
 	_, ok := r.table.values[key]
 	return ok
 }
 
-// Place returns the place of the value of key. If the table does not hold key,
-// Place returns the place of the table.
+// Place returns the place of the value of key, or that of the table if it does not
+// contain key.
 func (r *Reader) Place(key string) finding.Place {
 	if v, ok := r.table.values[key]; ok {
 		return v.place
@@ -58,8 +58,9 @@
 	return r.table.place
 }
 
-// Valid tells whether none of keys made a finding when it was read. What keys say
-// together is judged only then, since a bad value was replaced by its fallback.
+// Valid reports whether none of keys has an invalid value. Callers must check this
+// before they check combinations of values, because an invalid value has been
+// replaced by its fallback.
 func (r *Reader) Valid(keys ...string) bool {
 	for _, key := range keys {
 		if r.invalid[key] {
@@ -74,8 +75,8 @@
 	r.findings.Add(r.Place(key), problem, advice)
 }
 
-// Require adds a finding if the table does not hold key. The advice is an
-// example of the line that is missing.
+// Require adds a finding if the table does not contain key. The advice shows
+// example, in TOML syntax, as the value.
 func (r *Reader) Require(key, example string) {
 	if r.Has(key) {
 		return
@@ -83,8 +84,8 @@
 	r.findings.Add(r.table.place, fmt.Sprintf("key %q is missing%s", key, r.location()), fmt.Sprintf("write %s = %s", key, example))
 }
 
-// Table returns a Reader of the table under key, which is empty if there is
-// none.
+// Table returns a Reader for the table at key. If key is absent or not a table,
+// the Reader is for an empty table.
 func (r *Reader) Table(key string) *Reader {
 	v := r.lookup(key)
 	if v == nil {
@@ -97,8 +98,8 @@
 	return r.child(v.table, key)
 }
 
-// Tables returns Readers of the tables in the array under key, none if there is
-// no such array.
+// Tables returns a Reader for each table of the array at key. There are none if key
+// is absent or not an array.
 func (r *Reader) Tables(key string) []*Reader {
 	v := r.lookup(key)
 	if v == nil {
@@ -119,12 +120,12 @@
 	return readers
 }
 
-// Done adds a finding for each key of the table that no method has read, with
-// the nearest key that one has.
+// Done adds a finding for each unknown key of the table. The advice is the most
+// similar known key or, if none is similar, a list of the known keys.
 func (r *Reader) Done() {
 	unknown := make([]string, 0)
 	for key := range r.table.values {
-		if !r.isRead(key) {
+		if !r.isKnown(key) {
 			unknown = append(unknown, key)
 		}
 	}
@@ -135,10 +136,10 @@
 }
 
 func (r *Reader) unknownKeyAdvice(key string) string {
-	if nearest, ok := Nearest(key, r.readKeys); ok {
+	if nearest, ok := Nearest(key, r.knownKeys); ok {
 		return fmt.Sprintf("write %q", nearest)
 	}
-	sortedKeys := append([]string(nil), r.readKeys...)
+	sortedKeys := append([]string(nil), r.knownKeys...)
 	sort.Strings(sortedKeys)
 	return "the keys here are " + strings.Join(sortedKeys, ", ")
 }
@@ -147,6 +148,7 @@
 	return &Reader{table: t, name: key, invalid: map[string]bool{}, findings: r.findings}
 }
 
+// location returns the table's name as the end of a problem text.
 func (r *Reader) location() string {
 	if r.name == "" {
 		return ""
@@ -154,23 +156,25 @@
 	return " in " + r.name
 }
 
-func (r *Reader) isRead(key string) bool {
-	for _, read := range r.readKeys {
-		if read == key {
+func (r *Reader) isKnown(key string) bool {
+	for _, known := range r.knownKeys {
+		if known == key {
 			return true
 		}
 	}
 	return false
 }
 
-// take makes key known and returns its value, or nil.
+// lookup marks key as known and returns its value, or nil if it is absent.
 func (r *Reader) lookup(key string) *value {
-	if !r.isRead(key) {
-		r.readKeys = append(r.readKeys, key)
+	if !r.isKnown(key) {
+		r.knownKeys = append(r.knownKeys, key)
 	}
 	return r.table.values[key]
 }
 
+// addWrongType adds a finding for a value of a wrong type. want names the expected
+// type, and example is a valid value or header.
 func (r *Reader) addWrongType(key string, v *value, want, example string) {
 	r.invalid[key] = true
 	r.findings.Add(v.place, fmt.Sprintf("%q must be %s, not %s", key, want, kindName(v.kind)), "write for example "+example)
@@ -181,6 +185,7 @@
 	r.findings.Add(v.place, fmt.Sprintf("%q %s", key, problem), "write for example "+example)
 }
 
+// kindName returns the name of a TOML type in findings.
 func kindName(kind unstable.Kind) string {
 	switch kind {
 	case unstable.String:
--- a/internal/form/reader_test.go
+++ b/internal/form/reader_test.go
@@ -28,8 +28,8 @@
 }
 
 var _ = Describe("Reader", func() {
-	It("reads every kind of value", func() {
-		r, list := openDocument(strings.Join([]string{
+	It("reads values of every type", func() {
+		r, findings := openDocument(strings.Join([]string{
 			`text = "a"`,
 			`count = 1_000`,
 			`number = 1.6`,
@@ -64,11 +64,11 @@
 		Expect(array[0].Table("under").Int("key", 0, 0, 9)).To(Equal(4))
 		Expect(array[1].Int("key", 0, 0, 9)).To(Equal(5))
 		r.Done()
-		Expect(list.Err()).NotTo(HaveOccurred())
+		Expect(findings.Err()).NotTo(HaveOccurred())
 	})
 
-	It("reports all wrong types and bad values with their places", func() {
-		r, list := openDocument("a = 1\nb = \"x\"\nc = \"12 parsecs\"\nd = \"24\"\ne = \"localhost:80\"\nf = \"hgih\"\ng = \"-1 GiB\"\n")
+	It("reports all values of wrong types and invalid values with their places", func() {
+		r, findings := openDocument("a = 1\nb = \"x\"\nc = \"12 parsecs\"\nd = \"24\"\ne = \"localhost:80\"\nf = \"hgih\"\ng = \"-1 GiB\"\n")
 		r.Text("a", "")
 		r.Int("b", 3, 0, 5)
 		r.Duration("c", time.Second, 0, time.Minute)
@@ -77,7 +77,7 @@
 		r.Enum("f", "low", "low", "high")
 		r.Size("g", 0, 0)
 		r.Done()
-		Expect(findingLines(list)).To(Equal([]string{
+		Expect(findingLines(findings)).To(Equal([]string{
 			`x.toml:1:5: "a" must be a text, not a whole number; write for example "..."`,
 			`x.toml:2:5: "b" must be a whole number, not a text; write for example 3`,
 			`x.toml:3:5: "c" is no duration: "12 parsecs"; write for example "1s"`,
@@ -90,35 +90,35 @@
 		Expect(r.Valid("absent")).To(BeTrue())
 	})
 
-	It("reports unknown keys with the nearest known one, or with all known ones", func() {
-		r, list := openDocument("log-lvel = \"info\"\n[zzzzzz]\nb = 1\n")
+	It("reports unknown keys and suggests the most similar known key, or all known keys", func() {
+		r, findings := openDocument("log-lvel = \"info\"\n[zzzzzz]\nb = 1\n")
 		r.Text("log-level", "")
 		r.Text("name", "")
 		r.Done()
-		Expect(findingLines(list)).To(Equal([]string{
+		Expect(findingLines(findings)).To(Equal([]string{
 			`x.toml:1:1: unknown key "log-lvel"; write "log-level"`,
 			`x.toml:2:2: unknown key "zzzzzz"; the keys here are log-level, name`,
 		}))
 	})
 
-	DescribeTable("gives the place of broken TOML",
+	DescribeTable("reports the place of a syntax error",
 		func(text, place string) {
-			list := &finding.List{}
-			_, ok := form.Open("x.toml", []byte(text), list)
+			findings := &finding.List{}
+			_, ok := form.Open("x.toml", []byte(text), findings)
 			Expect(ok).To(BeFalse())
-			Expect(findingLines(list)).To(HaveLen(1))
-			Expect(findingLines(list)[0]).To(HavePrefix(place + ": broken TOML"))
+			Expect(findingLines(findings)).To(HaveLen(1))
+			Expect(findingLines(findings)[0]).To(HavePrefix(place + ": broken TOML"))
 		},
-		Entry("no value", "a = 1\nb =\n", "x.toml:2:4"),
-		Entry("a key twice", "a = 1\na = 2\n", "x.toml:2:1"),
-		Entry("a table twice", "[a]\n[b]\n[a]\n", "x.toml:3:2"),
-		Entry("an open string", "a = \"x\n", "x.toml:1:7"),
-		Entry("bytes that are no UTF-8", "a = \"\xff\"\n", "x.toml:1:6"),
+		Entry("a missing value", "a = 1\nb =\n", "x.toml:2:4"),
+		Entry("a duplicate key", "a = 1\na = 2\n", "x.toml:2:1"),
+		Entry("a duplicate table", "[a]\n[b]\n[a]\n", "x.toml:3:2"),
+		Entry("an unterminated string", "a = \"x\n", "x.toml:1:7"),
+		Entry("invalid UTF-8", "a = \"\xff\"\n", "x.toml:1:6"),
 	)
 })
 
 var _ = Describe("Nearest", func() {
-	It("finds a misspelt word and leaves a foreign one", func() {
+	It("corrects misspelt words and returns no correction for an unrelated one", func() {
 		known := []string{"heartbeat", "election-timeout", "name"}
 		for word, want := range map[string]string{
 			"hartbeat": "heartbeat", "naem": "name", "election_timeout": "election-timeout", "colour": "",
--- a/internal/form/scalar.go
+++ b/internal/form/scalar.go
@@ -12,11 +12,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxSize bounds sizes, so that sums of thousands of them fit in an int64.
+// maxSizeBytes is the maximum size, so that sums of thousands of sizes fit in an
+// int64.
 const maxSizeBytes = 1 << 50
 
-// Text returns the text under key, or fallback if there is none. An empty text
-// makes a finding.
+// Text returns the string at key, or fallback if key is absent or invalid. An empty
+// string is invalid.
 func (r *Reader) Text(key, fallback string) string {
 	v := r.lookupKind(key, "a text", `"..."`, unstable.String)
 	if v == nil {
@@ -29,8 +30,8 @@
 	return v.text
 }
 
-// Enum returns the text under key, which must be one of choices, or fallback
-// if there is none.
+// Enum returns the string at key, or fallback if key is absent or its value is not
+// one of choices.
 func (r *Reader) Enum(key, fallback string, choices ...string) string {
 	v := r.lookupKind(key, "a text", strconv.Quote(choices[0]), unstable.String)
 	if v == nil {
@@ -50,7 +51,8 @@
 	return fallback
 }
 
-// Texts returns the texts in the array under key.
+// Texts returns the strings of the array at key. It leaves out elements of other
+// types, which have findings.
 func (r *Reader) Texts(key string) []Text {
 	v := r.lookupKind(key, "an array of texts", `["..."]`, unstable.Array)
 	if v == nil {
@@ -67,7 +69,7 @@
 	return texts
 }
 
-// Bool returns true or false as under key, or fallback if there is none.
+// Bool returns the boolean at key, or fallback if key is absent or invalid.
 func (r *Reader) Bool(key string, fallback bool) bool {
 	v := r.lookupKind(key, "true or false", "true", unstable.Bool)
 	if v == nil {
@@ -76,8 +78,8 @@
 	return v.text == "true"
 }
 
-// Int returns the whole number under key, or fallback if there is none. A
-// number below least or above most makes a finding.
+// Int returns the integer at key, or fallback if key is absent or invalid. Integers
+// below minimum or above maximum are invalid.
 func (r *Reader) Int(key string, fallback, minimum, maximum int) int {
 	example := strconv.Itoa(max(minimum, min(fallback, maximum)))
 	v := r.lookupKind(key, "a whole number", example, unstable.Integer)
@@ -92,8 +94,8 @@
 	return int(n)
 }
 
-// Float returns the number under key, or fallback if there is none. A number
-// below least or above most makes a finding.
+// Float returns the float or integer at key, or fallback if key is absent or
+// invalid. Numbers below minimum or above maximum are invalid.
 func (r *Reader) Float(key string, fallback, minimum, maximum float64) float64 {
 	example := strconv.FormatFloat(max(minimum, min(fallback, maximum)), 'g', -1, 64)
 	v := r.lookupKind(key, "a number", example, unstable.Float, unstable.Integer)
@@ -108,9 +110,9 @@
 	return n
 }
 
-// Duration returns the duration under key, or fallback if there is none. It is
-// written as a text with a unit, such as "540ms". A duration below least or
-// above most makes a finding.
+// Duration returns the duration at key, or fallback if key is absent or invalid.
+// Its value is a string in the syntax of time.ParseDuration, such as "540ms".
+// Durations below minimum or above maximum are invalid.
 func (r *Reader) Duration(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	example := strconv.Quote(max(minimum, min(fallback, maximum)).String())
 	v := r.lookupKind(key, "a duration with its unit", example, unstable.String)
@@ -129,9 +131,9 @@
 	return d
 }
 
-// Size returns the bytes under key, or fallback if there is none. A size is
-// written as a text with a unit, such as "24 GiB". A size below least makes a
-// finding.
+// Size returns the size in bytes at key, or fallback if key is absent or invalid.
+// Its value is a string with a unit, such as "24 GiB". Sizes below minimum or above
+// maxSizeBytes are invalid.
 func (r *Reader) Size(key string, fallback, minimum int64) int64 {
 	v := r.lookupKind(key, "a size with its unit", `"24 GiB"`, unstable.String)
 	if v == nil {
@@ -153,8 +155,9 @@
 	return n
 }
 
-// Address returns the IP number and port under key, or fallback if there is
-// none. Host names are refused: instances find each other by IP numbers.
+// Address returns the IP address and port at key, or fallback if key is absent or
+// invalid. Host names are invalid, since instances connect to each other by IP
+// address, and so is port 0.
 func (r *Reader) Address(key string, fallback netip.AddrPort) netip.AddrPort {
 	v := r.lookupKind(key, "an IP number and a port", `"127.0.0.1:7600"`, unstable.String)
 	if v == nil {
@@ -168,8 +171,9 @@
 	return address
 }
 
-// takeKind makes key known and returns its value if that is of one of kinds. If
-// it is of another kind, takeKind adds a finding and returns nil.
+// lookupKind marks key as known and returns its value, or nil if it is absent. If
+// the kind of the value is not one of kinds, lookupKind adds a finding and returns
+// nil. want and example describe the expected value in the finding.
 func (r *Reader) lookupKind(key, want, example string, kinds ...unstable.Kind) *value {
 	v := r.lookup(key)
 	if v == nil {
--- a/internal/form/table.go
+++ b/internal/form/table.go
@@ -1,8 +1,8 @@
-// Package form reads TOML documents into typed values and collects every
-// finding with its place (a decoder with diagnostics).
+// Package form is a decoder of TOML documents with diagnostics: it returns typed
+// values and collects all findings with their places.
 //
-// go-toml parses the document; this package only walks its syntax tree, since
-// the decoder of that library stops at the first value of a wrong type.
+// go-toml parses the document. This package walks its syntax tree instead of using
+// the decoder of go-toml, which stops at the first value of a wrong type.
 package form
 
 import (
@@ -15,20 +15,20 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// table is one table of a document. Keys are unique: go-toml refuses a document
-// that defines one twice.
+// table is a table of a document. Its keys are unique, because go-toml refuses
+// documents with duplicate keys.
 type table struct {
 	place  finding.Place
 	values map[string]*value
 }
 
-// value is one value of a document.
+// value is a value of a document.
 type value struct {
 	place finding.Place
 	// keyPlace is the place of the key that holds the value.
 	keyPlace finding.Place
 	kind     unstable.Kind
-	// text is the content of a text, and the source of a number or a flag.
+	// text is the content of a string. For other scalars, it is their source text.
 	text string
 	// items are the elements of an array.
 	items []*value
@@ -36,9 +36,11 @@
 	table *table
 }
 
-// parse returns the root table of the document data, whose places name file.
-// If data is not TOML, parse adds one finding with its place and returns false.
+// parse returns the root table of the document data, with places in file. If data
+// is not valid TOML, parse adds a finding and returns false.
 func parse(file string, data []byte, findings *finding.List) (*table, bool) {
+	// Decoding detects errors that the parser of the syntax tree does not check,
+	// such as duplicate keys.
 	var decoded map[string]any
 	if err := toml.Unmarshal(data, &decoded); err != nil {
 		addSyntaxError(file, err, findings)
@@ -64,14 +66,15 @@
 	findings.Add(place, "broken TOML: "+err.Error(), "")
 }
 
-// builder makes tables of the expressions of a document.
+// builder builds tables from the expressions of a document.
 type builder struct {
 	file   string
 	parser unstable.Parser
-	// lines holds the offset of the first byte of each line.
+	// lineOffsets holds the offset of the first byte of each line.
 	lineOffsets []int
 	root        *table
-	// current takes the keys that follow the last table header.
+	// currentTable is the table of the last table header. Keys that follow it are
+	// added to it.
 	currentTable *table
 }
 
@@ -92,6 +95,7 @@
 	return &table{place: place, values: map[string]*value{}}
 }
 
+// place returns the place of the first byte of raw.
 func (b *builder) place(raw unstable.Range) finding.Place {
 	offset := int(raw.Offset)
 	line := sort.SearchInts(b.lineOffsets, offset+1)
@@ -120,20 +124,20 @@
 	parent.values[string(last.Data)] = v
 }
 
-// descend walks all parts of key but the last, making tables where there are
-// none, and returns the table it came to and the last part.
-func (b *builder) descend(table *table, key unstable.Iterator) (*table, *unstable.Node) {
+// descend follows all parts of a dotted key except the last, and creates missing
+// tables. It returns the table that it reaches, and the last part.
+func (b *builder) descend(parent *table, key unstable.Iterator) (*table, *unstable.Node) {
 	key.Next()
 	last := key.Node()
 	for key.Next() {
-		table = b.child(table, last)
+		parent = b.child(parent, last)
 		last = key.Node()
 	}
-	return table, last
+	return parent, last
 }
 
-// child returns the table that key names in parent: for an array of tables, its
-// last element.
+// child returns the table at key in parent, which it creates if key is absent. For
+// an array of tables, that is the last element.
 func (b *builder) child(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
@@ -147,12 +151,14 @@
 		existing = existing.items[len(existing.items)-1]
 	}
 	if existing.table == nil {
-		// go-toml has refused such a document before it came here.
+		// Unreachable: parse refuses documents in which this value is not a table.
 		existing.table = newTable(place)
 	}
 	return existing.table
 }
 
+// appendItem appends a table to the array of tables at key in parent, and returns
+// the table. It creates the array if key is absent.
 func (b *builder) appendItem(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
@@ -166,8 +172,8 @@
 	return created
 }
 
-// value returns the value of node. Arrays have no place of their own in the
-// syntax tree and get fallback.
+// value returns the value of node. Its place is fallback if node has no place in
+// the syntax tree, as is the case for arrays.
 func (b *builder) value(node *unstable.Node, fallback finding.Place) *value {
 	v := &value{place: fallback, keyPlace: fallback, kind: node.Kind}
 	if node.Raw.Length > 0 {
