--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with an input, each with its place, so
-// that the whole is reported at once (diagnostics).
+// Package finding is a list of diagnostics: the problems found in an input, with
+// their places, which are all reported in one error.
 package finding
 
 import (
@@ -8,18 +8,19 @@
 	"strings"
 )
 
-// Place is where in an input a Finding was made.
+// Place is the position of a Finding in an input.
 type Place struct {
-	// File is a path, or the name of a part of an input that is no file, such
-	// as "body".
+	// File is the path of a file or, for other inputs, the name of a part of the
+	// input, such as "body".
 	File string
-	// Line counts from 1. It is 0 if the place is the whole file.
+	// Line starts at 1. It is 0 if the place is the whole file.
 	Line int
-	// Column counts from 1 in bytes. It is 0 if the place is the whole line.
+	// Column is in bytes and starts at 1. It is 0 if the place is the whole line.
 	Column int
 }
 
-// String returns the place in the form file:line:column.
+// String returns the place in the form file:line:column, without a column or line
+// of 0.
 func (p Place) String() string {
 	switch {
 	case p.Line == 0:
@@ -31,28 +32,28 @@
 	}
 }
 
-// Finding is one thing that is wrong with an input.
+// Finding is a problem in an input.
 type Finding struct {
 	Place Place
-	// Problem says what is wrong, in one sentence without a full stop.
+	// Problem describes the problem in one sentence without a full stop.
 	Problem string
-	// Advice says what to write instead. It may be empty.
+	// Advice suggests a correction. It may be empty.
 	Advice string
 }
 
 // String returns the finding as one line.
 func (f Finding) String() string {
-	line := f.Problem
+	text := f.Problem
 	if f.Place != (Place{}) {
-		line = f.Place.String() + ": " + line
+		text = f.Place.String() + ": " + text
 	}
 	if f.Advice != "" {
-		line += "; " + f.Advice
+		text += "; " + f.Advice
 	}
-	return line
+	return text
 }
 
-// List is the findings made in one input. The zero value is an empty list.
+// List holds the findings in one input. The zero value is an empty list.
 type List struct {
 	findings []Finding
 }
@@ -76,13 +77,13 @@
 func (l *List) All() []Finding {
 	sorted := append([]Finding(nil), l.findings...)
 	sort.SliceStable(sorted, func(i, j int) bool {
-		return before(sorted[i].Place, sorted[j].Place)
+		return placeBefore(sorted[i].Place, sorted[j].Place)
 	})
 	return sorted
 }
 
-// Err returns nil if the list is empty, and otherwise an error of type *Error
-// that reports every finding.
+// Err returns nil if the list is empty, and otherwise an error of type *Error with
+// all findings.
 func (l *List) Err() error {
 	if len(l.findings) == 0 {
 		return nil
@@ -90,9 +91,9 @@
 	return &Error{Findings: l.All()}
 }
 
-// Error reports every finding made in an input.
+// Error is an error with all findings in an input.
 type Error struct {
-	// Findings is not empty and is sorted by place.
+	// Findings is sorted by place and not empty.
 	Findings []Finding
 }
 
@@ -105,7 +106,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func before(a, b Place) bool {
+func placeBefore(a, b Place) bool {
 	if a.File != b.File {
 		return a.File < b.File
 	}
--- a/internal/finding/finding_test.go
+++ b/internal/finding/finding_test.go
@@ -8,14 +8,14 @@
 )
 
 var _ = Describe("List", func() {
-	It("reports every finding in one error, sorted by place", func() {
+	It("returns one error with all findings, sorted by place", func() {
 		var list finding.List
 		list.Add(finding.Place{File: "b.toml", Line: 2, Column: 1}, "unknown key \"x\"", "write \"y\"")
 		list.Add(finding.Place{File: "a.toml", Line: 9}, "missing key", "")
 		Expect(list.Err()).To(MatchError("a.toml:9: missing key\nb.toml:2:1: unknown key \"x\"; write \"y\""))
 	})
 
-	It("is no error when it is empty", func() {
+	It("returns no error if it is empty", func() {
 		var list finding.List
 		Expect(list.Err()).NotTo(HaveOccurred())
 	})
