--- a/internal/declaration/capacity.go
+++ b/internal/declaration/capacity.go
@@ -54,7 +54,7 @@
 	return sums
 }
 
-// leastFootprint returns the smallest footprint among the layouts that fit on
+// smallestFootprint returns the smallest footprint among the layouts that fit on
 // classes. It returns false if none fits.
 func smallestFootprint(model Model, adapterMemory float64, classes []AcceleratorClass) (footprint, bool) {
 	var smallest footprint
@@ -72,6 +72,8 @@
 	return smallest, found
 }
 
+// fits reports whether a class has enough accelerators, and enough memory on each,
+// for a copy in the layout.
 func fits(model Model, layout Layout, classes []AcceleratorClass) bool {
 	for _, class := range classes {
 		if layout.Memory+model.KVSpace <= class.Memory && layout.Accelerators <= class.Count {
@@ -81,6 +83,8 @@
 	return false
 }
 
+// checkPresetCapacity adds a finding if the minimum copies of all models, their
+// adapters and the reserve together exceed totalMemory, which is in bytes.
 func (v *validator) checkPresetCapacity(path string, preset Preset, footprints map[string]footprint, totalMemory float64) {
 	var modelMemory, adapterMemory float64
 	floors := map[string]int{}
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -87,9 +87,9 @@
 	return changes
 }
 
-// Diff returns the changes that turn before into after. They are grouped by
-// kind, in the order of the fields of content, and sorted by title within a
-// kind. Equal Sets have no changes.
+// Diff returns the changes that turn before into after: those of failure domains,
+// accelerator classes, services, models, adapters and presets, in this order. The
+// changes of one kind are sorted by title. Equal Sets have no changes.
 func Diff(before, after Set) []Change {
 	changes := make([]Change, 0)
 	beforeContent, afterContent := before.content, after.content
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -102,6 +102,7 @@
 	return elementPath(listPath, len(items))
 }
 
+// elementPath returns the path of an element of a list, such as services[3].
 func elementPath(listPath string, index int) string {
 	return fmt.Sprintf("%s[%d]", listPath, index)
 }
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -178,13 +178,13 @@
 // result of Canonical for these declarations, so that equal revisions have equal
 // bytes.
 func Decode(data []byte) (Set, error) {
-	var list finding.List
+	var findings finding.List
 	c, err := decodeContent(data)
 	if err != nil {
 		return Set{}, err
 	}
-	validate(c, sourceMap{}, &list)
-	if err := list.Err(); err != nil {
+	validate(c, sourceMap{}, &findings)
+	if err := findings.Err(); err != nil {
 		return Set{}, err
 	}
 	s := newSet(c)
--- a/internal/declaration/sourcemap.go
+++ b/internal/declaration/sourcemap.go
@@ -21,12 +21,12 @@
 
 // placeOf returns the place of path, or that of the innermost enclosing element
 // with a known place.
-func (o sourceMap) placeOf(path string) finding.Place {
-	if o.places == nil {
+func (m sourceMap) placeOf(path string) finding.Place {
+	if m.places == nil {
 		return finding.Place{File: path}
 	}
 	for {
-		if place, ok := o.places[path]; ok {
+		if place, ok := m.places[path]; ok {
 			return place
 		}
 		end := strings.LastIndexAny(path, ".[")
--- a/internal/declaration/types.go
+++ b/internal/declaration/types.go
@@ -17,7 +17,7 @@
 	"github.com/labstack/gommon/bytes"
 )
 
-// Bytes is an amount of memory.
+// Bytes is an amount of memory in bytes.
 type Bytes int64
 
 // String returns the amount with a binary unit, rounded to two places.
@@ -222,7 +222,7 @@
 // Floor is the minimum of copies and failure domains of a model.
 type Floor struct {
 	Model string `json:"model"`
-	// Copies is at least 1: every model stays reachable.
+	// Copies is at least 1, so that every model stays reachable.
 	Copies int `json:"copies"`
 	// FailureDomains is the minimum number of failure domains that hold a copy,
 	// from 1 to Copies.
--- a/internal/declaration/validate.go
+++ b/internal/declaration/validate.go
@@ -44,7 +44,7 @@
 	acceleratorClasses namespace
 	services           namespace
 	// targets holds models and adapters. They share a namespace because callers
-	// use either name as the model of a request.
+	// refer to both in the same way.
 	targets namespace
 	presets namespace
 	// modelsOfService holds the models that each service uses, by the name of the
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
 // Package settings is the configuration file of one instance, a TOML file that is
 // read once when the instance starts.
 //
-// Services, models, presets and everything else that all instances must agree on
-// is in package declaration. docs/operators/settings.md lists every key with its
-// unit, its default and the source of the default.
+// Services, models, presets and other desired state, which all instances must
+// agree on, are in package declaration instead. docs/operators/settings.md lists
+// every key with its unit, its default and the source of the default.
 package settings
 
 import (
@@ -111,9 +111,8 @@
 	// to. It is shorter than DrainTime: otherwise callers would still connect to an
 	// instance that has stopped.
 	EntryTime time.Duration
-	// DrainTime is the expected maximum duration of a planned stop. A stop goes on
-	// after that, but aborts the requests still in progress after ten times as
-	// long.
+	// DrainTime is the expected maximum duration of a planned stop. A stop may take
+	// longer, but after ten times DrainTime it aborts the remaining requests.
 	DrainTime time.Duration
 }
 
