--- a/internal/form/reader.go
+++ b/internal/form/reader.go
@@ -10,47 +10,47 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// Reader reads the keys of one table. Each method that reads a key makes the
-// key known; Done reports the keys of the table that are not known.
+// Reader decodes the keys of one table. Each method that returns the value of a key
+// marks the key as known. Done adds findings for the unknown keys of the table.
 //
 // A Reader is not safe for concurrent use.
 type Reader struct {
-	// table is not nil. It is empty if the document does not have it.
+	// table is not nil. It is empty if the document does not contain the table.
 	table *table
-	// name is how findings call the table, empty for the root.
-	name  string
-	known []string
-	// failed holds the keys whose values made a finding.
-	failed map[string]bool
-	list   *finding.List
+	// name is the name of the table in findings. It is empty for the root table.
+	name      string
+	knownKeys []string
+	// invalid holds the keys whose values have findings.
+	invalid  map[string]bool
+	findings *finding.List
 }
 
-// Text is a text of a document, with its place.
+// Text is a string in a document, with its place.
 type Text struct {
 	Value string
 	Place finding.Place
 }
 
-// Open returns a Reader of the root table of the TOML document data. The places
-// of all findings name file; the findings go to list.
+// Open returns a Reader for the root table of the TOML document data. The Reader
+// adds its findings to findings, with places in file.
 //
-// If data is not TOML, Open adds a finding and returns false.
-func Open(file string, data []byte, list *finding.List) (*Reader, bool) {
-	root, ok := parse(file, data, list)
+// If data is not valid TOML, Open adds a finding and returns false.
+func Open(file string, data []byte, findings *finding.List) (*Reader, bool) {
+	root, ok := parse(file, data, findings)
 	if !ok {
 		return nil, false
 	}
-	return &Reader{table: root, failed: map[string]bool{}, list: list}, true
+	return &Reader{table: root, invalid: map[string]bool{}, findings: findings}, true
 }
 
-// Has tells whether the table holds key.
+// Has reports whether the table contains key.
 func (r *Reader) Has(key string) bool {
 	_, ok := r.table.values[key]
 	return ok
 }
 
-// Place returns the place of the value of key. If the table does not hold key,
-// Place returns the place of the table.
+// Place returns the place of the value of key, or that of the table if it does not
+// contain key.
 func (r *Reader) Place(key string) finding.Place {
 	if v, ok := r.table.values[key]; ok {
 		return v.place
@@ -58,11 +58,12 @@
 	return r.table.place
 }
 
-// Good tells whether none of keys made a finding when it was read. What keys say
-// together is judged only then, since a bad value was replaced by its fallback.
-func (r *Reader) Good(keys ...string) bool {
+// Valid reports whether none of keys has an invalid value. Callers must check this
+// before they check combinations of values, because an invalid value has been
+// replaced by its fallback.
+func (r *Reader) Valid(keys ...string) bool {
 	for _, key := range keys {
-		if r.failed[key] {
+		if r.invalid[key] {
 			return false
 		}
 	}
@@ -71,47 +72,47 @@
 
 // Add adds a finding at the place of key.
 func (r *Reader) Add(key, problem, advice string) {
-	r.list.Add(r.Place(key), problem, advice)
+	r.findings.Add(r.Place(key), problem, advice)
 }
 
-// Require adds a finding if the table does not hold key. The advice is an
-// example of the line that is missing.
+// Require adds a finding if the table does not contain key. The advice shows
+// example, in TOML syntax, as the value.
 func (r *Reader) Require(key, example string) {
 	if r.Has(key) {
 		return
 	}
-	r.list.Add(r.table.place, fmt.Sprintf("key %q is missing%s", key, r.where()), fmt.Sprintf("write %s = %s", key, example))
+	r.findings.Add(r.table.place, fmt.Sprintf("key %q is missing%s", key, r.location()), fmt.Sprintf("write %s = %s", key, example))
 }
 
-// Table returns a Reader of the table under key, which is empty if there is
-// none.
+// Table returns a Reader for the table at key. If key is absent or not a table,
+// the Reader is for an empty table.
 func (r *Reader) Table(key string) *Reader {
-	v := r.take(key)
+	v := r.lookup(key)
 	if v == nil {
 		return r.child(newTable(r.table.place), key)
 	}
 	if v.table == nil {
-		r.wrongType(key, v, "a table", "["+key+"]")
+		r.addWrongType(key, v, "a table", "["+key+"]")
 		return r.child(newTable(v.place), key)
 	}
 	return r.child(v.table, key)
 }
 
-// Tables returns Readers of the tables in the array under key, none if there is
-// no such array.
+// Tables returns a Reader for each table of the array at key. There are none if key
+// is absent or not an array.
 func (r *Reader) Tables(key string) []*Reader {
-	v := r.take(key)
+	v := r.lookup(key)
 	if v == nil {
 		return nil
 	}
 	if v.kind != unstable.Array {
-		r.wrongType(key, v, "an array of tables", "[["+key+"]]")
+		r.addWrongType(key, v, "an array of tables", "[["+key+"]]")
 		return nil
 	}
 	readers := make([]*Reader, 0, len(v.items))
 	for _, item := range v.items {
 		if item.table == nil {
-			r.wrongType(key, item, "a table", "[["+key+"]]")
+			r.addWrongType(key, item, "a table", "[["+key+"]]")
 			continue
 		}
 		readers = append(readers, r.child(item.table, key))
@@ -119,8 +120,8 @@
 	return readers
 }
 
-// Done adds a finding for each key of the table that no method has read, with
-// the nearest key that one has.
+// Done adds a finding for each unknown key of the table. The advice is the most
+// similar known key or, if none is similar, a list of the known keys.
 func (r *Reader) Done() {
 	unknown := make([]string, 0)
 	for key := range r.table.values {
@@ -130,24 +131,25 @@
 	}
 	sort.Strings(unknown)
 	for _, key := range unknown {
-		r.list.Add(r.table.values[key].keyPlace, fmt.Sprintf("unknown key %q%s", key, r.where()), r.adviseKey(key))
+		r.findings.Add(r.table.values[key].keyPlace, fmt.Sprintf("unknown key %q%s", key, r.location()), r.unknownKeyAdvice(key))
 	}
 }
 
-func (r *Reader) adviseKey(key string) string {
-	if nearest, ok := Nearest(key, r.known); ok {
+func (r *Reader) unknownKeyAdvice(key string) string {
+	if nearest, ok := Nearest(key, r.knownKeys); ok {
 		return fmt.Sprintf("write %q", nearest)
 	}
-	known := append([]string(nil), r.known...)
-	sort.Strings(known)
-	return "the keys here are " + strings.Join(known, ", ")
+	sortedKeys := append([]string(nil), r.knownKeys...)
+	sort.Strings(sortedKeys)
+	return "the keys here are " + strings.Join(sortedKeys, ", ")
 }
 
 func (r *Reader) child(t *table, key string) *Reader {
-	return &Reader{table: t, name: key, failed: map[string]bool{}, list: r.list}
+	return &Reader{table: t, name: key, invalid: map[string]bool{}, findings: r.findings}
 }
 
-func (r *Reader) where() string {
+// location returns the table's name as the end of a problem text.
+func (r *Reader) location() string {
 	if r.name == "" {
 		return ""
 	}
@@ -155,33 +157,36 @@
 }
 
 func (r *Reader) isKnown(key string) bool {
-	for _, k := range r.known {
-		if k == key {
+	for _, known := range r.knownKeys {
+		if known == key {
 			return true
 		}
 	}
 	return false
 }
 
-// take makes key known and returns its value, or nil.
-func (r *Reader) take(key string) *value {
+// lookup marks key as known and returns its value, or nil if it is absent.
+func (r *Reader) lookup(key string) *value {
 	if !r.isKnown(key) {
-		r.known = append(r.known, key)
+		r.knownKeys = append(r.knownKeys, key)
 	}
 	return r.table.values[key]
 }
 
-func (r *Reader) wrongType(key string, v *value, want, example string) {
-	r.failed[key] = true
-	r.list.Add(v.place, fmt.Sprintf("%q must be %s, not %s", key, want, describe(v.kind)), "write for example "+example)
+// addWrongType adds a finding for a value of a wrong type. want names the expected
+// type, and example is a valid value or header.
+func (r *Reader) addWrongType(key string, v *value, want, example string) {
+	r.invalid[key] = true
+	r.findings.Add(v.place, fmt.Sprintf("%q must be %s, not %s", key, want, kindName(v.kind)), "write for example "+example)
 }
 
-func (r *Reader) badValue(key string, v *value, problem, example string) {
-	r.failed[key] = true
-	r.list.Add(v.place, fmt.Sprintf("%q %s", key, problem), "write for example "+example)
+func (r *Reader) addInvalidValue(key string, v *value, problem, example string) {
+	r.invalid[key] = true
+	r.findings.Add(v.place, fmt.Sprintf("%q %s", key, problem), "write for example "+example)
 }
 
-func describe(kind unstable.Kind) string {
+// kindName returns the name of a TOML type in findings.
+func kindName(kind unstable.Kind) string {
 	switch kind {
 	case unstable.String:
 		return "a text"
--- a/internal/form/table.go
+++ b/internal/form/table.go
@@ -1,8 +1,8 @@
-// Package form reads TOML documents into typed values and collects every
-// finding with its place (a decoder with diagnostics).
+// Package form is a decoder of TOML documents with diagnostics: it returns typed
+// values and collects all findings with their places.
 //
-// go-toml parses the document; this package only walks its syntax tree, since
-// the decoder of that library stops at the first value of a wrong type.
+// go-toml parses the document. This package walks its syntax tree instead of using
+// the decoder of go-toml, which stops at the first value of a wrong type.
 package form
 
 import (
@@ -15,20 +15,20 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// table is one table of a document. Keys are unique: go-toml refuses a document
-// that defines one twice.
+// table is a table of a document. Its keys are unique, because go-toml refuses
+// documents with duplicate keys.
 type table struct {
 	place  finding.Place
 	values map[string]*value
 }
 
-// value is one value of a document.
+// value is a value of a document.
 type value struct {
 	place finding.Place
 	// keyPlace is the place of the key that holds the value.
 	keyPlace finding.Place
 	kind     unstable.Kind
-	// text is the content of a text, and the source of a number or a flag.
+	// text is the content of a string. For other scalars, it is their source text.
 	text string
 	// items are the elements of an array.
 	items []*value
@@ -36,12 +36,14 @@
 	table *table
 }
 
-// parse returns the root table of the document data, whose places name file.
-// If data is not TOML, parse adds one finding with its place and returns false.
-func parse(file string, data []byte, list *finding.List) (*table, bool) {
-	var ignored map[string]any
-	if err := toml.Unmarshal(data, &ignored); err != nil {
-		addBroken(file, err, list)
+// parse returns the root table of the document data, with places in file. If data
+// is not valid TOML, parse adds a finding and returns false.
+func parse(file string, data []byte, findings *finding.List) (*table, bool) {
+	// Decoding detects errors that the parser of the syntax tree does not check,
+	// such as duplicate keys.
+	var decoded map[string]any
+	if err := toml.Unmarshal(data, &decoded); err != nil {
+		addSyntaxError(file, err, findings)
 		return nil, false
 	}
 	b := newBuilder(file, data)
@@ -49,41 +51,42 @@
 		b.add(b.parser.Expression())
 	}
 	if err := b.parser.Error(); err != nil {
-		addBroken(file, err, list)
+		addSyntaxError(file, err, findings)
 		return nil, false
 	}
 	return b.root, true
 }
 
-func addBroken(file string, err error, list *finding.List) {
+func addSyntaxError(file string, err error, findings *finding.List) {
 	place := finding.Place{File: file}
-	var broken *toml.DecodeError
-	if errors.As(err, &broken) {
-		place.Line, place.Column = broken.Position()
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		place.Line, place.Column = decodeError.Position()
 	}
-	list.Add(place, "broken TOML: "+err.Error(), "")
+	findings.Add(place, "broken TOML: "+err.Error(), "")
 }
 
-// builder makes tables of the expressions of a document.
+// builder builds tables from the expressions of a document.
 type builder struct {
 	file   string
 	parser unstable.Parser
-	// lines holds the offset of the first byte of each line.
-	lines []int
-	root  *table
-	// current takes the keys that follow the last table header.
-	current *table
+	// lineOffsets holds the offset of the first byte of each line.
+	lineOffsets []int
+	root        *table
+	// currentTable is the table of the last table header. Keys that follow it are
+	// added to it.
+	currentTable *table
 }
 
 func newBuilder(file string, data []byte) *builder {
-	b := &builder{file: file, lines: []int{0}}
+	b := &builder{file: file, lineOffsets: []int{0}}
 	for i, c := range data {
 		if c == '\n' {
-			b.lines = append(b.lines, i+1)
+			b.lineOffsets = append(b.lineOffsets, i+1)
 		}
 	}
 	b.root = newTable(finding.Place{File: file})
-	b.current = b.root
+	b.currentTable = b.root
 	b.parser.Reset(data)
 	return b
 }
@@ -92,82 +95,85 @@
 	return &table{place: place, values: map[string]*value{}}
 }
 
+// place returns the place of the first byte of raw.
 func (b *builder) place(raw unstable.Range) finding.Place {
 	offset := int(raw.Offset)
-	line := sort.SearchInts(b.lines, offset+1)
-	return finding.Place{File: b.file, Line: line, Column: offset - b.lines[line-1] + 1}
+	line := sort.SearchInts(b.lineOffsets, offset+1)
+	return finding.Place{File: b.file, Line: line, Column: offset - b.lineOffsets[line-1] + 1}
 }
 
 func (b *builder) add(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Table:
 		parent, last := b.descend(b.root, node.Key())
-		b.current = b.child(parent, last)
+		b.currentTable = b.child(parent, last)
 	case unstable.ArrayTable:
 		parent, last := b.descend(b.root, node.Key())
-		b.current = b.appendItem(parent, last)
+		b.currentTable = b.appendItem(parent, last)
 	case unstable.KeyValue:
-		b.addKeyValue(b.current, node)
+		b.addKeyValue(b.currentTable, node)
 	default:
 	}
 }
 
-func (b *builder) addKeyValue(to *table, node *unstable.Node) {
-	parent, last := b.descend(to, node.Key())
+func (b *builder) addKeyValue(target *table, node *unstable.Node) {
+	parent, last := b.descend(target, node.Key())
 	keyPlace := b.place(last.Raw)
 	v := b.value(node.Value(), keyPlace)
 	v.keyPlace = keyPlace
 	parent.values[string(last.Data)] = v
 }
 
-// descend walks all parts of key but the last, making tables where there are
-// none, and returns the table it came to and the last part.
-func (b *builder) descend(from *table, key unstable.Iterator) (*table, *unstable.Node) {
+// descend follows all parts of a dotted key except the last, and creates missing
+// tables. It returns the table that it reaches, and the last part.
+func (b *builder) descend(parent *table, key unstable.Iterator) (*table, *unstable.Node) {
 	key.Next()
 	last := key.Node()
 	for key.Next() {
-		from = b.child(from, last)
+		parent = b.child(parent, last)
 		last = key.Node()
 	}
-	return from, last
+	return parent, last
 }
 
-// child returns the table that key names in parent: for an array of tables, its
-// last element.
+// child returns the table at key in parent, which it creates if key is absent. For
+// an array of tables, that is the last element.
 func (b *builder) child(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
-	held, ok := parent.values[name]
+	existing, ok := parent.values[name]
 	if !ok {
-		made := newTable(place)
-		parent.values[name] = &value{place: place, keyPlace: place, kind: unstable.Table, table: made}
-		return made
+		created := newTable(place)
+		parent.values[name] = &value{place: place, keyPlace: place, kind: unstable.Table, table: created}
+		return created
 	}
-	if len(held.items) > 0 {
-		held = held.items[len(held.items)-1]
+	if len(existing.items) > 0 {
+		existing = existing.items[len(existing.items)-1]
 	}
-	if held.table == nil {
-		// go-toml has refused such a document before it came here.
-		held.table = newTable(place)
+	if existing.table == nil {
+		// Unreachable: parse refuses documents in which this value is not a table.
+		existing.table = newTable(place)
 	}
-	return held.table
+	return existing.table
 }
 
+// appendItem appends a table to the array of tables at key in parent, and returns
+// the table. It creates the array if key is absent.
 func (b *builder) appendItem(parent *table, key *unstable.Node) *table {
 	name := string(key.Data)
 	place := b.place(key.Raw)
-	held, ok := parent.values[name]
+	array, ok := parent.values[name]
 	if !ok {
-		held = &value{place: place, keyPlace: place, kind: unstable.Array}
-		parent.values[name] = held
+		array = &value{place: place, keyPlace: place, kind: unstable.Array}
+		parent.values[name] = array
 	}
-	made := newTable(place)
-	held.items = append(held.items, &value{place: place, keyPlace: place, kind: unstable.Table, table: made})
-	return made
+	created := newTable(place)
+	array.items = append(array.items, &value{place: place, keyPlace: place, kind: unstable.Table, table: created})
+	return created
 }
 
-// value returns the value of node. Arrays have no place of their own in the
-// syntax tree and get fallback.
+// value returns the value of node. Its place is fallback if node has no place in
+// the syntax tree, as is the case for arrays.
 func (b *builder) value(node *unstable.Node, fallback finding.Place) *value {
 	v := &value{place: fallback, keyPlace: fallback, kind: node.Kind}
 	if node.Raw.Length > 0 {
--- a/internal/settings/combinations.go
+++ b/internal/settings/combinations.go
@@ -9,7 +9,9 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-func (p *parser) checkAdvertised(root *form.Reader, l listener) {
+// checkAdvertisedAddress adds a finding if the advertised address of l is
+// unspecified, such as 0.0.0.0, so that no peer could connect to it.
+func (p *parser) checkAdvertisedAddress(root *form.Reader, l listener) {
 	if !l.advertise.Addr().IsUnspecified() {
 		return
 	}
@@ -21,13 +23,13 @@
 		fmt.Sprintf("write advertise-%s with an IP number of this instance", l.key))
 }
 
-// checkListeners finds two listeners on one address. Listening on every address
-// takes the port from all.
+// checkListeners adds a finding for each pair of listeners whose addresses overlap.
+// A listener on an unspecified address uses its port on every address.
 func (p *parser) checkListeners(root *form.Reader, s *Settings) {
 	all := listeners(s)
 	for i, later := range all {
 		for _, earlier := range all[:i] {
-			if !root.Good(earlier.key, later.key) || !overlap(*earlier.listen, *later.listen) {
+			if !root.Valid(earlier.key, later.key) || !addressesOverlap(*earlier.listen, *later.listen) {
 				continue
 			}
 			key, other := later.key, earlier.key
@@ -40,15 +42,15 @@
 	}
 }
 
-func overlap(a, b netip.AddrPort) bool {
+func addressesOverlap(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() {
 		return false
 	}
 	return a.Addr() == b.Addr() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// checkInstances finds what is wrong with this instance and the others together.
-// The readers in tables are those of s.Instances.
+// checkInstances checks that names and addresses are unique among all instances,
+// and checks the voters. tables holds the Reader of each of s.Instances.
 func (p *parser) checkInstances(root *form.Reader, s Settings, tables []*form.Reader) {
 	names := map[string]finding.Place{s.Name: root.Place("name")}
 	addresses := map[netip.AddrPort]finding.Place{
@@ -63,8 +65,10 @@
 	p.checkVoters(root, s)
 }
 
+// checkVoters checks that there is a voter, and that this instance has a data folder
+// if it is one.
 func (p *parser) checkVoters(root *form.Reader, s Settings) {
-	if s.Voter && s.DataFolder == "" && root.Good("data-folder") {
+	if s.Voter && s.DataFolder == "" && root.Valid("data-folder") {
 		root.Add("voter", "a voter must keep its vote, and there is no data-folder",
 			`write data-folder = "data", or voter = false`)
 	}
@@ -77,19 +81,19 @@
 			voters++
 		}
 	}
-	if voters == 0 && root.Good("voter") {
+	if voters == 0 && root.Valid("voter") {
 		root.Add("voter", "no instance is a voter, so no configuration could ever be accepted",
 			"write voter = true here or in one of the instances with a disk")
 	}
 }
 
-func (p *parser) checkName(r *form.Reader, name, own string, names map[string]finding.Place) {
+func (p *parser) checkName(r *form.Reader, name, ownName string, names map[string]finding.Place) {
 	if name == "" {
 		return
 	}
 	first, taken := names[name]
 	switch {
-	case name == own:
+	case name == ownName:
 		r.Add("name", fmt.Sprintf("%q is this instance's own name (%s)", name, first),
 			"list only the other instances, or write another name")
 	case taken:
@@ -114,10 +118,10 @@
 	addresses[address] = r.Place(key)
 }
 
-// checkOpenListeners refuses to give operators' and inner traffic to a network
-// without TLS or tokens. Without TLS, whoever reads the network reads the
-// operators' token, and whoever reaches the inner listener speaks as an
-// instance.
+// checkOpenListeners refuses operators' and inner listeners beyond loopback that
+// have no TLS, and an operators' listener beyond loopback that requires no token.
+// Without TLS, anyone who can read the network traffic learns the operators' token,
+// and anyone who can connect to the inner listener can impersonate an instance.
 func (p *parser) checkOpenListeners(root *form.Reader, s Settings) {
 	if s.AllowOpenListeners {
 		return
@@ -126,12 +130,14 @@
 		root.Add("operator-address", fmt.Sprintf("whoever reaches %s would be an operator", s.Listen.Operator),
 			`write [tokens] with operators = "operators.toml", or allow-open-listeners = true`)
 	}
-	p.checkOpen(root, "operator-address", s.Listen.Operator, s.TLS.Operators, "tls.operators")
-	p.checkOpen(root, "inner-address", s.Listen.Inner, s.TLS.Inner, "tls.inner")
+	p.checkPlaintext(root, "operator-address", s.Listen.Operator, s.TLS.Operators, "tls.operators")
+	p.checkPlaintext(root, "inner-address", s.Listen.Inner, s.TLS.Inner, "tls.inner")
 }
 
-func (p *parser) checkOpen(root *form.Reader, key string, listen netip.AddrPort, pair KeyPair, section string) {
-	if pair.IsSet() || listen.Addr().IsLoopback() {
+// checkPlaintext adds a finding if the listener of key is beyond loopback and has no
+// TLS.
+func (p *parser) checkPlaintext(root *form.Reader, key string, listen netip.AddrPort, keyPair KeyPair, section string) {
+	if keyPair.IsSet() || listen.Addr().IsLoopback() {
 		return
 	}
 	root.Add(key, fmt.Sprintf("%s %s is beyond loopback without TLS", key, listen),
@@ -151,17 +157,18 @@
 	}
 }
 
-// pair is two durations of which one must be longer by a factor.
-type pair struct {
-	long, short           string
-	longValue, shortValue time.Duration
-	// factor is by how much longer, at least 1.
+// durationRule requires one duration to be longer than a multiple of another.
+type durationRule struct {
+	longerKey, shorterKey string
+	longer, shorter       time.Duration
+	// factor is the multiple, at least 1.
 	factor int
+	// reason explains the rule in the finding.
 	reason string
 }
 
 func checkTiming(r *form.Reader, t Timing) {
-	pairs := []pair{
+	rules := []durationRule{
 		{
 			"election-timeout", "heartbeat", t.ElectionTimeout, t.Heartbeat, 3,
 			"a lost heartbeat must not start an election",
@@ -183,29 +190,29 @@
 			"callers would still come when the instance has stopped",
 		},
 	}
-	for _, c := range pairs {
-		checkPair(r, c)
+	for _, rule := range rules {
+		checkDurationRule(r, rule)
 	}
 }
 
-func checkPair(r *form.Reader, c pair) {
-	if !r.Good(c.long, c.short) || c.longValue > c.shortValue*time.Duration(c.factor) {
+func checkDurationRule(r *form.Reader, rule durationRule) {
+	if !r.Valid(rule.longerKey, rule.shorterKey) || rule.longer > rule.shorter*time.Duration(rule.factor) {
 		return
 	}
-	key := c.long
+	key := rule.longerKey
 	if !r.Has(key) {
-		key = c.short
+		key = rule.shorterKey
 	}
-	bound := "is not longer than"
-	if c.factor > 1 {
-		bound = fmt.Sprintf("is not longer than %d times", c.factor)
+	relation := "is not longer than"
+	if rule.factor > 1 {
+		relation = fmt.Sprintf("is not longer than %d times", rule.factor)
 	}
-	r.Add(key, fmt.Sprintf("%s %s %s %s %s: %s", c.long, c.longValue, bound, c.short, c.shortValue, c.reason),
-		fmt.Sprintf("write %s above %s", c.long, c.shortValue*time.Duration(c.factor)))
+	r.Add(key, fmt.Sprintf("%s %s %s %s %s: %s", rule.longerKey, rule.longer, relation, rule.shorterKey, rule.shorter, rule.reason),
+		fmt.Sprintf("write %s above %s", rule.longerKey, rule.shorter*time.Duration(rule.factor)))
 }
 
 func checkLimits(r *form.Reader, l Limits) {
-	if !r.Good("docket-answer-size", "docket-size") || l.DocketAnswerBytes <= l.DocketBytes {
+	if !r.Valid("docket-answer-size", "docket-size") || l.DocketAnswerBytes <= l.DocketBytes {
 		return
 	}
 	key := "docket-answer-size"
