--- a/internal/jury/membership.go
+++ b/internal/jury/membership.go
@@ -58,10 +58,10 @@
 	default:
 		set = m.voters().without(e.Remove)
 	}
-	return set, m.checkFaultTolerance(now, e, set)
+	return set, m.checkQuorumMargin(now, e, set)
 }
 
-// checkFaultTolerance returns an error if the changed set could lose its
+// checkQuorumMargin returns an error if the changed set could lose its
 // majority.
 //
 // A change takes effect as soon as it is appended. Suppose that it removes a
@@ -70,7 +70,7 @@
 // even when a majority of the old set is back. A removal therefore requires that
 // the new set can lose one more voter, or that the removed voter is known to
 // have lost its disk. A removal that leaves a single voter is exempt.
-func (m *Member) checkFaultTolerance(now time.Time, e ChangeVoters, set voterSet) error {
+func (m *Member) checkQuorumMargin(now time.Time, e ChangeVoters, set voterSet) error {
 	live := m.countLive(now, set)
 	spare := live - set.quorum()
 	switch {
