--- a/internal/upstreamapi/announcement.go
+++ b/internal/upstreamapi/announcement.go
@@ -1,9 +1,9 @@
-// Package upstreamapi holds the wire types of the HTTP interface that model
-// engines and plain services speak with the system. docs/UPSTREAMS.md describes
-// it for those who write an upstream.
+// Package upstreamapi defines the wire types of the HTTP API between the system
+// and its upstreams: model engines and plain services. docs/UPSTREAMS.md
+// describes the API for authors of upstreams.
 //
-// All of it stands in this one package, so that the dialect of another engine
-// is one new package beside it.
+// All wire types are in this package, so that support for another engine's
+// protocol is one new package beside it.
 package upstreamapi
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Kind says what an upstream is.
+// Kind is the kind of upstream.
 type Kind string
 
 // The kinds of upstream.
@@ -20,70 +20,72 @@
 	KindService Kind = "service"
 )
 
-// Fencing says whether an upstream refuses an order that carries an older
-// fencing number than one it has seen.
+// Fencing states whether an upstream rejects an order with a lower fencing
+// number than the highest it has received.
 type Fencing string
 
-// The kinds of fencing. Anything else, absence included, counts as
+// The values of Fencing. Any other value, and absence, counts as
 // FencingIgnored.
 const (
 	FencingChecked Fencing = "checked"
 	FencingIgnored Fencing = "ignored"
 )
 
-// Announcement is what an upstream tells an instance when it starts and then
-// once every renewal interval. Each announcement is complete: it replaces the
-// one before.
+// Announcement is the registration that an upstream sends to an instance at
+// start and then at every renewal interval. Each announcement is complete and
+// replaces the previous one.
 type Announcement struct {
-	// Name is unique among upstreams and stays the same over restarts.
+	// Name is unique among upstreams and is the same after a restart.
 	Name string `json:"name"`
-	// Incarnation grows with every start of the upstream's process.
+	// Incarnation increases with every start of the upstream's process.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence grows with every announcement of an incarnation. An announcement
-	// that arrives after one with a higher sequence is ignored.
+	// Sequence increases with every announcement of an incarnation. An
+	// announcement that arrives after one with a higher sequence is ignored.
 	Sequence uint64 `json:"sequence"`
-	// Address is the IP number and port at which the upstream is called.
+	// Address is the IP address and port on which the upstream serves requests.
 	Address string `json:"address"`
 	Kind    Kind   `json:"kind"`
 	// FailureDomain is one of the declared failure domains.
 	FailureDomain string  `json:"failure-domain"`
 	Fencing       Fencing `json:"fencing,omitempty"`
-	// OrderAuthorization says whether the upstream checks the token of those who
-	// order. Absence counts as AuthorizationIgnored.
+	// OrderAuthorization states whether the upstream authenticates the sender
+	// of an order. Absence counts as AuthorizationIgnored.
 	OrderAuthorization Authorization `json:"order-authorization,omitempty"`
-	// Capabilities are the optional parts of the interface that the upstream
-	// speaks.
+	// Capabilities are the optional parts of the API that the upstream
+	// supports.
 	Capabilities []Capability `json:"capabilities,omitempty"`
-	// Services are the names of the plain services it answers for, if Kind is
-	// KindService.
+	// Services are the names of the plain services that the upstream provides,
+	// if Kind is KindService.
 	Services []string `json:"services,omitempty"`
-	// Revision grows with every change of what an engine holds: of Accelerators,
-	// Resident, Role, HighestFencing or UnderWay. Two reports of one incarnation
-	// with the same revision say the same of these.
+	// Revision increases with every change of an engine's inventory:
+	// Accelerators, Resident, Role, HighestFencing or UnderWay. Two reports of
+	// one incarnation with the same revision have the same inventory.
 	Revision uint64 `json:"revision,omitempty"`
 	// Accelerators are the accelerators of an engine.
 	Accelerators []Accelerator `json:"accelerators,omitempty"`
-	// Resident is what an engine holds in memory and can run now.
+	// Resident lists the models that an engine has loaded and can run now.
 	Resident []Resident `json:"resident,omitempty"`
-	// Role is what an engine does of a request, empty if it does all of it.
+	// Role is the part of each request that an engine processes. Empty means
+	// all parts.
 	Role Role `json:"role,omitempty"`
-	// RoleMemoryBytes is what the role takes of each accelerator beside the
-	// residents.
+	// RoleMemoryBytes is the memory that the role occupies on each accelerator,
+	// in addition to the resident models.
 	RoleMemoryBytes int64 `json:"role-memory-bytes,omitempty"`
-	// HighestFencing is the highest fencing number of an order that reached the
-	// upstream, whether it checks them or not.
+	// HighestFencing is the highest fencing number among the orders that the
+	// upstream has received, including upstreams that do not check fencing
+	// numbers.
 	HighestFencing uint64 `json:"highest-fencing,omitempty"`
-	// UnderWay are the orders that are being carried out.
+	// UnderWay lists the orders in progress.
 	UnderWay []OrderUnderWay `json:"under-way,omitempty"`
 	Load     Load            `json:"load"`
 }
 
-// Has tells whether the upstream announced the capability.
+// Has reports whether the upstream announced the capability.
 func (a Announcement) Has(capability Capability) bool {
 	return slices.Contains(a.Capabilities, capability)
 }
 
-// Inventory returns what the engine holds by the announcement.
+// Inventory returns the engine's inventory as announced.
 func (a Announcement) Inventory() Inventory {
 	return Inventory{
 		Incarnation:     a.Incarnation,
@@ -98,9 +100,9 @@
 	}
 }
 
-// Inventory is what an engine says that it holds at one moment. It comes with
-// announcements and with answers to orders; Incarnation and then Revision tell
-// which of two is later.
+// Inventory is the state of an engine's accelerators, models and orders at one
+// moment. Announcements and order responses carry it. Incarnation, then
+// Revision, determine which of two inventories is later.
 type Inventory struct {
 	Incarnation     uint64
 	Revision        uint64
@@ -113,11 +115,12 @@
 	UnderWay        []OrderUnderWay
 }
 
-// OrderUnderWay is an order that an upstream is carrying out.
+// OrderUnderWay is an order in progress at an upstream.
 type OrderUnderWay struct {
 	ID string `json:"id"`
-	// Accelerators and MemoryBytes are what the order holds of the memory until
-	// it ends, beyond what the residents and the role hold.
+	// Accelerators and MemoryBytes are the memory that the order occupies until
+	// it ends, in addition to the resident models and the role. MemoryBytes is
+	// per accelerator.
 	Accelerators []string `json:"accelerators,omitempty"`
 	MemoryBytes  int64    `json:"memory-bytes,omitempty"`
 }
@@ -125,40 +128,42 @@
 // Accelerator is one accelerator of an engine.
 type Accelerator struct {
 	Name string `json:"name"`
-	// MemoryBytes is the memory that models, adapters and KV cache may take.
+	// MemoryBytes is the memory available to models, adapters and KV cache.
 	MemoryBytes int64 `json:"memory-bytes"`
-	// UsedBytes is what is taken of MemoryBytes now, orders under way included.
-	// An engine that does not know leaves it out.
+	// UsedBytes is the part of MemoryBytes in use now, including by orders in
+	// progress. It is nil if the engine does not know.
 	UsedBytes *int64 `json:"used-bytes,omitempty"`
 }
 
-// Resident is a model that an engine holds in memory, with its adapters.
+// Resident is a model loaded in an engine's memory, with its adapters.
 type Resident struct {
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
-	// Adapters are the names of the adapters loaded beside the model.
+	// Adapters are the names of the adapters loaded for the model.
 	Adapters []string `json:"adapters,omitempty"`
-	// Accelerators are the names of those the model takes memory of.
+	// Accelerators are the names of the accelerators whose memory the model
+	// uses.
 	Accelerators []string `json:"accelerators,omitempty"`
-	// MemoryBytes is what the model, its adapters and its KV space take of each
-	// of Accelerators.
+	// MemoryBytes is the memory that the model, its adapters and its KV cache
+	// occupy on each of Accelerators.
 	MemoryBytes int64 `json:"memory-bytes,omitempty"`
 }
 
-// Welcome answers an Announcement.
+// Welcome is the response to an Announcement.
 type Welcome struct {
-	// RenewEvery is how often to announce again, in nanoseconds.
+	// RenewEvery is the interval between announcements, in nanoseconds.
 	RenewEvery time.Duration `json:"renew-every"`
-	// Lease is how long the announcement stands without another, in
-	// nanoseconds. After it, the upstream receives no new work.
+	// Lease is how long the announcement is valid without a renewal, in
+	// nanoseconds. When it expires, the upstream receives no new requests.
 	Lease time.Duration `json:"lease"`
-	// Instances are upstream addresses of other instances, to announce to when
-	// this one is lost.
+	// Instances are the upstream-facing addresses of other instances, to
+	// announce to if this one fails.
 	Instances []string `json:"instances,omitempty"`
 }
 
-// Leave tells an instance that an upstream will stop. It receives no new work
-// from then on, and should go on until its running requests have ended.
+// Leave notifies an instance that an upstream is shutting down. The upstream
+// receives no new requests from then on and should run until its active
+// requests have ended.
 type Leave struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
--- a/internal/upstreamapi/cacheevents.go
+++ b/internal/upstreamapi/cacheevents.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// CacheEventKind says what happened to a prefix.
+// CacheEventKind is the kind of change to a prefix.
 type CacheEventKind string
 
 // The kinds of cache event.
 const (
 	CacheStored  CacheEventKind = "stored"
 	CacheEvicted CacheEventKind = "evicted"
-	// CacheCleared evicted everything, of all models.
+	// CacheCleared evicts all prefixes of all models.
 	CacheCleared CacheEventKind = "cleared"
 )
 
-// CacheEvents is a batch of what happened in an engine's prefix cache. Batches
-// arrive late, out of order and with gaps. A gap makes the estimate of the cache
-// doubtful; it never changes an answer.
+// CacheEvents is a batch of changes to an engine's prefix cache. Batches may
+// arrive late, out of order and with gaps. After a gap, the estimate of the
+// cache is unreliable; it affects routing only, never the content of a
+// response.
 type CacheEvents struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
-	// First is the sequence number of the first event; each that follows has the
+	// First is the sequence number of the first event; each later event has the
 	// next number. The first event of an incarnation has number 1.
 	First uint64 `json:"first"`
-	// Age is how old the first event was when the batch was sent, in
+	// Age is the age of the first event when the batch was sent, in
 	// nanoseconds.
 	Age    time.Duration `json:"age,omitempty"`
 	Events []CacheEvent  `json:"events"`
@@ -37,8 +38,8 @@
 type CacheEvent struct {
 	Kind  CacheEventKind `json:"kind"`
 	Model string         `json:"model,omitempty"`
-	// Prefix is a name out of PrefixHeader.
+	// Prefix is one of the names in PrefixHeader.
 	Prefix string `json:"prefix,omitempty"`
-	// Tokens is the length of the prefix, if it was stored.
+	// Tokens is the length of a stored prefix.
 	Tokens int `json:"tokens,omitempty"`
 }
--- a/internal/upstreamapi/capability.go
+++ b/internal/upstreamapi/capability.go
@@ -1,69 +1,75 @@
 package upstreamapi
 
-// Capability is an optional part of the interface that an upstream speaks. An
-// instance ignores capabilities that it does not know.
+// Capability is an optional part of the API that an upstream supports. An
+// instance ignores unknown capabilities.
 type Capability string
 
-// The capabilities. Each tells what the system does if an upstream lacks it.
+// The capabilities, each with the behaviour of the system if an upstream lacks
+// it.
 const (
-	// CapabilityCacheEvents publishes cache events. Without it, the prefix cache
-	// is estimated from the requests that were sent there.
+	// CapabilityCacheEvents publishes cache events. Without it, the content of
+	// the prefix cache is estimated from the requests sent to the upstream.
 	CapabilityCacheEvents Capability = "cache-events"
-	// CapabilityPriority honours PriorityHeader in the upstream's own queue.
-	// Without it, the system keeps that queue empty by its own limit.
+	// CapabilityPriority applies PriorityHeader in the upstream's own queue.
+	// Without it, the system limits its requests so that this queue stays
+	// empty.
 	CapabilityPriority Capability = "priority"
-	// CapabilityOrders takes orders to load and unload models. Without it, the
-	// engine serves what it announces, and placement leaves it alone.
+	// CapabilityOrders accepts orders to load and unload models. Without it,
+	// the engine serves the models it announces, and placement does not manage
+	// it.
 	CapabilityOrders Capability = "orders"
-	// CapabilityAdapters takes orders for adapters. Without it, an adapter is
+	// CapabilityAdapters accepts orders for adapters. Without it, adapters are
 	// placed on other engines.
 	CapabilityAdapters Capability = "adapters"
-	// CapabilityVersions takes OrderChangeVersion. Without it, a new version is
-	// loaded as a second model, and the old one unloaded after.
+	// CapabilityVersions accepts OrderChangeVersion. Without it, a new version
+	// is loaded as a second model, and then the old one is unloaded.
 	CapabilityVersions Capability = "versions"
-	// CapabilityRoles takes OrderChangeRole. Without it, the engine keeps the
-	// role that it announces.
+	// CapabilityRoles accepts OrderChangeRole. Without it, the engine keeps its
+	// announced role.
 	CapabilityRoles Capability = "roles"
-	// CapabilityOrderStatus answers what became of an order. Without it, an order
-	// whose answer was lost is sent again under the same id.
+	// CapabilityOrderStatus answers status queries for orders. Without it, an
+	// order whose response was lost is sent again with the same id.
 	CapabilityOrderStatus Capability = "order-status"
-	// CapabilityOrderExpiry refuses an order after its NotAfter. Without it, an
-	// order whose answer was lost counts as possible until other proof.
+	// CapabilityOrderExpiry rejects an order that arrives after its NotAfter.
+	// Without it, an order whose response was lost counts as possibly executed
+	// until there is other proof.
 	CapabilityOrderExpiry Capability = "order-expiry"
-	// CapabilityRequestStatus answers what became of a request. Without it, a
-	// request whose answer was lost is unknown.
+	// CapabilityRequestStatus answers status queries for requests. Without it,
+	// the outcome of a request whose response was lost is unknown.
 	CapabilityRequestStatus Capability = "request-status"
-	// CapabilityResume resumes a stream on a new connection. Without it, a stream
-	// that was cut off ends with an error.
+	// CapabilityResume resumes a stream on a new connection. Without it, an
+	// interrupted stream ends with an error.
 	CapabilityResume Capability = "resume"
-	// CapabilityContinue takes a ContinueFrom in a completion request. Without
-	// it, a stream that was cut off is not continued there.
+	// CapabilityContinue accepts a ContinueFrom in a completion request.
+	// Without it, an interrupted stream is not continued on this upstream.
 	CapabilityContinue Capability = "continue"
-	// CapabilityCancel cancels a request by its id, and bars the id of one that it
-	// has not seen. Without it, closing the connection is the only way, and a
-	// request that may still arrive is unknown.
+	// CapabilityCancel cancels a request by its id, and blocks the id of a
+	// request that has not arrived. Without it, a request can only be cancelled
+	// by closing its connection, and the outcome of one that may still arrive
+	// is unknown.
 	CapabilityCancel Capability = "cancel"
-	// CapabilityKVExport and CapabilityKVImport move KV cache. Without either, a
-	// prompt is prefilled again.
+	// CapabilityKVExport and CapabilityKVImport transfer KV cache between
+	// engines. Without either, the prompt is prefilled again.
 	CapabilityKVExport Capability = "kv-export"
 	CapabilityKVImport Capability = "kv-import"
 )
 
-// Authorization says whether an upstream checks who gives it an order.
+// Authorization states whether an upstream authenticates the sender of an
+// order.
 type Authorization string
 
 // The kinds of authorization.
 const (
-	// AuthorizationBearer refuses orders without the agreed bearer token.
+	// AuthorizationBearer rejects orders without the configured bearer token.
 	AuthorizationBearer Authorization = "bearer"
-	// AuthorizationIgnored takes orders from anybody who reaches it.
+	// AuthorizationIgnored accepts orders from any sender.
 	AuthorizationIgnored Authorization = "ignored"
 )
 
-// Role is what an engine does of a request.
+// Role is the part of a request that an engine processes.
 type Role string
 
-// The roles. RoleMixed, which does all of a request, is the same as none.
+// The roles. RoleMixed processes whole requests, as does an empty role.
 const (
 	RoleMixed   Role = "mixed"
 	RolePrefill Role = "prefill"
--- a/internal/upstreamapi/check.go
+++ b/internal/upstreamapi/check.go
@@ -11,22 +11,21 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// Limits of what an upstream may send.
+// Limits on the messages of an upstream.
 const (
 	maxNameBytes    = 256
 	maxAccelerators = 64
 	maxResident     = 4096
 	maxServices     = 1024
-	maxEvents       = 4096
+	maxCacheEvents  = 4096
 )
 
-// whole is the place of a finding that concerns the whole message.
-const whole = "$"
+// rootPath is the location of a finding about the whole message.
+const rootPath = "$"
 
-// DecodeAnnouncement returns the announcement that data holds and all that is
-// wrong with it. If the list is not empty, the announcement must not be used.
-// Keys that are not known are ignored, so that an upstream may be newer than the
-// instance that it announces to.
+// DecodeAnnouncement decodes and validates an announcement. If there are
+// findings, the announcement must not be used. Unknown keys are ignored, so
+// that an upstream may be newer than the instance it announces to.
 func DecodeAnnouncement(data []byte) (Announcement, finding.List) {
 	var announcement Announcement
 	findings := decode(data, &announcement)
@@ -36,8 +35,8 @@
 	return announcement, announcement.Check()
 }
 
-// DecodeCacheEvents returns the cache events that data holds and all that is
-// wrong with them. If the list is not empty, the events must not be used.
+// DecodeCacheEvents decodes and validates a batch of cache events. If there are
+// findings, the events must not be used.
 func DecodeCacheEvents(data []byte) (CacheEvents, finding.List) {
 	var events CacheEvents
 	findings := decode(data, &events)
@@ -47,8 +46,8 @@
 	return events, events.Check()
 }
 
-// DecodeOrder returns the order that data holds and all that is wrong with it.
-// If the list is not empty, the order must not be carried out.
+// DecodeOrder decodes and validates an order. If there are findings, the order
+// must not be carried out.
 func DecodeOrder(data []byte) (Order, finding.List) {
 	var order Order
 	findings := decode(data, &order)
@@ -58,8 +57,8 @@
 	return order, order.Check()
 }
 
-// DecodeLoadReport returns the load report that data holds and all that is wrong
-// with it. If the list is not empty, the report must not be used.
+// DecodeLoadReport decodes and validates a load report. If there are findings,
+// the report must not be used.
 func DecodeLoadReport(data []byte) (LoadReport, finding.List) {
 	var report LoadReport
 	findings := decode(data, &report)
@@ -69,8 +68,8 @@
 	return report, report.Check()
 }
 
-// DecodeLeave returns the leave that data holds and all that is wrong with it.
-// If the list is not empty, the leave must not be used.
+// DecodeLeave decodes and validates a leave message. If there are findings, the
+// message must not be used.
 func DecodeLeave(data []byte) (Leave, finding.List) {
 	var leave Leave
 	findings := decode(data, &leave)
@@ -82,40 +81,40 @@
 	return leave, findings
 }
 
-// decode reads data into message. The place of what is wrong is the path of a
-// value of a wrong type, and the line and column of broken JSON.
-func decode(data []byte, message any) finding.List {
+// decode unmarshals data into target. The location of a finding is the path of
+// a value of the wrong type, or the line and column of a JSON syntax error.
+func decode(data []byte, target any) finding.List {
 	var findings finding.List
-	err := json.Unmarshal(data, message)
-	var syntax *json.SyntaxError
-	var mistyped *json.UnmarshalTypeError
+	err := json.Unmarshal(data, target)
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
 	case err == nil:
-	case errors.As(err, &syntax):
-		findings.Add(placeAt(data, syntax.Offset), "broken JSON: "+syntax.Error(), "")
-	case errors.As(err, &mistyped):
-		findings.Add(at(whole+"."+mistyped.Field), "a "+mistyped.Value+" is of the wrong type",
-			"write a value that fits "+mistyped.Type.String())
+	case errors.As(err, &syntaxErr):
+		findings.Add(offsetPlace(data, syntaxErr.Offset), "broken JSON: "+syntaxErr.Error(), "")
+	case errors.As(err, &typeErr):
+		findings.Add(pathPlace(rootPath+"."+typeErr.Field), "a "+typeErr.Value+" is of the wrong type",
+			"write a value that fits "+typeErr.Type.String())
 	default:
-		findings.Add(at(whole), err.Error(), "")
+		findings.Add(pathPlace(rootPath), err.Error(), "")
 	}
 	return findings
 }
 
-// placeAt returns the line and column of the byte at offset.
-func placeAt(data []byte, offset int64) finding.Place {
+// offsetPlace returns the line and column of the byte at offset.
+func offsetPlace(data []byte, offset int64) finding.Place {
 	before := string(data[:min(int(offset), len(data))])
 	line := strings.Count(before, "\n") + 1
 	column := len(before) - strings.LastIndex(before, "\n") - 1
 	return finding.Place{File: "body", Line: line, Column: max(column, 1)}
 }
 
-func at(path string) finding.Place {
+func pathPlace(path string) finding.Place {
 	return finding.Place{File: path}
 }
 
-// Check returns all that is wrong with the announcement, as far as it can be
-// judged without any other.
+// Check validates the announcement on its own, without regard to other
+// announcements.
 func (a Announcement) Check() finding.List {
 	var findings finding.List
 	checkName(&findings, "$.name", a.Name)
@@ -123,23 +122,23 @@
 	checkAddress(&findings, "$.address", a.Address)
 	checkIncarnation(&findings, a.Incarnation)
 	if a.Sequence == 0 {
-		findings.Add(at("$.sequence"), "a sequence is missing", "count the announcements from 1")
+		findings.Add(pathPlace("$.sequence"), "a sequence is missing", "count the announcements from 1")
 	}
-	a.checkWords(&findings)
+	a.checkEnums(&findings)
 	a.checkKind(&findings)
 	a.checkMemory(&findings)
 	a.Load.check(&findings, "$.load")
 	return findings
 }
 
-func (a Announcement) checkWords(findings *finding.List) {
-	checkWord(findings, "$.fencing", a.Fencing, "", FencingChecked, FencingIgnored)
-	checkWord(findings, "$.order-authorization", a.OrderAuthorization, "", AuthorizationBearer, AuthorizationIgnored)
-	checkWord(findings, "$.role", a.Role, "", RoleMixed, RolePrefill, RoleDecode)
-	checkWord(findings, "$.kind", a.Kind, KindEngine, KindService)
+func (a Announcement) checkEnums(findings *finding.List) {
+	checkEnum(findings, "$.fencing", a.Fencing, "", FencingChecked, FencingIgnored)
+	checkEnum(findings, "$.order-authorization", a.OrderAuthorization, "", AuthorizationBearer, AuthorizationIgnored)
+	checkEnum(findings, "$.role", a.Role, "", RoleMixed, RolePrefill, RoleDecode)
+	checkEnum(findings, "$.kind", a.Kind, KindEngine, KindService)
 }
 
-// checkKind finds what does not belong to the kind of upstream.
+// checkKind validates the fields that depend on the kind of upstream.
 func (a Announcement) checkKind(findings *finding.List) {
 	checkCount(findings, "$.services", len(a.Services), maxServices)
 	seen := seenNames{}
@@ -151,20 +150,20 @@
 	switch a.Kind {
 	case KindService:
 		if len(a.Services) == 0 {
-			findings.Add(at("$.services"), "a service upstream names no service", "name those that it answers for")
+			findings.Add(pathPlace("$.services"), "a service upstream names no service", "name those that it answers for")
 		}
 		if len(a.Accelerators)+len(a.Resident) > 0 {
-			findings.Add(at("$.kind"), "a service upstream has no accelerators nor models", "write \"engine\"")
+			findings.Add(pathPlace("$.kind"), "a service upstream has no accelerators nor models", "write \"engine\"")
 		}
 	case KindEngine:
 		if len(a.Services) > 0 {
-			findings.Add(at("$.services"), "an engine answers for no services", "announce the service under a name of its own")
+			findings.Add(pathPlace("$.services"), "an engine answers for no services", "announce the service under a name of its own")
 		}
 	}
 }
 
 func (l Load) check(findings *finding.List, path string) {
-	amounts := []struct {
+	fields := []struct {
 		key   string
 		value float64
 	}{
@@ -178,43 +177,42 @@
 		{"kv-used-tokens", float64(l.KVUsedTokens)},
 		{"kv-total-tokens", float64(l.KVTotalTokens)},
 	}
-	for _, amount := range amounts {
-		if amount.value < 0 {
-			findings.Add(at(path+"."+amount.key), "a negative amount", "write 0 or more")
+	for _, field := range fields {
+		if field.value < 0 {
+			findings.Add(pathPlace(path+"."+field.key), "a negative amount", "write 0 or more")
 		}
 	}
 }
 
-// Check returns all that is wrong with the load report.
+// Check validates the load report.
 func (r LoadReport) Check() finding.List {
 	var findings finding.List
 	checkName(&findings, "$.name", r.Name)
 	checkIncarnation(&findings, r.Incarnation)
 	if r.Sequence == 0 {
-		findings.Add(at("$.sequence"), "a sequence is missing", "go on counting with the announcements")
+		findings.Add(pathPlace("$.sequence"), "a sequence is missing", "go on counting with the announcements")
 	}
 	r.Load.check(&findings, "$.load")
 	return findings
 }
 
-// Check returns all that is wrong with the batch, as far as it can be judged
-// without any other.
+// Check validates the batch on its own, without regard to other batches.
 func (e CacheEvents) Check() finding.List {
 	var findings finding.List
 	checkName(&findings, "$.name", e.Name)
 	checkIncarnation(&findings, e.Incarnation)
 	if e.First == 0 {
-		findings.Add(at("$.first"), "a sequence number is missing", "count the events from 1")
+		findings.Add(pathPlace("$.first"), "a sequence number is missing", "count the events from 1")
 	}
 	if e.Age < 0 {
-		findings.Add(at("$.age"), "a negative amount", "write 0 or more")
+		findings.Add(pathPlace("$.age"), "a negative amount", "write 0 or more")
 	}
 	if len(e.Events) == 0 {
-		findings.Add(at("$.events"), "a batch without events", "send none")
+		findings.Add(pathPlace("$.events"), "a batch without events", "send none")
 	}
-	checkCount(&findings, "$.events", len(e.Events), maxEvents)
+	checkCount(&findings, "$.events", len(e.Events), maxCacheEvents)
 	if e.Next() < e.First {
-		findings.Add(at("$.first"), "the sequence numbers overflow", "start a new incarnation")
+		findings.Add(pathPlace("$.first"), "the sequence numbers overflow", "start a new incarnation")
 	}
 	for i, event := range e.Events {
 		event.check(&findings, fmt.Sprintf("$.events[%d]", i))
@@ -223,9 +221,9 @@
 }
 
 func (e CacheEvent) check(findings *finding.List, path string) {
-	checkWord(findings, path+".kind", e.Kind, CacheStored, CacheEvicted, CacheCleared)
+	checkEnum(findings, path+".kind", e.Kind, CacheStored, CacheEvicted, CacheCleared)
 	if e.Tokens < 0 {
-		findings.Add(at(path+".tokens"), "a negative amount", "write 0 or more")
+		findings.Add(pathPlace(path+".tokens"), "a negative amount", "write 0 or more")
 	}
 	if e.Kind == CacheStored || e.Kind == CacheEvicted {
 		checkName(findings, path+".model", e.Model)
@@ -235,19 +233,20 @@
 
 func checkIncarnation(findings *finding.List, incarnation uint64) {
 	if incarnation == 0 {
-		findings.Add(at("$.incarnation"), "an incarnation is missing", "write a number that grows with each start")
+		findings.Add(pathPlace("$.incarnation"), "an incarnation is missing", "write a number that grows with each start")
 	}
 }
 
-// checkName finds a name that is missing, too long or not printable.
+// checkName rejects a name that is empty, too long, or contains a space, a
+// control character or invalid UTF-8.
 func checkName(findings *finding.List, path, name string) {
 	switch {
 	case name == "":
-		findings.Add(at(path), "a name is missing", "write one")
+		findings.Add(pathPlace(path), "a name is missing", "write one")
 	case len(name) > maxNameBytes:
-		findings.Add(at(path), fmt.Sprintf("a name of %d bytes", len(name)), fmt.Sprintf("write %d at most", maxNameBytes))
+		findings.Add(pathPlace(path), fmt.Sprintf("a name of %d bytes", len(name)), fmt.Sprintf("write %d at most", maxNameBytes))
 	case strings.ContainsFunc(name, unprintable):
-		findings.Add(at(path), fmt.Sprintf("the name %q holds a space or a control character", name), "write letters, digits and . _ - / : @")
+		findings.Add(pathPlace(path), fmt.Sprintf("the name %q holds a space or a control character", name), "write letters, digits and . _ - / : @")
 	}
 }
 
@@ -259,37 +258,37 @@
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		findings.Add(at(path), fmt.Sprintf("%q is no IP number with a port", address), "write it as 127.0.0.1:7701 or [::1]:7701")
+		findings.Add(pathPlace(path), fmt.Sprintf("%q is no IP number with a port", address), "write it as 127.0.0.1:7701 or [::1]:7701")
 	case parsed.Addr().IsUnspecified() || parsed.Port() == 0:
-		findings.Add(at(path), fmt.Sprintf("%q cannot be connected to", address), "write the IP number and port that instances reach")
+		findings.Add(pathPlace(path), fmt.Sprintf("%q cannot be connected to", address), "write the IP number and port that instances reach")
 	}
 }
 
-func checkWord[W ~string](findings *finding.List, path string, word W, allowed ...W) {
-	words := make([]string, 0, len(allowed))
-	for _, other := range allowed {
-		if word == other {
+func checkEnum[E ~string](findings *finding.List, path string, value E, allowed ...E) {
+	quoted := make([]string, 0, len(allowed))
+	for _, candidate := range allowed {
+		if value == candidate {
 			return
 		}
-		if other != "" {
-			words = append(words, fmt.Sprintf("%q", string(other)))
+		if candidate != "" {
+			quoted = append(quoted, fmt.Sprintf("%q", string(candidate)))
 		}
 	}
-	findings.Add(at(path), fmt.Sprintf("%q is not known", string(word)), "write one of "+strings.Join(words, ", "))
+	findings.Add(pathPlace(path), fmt.Sprintf("%q is not known", string(value)), "write one of "+strings.Join(quoted, ", "))
 }
 
 func checkCount(findings *finding.List, path string, count, limit int) {
 	if count > limit {
-		findings.Add(at(path), fmt.Sprintf("%d entries", count), fmt.Sprintf("write %d at most", limit))
+		findings.Add(pathPlace(path), fmt.Sprintf("%d entries", count), fmt.Sprintf("write %d at most", limit))
 	}
 }
 
-// seenNames finds names that are used twice.
+// seenNames detects duplicate names.
 type seenNames map[string]bool
 
 func (s seenNames) check(findings *finding.List, path, name string) {
 	if s[name] {
-		findings.Add(at(path), fmt.Sprintf("the name %q is used twice", name), "use each once")
+		findings.Add(pathPlace(path), fmt.Sprintf("the name %q is used twice", name), "use each once")
 	}
 	s[name] = true
 }
--- a/internal/upstreamapi/check_test.go
+++ b/internal/upstreamapi/check_test.go
@@ -11,7 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-const goodEngine = `{"name":"engine-1","incarnation":7,"sequence":3,"address":"127.0.0.1:7701",
+const validEngine = `{"name":"engine-1","incarnation":7,"sequence":3,"address":"127.0.0.1:7701",
 "kind":"engine","failure-domain":"kgn-a","fencing":"checked","capabilities":["orders","from-the-future"],
 "accelerators":[{"name":"a0","memory-bytes":100,"used-bytes":60}],
 "resident":[{"model":"letters","version":"v1","accelerators":["a0"],"memory-bytes":60,"adapters":["clerk"]},
@@ -19,10 +19,10 @@
 "under-way":[{"id":"o1","accelerators":["a0"],"memory-bytes":10}],
 "load":{"running":1,"waiting":0},"a-key-from-the-future":1}`
 
-const goodEvents = `{"name":"engine-1","incarnation":7,"first":4,
+const validEvents = `{"name":"engine-1","incarnation":7,"first":4,
 "events":[{"kind":"stored","model":"letters","prefix":"p1","tokens":512},{"kind":"cleared"}]}`
 
-const goodOrder = `{"id":"o1","number":1,"fencing":2,"incarnation":7,"kind":"load-model","model":"letters",
+const validOrder = `{"id":"o1","number":1,"fencing":2,"incarnation":7,"kind":"load-model","model":"letters",
 "accelerators":["a0"],"memory-bytes":60}`
 
 func lines(list finding.List) []string {
@@ -33,9 +33,9 @@
 	return all
 }
 
-// edited returns message with the value at each key replaced; a nil value
+// withChanges returns message with the value of each key replaced. A nil value
 // removes the key.
-func edited(message string, changes map[string]any) []byte {
+func withChanges(message string, changes map[string]any) []byte {
 	var fields map[string]any
 	ExpectWithOffset(1, json.Unmarshal([]byte(message), &fields)).To(Succeed())
 	for key, value := range changes {
@@ -53,15 +53,15 @@
 type changes = map[string]any
 
 var _ = Describe("Check", func() {
-	It("takes an announcement with unknown keys and capabilities", func() {
-		a, findings := upstreamapi.DecodeAnnouncement([]byte(goodEngine))
+	It("accepts an announcement with unknown keys and capabilities", func() {
+		a, findings := upstreamapi.DecodeAnnouncement([]byte(validEngine))
 		Expect(lines(findings)).To(BeEmpty())
 		Expect(a.Name).To(Equal("engine-1"))
 		Expect(a.Has(upstreamapi.CapabilityOrders)).To(BeTrue())
 		Expect(a.Has(upstreamapi.CapabilityCancel)).To(BeFalse())
 	})
 
-	It("reports everything that is wrong with an announcement at once", func() {
+	It("reports all errors of an announcement at once", func() {
 		_, findings := upstreamapi.DecodeAnnouncement([]byte(`{"address":"localhost:80","kind":"toaster"}`))
 		Expect(lines(findings)).To(Equal([]string{
 			`$.address: "localhost:80" is no IP number with a port; write it as 127.0.0.1:7701 or [::1]:7701`,
@@ -73,9 +73,9 @@
 		}))
 	})
 
-	DescribeTable("finds what is wrong with an announcement, with its place",
+	DescribeTable("reports an invalid announcement with the location of the error",
 		func(change changes, expected string) {
-			a, findings := upstreamapi.DecodeAnnouncement(edited(goodEngine, change))
+			a, findings := upstreamapi.DecodeAnnouncement(withChanges(validEngine, change))
 			Expect(lines(findings)).To(ContainElement(HavePrefix(expected)), "announcement %+v", a)
 		},
 		Entry("a name with a space", changes{"name": "engine 1"}, "$.name: the name"),
@@ -95,46 +95,47 @@
 		}}, "$.accelerators[1].name"),
 		Entry("an accelerator without memory", changes{"accelerators": []any{changes{"name": "a0"}}},
 			"$.accelerators[0].memory-bytes"),
-		Entry("a negative use", changes{"accelerators": []any{changes{"name": "a0", "memory-bytes": 1, "used-bytes": -1}}},
+		Entry("negative used memory", changes{"accelerators": []any{changes{"name": "a0", "memory-bytes": 1, "used-bytes": -1}}},
 			"$.accelerators[0].used-bytes"),
 		Entry("a model named twice", changes{"resident": []any{changes{"model": "m"}, changes{"model": "m"}}}, "$.resident[1]"),
 		Entry("a model on an unknown accelerator", changes{"resident": []any{
 			changes{"model": "m", "accelerators": []string{"a9"}},
 		}}, "$.resident[0].accelerators[0]"),
-		Entry("a model of negative size", changes{"resident": []any{changes{"model": "m", "memory-bytes": -1}}},
+		Entry("a model with negative memory", changes{"resident": []any{changes{"model": "m", "memory-bytes": -1}}},
 			"$.resident[0].memory-bytes"),
 		Entry("an adapter named twice", changes{"resident": []any{
 			changes{"model": "m", "adapters": []string{"a", "a"}},
 		}}, "$.resident[0].adapters[1]"),
-		Entry("an order under way without id", changes{"under-way": []any{changes{}}}, "$.under-way[0].id"),
-		Entry("a negative role", changes{"role-memory-bytes": -1}, "$.role-memory-bytes"),
+		Entry("an order in progress without id", changes{"under-way": []any{changes{}}}, "$.under-way[0].id"),
+		Entry("negative role memory", changes{"role-memory-bytes": -1}, "$.role-memory-bytes"),
 		Entry("a negative load", changes{"load": changes{"waiting": -1}}, "$.load.waiting"),
 		Entry("a wrong type", changes{"incarnation": "seven"}, "$.incarnation: a string is of the wrong type"),
 	)
 
-	// An engine reports more memory in use than it has. Callers still get their
-	// answers from it, so the announcement is taken; the alarm is the ledger's.
-	It("takes a report of too much memory in use", func() {
-		_, findings := upstreamapi.DecodeAnnouncement(edited(goodEngine, changes{
+	// An engine that reports more memory in use than it has still serves
+	// requests, so the announcement is accepted. The memory ledger raises the
+	// alarm.
+	It("accepts a report of more memory in use than exists", func() {
+		_, findings := upstreamapi.DecodeAnnouncement(withChanges(validEngine, changes{
 			"resident": []any{changes{"model": "m", "accelerators": []string{"a0"}, "memory-bytes": 500}},
 		}))
 		Expect(lines(findings)).To(BeEmpty())
 	})
 
-	It("gives line and column of broken JSON", func() {
+	It("reports the line and column of a JSON syntax error", func() {
 		_, findings := upstreamapi.DecodeAnnouncement([]byte("{\"name\":\"engine-1\",\n  \"kind\" engine}"))
 		Expect(lines(findings)).To(ConsistOf(HavePrefix("body:2:10: broken JSON")))
 	})
 
-	It("takes cache events, and counts the next", func() {
-		e, findings := upstreamapi.DecodeCacheEvents([]byte(goodEvents))
+	It("accepts cache events and returns the next sequence number", func() {
+		e, findings := upstreamapi.DecodeCacheEvents([]byte(validEvents))
 		Expect(lines(findings)).To(BeEmpty())
 		Expect(e.Next()).To(BeEquivalentTo(6))
 	})
 
-	DescribeTable("finds what is wrong with cache events, with its place",
+	DescribeTable("reports invalid cache events with the location of the error",
 		func(change changes, expected string) {
-			_, findings := upstreamapi.DecodeCacheEvents(edited(goodEvents, change))
+			_, findings := upstreamapi.DecodeCacheEvents(withChanges(validEvents, change))
 			Expect(lines(findings)).To(ContainElement(HavePrefix(expected)))
 		},
 		Entry("no name", changes{"name": nil}, "$.name"),
@@ -148,15 +149,15 @@
 		Entry("negative tokens", changes{"events": []any{changes{"kind": "cleared", "tokens": -1}}}, "$.events[0].tokens"),
 	)
 
-	It("takes an order", func() {
-		o, findings := upstreamapi.DecodeOrder([]byte(goodOrder))
+	It("accepts an order", func() {
+		o, findings := upstreamapi.DecodeOrder([]byte(validOrder))
 		Expect(lines(findings)).To(BeEmpty())
 		Expect(o.Kind).To(Equal(upstreamapi.OrderLoadModel))
 	})
 
-	DescribeTable("finds what is wrong with an order, with its place",
+	DescribeTable("reports an invalid order with the location of the error",
 		func(change changes, expected string) {
-			_, findings := upstreamapi.DecodeOrder(edited(goodOrder, change))
+			_, findings := upstreamapi.DecodeOrder(withChanges(validOrder, change))
 			Expect(lines(findings)).To(ContainElement(HavePrefix(expected)))
 		},
 		Entry("no id", changes{"id": nil}, "$.id"),
@@ -171,14 +172,14 @@
 		Entry("the same version", changes{"kind": "change-version"}, "$.version"),
 	)
 
-	It("checks a load report", func() {
+	It("validates a load report", func() {
 		Expect(lines(upstreamapi.LoadReport{Name: "e", Incarnation: 1, Sequence: 1}.Check())).To(BeEmpty())
 		_, findings := upstreamapi.DecodeLoadReport([]byte(`{"load":{"running":-1}}`))
 		Expect(lines(findings)).To(ConsistOf(HavePrefix("$.name"), HavePrefix("$.incarnation"),
 			HavePrefix("$.sequence"), HavePrefix("$.load.running")))
 	})
 
-	It("checks a leave", func() {
+	It("validates a leave message", func() {
 		leave, findings := upstreamapi.DecodeLeave([]byte(`{"name":"engine-1","incarnation":7}`))
 		Expect(lines(findings)).To(BeEmpty())
 		Expect(leave).To(Equal(upstreamapi.Leave{Name: "engine-1", Incarnation: 7}))
@@ -186,7 +187,7 @@
 		Expect(lines(findings)).To(ConsistOf(HavePrefix("$.name"), HavePrefix("$.incarnation")))
 	})
 
-	It("tells which states are the end of an order, and prove that a request did not run", func() {
+	It("identifies final order states and request states that prove a request did not run", func() {
 		Expect(upstreamapi.OrderRunning.Final()).To(BeFalse())
 		Expect(upstreamapi.OrderUnknown.Final()).To(BeFalse())
 		Expect(upstreamapi.OrderRefusedExpired.Final()).To(BeTrue())
--- a/internal/upstreamapi/checkmemory.go
+++ b/internal/upstreamapi/checkmemory.go
@@ -6,16 +6,17 @@
 	"github.com/lovagelift/lovagelift/internal/finding"
 )
 
-// checkMemory finds accelerators and residents that are not well formed.
+// checkMemory validates accelerators, resident models and orders in progress.
 //
-// A report of more memory in use than there is passes: the engine still serves
-// callers, who would lose its models if the announcement were refused. The
-// ledger of memory raises the alarm and gives that engine no orders.
+// A report of more memory in use than the accelerator has is accepted: the
+// engine still serves requests, and rejecting the announcement would make its
+// models unavailable. The memory ledger raises the alarm and sends that engine
+// no orders.
 func (a Announcement) checkMemory(findings *finding.List) {
 	checkCount(findings, "$.accelerators", len(a.Accelerators), maxAccelerators)
 	checkCount(findings, "$.resident", len(a.Resident), maxResident)
 	if a.RoleMemoryBytes < 0 {
-		findings.Add(at("$.role-memory-bytes"), "a negative amount", "write 0 or more")
+		findings.Add(pathPlace("$.role-memory-bytes"), "a negative amount", "write 0 or more")
 	}
 	announced := a.checkAccelerators(findings)
 	seen := seenNames{}
@@ -29,16 +30,16 @@
 			seen.check(findings, path, resident.Model+"@"+resident.Version)
 		}
 		checkAdapters(findings, path, resident.Adapters)
-		checkClaim(findings, path, announced, resident.Accelerators, resident.MemoryBytes)
+		checkAllocation(findings, path, announced, resident.Accelerators, resident.MemoryBytes)
 	}
 	for i, order := range a.UnderWay {
 		path := fmt.Sprintf("$.under-way[%d]", i)
 		checkName(findings, path+".id", order.ID)
-		checkClaim(findings, path, announced, order.Accelerators, order.MemoryBytes)
+		checkAllocation(findings, path, announced, order.Accelerators, order.MemoryBytes)
 	}
 }
 
-// checkAccelerators returns the names of the accelerators.
+// checkAccelerators validates the accelerators and returns their names.
 func (a Announcement) checkAccelerators(findings *finding.List) seenNames {
 	seen := seenNames{}
 	for i, accelerator := range a.Accelerators {
@@ -46,10 +47,10 @@
 		checkName(findings, path+".name", accelerator.Name)
 		seen.check(findings, path+".name", accelerator.Name)
 		if accelerator.MemoryBytes <= 0 {
-			findings.Add(at(path+".memory-bytes"), "an accelerator without memory", "write the bytes that may be taken")
+			findings.Add(pathPlace(path+".memory-bytes"), "an accelerator without memory", "write the bytes that may be taken")
 		}
 		if accelerator.UsedBytes != nil && *accelerator.UsedBytes < 0 {
-			findings.Add(at(path+".used-bytes"), "a negative amount", "write 0 or more")
+			findings.Add(pathPlace(path+".used-bytes"), "a negative amount", "write 0 or more")
 		}
 	}
 	return seen
@@ -58,37 +59,38 @@
 func checkAdapters(findings *finding.List, path string, adapters []string) {
 	seen := seenNames{}
 	for i, adapter := range adapters {
-		place := fmt.Sprintf("%s.adapters[%d]", path, i)
-		checkName(findings, place, adapter)
-		seen.check(findings, place, adapter)
+		adapterPath := fmt.Sprintf("%s.adapters[%d]", path, i)
+		checkName(findings, adapterPath, adapter)
+		seen.check(findings, adapterPath, adapter)
 	}
 }
 
-// checkClaim finds a claim of memory that names no announced accelerator.
-func checkClaim(findings *finding.List, path string, announced seenNames, names []string, bytes int64) {
+// checkAllocation validates a memory allocation. Its accelerators must be among
+// the announced ones.
+func checkAllocation(findings *finding.List, path string, announced seenNames, names []string, bytes int64) {
 	if bytes < 0 {
-		findings.Add(at(path+".memory-bytes"), "a negative amount", "write 0 or more")
+		findings.Add(pathPlace(path+".memory-bytes"), "a negative amount", "write 0 or more")
 	}
 	seen := seenNames{}
 	for i, name := range names {
-		place := fmt.Sprintf("%s.accelerators[%d]", path, i)
-		seen.check(findings, place, name)
+		acceleratorPath := fmt.Sprintf("%s.accelerators[%d]", path, i)
+		seen.check(findings, acceleratorPath, name)
 		if !announced[name] {
-			findings.Add(at(place), fmt.Sprintf("the accelerator %q is not announced", name), "name one of accelerators")
+			findings.Add(pathPlace(acceleratorPath), fmt.Sprintf("the accelerator %q is not announced", name), "name one of accelerators")
 		}
 	}
 }
 
-// Check returns all that is wrong with the order, as far as it can be judged
-// without the engine.
+// Check validates the order as far as possible without knowledge of the
+// engine's state.
 func (o Order) Check() finding.List {
 	var findings finding.List
 	checkName(&findings, "$.id", o.ID)
 	if o.Number == 0 || o.Fencing == 0 || o.Incarnation == 0 {
-		findings.Add(at(whole), "the number, the fencing number or the incarnation is missing", "write all three")
+		findings.Add(pathPlace(rootPath), "the number, the fencing number or the incarnation is missing", "write all three")
 	}
 	if o.MemoryBytes < 0 {
-		findings.Add(at("$.memory-bytes"), "a negative amount", "write 0 or more")
+		findings.Add(pathPlace("$.memory-bytes"), "a negative amount", "write 0 or more")
 	}
 	checkAccelerators(&findings, o.Accelerators)
 	o.checkKind(&findings)
@@ -104,29 +106,30 @@
 	}
 }
 
-// checkKind finds what the kind of order lacks.
+// checkKind validates the fields that the kind of order requires.
 func (o Order) checkKind(findings *finding.List) {
-	checkWord(findings, "$.kind", o.Kind, OrderLoadModel, OrderUnloadModel, OrderLoadAdapter,
+	checkEnum(findings, "$.kind", o.Kind, OrderLoadModel, OrderUnloadModel, OrderLoadAdapter,
 		OrderUnloadAdapter, OrderChangeVersion, OrderChangeRole)
 	switch o.Kind {
 	case OrderChangeRole:
-		checkWord(findings, "$.role", o.Role, RoleMixed, RolePrefill, RoleDecode)
+		checkEnum(findings, "$.role", o.Role, RoleMixed, RolePrefill, RoleDecode)
 		return
 	case OrderLoadAdapter, OrderUnloadAdapter:
 		checkName(findings, "$.adapter", o.Adapter)
 	case OrderChangeVersion:
 		if o.Version == o.FromVersion {
-			findings.Add(at("$.version"), "the version is the one that is replaced", "name another")
+			findings.Add(pathPlace("$.version"), "the version is the one that is replaced", "name another")
 		}
 	case OrderLoadModel, OrderUnloadModel:
 	}
 	checkName(findings, "$.model", o.Model)
-	if o.takes() && (len(o.Accelerators) == 0 || o.MemoryBytes == 0) {
-		findings.Add(at("$.memory-bytes"), "a load that takes no memory", "write its accelerators and the bytes it takes of each")
+	if o.allocatesMemory() && (len(o.Accelerators) == 0 || o.MemoryBytes == 0) {
+		findings.Add(pathPlace("$.memory-bytes"), "a load that takes no memory", "write its accelerators and the bytes it takes of each")
 	}
 }
 
-// takes tells whether the order takes memory that was free before.
-func (o Order) takes() bool {
+// allocatesMemory reports whether the order allocates memory that was free
+// before.
+func (o Order) allocatesMemory() bool {
 	return o.Kind == OrderLoadModel || o.Kind == OrderLoadAdapter || o.Kind == OrderChangeVersion
 }
--- a/internal/upstreamapi/kvcache.go
+++ b/internal/upstreamapi/kvcache.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// KVExport asks an engine to export the KV cache of a request or of a prefix.
+// KVExport requests an export of the KV cache of a request or of a prefix.
 type KVExport struct {
-	// RequestID names the request, unless Prefix names a prefix.
+	// RequestID is set unless Prefix is.
 	RequestID string `json:"request-id,omitempty"`
 	Prefix    string `json:"prefix,omitempty"`
 	Model     string `json:"model"`
 }
 
-// KVExported names an export.
+// KVExported is the response to a KVExport.
 type KVExported struct {
-	// Token is opaque to the system, which hands it to the importing engine.
+	// Token identifies the export. The system passes it to the importing engine
+	// unread.
 	Token  string `json:"token"`
 	Tokens int    `json:"tokens"`
 	Bytes  int64  `json:"bytes"`
@@ -20,15 +21,15 @@
 	KeptFor time.Duration `json:"kept-for"`
 }
 
-// KVImport asks an engine to import what another exported.
+// KVImport requests an import of KV cache that another engine exported.
 type KVImport struct {
 	Token string `json:"token"`
-	// From is the address of the engine that exported it.
+	// From is the address of the exporting engine.
 	From string `json:"from"`
 }
 
-// KVImported answers a KVImport.
+// KVImported is the response to a KVImport.
 type KVImported struct {
-	// Tokens is the number of prompt tokens that are now in the KV cache.
+	// Tokens is the number of prompt tokens now in the KV cache.
 	Tokens int `json:"tokens"`
 }
--- a/internal/upstreamapi/order.go
+++ b/internal/upstreamapi/order.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// OrderKind says what an order changes.
+// OrderKind is the kind of change that an order makes.
 type OrderKind string
 
 // The kinds of order.
@@ -11,86 +11,94 @@
 	OrderUnloadModel   OrderKind = "unload-model"
 	OrderLoadAdapter   OrderKind = "load-adapter"
 	OrderUnloadAdapter OrderKind = "unload-adapter"
-	// OrderChangeVersion loads Version of Model beside FromVersion, switches, and
-	// unloads FromVersion. Until it is done, both take memory.
+	// OrderChangeVersion loads Version of Model alongside FromVersion, switches
+	// to it, and unloads FromVersion. Until it is done, both versions occupy
+	// memory.
 	OrderChangeVersion OrderKind = "change-version"
-	// OrderChangeRole changes the role and the memory that it takes. Until it is
-	// done, the greater of both takes memory.
+	// OrderChangeRole changes the role and its memory. Until it is done, the
+	// larger of the two amounts is occupied.
 	OrderChangeRole OrderKind = "change-role"
 )
 
-// Order tells an engine to change what it holds. Orders are idempotent: one
-// whose ID was taken before is answered with what became of it.
+// Order instructs an engine to change its models, adapters or role. Orders are
+// idempotent: an engine answers a repeated ID with the current state of that
+// order.
 type Order struct {
 	// ID is unique among all orders to the engine.
 	ID string `json:"id"`
-	// Number grows with every order to the engine, from whichever leader.
+	// Number increases with every order to the engine, across leaders.
 	Number uint64 `json:"number"`
-	// Fencing is the fencing number of the leader that gave the order.
+	// Fencing is the fencing number of the leader that issued the order.
 	Fencing uint64 `json:"fencing"`
-	// Incarnation is that of the engine that the order is meant for. An engine of
-	// another incarnation refuses it.
+	// Incarnation is the incarnation of the engine that the order addresses. An
+	// engine with another incarnation rejects it.
 	Incarnation uint64 `json:"incarnation"`
-	// NotAfter is the time on the engine's own clock after which it refuses to
-	// begin the order. The leader derives it from Load.Clock, so that no
-	// two clocks need to agree.
+	// NotAfter is the time on the engine's own clock after which it does not
+	// start the order. The leader derives it from Load.Clock, so that the
+	// clocks of engine and leader need not agree.
 	NotAfter time.Time `json:"not-after,omitzero"`
 	Kind     OrderKind `json:"kind"`
-	// Model and Version are what is loaded or unloaded, or what an adapter
-	// stands beside.
+	// Model and Version identify the model to load or unload, or the model that
+	// an adapter belongs to.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	// FromVersion is the version that OrderChangeVersion replaces.
 	FromVersion string `json:"from-version,omitempty"`
 	Adapter     string `json:"adapter,omitempty"`
 	Role        Role   `json:"role,omitempty"`
-	// Accelerators are the names of those that the order takes memory of.
+	// Accelerators are the names of the accelerators whose memory the order
+	// uses.
 	Accelerators []string `json:"accelerators,omitempty"`
-	// MemoryBytes is what the order takes of each of Accelerators: a model with
-	// its KV space, an adapter, or a role. An unload gives back what the load
-	// took and leaves it out.
+	// MemoryBytes is the memory that the order needs on each of Accelerators:
+	// for a model with its KV cache, for an adapter, or for a role. It is
+	// absent from an unload, which frees the memory that the load allocated.
 	MemoryBytes int64 `json:"memory-bytes,omitempty"`
 }
 
-// OrderState says what became of an order.
+// OrderState is the state of an order.
 type OrderState string
 
-// The states of an order. Those that begin with "refused" changed nothing and
-// never will, under that ID.
+// The states of an order. An order in a "refused" state has changed nothing and
+// never will under that ID.
 const (
-	// OrderRunning is being carried out.
+	// OrderRunning is in progress.
 	OrderRunning OrderState = "running"
-	// OrderDone is in force.
+	// OrderDone has taken effect.
 	OrderDone OrderState = "done"
-	// OrderFailed was begun, failed, and left the engine as it was before.
+	// OrderFailed was started, failed, and left the engine unchanged.
 	OrderFailed OrderState = "failed"
-	// OrderRefusedStaleFencing carried an older fencing number than one seen.
+	// OrderRefusedStaleFencing had a lower fencing number than an earlier
+	// order.
 	OrderRefusedStaleFencing OrderState = "refused-stale-fencing"
 	// OrderRefusedNoMemory needs more memory than is free.
 	OrderRefusedNoMemory OrderState = "refused-no-memory"
 	// OrderRefusedExpired arrived after its NotAfter.
 	OrderRefusedExpired OrderState = "refused-expired"
-	// OrderRefusedIncarnation was meant for another incarnation.
+	// OrderRefusedIncarnation addressed another incarnation.
 	OrderRefusedIncarnation OrderState = "refused-incarnation"
-	// OrderRefusedInvalid cannot be carried out as it stands.
+	// OrderRefusedInvalid cannot be carried out in the current state of the
+	// engine.
 	OrderRefusedInvalid OrderState = "refused-invalid"
-	// OrderUnknown answers a question after an order that never arrived. It may
-	// arrive yet.
+	// OrderUnknown is the answer to a query for an order that has not arrived.
+	// It may still arrive.
 	OrderUnknown OrderState = "unknown-order"
 )
 
-// Final tells whether the order will change nothing any more.
+// Final reports whether the order will make no further changes.
 func (s OrderState) Final() bool {
 	return s != OrderRunning && s != OrderUnknown
 }
 
-// OrderAnswer says what became of an order, and what the engine holds then.
+// OrderAnswer is the state of an order with the engine's inventory at that
+// time.
 type OrderAnswer struct {
 	ID    string     `json:"id"`
 	State OrderState `json:"state"`
-	// Reason is for people. It is empty if State is OrderDone.
+	// Reason is a human-readable explanation. It is empty if State is
+	// OrderDone.
 	Reason string `json:"reason,omitempty"`
-	// Clock is as in Load. What follows is as in Announcement, at that time.
+	// Clock is as in Load. The fields below are as in Announcement, at that
+	// time.
 	Clock           time.Time       `json:"clock,omitzero"`
 	Incarnation     uint64          `json:"incarnation"`
 	Revision        uint64          `json:"revision,omitempty"`
@@ -102,7 +110,7 @@
 	UnderWay        []OrderUnderWay `json:"under-way,omitempty"`
 }
 
-// Inventory returns what the engine holds by the answer.
+// Inventory returns the engine's inventory as of the answer.
 func (a OrderAnswer) Inventory() Inventory {
 	return Inventory{
 		Incarnation:     a.Incarnation,
--- a/internal/upstreamapi/paths.go
+++ b/internal/upstreamapi/paths.go
@@ -2,61 +2,62 @@
 
 // Paths that an instance serves to upstreams.
 const (
-	// AnnouncePath takes a POST of an Announcement and answers a Welcome.
+	// AnnouncePath accepts a POST of an Announcement and returns a Welcome.
 	AnnouncePath = "/upstream/v1/announce"
-	// LeavePath takes a POST of a Leave and answers 204.
+	// LeavePath accepts a POST of a Leave and returns 204.
 	LeavePath = "/upstream/v1/leave"
-	// LoadPath takes a POST of a LoadReport and answers 204.
+	// LoadPath accepts a POST of a LoadReport and returns 204.
 	LoadPath = "/upstream/v1/load"
-	// CacheEventsPath takes a POST of CacheEvents and answers 204.
+	// CacheEventsPath accepts a POST of CacheEvents and returns 204.
 	CacheEventsPath = "/upstream/v1/cache-events"
 )
 
 // Paths that an upstream serves to instances.
 const (
-	// OrdersPath takes a POST of an Order. OrdersPath, a slash and the escaped
-	// id of an order take a GET. Both answer an OrderAnswer.
+	// OrdersPath accepts a POST of an Order. OrdersPath followed by a slash and
+	// the escaped id of an order accepts a GET. Both return an OrderAnswer.
 	OrdersPath = "/upstream/v1/orders"
-	// RequestsPath, a slash and the escaped id of a request take a GET, which
-	// asks after the request, and a DELETE, which cancels it. Both answer a
-	// RequestStatus.
+	// RequestsPath followed by a slash and the escaped id of a request accepts
+	// a GET, which queries its status, and a DELETE, which cancels it. Both
+	// return a RequestStatus.
 	RequestsPath = "/upstream/v1/requests"
-	// StreamSuffix after the path of a request takes a GET that resumes its
-	// stream after the event that LastEventIDHeader names.
+	// StreamSuffix, appended to the path of a request, accepts a GET that
+	// resumes its stream after the event in LastEventIDHeader.
 	StreamSuffix = "/stream"
-	// KVExportsPath takes a POST of a KVExport and answers a KVExported.
+	// KVExportsPath accepts a POST of a KVExport and returns a KVExported.
 	KVExportsPath = "/upstream/v1/kv-exports"
-	// KVImportsPath takes a POST of a KVImport and answers a KVImported.
+	// KVImportsPath accepts a POST of a KVImport and returns a KVImported.
 	KVImportsPath = "/upstream/v1/kv-imports"
 )
 
-// Headers that a request carries from an instance to an upstream.
+// Headers of requests from an instance to an upstream.
 const (
-	// RequestIDHeader names one attempt at one request.
+	// RequestIDHeader identifies one attempt of one request.
 	RequestIDHeader = "Lovagelift-Request"
-	// PriorityHeader carries the priority of the service, 0 being the highest.
+	// PriorityHeader is the priority of the service; 0 is the highest.
 	PriorityHeader = "Lovagelift-Priority"
-	// DeadlineHeader carries the milliseconds that are left to the deadline.
+	// DeadlineHeader is the time left until the deadline, in milliseconds.
 	DeadlineHeader = "Lovagelift-Deadline-Milliseconds"
-	// PrefixHeader names the prefixes of the prompt that may be cached, from the
-	// shortest to the longest, separated by commas. The names are opaque to the
-	// upstream, which quotes them in its cache events.
+	// PrefixHeader lists the names of the prompt's prefixes that may be cached,
+	// from the shortest to the longest, separated by commas. The upstream
+	// treats the names as opaque and repeats them in its cache events.
 	PrefixHeader = "Lovagelift-Prefixes"
-	// LastEventIDHeader carries the id of the last event of a stream that
-	// arrived. The name is that of the server-sent events standard.
+	// LastEventIDHeader is the id of the last stream event that the client
+	// received. The server-sent events standard defines the name.
 	LastEventIDHeader = "Last-Event-ID"
 )
 
-// Headers that an answer carries from an upstream to an instance.
+// Headers of responses from an upstream to an instance.
 const (
-	// RefusedHeader is set to RefusedNotRun by an upstream that refused a request
-	// before running any of it.
+	// RefusedHeader is RefusedNotRun if the upstream rejected the request
+	// before running any part of it.
 	RefusedHeader = "Lovagelift-Refused"
-	// CachedTokensHeader carries the number of prompt tokens that were found in
-	// the prefix cache.
+	// CachedTokensHeader is the number of prompt tokens found in the prefix
+	// cache.
 	CachedTokensHeader = "Lovagelift-Cached-Tokens"
-	// LimitHeader is set by an upstream in need to the requests a second that it takes from
-	// all instances together, a decimal number. It holds for as long as answers carry it.
+	// LimitHeader is the number of requests per second that an overloaded
+	// upstream accepts from all instances together, in decimal notation. The
+	// limit applies as long as responses carry it.
 	LimitHeader = "Lovagelift-Limit"
 )
 
--- a/internal/upstreamapi/problem.go
+++ b/internal/upstreamapi/problem.go
@@ -1,7 +1,7 @@
 package upstreamapi
 
-// Problem is the body of an answer that refuses a call of this interface.
+// Problem is the body of a response that rejects a request of this API.
 type Problem struct {
-	// Findings are all that is wrong, each with its place.
+	// Findings lists every error with its location.
 	Findings []string `json:"findings"`
 }
--- a/internal/upstreamapi/request.go
+++ b/internal/upstreamapi/request.go
@@ -1,45 +1,45 @@
 package upstreamapi
 
-// RequestState says what became of a request.
+// RequestState is the state of a request at an upstream.
 type RequestState string
 
 // The states of a request.
 const (
-	// RequestNeverSeen has not arrived. It may arrive yet, so it is no proof that
-	// the request will not run; a cancel gives that.
+	// RequestNeverSeen has not arrived. It may still arrive, so this state does
+	// not prove that the request will not run; a cancel does.
 	RequestNeverSeen RequestState = "never-seen"
-	// RequestBarred had not arrived when it was cancelled. If it arrives, it is
-	// refused.
+	// RequestBarred was cancelled before it arrived. If it arrives, it is
+	// rejected.
 	RequestBarred RequestState = "barred"
-	// RequestRefused arrived, and none of it was run.
+	// RequestRefused arrived and was rejected; no part of it was run.
 	RequestRefused RequestState = "refused"
-	// RequestWaiting is in the upstream's own queue, and none of it was run.
+	// RequestWaiting is in the upstream's own queue; no part of it was run.
 	RequestWaiting   RequestState = "waiting"
 	RequestRunning   RequestState = "running"
 	RequestFinished  RequestState = "finished"
 	RequestCancelled RequestState = "cancelled"
 )
 
-// NotRun tells whether none of the request was run, nor ever will be.
+// NotRun reports whether no part of the request was or will be run.
 func (s RequestState) NotRun() bool {
 	return s == RequestBarred || s == RequestRefused
 }
 
-// RequestStatus answers a question after a request, and a cancel.
+// RequestStatus is the response to a status query and to a cancel.
 type RequestStatus struct {
 	ID    string       `json:"id"`
 	State RequestState `json:"state"`
-	// Events is the number of stream events that were made so far. The last of
-	// them has this id.
+	// Events is the number of stream events produced so far, which is also the
+	// id of the last one.
 	Events int `json:"events,omitempty"`
 }
 
 // ContinueFrom is the field "lovagelift-continue" of a completion request. It
-// makes an engine go on with an answer that another began.
+// makes an engine continue an answer that another engine began.
 type ContinueFrom struct {
-	// Text is what the other has answered so far.
+	// Text is the part of the answer that the other engine produced.
 	Text string `json:"text"`
-	// Events is the number of stream events that carried Text. The first event
-	// of the continued stream has the id after it.
+	// Events is the number of stream events that carried Text. The ids of the
+	// continued stream start after it.
 	Events int `json:"events"`
 }
