--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -17,64 +17,64 @@
 )
 
 const (
-	// retryPause is the pause after no known instance took an announcement.
-	retryPause = 250 * time.Millisecond
-	// defaultRenewal stands in for a renewal interval that a Welcome lacks.
-	defaultRenewal = time.Second
-	// callTimeout bounds one call to an instance by the default client.
+	// retryDelay is the delay after no known instance accepted an announcement.
+	retryDelay = 250 * time.Millisecond
+	// defaultRenewInterval applies if a Welcome has no renewal interval.
+	defaultRenewInterval = time.Second
+	// callTimeout limits one call to an instance by the default client.
 	callTimeout = 2 * time.Second
-	// maxWelcomeBytes bounds the answer that is read from an instance.
-	maxWelcomeBytes = 1 << 20
+	// maxResponseBytes limits the response of an instance.
+	maxResponseBytes = 1 << 20
 )
 
-// AnnounceOptions say to whom and how an upstream announces itself.
+// AnnounceOptions configure the announcements of an upstream.
 type AnnounceOptions struct {
-	// To are the upstream addresses of instances, as IP:port or as URL. If it is
-	// empty, the upstream does not announce itself.
+	// To are the upstream-facing addresses of instances, as IP:port or as URL.
+	// If it is empty, the upstream does not announce itself.
 	To []string
-	// Token is sent as the bearer token of each call, unless it is empty.
+	// Token is the bearer token of each call. If it is empty, no token is sent.
 	Token string
-	// Client makes the calls. It must bound each of them by a timeout. If it is
-	// nil, a client with a timeout of 2 s is used.
+	// Client sends the calls and must have a timeout. If it is nil, a client
+	// with a timeout of 2 s is used.
 	Client *http.Client
 }
 
-// announcer keeps one upstream announced to one instance at a time, and turns
-// to the next known instance when that one fails.
+// announcer keeps one upstream announced to one instance at a time, and
+// switches to the next known instance when that one fails.
 type announcer struct {
 	options AnnounceOptions
 	clock   Clock
-	// describe returns the present announcement but for its sequence.
-	describe func() upstreamapi.Announcement
+	// currentAnnouncement returns an announcement without a sequence.
+	currentAnnouncement func() upstreamapi.Announcement
 
-	wake   chan struct{}
-	cancel context.CancelFunc
-	done   chan struct{}
+	trigger chan struct{}
+	cancel  context.CancelFunc
+	done    chan struct{}
 
 	mu sync.Mutex
-	// known begins with the instance that took the last announcement.
-	known []string
-	// sequence is that of the last announcement that was sent.
+	// knownInstances starts with the instance that accepted the last
+	// announcement.
+	knownInstances []string
+	// sequence is the sequence of the last announcement sent.
 	sequence uint64
-	// accepted is the number of announcements that an instance has taken.
+	// accepted counts the announcements that instances have accepted.
 	accepted uint64
 }
 
-// newAnnouncer returns an announcer that has started to announce what describe
-// returns.
-func newAnnouncer(options AnnounceOptions, clock Clock, describe func() upstreamapi.Announcement) *announcer {
+// newAnnouncer starts to announce what currentAnnouncement returns.
+func newAnnouncer(options AnnounceOptions, clock Clock, currentAnnouncement func() upstreamapi.Announcement) *announcer {
 	if options.Client == nil {
 		options.Client = &http.Client{Timeout: callTimeout}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &announcer{
-		options:  options,
-		clock:    clock,
-		describe: describe,
-		wake:     make(chan struct{}, 1),
-		cancel:   cancel,
-		done:     make(chan struct{}),
-		known:    slices.Clone(options.To),
+		options:             options,
+		clock:               clock,
+		currentAnnouncement: currentAnnouncement,
+		trigger:             make(chan struct{}, 1),
+		cancel:              cancel,
+		done:                make(chan struct{}),
+		knownInstances:      slices.Clone(options.To),
 	}
 	go func() {
 		defer close(a.done)
@@ -83,40 +83,41 @@
 	return a
 }
 
-// Soon makes the announcer announce again without waiting for the renewal.
-func (a *announcer) Soon() {
+// Trigger makes the announcer announce again without waiting for the renewal
+// interval.
+func (a *announcer) Trigger() {
 	select {
-	case a.wake <- struct{}{}:
+	case a.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Accepted returns the number of announcements that an instance has taken.
+// Accepted returns the number of announcements that instances have accepted.
 func (a *announcer) Accepted() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.accepted
 }
 
-// Close stops announcing and tells the first instance that can be reached that
-// the upstream leaves. If none can be, Close returns the last failure, and the
-// announcement ends with its lease.
+// Close stops announcing and sends a Leave to the first reachable instance. If
+// none is reachable, Close returns the last error, and the announcement expires
+// with its lease.
 func (a *announcer) Close(ctx context.Context) error {
 	a.cancel()
 	<-a.done
 	if len(a.options.To) == 0 {
 		return nil
 	}
-	described := a.describe()
-	leave := upstreamapi.Leave{Name: described.Name, Incarnation: described.Incarnation}
-	var last error
+	announcement := a.currentAnnouncement()
+	leave := upstreamapi.Leave{Name: announcement.Name, Incarnation: announcement.Incarnation}
+	var lastErr error
 	for _, instance := range a.instances() {
-		last = a.post(ctx, instance+upstreamapi.LeavePath, leave, nil)
-		if last == nil {
+		lastErr = a.post(ctx, instance+upstreamapi.LeavePath, leave, nil)
+		if lastErr == nil {
 			return nil
 		}
 	}
-	return errors.Wrap(last, "standin: leave")
+	return errors.Wrap(lastErr, "standin: leave")
 }
 
 func (a *announcer) run(ctx context.Context) {
@@ -127,32 +128,32 @@
 		pause := a.announce(ctx)
 		select {
 		case <-ctx.Done():
-		case <-a.wake:
+		case <-a.trigger:
 		case <-a.clock.After(pause):
 		}
 	}
 }
 
-// announce tries the known instances in turn and returns the pause until the
+// announce tries the known instances in order and returns the delay until the
 // next announcement.
 func (a *announcer) announce(ctx context.Context) time.Duration {
 	for _, instance := range a.instances() {
 		var welcome upstreamapi.Welcome
-		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.next(), &welcome) != nil {
+		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.nextAnnouncement(), &welcome) != nil {
 			continue
 		}
-		a.welcomed(instance, welcome)
+		a.recordWelcome(instance, welcome)
 		if welcome.RenewEvery > 0 {
 			return welcome.RenewEvery
 		}
-		return defaultRenewal
+		return defaultRenewInterval
 	}
-	return retryPause
+	return retryDelay
 }
 
-// next returns the present announcement under a new sequence.
-func (a *announcer) next() upstreamapi.Announcement {
-	announcement := a.describe()
+// nextAnnouncement returns the current announcement with the next sequence.
+func (a *announcer) nextAnnouncement() upstreamapi.Announcement {
+	announcement := a.currentAnnouncement()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
@@ -160,19 +161,20 @@
 	return announcement
 }
 
-// welcomed puts the instance that answered first, then those that it named,
-// then those of the options. The last are kept for good: the named ones may all
-// have been replaced when they are needed.
-func (a *announcer) welcomed(instance string, welcome upstreamapi.Welcome) {
-	known := []string{instance}
+// recordWelcome orders the known instances: first the one that answered, then
+// those in its welcome, then the configured ones. The configured ones are never
+// removed, because all instances in the welcome may have been replaced when
+// they are needed.
+func (a *announcer) recordWelcome(instance string, welcome upstreamapi.Welcome) {
+	instances := []string{instance}
 	for _, other := range slices.Concat(welcome.Instances, a.options.To) {
-		if !slices.Contains(known, baseURL(other)) {
-			known = append(known, baseURL(other))
+		if !slices.Contains(instances, baseURL(other)) {
+			instances = append(instances, baseURL(other))
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.known = known
+	a.knownInstances = instances
 	a.accepted++
 }
 
@@ -180,15 +182,15 @@
 func (a *announcer) instances() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	urls := make([]string, 0, len(a.known))
-	for _, instance := range a.known {
+	urls := make([]string, 0, len(a.knownInstances))
+	for _, instance := range a.knownInstances {
 		urls = append(urls, baseURL(instance))
 	}
 	return urls
 }
 
-// post sends in as JSON and reads the answer into out unless out is nil. If the
-// instance answers anything but 2xx, post returns an error.
+// post sends in as JSON and decodes the response into out unless out is nil. If
+// the status is not 2xx, post returns an error.
 func (a *announcer) post(ctx context.Context, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -207,17 +209,17 @@
 		return errors.Wrap(err, "standin: call")
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxWelcomeBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrap(err, "standin: answer")
 	}
 	if response.StatusCode/100 != 2 {
-		return errors.Newf("standin: %s answered %d: %s", url, response.StatusCode, answer)
+		return errors.Newf("standin: %s answered %d: %s", url, response.StatusCode, responseBody)
 	}
 	if out == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(answer, out), "standin: answer")
+	return errors.Wrap(json.Unmarshal(responseBody, out), "standin: answer")
 }
 
 func baseURL(instance string) string {
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -19,48 +19,48 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// network answers the calls to instances in the process. An instance that it
-// does not know cannot be reached.
-type network struct {
+// fakeNetwork is a transport to in-process instances. Unknown instances are
+// unreachable.
+type fakeNetwork struct {
 	mu        sync.Mutex
-	instances map[string]*instance
+	instances map[string]*fakeInstance
 }
 
-// instance records what an upstream tells it.
-type instance struct {
+// fakeInstance records the messages of an upstream.
+type fakeInstance struct {
 	welcome   upstreamapi.Welcome
 	announced chan upstreamapi.Announcement
 	left      chan upstreamapi.Leave
 	token     string
 }
 
-func newInstance(others ...string) *instance {
-	return &instance{
+func newFakeInstance(others ...string) *fakeInstance {
+	return &fakeInstance{
 		welcome:   upstreamapi.Welcome{RenewEvery: time.Second, Lease: 3 * time.Second, Instances: others},
 		announced: make(chan upstreamapi.Announcement, 16),
 		left:      make(chan upstreamapi.Leave, 16),
 	}
 }
 
-func (n *network) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n *fakeNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	n.mu.Lock()
-	to := n.instances[r.URL.Host]
+	target := n.instances[r.URL.Host]
 	n.mu.Unlock()
-	if to == nil {
+	if target == nil {
 		return nil, errors.Newf("%s cannot be reached", r.URL.Host)
 	}
 	w := httptest.NewRecorder()
-	to.serve(w, r)
+	target.serve(w, r)
 	return w.Result(), nil
 }
 
-func (n *network) drop(name string) {
+func (n *fakeNetwork) disconnect(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.instances, name)
 }
 
-func (i *instance) serve(w http.ResponseWriter, r *http.Request) {
+func (i *fakeInstance) serve(w http.ResponseWriter, r *http.Request) {
 	if i.token != "" && r.Header.Get("Authorization") != "Bearer "+i.token {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
@@ -81,18 +81,18 @@
 	}
 }
 
-func announceTo(n *network, names ...string) standin.AnnounceOptions {
+func announceTo(n *fakeNetwork, names ...string) standin.AnnounceOptions {
 	return standin.AnnounceOptions{To: names, Client: &http.Client{Transport: n}}
 }
 
 var _ = Describe("Announcing", func() {
-	It("announces at once, then once every renewal, then leaves", func() {
-		one := newInstance()
+	It("announces at start and at every renewal interval, and sends a leave on close", func() {
+		one := newFakeInstance()
 		clock := standin.NewManualClock(start)
 		engine := standin.NewEngine(standin.EngineOptions{
 			Name: "engine-1", Address: "127.0.0.1:7701", FailureDomain: "kgn-a", Clock: clock,
 			Resident: []upstreamapi.Resident{{Model: "letters"}},
-			Announce: announceTo(&network{instances: map[string]*instance{"one": one}}, "one"),
+			Announce: announceTo(&fakeNetwork{instances: map[string]*fakeInstance{"one": one}}, "one"),
 		})
 		first := <-one.announced
 		Expect(first.Name).To(Equal("engine-1"))
@@ -112,19 +112,19 @@
 		Expect(one.announced).To(BeEmpty())
 	})
 
-	// The upstream knows one instance from its settings; that one names another
-	// and is lost. Callers would lose the upstream after its lease, unless the
-	// next renewal goes to the other instance at once.
+	// The configured instance names another one in its welcome and then fails.
+	// The upstream's lease would expire unless the next renewal went to the
+	// other instance at once.
 	It("turns to the next known instance when one is lost", func() {
-		one, two := newInstance("two"), newInstance()
-		net := &network{instances: map[string]*instance{"one": one, "two": two}}
+		one, two := newFakeInstance("two"), newFakeInstance()
+		net := &fakeNetwork{instances: map[string]*fakeInstance{"one": one, "two": two}}
 		clock := standin.NewManualClock(start)
 		service := standin.NewService(standin.ServiceOptions{
 			Name: "pings-1", Clock: clock, Announce: announceTo(net, "one"),
 		})
 		<-one.announced
 		clock.AwaitWaiters(1)
-		net.drop("one")
+		net.disconnect("one")
 		clock.Advance(time.Second)
 		Expect((<-two.announced).Name).To(Equal("pings-1"))
 		clock.AwaitWaiters(1)
@@ -132,16 +132,16 @@
 		Expect(two.left).To(HaveLen(1))
 	})
 
-	// No instance can be reached when the upstream starts. It goes on trying,
-	// because nobody else tells the system that it is there.
+	// No instance is reachable when the upstream starts. It must keep trying,
+	// because only its own announcement makes it known to the system.
 	It("retries while no instance can be reached, and with the right token", func() {
-		net := &network{instances: map[string]*instance{}}
+		net := &fakeNetwork{instances: map[string]*fakeInstance{}}
 		clock := standin.NewManualClock(start)
 		options := announceTo(net, "one")
 		options.Token = "secret"
 		service := standin.NewService(standin.ServiceOptions{Name: "pings-1", Clock: clock, Announce: options})
 		clock.AwaitWaiters(1)
-		one := newInstance()
+		one := newFakeInstance()
 		one.token = "secret"
 		net.mu.Lock()
 		net.instances["one"] = one
@@ -150,23 +150,23 @@
 		<-one.announced
 		clock.AwaitWaiters(1)
 		Expect(service.Announced()).To(BeEquivalentTo(1))
-		net.drop("one")
+		net.disconnect("one")
 		Expect(service.Close(context.Background())).To(MatchError(ContainSubstring("standin: leave")))
 	})
 
-	It("keeps the names in their order when the process starts again", func() {
+	It("announces a higher incarnation after a restart", func() {
 		clock := standin.NewManualClock(start)
-		one := newInstance()
+		one := newFakeInstance()
 		options := standin.ServiceOptions{
 			Name: "pings-1", Clock: clock,
-			Announce: announceTo(&network{instances: map[string]*instance{"one": one}}, "one"),
+			Announce: announceTo(&fakeNetwork{instances: map[string]*fakeInstance{"one": one}}, "one"),
 		}
 		before := standin.NewService(options)
-		old := <-one.announced
+		previous := <-one.announced
 		Expect(before.Close(context.Background())).To(Succeed())
 		clock.Advance(time.Millisecond)
 		after := standin.NewService(options)
-		Expect((<-one.announced).Incarnation).To(BeNumerically(">", old.Incarnation))
+		Expect((<-one.announced).Incarnation).To(BeNumerically(">", previous.Incarnation))
 		Expect(after.Close(context.Background())).To(Succeed())
 	})
 })
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -6,54 +6,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answer is the answer to one completion request. The engine knows it whole from
-// the start, and makes its tokens one by one.
+// answer is the answer to one completion request. The engine knows all its
+// tokens from the start and emits them one by one.
 type answer struct {
-	id      string
-	chat    bool
-	request completionRequest
-	created int64
-	tokens  []string
-	// first is the number of tokens that another engine has made before.
-	first  int
-	finish string
+	id                 string
+	chat               bool
+	request            completionRequest
+	createdUnixSeconds int64
+	tokens             []string
+	// continuedTokens is the number of leading tokens that another engine
+	// generated before.
+	continuedTokens int
+	finishReason    string
 }
 
-// newAnswer returns the answer to a request. If the request goes on with an
-// answer that does not begin like this one, newAnswer returns an error.
-func newAnswer(id string, chat bool, request completionRequest, created int64) (answer, error) {
-	a := answer{id: id, chat: chat, request: request, created: created, finish: finishStop}
-	a.tokens = Answer(request.lastMessage())
-	if limit := request.limit(); limit > 0 && limit < len(a.tokens) {
+// newAnswer returns an error if the request continues an answer that does not
+// match the start of this one.
+func newAnswer(id string, chat bool, request completionRequest, createdUnixSeconds int64) (answer, error) {
+	a := answer{id: id, chat: chat, request: request, createdUnixSeconds: createdUnixSeconds, finishReason: finishStop}
+	a.tokens = AnswerTokens(request.lastMessageText())
+	if limit := request.maxTokens(); limit > 0 && limit < len(a.tokens) {
 		a.tokens = a.tokens[:limit]
-		a.finish = finishLength
+		a.finishReason = finishLength
 	}
 	if from := request.Continue; from != nil {
 		if from.Events < 0 || from.Events > len(a.tokens) || strings.Join(a.tokens[:from.Events], "") != from.Text {
 			return answer{}, errors.Newf("standin: the answer does not begin with the %d tokens that were given", from.Events)
 		}
-		a.first = from.Events
+		a.continuedTokens = from.Events
 	}
 	return a, nil
 }
 
-// complete returns the whole answer.
-func (a answer) complete() completion {
+// wholeCompletion returns the whole response.
+func (a answer) wholeCompletion() completion {
 	text := strings.Join(a.tokens, "")
-	whole := a.envelope(objectTextCompletion)
-	whole.Choices = []choice{{Text: &text, FinishReason: &a.finish}}
+	response := a.envelope(objectTextCompletion)
+	response.Choices = []choice{{Text: &text, FinishReason: &a.finishReason}}
 	if a.chat {
-		whole.Object = objectChat
-		whole.Choices = []choice{{
+		response.Object = objectChat
+		response.Choices = []choice{{
 			Message:      &answerMessage{Role: "assistant", Content: text},
-			FinishReason: &a.finish,
+			FinishReason: &a.finishReason,
 		}}
 	}
-	whole.Usage = a.usage()
-	return whole
+	response.Usage = a.usage()
+	return response
 }
 
-// chunk returns the event that carries the token at index.
+// chunk returns the event with the token at index.
 func (a answer) chunk(index int) completion {
 	event := a.envelope(objectTextCompletion)
 	event.Choices = []choice{{Text: &a.tokens[index]}}
@@ -68,15 +69,15 @@
 	return event
 }
 
-// last returns the event after the last token, which says why the answer ended
-// and carries the usage if that was asked for.
-func (a answer) last() completion {
+// finalChunk returns the event after the last token, with the finish reason
+// and, if requested, the usage.
+func (a answer) finalChunk() completion {
 	empty := ""
 	event := a.envelope(objectTextCompletion)
-	event.Choices = []choice{{Text: &empty, FinishReason: &a.finish}}
+	event.Choices = []choice{{Text: &empty, FinishReason: &a.finishReason}}
 	if a.chat {
 		event.Object = objectChatChunk
-		event.Choices = []choice{{Delta: &answerMessage{}, FinishReason: &a.finish}}
+		event.Choices = []choice{{Delta: &answerMessage{}, FinishReason: &a.finishReason}}
 	}
 	if a.request.StreamOptions != nil && a.request.StreamOptions.IncludeUsage {
 		event.Usage = a.usage()
@@ -85,11 +86,11 @@
 }
 
 func (a answer) envelope(object string) completion {
-	return completion{ID: "cmpl-" + a.id, Object: object, Created: a.created, Model: a.request.Model}
+	return completion{ID: "cmpl-" + a.id, Object: object, Created: a.createdUnixSeconds, Model: a.request.Model}
 }
 
 func (a answer) usage() *usage {
-	prompt := len(a.request.prompt())
+	prompt := len(a.request.promptWords())
 	return &usage{
 		PromptTokens:     prompt,
 		CompletionTokens: len(a.tokens),
--- a/internal/standin/completion.go
+++ b/internal/standin/completion.go
@@ -9,33 +9,34 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Objects of the OpenAI-compatible interface.
+// Object types of the OpenAI-compatible API.
 const (
 	objectChat           = "chat.completion"
 	objectChatChunk      = "chat.completion.chunk"
 	objectTextCompletion = "text_completion"
 )
 
-// finishStop and finishLength say why an answer ended: all of it was made, or
-// the request's limit of tokens was reached.
+// finishStop and finishLength are the reasons for the end of an answer: it is
+// complete, or it reached the request's token limit.
 const (
 	finishStop   = "stop"
 	finishLength = "length"
 )
 
-// completionRequest is the body of both kinds of completion request.
+// completionRequest is the body of a chat completion or text completion
+// request.
 type completionRequest struct {
 	Model string `json:"model"`
-	// Messages are those of a chat completion.
+	// Messages is set in a chat completion request.
 	Messages []chatMessage `json:"messages"`
-	// Prompt is that of a text completion.
+	// Prompt is set in a text completion request.
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	// MaxCompletionTokens is the newer name of MaxTokens.
 	MaxCompletionTokens int            `json:"max_completion_tokens"`
 	Stream              bool           `json:"stream"`
 	StreamOptions       *streamOptions `json:"stream_options"`
-	// Continue makes the engine go on with an answer that another began.
+	// Continue makes the engine continue an answer that another engine began.
 	Continue *upstreamapi.ContinueFrom `json:"lovagelift-continue"`
 }
 
@@ -48,12 +49,11 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is the text of a message, which is sent as a string or as a list
-// of parts.
+// chatContent is the text of a message, encoded as a string or as a list of
+// parts.
 type chatContent string
 
-// UnmarshalJSON reads either form. If a part is no text, UnmarshalJSON returns
-// an error.
+// UnmarshalJSON accepts both forms. It returns an error if a part is not text.
 func (c *chatContent) UnmarshalJSON(data []byte) error {
 	var text string
 	if json.Unmarshal(data, &text) == nil {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// prompt returns all words of the request, and lastMessage those it answers.
-func (r completionRequest) prompt() []string {
+// promptWords returns all words of the prompt or of the messages.
+func (r completionRequest) promptWords() []string {
 	words := strings.Fields(r.Prompt)
 	for _, message := range r.Messages {
 		words = append(words, strings.Fields(string(message.Content))...)
@@ -87,21 +87,21 @@
 	return words
 }
 
-func (r completionRequest) lastMessage() string {
+func (r completionRequest) lastMessageText() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
 	}
 	return string(r.Messages[len(r.Messages)-1].Content)
 }
 
-func (r completionRequest) limit() int {
+func (r completionRequest) maxTokens() int {
 	return max(r.MaxTokens, r.MaxCompletionTokens)
 }
 
-// Answer returns the tokens with which an Engine answers a request whose last
-// message, or prompt, is text: its words, each but the first with the space
-// before it. An empty text is answered by one token.
-func Answer(text string) []string {
+// AnswerTokens returns the tokens with which an Engine answers a request whose
+// last message, or prompt, is text: the words of text, each except the first
+// with a leading space. The answer to an empty text is one token.
+func AnswerTokens(text string) []string {
 	words := strings.Fields(text)
 	if len(words) == 0 {
 		return []string{"(nothing)"}
@@ -112,7 +112,7 @@
 	return words
 }
 
-// completion is a whole answer, or a chunk of one.
+// completion is a whole response or a chunk of one.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -124,8 +124,8 @@
 
 type choice struct {
 	Index int `json:"index"`
-	// Message is set in a whole chat answer, Delta in a chunk of one, and Text in
-	// a text answer, whole or chunk.
+	// Message is set in a whole chat response, Delta in a chunk of one, and
+	// Text in a text response or a chunk of one.
 	Message      *answerMessage `json:"message,omitempty"`
 	Delta        *answerMessage `json:"delta,omitempty"`
 	Text         *string        `json:"text,omitempty"`
@@ -153,7 +153,7 @@
 	Code    string `json:"code,omitempty"`
 }
 
-// modelList answers GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,100 +15,104 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// EngineOptions are the settings of a stand-in engine.
+// EngineOptions configure a test double of a model engine.
 type EngineOptions struct {
-	// Name, Address and FailureDomain are announced as they are.
+	// Name, Address and FailureDomain are announced unchanged.
 	Name          string
 	Address       string
 	FailureDomain string
-	// Incarnation is announced. If it is 0, the nanoseconds of the clock at the
-	// start take its place, so that it grows with each start.
+	// Incarnation is announced. If it is 0, it is the start time in Unix
+	// nanoseconds, so that it increases with each start.
 	Incarnation uint64
-	// Fencing says whether the engine refuses an order with an old fencing
+	// Fencing determines whether the engine rejects orders with an old fencing
 	// number.
 	Fencing      upstreamapi.Fencing
 	Accelerators []upstreamapi.Accelerator
-	// Resident are the models that are loaded from the start. They must fit.
+	// Resident are the models loaded at start. They must fit.
 	Resident []upstreamapi.Resident
-	// Capabilities are what the engine speaks. If it is nil, it speaks all that
-	// EngineCapabilities returns, but for resuming if ResumeWindow is 0.
+	// Capabilities are the supported capabilities. If it is nil, they are those
+	// of EngineCapabilities, without CapabilityResume if ResumeWindow is 0.
 	Capabilities []upstreamapi.Capability
-	// OrderToken is the bearer token that orders must carry, unless it is empty.
+	// OrderToken is the bearer token required for orders, status queries,
+	// cancels, resumes and KV transfers. If it is empty, none is required.
 	OrderToken string
-	// FirstTokenDelay passes before the first token of an answer, and TokenDelay
-	// before each that follows. PrefillTokenDelay is added to the first for each
-	// token of the prompt that is not in the prefix cache.
+	// FirstTokenDelay is the time before the first token of an answer, and
+	// TokenDelay the time before each later one. PrefillTokenDelay is added to
+	// the first for each prompt token that is not in the prefix cache.
 	FirstTokenDelay   time.Duration
 	TokenDelay        time.Duration
 	PrefillTokenDelay time.Duration
-	// LoadDelay is how long a load, a change of version or a change of role
-	// takes, and UnloadDelay how long an unload does.
+	// LoadDelay is the duration of a load, a change of version or a change of
+	// role, and UnloadDelay that of an unload.
 	LoadDelay   time.Duration
 	UnloadDelay time.Duration
-	// MaxRunning is the most requests that run at once, 0 for no limit.
-	// MaxWaiting is the most that wait beyond; one more is refused.
+	// MaxRunning is the maximum number of concurrent requests, 0 for no limit.
+	// MaxWaiting is the maximum number of waiting requests; further ones are
+	// rejected.
 	MaxRunning int
 	MaxWaiting int
-	// ResumeWindow is how long an answer goes on without a connection. If it is
-	// 0, an answer ends with its connection.
+	// ResumeWindow is how long an answer continues without a connection. If it
+	// is 0, an answer ends with its connection.
 	ResumeWindow time.Duration
-	// CachedPrefixes is the most prefixes that the prefix cache keeps.
+	// CachedPrefixes is the capacity of the prefix cache.
 	CachedPrefixes int
 	Faults         EngineFaults
 	Announce       AnnounceOptions
-	// Clock is the machine's if it is nil.
+	// Clock defaults to SystemClock.
 	Clock Clock
 }
 
-// EngineFaults are what goes wrong at an engine. The zero value is none. Its
+// EngineFaults configure fault injection. The zero value injects none. The
 // functions must be safe for concurrent use.
 type EngineFaults struct {
-	// LoseOrderAnswer tells whether the connection is cut after the order was
-	// taken and before it is answered.
+	// LoseOrderAnswer reports whether the connection is closed after the engine
+	// has accepted the order and before it responds.
 	LoseOrderAnswer func(upstreamapi.Order) bool
-	// LoseCacheEvent tells whether the event of that number is never published.
+	// LoseCacheEvent reports whether the event with that number is never
+	// published.
 	LoseCacheEvent func(number uint64) bool
-	// CacheEventDelay passes before cache events are published.
+	// CacheEventDelay is the time before cache events are published.
 	CacheEventDelay time.Duration
-	// CutStreamAfter cuts a connection after that many events, unless it is 0.
+	// CutStreamAfter is the number of events after which a connection is
+	// closed, 0 for never.
 	CutStreamAfter int
-	// SilentAfter sends nothing more on a connection after that many events, and
-	// leaves it open, unless it is 0. The answer goes on being made.
+	// SilentAfter is the number of events after which a connection stays open
+	// but carries nothing more, 0 for never. The answer is still generated.
 	SilentAfter int
 }
 
-// Engine is a stand-in for a model engine. It answers each completion with the
-// words of the last message, so that a caller can tell whether it got the whole
-// answer to its own request. It is safe for concurrent use.
+// Engine is a test double of a model engine. It answers each completion with
+// the words of the last message, so that a caller can check whether it received
+// the whole answer to its own request. It is safe for concurrent use.
 type Engine struct {
 	options   EngineOptions
 	clock     Clock
 	handler   *echo.Echo
 	announcer *announcer
 	slots     slots
-	// stop ends what runs in the background, which background awaits.
-	ctx        context.Context
-	stop       context.CancelFunc
-	background sync.WaitGroup
+	// cancelBackground cancels backgroundCtx, which ends the goroutines in
+	// background.
+	backgroundCtx    context.Context
+	cancelBackground context.CancelFunc
+	background       sync.WaitGroup
 	// cacheChanged wakes the publisher of cache events.
 	cacheChanged chan struct{}
 
-	mu     sync.Mutex
-	memory *memory
-	orders orderLog
-	cache  *prefixCache
-	log    requestLog
-	// busy counts the requests, waiting ones included, by what they use. idle is
-	// closed and replaced when one of them ends.
-	busy map[string]int
-	idle chan struct{}
-	// runs counts the completions that were begun, by request id.
-	runs map[string]int
-	// unnamed counts the requests that came without an id.
-	unnamed int
+	mu       sync.Mutex
+	memory   *memory
+	orders   orderLog
+	cache    *prefixCache
+	requests requestLog
+	// activeRequests counts the running and waiting requests by usage key.
+	// requestEnded is closed and replaced when one of them ends.
+	activeRequests map[string]int
+	requestEnded   chan struct{}
+	// runCounts counts the started completions by request id.
+	runCounts         map[string]int
+	requestsWithoutID int
 }
 
-// EngineCapabilities returns all that a stand-in engine speaks.
+// EngineCapabilities returns all capabilities that Engine implements.
 func EngineCapabilities() []upstreamapi.Capability {
 	return []upstreamapi.Capability{
 		upstreamapi.CapabilityCacheEvents,
@@ -128,8 +132,8 @@
 	}
 }
 
-// NewEngine returns an engine that has started to announce itself. Close ends
-// that. If the residents do not fit the accelerators, NewEngine panics.
+// NewEngine starts an engine that announces itself until Close. It panics if
+// the resident models do not fit the accelerators.
 func NewEngine(options EngineOptions) *Engine {
 	if options.Clock == nil {
 		options.Clock = SystemClock{}
@@ -146,95 +150,94 @@
 		}
 	}
 	e := &Engine{
-		options:      options,
-		clock:        options.Clock,
-		handler:      newEcho(),
-		slots:        slots{limit: options.MaxRunning, queueLimit: options.MaxWaiting},
-		memory:       newMemory(options.Accelerators, options.Resident),
-		cache:        newPrefixCache(options.CachedPrefixes),
-		cacheChanged: make(chan struct{}, 1),
-		busy:         map[string]int{},
-		idle:         make(chan struct{}),
-		runs:         map[string]int{},
+		options:        options,
+		clock:          options.Clock,
+		handler:        newEcho(),
+		slots:          slots{limit: options.MaxRunning, queueLimit: options.MaxWaiting},
+		memory:         newMemory(options.Accelerators, options.Resident),
+		cache:          newPrefixCache(options.CachedPrefixes),
+		cacheChanged:   make(chan struct{}, 1),
+		activeRequests: map[string]int{},
+		requestEnded:   make(chan struct{}),
+		runCounts:      map[string]int{},
 	}
-	e.ctx, e.stop = context.WithCancel(context.Background())
-	e.route()
+	e.backgroundCtx, e.cancelBackground = context.WithCancel(context.Background())
+	e.registerRoutes()
 	e.announcer = newAnnouncer(options.Announce, options.Clock, e.announcement)
-	e.background.Go(e.publish)
+	e.background.Go(e.publishCacheEvents)
 	return e
 }
 
-func (e *Engine) route() {
+func (e *Engine) registerRoutes() {
 	e.handler.POST("/v1/chat/completions", e.completions)
 	e.handler.POST("/v1/completions", e.completions)
-	e.handler.GET("/v1/models", e.models)
+	e.handler.GET("/v1/models", e.listModels)
 
-	inner := e.handler.Group("", e.authorize)
-	inner.POST(upstreamapi.OrdersPath, e.order, e.needs(upstreamapi.CapabilityOrders))
-	inner.GET(upstreamapi.OrdersPath+"/:id", e.orderStatus, e.needs(upstreamapi.CapabilityOrderStatus))
+	control := e.handler.Group("", e.authorize)
+	control.POST(upstreamapi.OrdersPath, e.handleOrder, e.requireCapability(upstreamapi.CapabilityOrders))
+	control.GET(upstreamapi.OrdersPath+"/:id", e.orderStatus, e.requireCapability(upstreamapi.CapabilityOrderStatus))
 	request := upstreamapi.RequestsPath + "/:id"
-	inner.GET(request, e.requestStatus, e.needs(upstreamapi.CapabilityRequestStatus))
-	inner.DELETE(request, e.cancelRequest, e.needs(upstreamapi.CapabilityCancel))
-	inner.GET(request+upstreamapi.StreamSuffix, e.resumeStream, e.needs(upstreamapi.CapabilityResume))
-	inner.POST(upstreamapi.KVExportsPath, e.exportKV, e.needs(upstreamapi.CapabilityKVExport))
-	inner.POST(upstreamapi.KVImportsPath, e.importKV, e.needs(upstreamapi.CapabilityKVImport))
+	control.GET(request, e.requestStatus, e.requireCapability(upstreamapi.CapabilityRequestStatus))
+	control.DELETE(request, e.cancelRequest, e.requireCapability(upstreamapi.CapabilityCancel))
+	control.GET(request+upstreamapi.StreamSuffix, e.resumeStream, e.requireCapability(upstreamapi.CapabilityResume))
+	control.POST(upstreamapi.KVExportsPath, e.exportKV, e.requireCapability(upstreamapi.CapabilityKVExport))
+	control.POST(upstreamapi.KVImportsPath, e.importKV, e.requireCapability(upstreamapi.CapabilityKVImport))
 }
 
-// authorize refuses a call without the token of the options.
+// authorize rejects a call without the configured order token.
 func (e *Engine) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 		if e.options.OrderToken != "" && subtle.ConstantTimeCompare([]byte(token), []byte(e.options.OrderToken)) != 1 {
-			return problem(c, http.StatusUnauthorized, "standin: the bearer token is wrong")
+			return respondProblem(c, http.StatusUnauthorized, "standin: the bearer token is wrong")
 		}
 		return next(c)
 	}
 }
 
-// needs refuses a call for a capability that the engine lacks.
-func (e *Engine) needs(capability upstreamapi.Capability) echo.MiddlewareFunc {
+// requireCapability rejects a call for a capability that the engine lacks.
+func (e *Engine) requireCapability(capability upstreamapi.Capability) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			if !e.can(capability) {
-				return problem(c, http.StatusNotImplemented, "standin: the engine lacks "+string(capability))
+			if !e.supports(capability) {
+				return respondProblem(c, http.StatusNotImplemented, "standin: the engine lacks "+string(capability))
 			}
 			return next(c)
 		}
 	}
 }
 
-func (e *Engine) can(capability upstreamapi.Capability) bool {
+func (e *Engine) supports(capability upstreamapi.Capability) bool {
 	return slices.Contains(e.options.Capabilities, capability)
 }
 
-// ServeHTTP answers a request of the system.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.handler.ServeHTTP(w, r)
 }
 
-// Close tells an instance that the engine leaves, and gives up the orders that
-// are under way. Requests that run are still answered. If no instance can be
-// told, Close returns why.
+// Close sends a Leave to an instance and abandons the orders in progress.
+// Active requests are still answered. If no instance is reachable, Close
+// returns an error.
 func (e *Engine) Close(ctx context.Context) error {
 	err := e.announcer.Close(ctx)
-	e.stop()
+	e.cancelBackground()
 	e.background.Wait()
 	return err
 }
 
-// Announced returns the number of announcements that an instance has taken.
+// Announced returns the number of announcements that instances have accepted.
 func (e *Engine) Announced() uint64 {
 	return e.announcer.Accepted()
 }
 
-// Runs returns how often a completion was begun under a request id.
+// Runs returns the number of started completions for a request id.
 func (e *Engine) Runs(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.runs[id]
+	return e.runCounts[id]
 }
 
-// Announcement returns the engine's present announcement without a sequence.
+// Announcement returns the engine's current announcement without a sequence.
 func (e *Engine) Announcement() upstreamapi.Announcement {
 	return e.announcement()
 }
@@ -243,7 +246,7 @@
 	running, waiting := e.slots.Counts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	accelerators, residents := e.memory.announced()
+	accelerators, residents := e.memory.inventory()
 	authorization := upstreamapi.AuthorizationIgnored
 	if e.options.OrderToken != "" {
 		authorization = upstreamapi.AuthorizationBearer
@@ -274,7 +277,7 @@
 	}
 }
 
-func (e *Engine) models(c echo.Context) error {
+func (e *Engine) listModels(c echo.Context) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, resident := range e.announcement().Resident {
 		list.Data = append(list.Data, modelEntry{ID: resident.Model, Object: "model", OwnedBy: e.options.Name})
@@ -285,7 +288,7 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// wait returns nil after d has passed, or an error if ctx ends before.
+// wait returns nil after d, or an error if ctx ends first.
 func wait(ctx context.Context, clock Clock, d time.Duration) error {
 	if d <= 0 {
 		return errors.Wrap(ctx.Err(), "standin: given up")
@@ -298,8 +301,8 @@
 	}
 }
 
-// problem answers a call of the upstream interface that is refused.
-func problem(c echo.Context, status int, findings ...string) error {
+// respondProblem rejects a call of the upstream API.
+func respondProblem(c echo.Context, status int, findings ...string) error {
 	return c.JSON(status, upstreamapi.Problem{Findings: findings})
 }
 
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -24,7 +24,7 @@
 	return w
 }
 
-type answered struct {
+type completionBody struct {
 	Object  string
 	Model   string
 	Choices []struct {
@@ -39,14 +39,14 @@
 	}
 }
 
-func decode(text string) answered {
-	var a answered
+func decode(text string) completionBody {
+	var a completionBody
 	ExpectWithOffset(1, json.Unmarshal([]byte(text), &a)).To(Succeed())
 	return a
 }
 
-// events returns the data of each event of a stream whose events have the ids
-// after the given one. The end mark has none.
+// events returns the data of each event in a stream whose ids start after the
+// given one. The end marker has no id.
 func events(stream string, after int) []string {
 	var all []string
 	for i, event := range strings.Split(strings.TrimSuffix(stream, "\n\n"), "\n\n") {
@@ -60,7 +60,8 @@
 	return all
 }
 
-// deltas returns the text that the events of a stream carry, and their number.
+// deltas returns the concatenated text of a stream and the number of its events
+// before the end marker.
 func deltas(stream string, after int) (text string, count int) {
 	for _, event := range events(stream, after) {
 		if event == "[DONE]" {
@@ -82,7 +83,7 @@
 		engine = standin.NewEngine(standin.EngineOptions{Name: "engine-1", Resident: letters})
 	})
 
-	It("answers a chat completion whole, with the words of its last message", func() {
+	It("answers a chat completion with the words of its last message", func() {
 		w := post(engine, "/v1/chat/completions", "r1",
 			`{"model":"letters","messages":[{"role":"system","content":"be brief"},{"role":"user","content":"excuse juror nine"}]}`)
 		Expect(w.Code).To(Equal(http.StatusOK))
@@ -96,27 +97,27 @@
 		Expect(engine.Runs("r1")).To(Equal(1))
 	})
 
-	It("streams one event for each token, the end, the usage and the end mark", func() {
+	It("streams one event per token, a final event with the usage, and the end marker", func() {
 		w := post(engine, "/v1/chat/completions", "r1",
 			`{"model":"letters-clerk","stream":true,"stream_options":{"include_usage":true},
 			  "messages":[{"role":"user","content":[{"type":"text","text":"excuse juror nine"}]}]}`)
 		Expect(w.Header().Get("Content-Type")).To(Equal("text/event-stream"))
-		got := events(w.Body.String(), 0)
-		Expect(got).To(HaveLen(5))
+		streamed := events(w.Body.String(), 0)
+		Expect(streamed).To(HaveLen(5))
 		text := ""
-		for _, event := range got[:3] {
+		for _, event := range streamed[:3] {
 			a := decode(event)
 			Expect(a.Choices[0].FinishReason).To(BeNil())
 			text += a.Choices[0].Delta.Content
 		}
 		Expect(text).To(Equal("excuse juror nine"))
-		last := decode(got[3])
+		last := decode(streamed[3])
 		Expect(*last.Choices[0].FinishReason).To(Equal("stop"))
 		Expect(last.Usage.CompletionTokens).To(Equal(3))
-		Expect(got[4]).To(Equal("[DONE]"))
+		Expect(streamed[4]).To(Equal("[DONE]"))
 	})
 
-	It("answers a text completion up to its limit of tokens", func() {
+	It("answers a text completion up to its token limit", func() {
 		w := post(engine, "/v1/completions", "r1", `{"model":"letters","prompt":"one two three","max_tokens":2}`)
 		a := decode(w.Body.String())
 		Expect(a.Object).To(Equal("text_completion"))
@@ -124,7 +125,7 @@
 		Expect(*a.Choices[0].FinishReason).To(Equal("length"))
 	})
 
-	It("lists what it holds", func() {
+	It("lists the loaded models and adapters", func() {
 		w := httptest.NewRecorder()
 		engine.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/models", nil))
 		Expect(w.Body.String()).To(MatchJSON(`{"object":"list","data":[
@@ -132,21 +133,22 @@
 			{"id":"letters-clerk","object":"model","owned_by":"letters"}]}`))
 	})
 
-	DescribeTable("refuses what it has not run, and says so",
+	DescribeTable("marks a rejected request as not run",
 		func(body string, status int) {
 			w := post(engine, "/v1/chat/completions", "r1", body)
 			Expect(w.Code).To(Equal(status))
 			Expect(w.Header().Get(upstreamapi.RefusedHeader)).To(Equal(upstreamapi.RefusedNotRun))
 			Expect(engine.Runs("r1")).To(BeZero())
 		},
-		Entry("a model it does not hold", `{"model":"other","messages":[]}`, http.StatusNotFound),
+		Entry("a model that is not loaded", `{"model":"other","messages":[]}`, http.StatusNotFound),
 		Entry("a broken body", `{"model":`, http.StatusBadRequest),
-		Entry("a part that is no text", `{"model":"letters","messages":[{"content":[{"type":"image"}]}]}`, http.StatusBadRequest),
+		Entry("a part that is not text", `{"model":"letters","messages":[{"content":[{"type":"image"}]}]}`, http.StatusBadRequest),
 	)
 
-	// Two callers want the one slot of an engine. The second is told at once that
-	// its request was not run, while the first still waits for its tokens.
-	It("refuses beyond its limit and takes its time by the clock", func() {
+	// Two requests compete for the only slot of an engine. The second is
+	// rejected at once as not run, while the first is still waiting for its
+	// tokens.
+	It("rejects requests beyond its limit and follows the injected clock", func() {
 		clock := standin.NewManualClock(start)
 		engine = standin.NewEngine(standin.EngineOptions{
 			Name: "engine-1", Resident: letters, MaxRunning: 1, Clock: clock,
--- a/internal/standin/kvcache.go
+++ b/internal/standin/kvcache.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// kvKeptFor is how long an export can be imported.
-	kvKeptFor = time.Minute
-	// kvBytesPerToken is the size that an export reports.
+	// kvExportTTL is how long an export can be imported.
+	kvExportTTL = time.Minute
+	// kvBytesPerToken is the KV cache size reported for an export.
 	kvBytesPerToken = 128 << 10
 )
 
-// kvPayload is what the token of an export holds. A real engine would keep the
-// cache itself and hand out a name for it; the token is opaque to the system
-// either way.
+// kvPayload is the content of an export token. A real engine would keep the KV
+// cache and return a name for it; the token is opaque to the system in both
+// cases.
 type kvPayload struct {
 	Model    string    `json:"model"`
 	Prefix   string    `json:"prefix"`
@@ -32,8 +32,8 @@
 	NotAfter time.Time `json:"not-after"`
 }
 
-// token returns the payload in an opaque form with a checksum.
-func (p kvPayload) token() (string, error) {
+// encode returns the payload as an opaque token with a checksum.
+func (p kvPayload) encode() (string, error) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return "", errors.Wrap(err, "standin: encode")
@@ -41,8 +41,8 @@
 	return base64.RawURLEncoding.EncodeToString(data) + "." + checksum(data), nil
 }
 
-// parseKVToken returns the payload of a token. If it was not made by token,
-// parseKVToken returns an error.
+// parseKVToken decodes a token. It returns an error if the checksum does not
+// match.
 func parseKVToken(token string) (kvPayload, error) {
 	encoded, sum, _ := strings.Cut(token, ".")
 	data, err := base64.RawURLEncoding.DecodeString(encoded)
@@ -66,20 +66,20 @@
 func (e *Engine) exportKV(c echo.Context) error {
 	var export upstreamapi.KVExport
 	if err := json.NewDecoder(c.Request().Body).Decode(&export); err != nil {
-		return problem(c, http.StatusBadRequest, "standin: body: "+err.Error())
+		return respondProblem(c, http.StatusBadRequest, "standin: body: "+err.Error())
 	}
 	e.mu.Lock()
 	name := export.Prefix
-	if r := e.log.Find(export.RequestID).run; r != nil && len(r.prefixes) > 0 {
+	if r := e.requests.Find(export.RequestID).run; r != nil && len(r.prefixes) > 0 {
 		name = r.prefixes[len(r.prefixes)-1]
 	}
 	entry, found := e.cache.Find(export.Model, name)
 	e.mu.Unlock()
 	if !found {
-		return problem(c, http.StatusNotFound, "standin: no such prefix of "+export.Model+" is cached")
+		return respondProblem(c, http.StatusNotFound, "standin: no such prefix of "+export.Model+" is cached")
 	}
-	payload := kvPayload{entry.model, entry.name, entry.tokens, e.clock.Now().Add(kvKeptFor)}
-	token, err := payload.token()
+	payload := kvPayload{entry.model, entry.name, entry.tokens, e.clock.Now().Add(kvExportTTL)}
+	token, err := payload.encode()
 	if err != nil {
 		return err
 	}
@@ -87,31 +87,31 @@
 		Token:   token,
 		Tokens:  entry.tokens,
 		Bytes:   int64(entry.tokens) * kvBytesPerToken,
-		KeptFor: kvKeptFor,
+		KeptFor: kvExportTTL,
 	})
 }
 
-// importKV puts an exported prefix into the prefix cache.
+// importKV adds an exported prefix to the prefix cache.
 func (e *Engine) importKV(c echo.Context) error {
 	var request upstreamapi.KVImport
 	if err := json.NewDecoder(c.Request().Body).Decode(&request); err != nil {
-		return problem(c, http.StatusBadRequest, "standin: body: "+err.Error())
+		return respondProblem(c, http.StatusBadRequest, "standin: body: "+err.Error())
 	}
 	payload, err := parseKVToken(request.Token)
 	if err != nil {
-		return problem(c, http.StatusUnprocessableEntity, err.Error())
+		return respondProblem(c, http.StatusUnprocessableEntity, err.Error())
 	}
 	if e.clock.Now().After(payload.NotAfter) {
-		return problem(c, http.StatusGone, "standin: the export is no longer kept")
+		return respondProblem(c, http.StatusGone, "standin: the export is no longer kept")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, served := e.memory.serves(payload.Model); !served {
-		return problem(c, http.StatusConflict, "standin: the model "+payload.Model+" is not loaded")
+	if _, loaded := e.memory.resolve(payload.Model); !loaded {
+		return respondProblem(c, http.StatusConflict, "standin: the model "+payload.Model+" is not loaded")
 	}
 	e.cache.Store(payload.Model, payload.Prefix, payload.Tokens)
 	if _, stored := e.cache.Find(payload.Model, payload.Prefix); !stored {
-		return problem(c, http.StatusInsufficientStorage, "standin: there is no prefix cache")
+		return respondProblem(c, http.StatusInsufficientStorage, "standin: there is no prefix cache")
 	}
 	e.wakePublisher()
 	return c.JSON(http.StatusOK, upstreamapi.KVImported{Tokens: payload.Tokens})
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -15,7 +15,8 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// randomOrder returns an order of random kind for few models of few versions.
+// randomOrder returns an order of a random kind for one of a few models and
+// versions.
 func randomOrder(random *rand.Rand, number, fencing, incarnation uint64, now time.Time) upstreamapi.Order {
 	kinds := []upstreamapi.OrderKind{
 		upstreamapi.OrderLoadModel, upstreamapi.OrderLoadModel, upstreamapi.OrderUnloadModel, upstreamapi.OrderLoadAdapter,
@@ -41,22 +42,22 @@
 	return order
 }
 
-// A leader orders the engine about over a network that loses orders and answers,
-// and delivers orders late. What the engine reports never contradicts the
-// account, the account always covers it, and no order asks for more memory than
-// there is. If the stand-in and the ledger read the interface differently, one
-// of the three fails.
+// A leader sends random orders over a network that loses orders and responses
+// and delivers orders late. The engine's reports must never contradict the
+// ledger, the ledger must never count less memory than the engine uses, and no
+// order may need more memory than is free. At least one of these fails if the
+// engine and the ledger interpret the API differently.
 func TestOrdersByTheLedgerNeverOvercommit(t *testing.T) {
 	for _, fencing := range []upstreamapi.Fencing{upstreamapi.FencingChecked, upstreamapi.FencingIgnored} {
 		for seed := range uint64(30) {
 			t.Run(fmt.Sprintf("%s, seed %d", fencing, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { orderAbout(t, fencing, seed) })
+				synctest.Test(t, func(t *testing.T) { runRandomOrders(t, fencing, seed) })
 			})
 		}
 	}
 }
 
-func orderAbout(t *testing.T, fencing upstreamapi.Fencing, seed uint64) {
+func runRandomOrders(t *testing.T, fencing upstreamapi.Fencing, seed uint64) {
 	RegisterTestingT(t)
 	random := rand.New(rand.NewPCG(seed, 1))
 	clock := standin.NewManualClock(start)
@@ -66,19 +67,19 @@
 	})
 	defer func() { _ = engine.Close(context.Background()) }()
 	account := ledger.Ledger{}.WithReport(engine.Announcement())
-	leader, late := uint64(1), []upstreamapi.Order{}
+	leaderFencing, sentOrders := uint64(1), []upstreamapi.Order{}
 	revisions := map[uint64]upstreamapi.Inventory{}
 
 	for number := range uint64(200) {
 		switch random.IntN(6) {
 		case 0, 1:
-			order := randomOrder(random, number+1, leader, incarnation, clock.Now())
+			order := randomOrder(random, number+1, leaderFencing, incarnation, clock.Now())
 			if next, err := account.WithOrder(order); err == nil {
-				account, late = next, append(late, order)
+				account, sentOrders = next, append(sentOrders, order)
 			}
 		case 2, 3:
-			if len(late) > 0 {
-				answer := give(engine, late[random.IntN(len(late))])
+			if len(sentOrders) > 0 {
+				answer := sendOrder(engine, sentOrders[random.IntN(len(sentOrders))])
 				if random.IntN(2) == 0 {
 					account = account.WithAnswer(answer)
 				}
@@ -86,19 +87,19 @@
 		case 4:
 			clock.Advance(time.Duration(random.IntN(3)) * time.Second)
 		case 5:
-			leader += uint64(random.IntN(2))
-			account = account.WithLeader(leader).WithReport(engine.Announcement())
+			leaderFencing += uint64(random.IntN(2))
+			account = account.WithLeader(leaderFencing).WithReport(engine.Announcement())
 		}
 		synctest.Wait()
-		held := engine.Announcement().Inventory()
-		held.Clock = time.Time{}
-		if before, known := revisions[held.Revision]; known {
-			Expect(held).To(Equal(before), "step %d: two inventories of one revision", number)
+		inventory := engine.Announcement().Inventory()
+		inventory.Clock = time.Time{}
+		if before, known := revisions[inventory.Revision]; known {
+			Expect(inventory).To(Equal(before), "step %d: inventory changed without a new revision", number)
 		}
-		revisions[held.Revision] = held
-		seen, _ := account.Account("a0")
+		revisions[inventory.Revision] = inventory
+		memoryAccount, _ := account.Account("a0")
 		Expect(account.Contradictions()).To(BeEmpty(), "step %d", number)
-		Expect(used(engine)).To(BeNumerically("<=", seen.Worst()), "step %d", number)
+		Expect(usedBytes(engine)).To(BeNumerically("<=", memoryAccount.Worst()), "step %d", number)
 		Expect(engine.Overcommits()).To(BeZero(), "step %d", number)
 	}
 }
--- a/internal/standin/manualclock.go
+++ b/internal/standin/manualclock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ManualClock is a Clock that stands still until it is advanced. It is safe for
+// ManualClock is a Clock that only moves when Advance is called. It is safe for
 // concurrent use.
 type ManualClock struct {
 	mu      sync.Mutex
@@ -17,17 +17,17 @@
 
 type waiter struct {
 	due time.Time
-	c   chan time.Time
+	ch  chan time.Time
 }
 
-// NewManualClock returns a clock that stands at now.
+// NewManualClock returns a clock set to now.
 func NewManualClock(now time.Time) *ManualClock {
 	c := &ManualClock{now: now}
 	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-// Now returns the time at which the clock stands.
+// Now returns the current time of the clock.
 func (c *ManualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,17 +39,17 @@
 func (c *ManualClock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := waiter{due: c.now.Add(d), c: make(chan time.Time, 1)}
+	w := waiter{due: c.now.Add(d), ch: make(chan time.Time, 1)}
 	if d <= 0 {
-		w.c <- c.now
-		return w.c
+		w.ch <- c.now
+		return w.ch
 	}
 	c.waiters = append(c.waiters, w)
 	c.changed.Broadcast()
-	return w.c
+	return w.ch
 }
 
-// Advance moves the clock by d and wakes the waiters that are due.
+// Advance moves the clock forward by d and fires the timers that are due.
 func (c *ManualClock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,13 +60,13 @@
 			kept = append(kept, w)
 			continue
 		}
-		w.c <- c.now
+		w.ch <- c.now
 	}
 	c.waiters = kept
 }
 
-// AwaitWaiters blocks until at least n waiters wait for the clock. A waiter that
-// has given up counts until its time has passed.
+// AwaitWaiters blocks until at least n timers are pending. A timer whose
+// receiver has stopped waiting counts until it is due.
 func (c *ManualClock) AwaitWaiters(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -6,54 +6,55 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// memory accounts for the memory of an engine's accelerators. What is claimed
-// never exceeds what there is: a claim beyond it is refused. It is not safe for
-// concurrent use.
+// memory tracks the allocations of an engine's accelerator memory and the
+// resident models. Allocations never exceed the capacity: a reservation beyond
+// it fails. It is not safe for concurrent use.
 type memory struct {
 	accelerators []upstreamapi.Accelerator
-	// used is by the name of the accelerator, in bytes. Each is at least 0 and at
-	// most the accelerator's memory.
+	// used is the allocated memory in bytes by accelerator name, between 0 and
+	// the accelerator's capacity.
 	used map[string]int64
-	// residents are in the order in which they were loaded.
+	// residents are in loading order.
 	residents []resident
 	role      upstreamapi.Role
 	roleBytes int64
 }
 
-// resident is a model that can be run.
+// resident is a loaded model.
 type resident struct {
 	model        string
 	version      string
 	accelerators []string
-	// bytes are taken of each of accelerators by the model alone.
+	// bytes is the memory that the model alone, without adapters, occupies on
+	// each of accelerators.
 	bytes    int64
 	adapters []adapter
 }
 
-// adapter takes bytes of each accelerator of its model.
+// adapter occupies bytes on each accelerator of its model.
 type adapter struct {
 	name  string
 	bytes int64
 }
 
-// newMemory returns a memory that holds the residents, which must fit.
+// newMemory returns a memory with the given resident models. It panics if they
+// do not fit.
 func newMemory(accelerators []upstreamapi.Accelerator, residents []upstreamapi.Resident) *memory {
 	m := &memory{accelerators: accelerators, used: map[string]int64{}}
 	for _, r := range residents {
-		if !m.claim(r.Accelerators, r.MemoryBytes) {
+		if !m.reserve(r.Accelerators, r.MemoryBytes) {
 			panic("standin: the residents of the options do not fit")
 		}
-		loaded := resident{model: r.Model, version: r.Version, accelerators: r.Accelerators, bytes: r.MemoryBytes}
+		model := resident{model: r.Model, version: r.Version, accelerators: r.Accelerators, bytes: r.MemoryBytes}
 		for _, name := range r.Adapters {
-			loaded.adapters = append(loaded.adapters, adapter{name: name})
+			model.adapters = append(model.adapters, adapter{name: name})
 		}
-		m.residents = append(m.residents, loaded)
+		m.residents = append(m.residents, model)
 	}
 	return m
 }
 
-// names returns the names of all accelerators.
-func (m *memory) names() []string {
+func (m *memory) acceleratorNames() []string {
 	names := make([]string, 0, len(m.accelerators))
 	for _, a := range m.accelerators {
 		names = append(names, a.Name)
@@ -61,9 +62,9 @@
 	return names
 }
 
-// claim takes bytes of each of the accelerators. If any of them is unknown or
-// has less left, claim takes nothing and returns false.
-func (m *memory) claim(accelerators []string, bytes int64) bool {
+// reserve allocates bytes on each of the accelerators. If any of them is
+// unknown or has less free memory, reserve allocates nothing and returns false.
+func (m *memory) reserve(accelerators []string, bytes int64) bool {
 	for _, name := range accelerators {
 		i := slices.IndexFunc(m.accelerators, func(a upstreamapi.Accelerator) bool { return a.Name == name })
 		if i < 0 || bytes > m.accelerators[i].MemoryBytes-m.used[name] {
@@ -76,15 +77,15 @@
 	return true
 }
 
-// free gives back what claim took.
-func (m *memory) free(accelerators []string, bytes int64) {
+// release frees what reserve allocated.
+func (m *memory) release(accelerators []string, bytes int64) {
 	for _, name := range accelerators {
 		m.used[name] -= bytes
 	}
 }
 
-// find returns the resident, or nil.
-func (m *memory) find(model, version string) *resident {
+// findResident returns nil if the version of the model is not loaded.
+func (m *memory) findResident(model, version string) *resident {
 	i := slices.IndexFunc(m.residents, func(r resident) bool { return r.model == model && r.version == version })
 	if i < 0 {
 		return nil
@@ -92,41 +93,43 @@
 	return &m.residents[i]
 }
 
-// remove takes the resident out. Its memory stays claimed.
-func (m *memory) remove(model, version string) {
+// removeResident removes the model from the resident models. Its memory stays
+// allocated.
+func (m *memory) removeResident(model, version string) {
 	m.residents = slices.DeleteFunc(m.residents, func(r resident) bool {
 		return r.model == model && r.version == version
 	})
 }
 
-// serves returns what a request for name uses, name being a model or an adapter.
-// The first version that was loaded serves. If nothing does, serves returns
-// false.
-func (m *memory) serves(name string) (use, bool) {
+// resolve returns the target of a request for name, which is a model or an
+// adapter. If several versions match, the one loaded first serves the request.
+// If none does, resolve returns false.
+func (m *memory) resolve(name string) (modelTarget, bool) {
 	for _, r := range m.residents {
 		if r.model == name {
-			return use{model: r.model, keys: []string{r.key()}}, true
+			return modelTarget{model: r.model, usageKeys: []string{r.key()}}, true
 		}
-		if r.adapter(name) >= 0 {
-			return use{model: r.model, keys: []string{r.key(), r.adapterKey(name)}}, true
+		if r.adapterIndex(name) >= 0 {
+			return modelTarget{model: r.model, usageKeys: []string{r.key(), r.adapterKey(name)}}, true
 		}
 	}
-	return use{}, false
+	return modelTarget{}, false
 }
 
-// use is what a request uses.
-type use struct {
+// modelTarget is the model, and possibly the adapter, that a request uses.
+type modelTarget struct {
 	model string
-	// keys name the resident and the adapter, if there is one.
-	keys []string
+	// usageKeys are the keys of the resident model and of the adapter, if any,
+	// in Engine.activeRequests.
+	usageKeys []string
 }
 
-// key names the resident among all residents.
+// key identifies the model and its version.
 func (r resident) key() string {
 	return residentKey(r.model, r.version)
 }
 
-// adapterKey names one adapter of the resident among all adapters.
+// adapterKey identifies an adapter of the model.
 func (r resident) adapterKey(name string) string {
 	return r.key() + "/" + name
 }
@@ -135,13 +138,14 @@
 	return model + "@" + version
 }
 
-// adapter returns the index of the adapter, or -1.
-func (r resident) adapter(name string) int {
+// adapterIndex returns -1 if the adapter is not loaded.
+func (r resident) adapterIndex(name string) int {
 	return slices.IndexFunc(r.adapters, func(a adapter) bool { return a.name == name })
 }
 
-// total returns what the model and its adapters take of each accelerator.
-func (r resident) total() int64 {
+// totalBytes returns the memory that the model and its adapters occupy on each
+// accelerator.
+func (r resident) totalBytes() int64 {
 	sum := r.bytes
 	for _, a := range r.adapters {
 		sum += a.bytes
@@ -149,8 +153,9 @@
 	return sum
 }
 
-// announced returns the accelerators and the residents as they are announced.
-func (m *memory) announced() ([]upstreamapi.Accelerator, []upstreamapi.Resident) {
+// inventory returns the accelerators and the resident models in announcement
+// form.
+func (m *memory) inventory() ([]upstreamapi.Accelerator, []upstreamapi.Resident) {
 	accelerators := slices.Clone(m.accelerators)
 	for i := range accelerators {
 		used := m.used[accelerators[i].Name]
@@ -158,16 +163,16 @@
 	}
 	var residents []upstreamapi.Resident
 	for _, r := range m.residents {
-		out := upstreamapi.Resident{
+		announced := upstreamapi.Resident{
 			Model:        r.model,
 			Version:      r.version,
 			Accelerators: slices.Clone(r.accelerators),
-			MemoryBytes:  r.total(),
+			MemoryBytes:  r.totalBytes(),
 		}
 		for _, a := range r.adapters {
-			out.Adapters = append(out.Adapters, a.name)
+			announced.Adapters = append(announced.Adapters, a.name)
 		}
-		residents = append(residents, out)
+		residents = append(residents, announced)
 	}
 	return accelerators, residents
 }
--- a/internal/standin/orderlog.go
+++ b/internal/standin/orderlog.go
@@ -4,42 +4,41 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// orderLog remembers the orders that an engine took. It is not safe for
+// orderLog stores the orders that an engine received. It is not safe for
 // concurrent use.
 type orderLog struct {
 	entries map[string]*orderEntry
-	// ids are in the order of arrival.
+	// ids are in arrival order.
 	ids            []string
 	highestFencing uint64
-	// revision grows with every change of what the engine holds.
+	// revision increases with every change of the engine's inventory.
 	revision uint64
-	// overcommits counts the orders that would have taken more memory than there
-	// is.
+	// overcommits counts the orders that needed more memory than was free.
 	overcommits int
 }
 
-// orderEntry is an order and what became of it.
+// orderEntry is an order and its state.
 type orderEntry struct {
 	order  upstreamapi.Order
 	state  upstreamapi.OrderState
 	reason string
-	// accelerators and bytes are what the order holds while it runs.
-	accelerators []string
-	bytes        int64
+	// reservedAccelerators and reservedBytes are the memory that the order owns
+	// while it runs. The bytes are per accelerator.
+	reservedAccelerators []string
+	reservedBytes        int64
 }
 
-// done says that the order is in force and holds nothing beyond it.
-func (e *orderEntry) done() {
+// complete marks the order as done. It owns no memory from then on.
+func (e *orderEntry) complete() {
 	e.state = upstreamapi.OrderDone
-	e.accelerators, e.bytes = nil, 0
+	e.reservedAccelerators, e.reservedBytes = nil, 0
 }
 
-// Find returns the order of that id, or nil.
+// Find returns nil if the id is unknown.
 func (l *orderLog) Find(id string) *orderEntry {
 	return l.entries[id]
 }
 
-// Add remembers an order.
 func (l *orderLog) Add(entry *orderEntry) {
 	if l.entries == nil {
 		l.entries = map[string]*orderEntry{}
@@ -48,7 +47,7 @@
 	l.ids = append(l.ids, entry.order.ID)
 }
 
-// UnderWay returns the orders that run, in the order of arrival.
+// UnderWay returns the running orders in arrival order.
 func (l *orderLog) UnderWay() []upstreamapi.OrderUnderWay {
 	var all []upstreamapi.OrderUnderWay
 	for _, id := range l.ids {
@@ -58,16 +57,16 @@
 		}
 		all = append(all, upstreamapi.OrderUnderWay{
 			ID:           id,
-			Accelerators: entry.accelerators,
-			MemoryBytes:  entry.bytes,
+			Accelerators: entry.reservedAccelerators,
+			MemoryBytes:  entry.reservedBytes,
 		})
 	}
 	return all
 }
 
-// Touches tells whether an order that runs changes the same model, or the role
-// as well.
-func (l *orderLog) Touches(order upstreamapi.Order) bool {
+// Conflicts reports whether a running order has the same model. Changes of role
+// have none, so they conflict with each other.
+func (l *orderLog) Conflicts(order upstreamapi.Order) bool {
 	for _, entry := range l.entries {
 		if entry.state == upstreamapi.OrderRunning && entry.order.Model == order.Model {
 			return true
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,23 +10,23 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// maxOrderBytes bounds the body of an order.
+// maxOrderBytes limits the body of an order.
 const maxOrderBytes = 1 << 20
 
-// Overcommits returns how many orders would have taken more memory than there
-// is. All of them were refused.
+// Overcommits returns the number of orders that needed more memory than was
+// free. All of them were rejected.
 func (e *Engine) Overcommits() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders.overcommits
 }
 
-// order takes an order. An order whose id was taken before is answered with what
-// became of it.
-func (e *Engine) order(c echo.Context) error {
+// handleOrder handles a POST of an order. The response to a repeated id is the
+// current state of that order.
+func (e *Engine) handleOrder(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxOrderBytes))
 	if err != nil {
-		return problem(c, http.StatusBadRequest, "standin: body: "+err.Error())
+		return respondProblem(c, http.StatusBadRequest, "standin: body: "+err.Error())
 	}
 	order, findings := upstreamapi.DecodeOrder(body)
 	if findings.Len() > 0 {
@@ -34,17 +34,17 @@
 		for _, f := range findings.All() {
 			lines = append(lines, f.String())
 		}
-		return problem(c, http.StatusUnprocessableEntity, lines...)
+		return respondProblem(c, http.StatusUnprocessableEntity, lines...)
 	}
-	answer := e.take(order)
-	e.announcer.Soon()
-	if lose := e.options.Faults.LoseOrderAnswer; lose != nil && lose(order) {
-		abort()
+	answer := e.acceptOrder(order)
+	e.announcer.Trigger()
+	if loseAnswer := e.options.Faults.LoseOrderAnswer; loseAnswer != nil && loseAnswer(order) {
+		abortConnection()
 	}
 	return c.JSON(orderStatusCode(answer.State), answer)
 }
 
-// orderStatus answers what became of an order.
+// orderStatus handles a status query for an order.
 func (e *Engine) orderStatus(c echo.Context) error {
 	e.mu.Lock()
 	entry := e.orders.Find(c.Param("id"))
@@ -54,12 +54,12 @@
 			state: upstreamapi.OrderUnknown,
 		}
 	}
-	answer := e.answerOrder(entry)
+	answer := e.orderAnswer(entry)
 	e.mu.Unlock()
 	return c.JSON(orderStatusCode(answer.State), answer)
 }
 
-// orderStatusCode returns the HTTP status that goes with a state.
+// orderStatusCode returns the HTTP status code for a state.
 func orderStatusCode(state upstreamapi.OrderState) int {
 	switch state {
 	case upstreamapi.OrderRunning:
@@ -77,40 +77,40 @@
 	}
 }
 
-func (e *Engine) take(order upstreamapi.Order) upstreamapi.OrderAnswer {
+func (e *Engine) acceptOrder(order upstreamapi.Order) upstreamapi.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known := e.orders.Find(order.ID); known != nil {
-		return e.answerOrder(known)
+		return e.orderAnswer(known)
 	}
 	entry := &orderEntry{order: order}
-	entry.state, entry.reason = e.judge(order)
+	entry.state, entry.reason = e.checkOrder(order)
 	e.orders.highestFencing = max(e.orders.highestFencing, order.Fencing)
 	e.orders.revision++
 	if entry.state == upstreamapi.OrderRunning {
-		e.begin(entry)
+		e.startOrder(entry)
 	}
 	e.orders.Add(entry)
-	return e.answerOrder(entry)
+	return e.orderAnswer(entry)
 }
 
-// judge returns OrderRunning for an order that may begin as far as memory is not
-// concerned, and otherwise why it may not.
-func (e *Engine) judge(order upstreamapi.Order) (upstreamapi.OrderState, string) {
+// checkOrder returns OrderRunning if the order may start, provided there is
+// enough memory. Otherwise it returns the final state and a reason.
+func (e *Engine) checkOrder(order upstreamapi.Order) (upstreamapi.OrderState, string) {
 	now := e.clock.Now()
 	switch {
 	case order.Incarnation != e.options.Incarnation:
 		return upstreamapi.OrderRefusedIncarnation, "standin: the order is meant for another incarnation"
 	case e.options.Fencing == upstreamapi.FencingChecked && order.Fencing < e.orders.highestFencing:
 		return upstreamapi.OrderRefusedStaleFencing, "standin: a higher fencing number was seen"
-	case e.can(upstreamapi.CapabilityOrderExpiry) && !order.NotAfter.IsZero() && now.After(order.NotAfter):
+	case e.supports(upstreamapi.CapabilityOrderExpiry) && !order.NotAfter.IsZero() && now.After(order.NotAfter):
 		return upstreamapi.OrderRefusedExpired, "standin: the order came after its time"
-	case !e.can(capabilityFor(order.Kind)):
+	case !e.supports(capabilityFor(order.Kind)):
 		return upstreamapi.OrderRefusedInvalid, "standin: the engine lacks " + string(capabilityFor(order.Kind))
-	case e.orders.Touches(order):
+	case e.orders.Conflicts(order):
 		return upstreamapi.OrderRefusedInvalid, "standin: another order for the same is under way"
 	}
-	return e.judgeTarget(order)
+	return e.checkTarget(order)
 }
 
 func capabilityFor(kind upstreamapi.OrderKind) upstreamapi.Capability {
@@ -126,40 +126,40 @@
 	}
 }
 
-// judgeTarget judges the order by what is loaded. An order for what is in force
-// already is done.
-func (e *Engine) judgeTarget(order upstreamapi.Order) (upstreamapi.OrderState, string) {
-	at := e.memory.find(order.Model, order.Version)
+// checkTarget checks the order against the loaded models. An order whose result
+// is already in effect is done.
+func (e *Engine) checkTarget(order upstreamapi.Order) (upstreamapi.OrderState, string) {
+	target := e.memory.findResident(order.Model, order.Version)
 	switch order.Kind {
 	case upstreamapi.OrderLoadModel:
-		if at != nil {
+		if target != nil {
 			return upstreamapi.OrderDone, ""
 		}
 	case upstreamapi.OrderUnloadModel:
-		if at == nil {
+		if target == nil {
 			return upstreamapi.OrderDone, ""
 		}
 	case upstreamapi.OrderLoadAdapter:
 		switch {
-		case at == nil:
+		case target == nil:
 			return upstreamapi.OrderRefusedInvalid, "standin: the adapter's model is not loaded"
-		case at.adapter(order.Adapter) >= 0:
+		case target.adapterIndex(order.Adapter) >= 0:
 			return upstreamapi.OrderDone, ""
-		case !slices.Equal(at.accelerators, order.Accelerators):
+		case !slices.Equal(target.accelerators, order.Accelerators):
 			return upstreamapi.OrderRefusedInvalid, "standin: an adapter stands on the accelerators of its model"
 		}
 	case upstreamapi.OrderUnloadAdapter:
-		if at == nil || at.adapter(order.Adapter) < 0 {
+		if target == nil || target.adapterIndex(order.Adapter) < 0 {
 			return upstreamapi.OrderDone, ""
 		}
 	case upstreamapi.OrderChangeVersion:
-		from := e.memory.find(order.Model, order.FromVersion)
+		replaced := e.memory.findResident(order.Model, order.FromVersion)
 		switch {
-		case at != nil && from == nil:
+		case target != nil && replaced == nil:
 			return upstreamapi.OrderDone, ""
-		case at != nil:
+		case target != nil:
 			return upstreamapi.OrderRefusedInvalid, "standin: both versions are loaded"
-		case from == nil:
+		case replaced == nil:
 			return upstreamapi.OrderRefusedInvalid, "standin: the version that is replaced is not loaded"
 		}
 	case upstreamapi.OrderChangeRole:
@@ -170,99 +170,101 @@
 	return upstreamapi.OrderRunning, ""
 }
 
-// begin claims the memory that the order needs and carries it out in the
-// background. If the memory is not there, the order is refused.
-func (e *Engine) begin(entry *orderEntry) {
-	entry.accelerators, entry.bytes = e.need(entry.order)
-	if !e.memory.claim(entry.accelerators, entry.bytes) {
+// startOrder reserves the memory for the order and executes it in the
+// background. If there is not enough memory, the order is rejected.
+func (e *Engine) startOrder(entry *orderEntry) {
+	entry.reservedAccelerators, entry.reservedBytes = e.requiredMemory(entry.order)
+	if !e.memory.reserve(entry.reservedAccelerators, entry.reservedBytes) {
 		entry.state, entry.reason = upstreamapi.OrderRefusedNoMemory, "standin: the memory is not there"
-		entry.accelerators, entry.bytes = nil, 0
+		entry.reservedAccelerators, entry.reservedBytes = nil, 0
 		e.orders.overcommits++
 		return
 	}
-	leaving := ""
+	unloadKey := ""
 	switch entry.order.Kind {
 	case upstreamapi.OrderUnloadModel:
-		leaving = e.releaseModel(entry, entry.order.Version)
+		unloadKey = e.withdrawModel(entry, entry.order.Version)
 	case upstreamapi.OrderUnloadAdapter:
-		leaving = e.releaseAdapter(entry)
+		unloadKey = e.withdrawAdapter(entry)
 	default:
 	}
-	e.background.Go(func() { e.carryOut(entry, leaving) })
+	e.background.Go(func() { e.executeOrder(entry, unloadKey) })
 }
 
-// need returns what an order claims beyond what is claimed for what it changes.
-func (e *Engine) need(order upstreamapi.Order) (accelerators []string, bytes int64) {
+// requiredMemory returns the memory that an order needs in addition to what is
+// already allocated.
+func (e *Engine) requiredMemory(order upstreamapi.Order) (accelerators []string, bytes int64) {
 	switch order.Kind {
 	case upstreamapi.OrderLoadModel, upstreamapi.OrderLoadAdapter, upstreamapi.OrderChangeVersion:
 		return order.Accelerators, order.MemoryBytes
 	case upstreamapi.OrderChangeRole:
-		return e.memory.names(), max(order.MemoryBytes-e.memory.roleBytes, 0)
+		return e.memory.acceleratorNames(), max(order.MemoryBytes-e.memory.roleBytes, 0)
 	default:
 		return nil, 0
 	}
 }
 
-// releaseModel takes the version of the model out of those that serve, and
-// returns its key. The order holds its memory until it is gone.
-func (e *Engine) releaseModel(entry *orderEntry, version string) string {
-	at := e.memory.find(entry.order.Model, version)
-	entry.accelerators, entry.bytes = at.accelerators, at.total()
-	key := at.key()
-	e.memory.remove(entry.order.Model, version)
+// withdrawModel stops routing requests to the version of the model and returns
+// its key. The order owns its memory until the unload ends.
+func (e *Engine) withdrawModel(entry *orderEntry, version string) string {
+	model := e.memory.findResident(entry.order.Model, version)
+	entry.reservedAccelerators, entry.reservedBytes = model.accelerators, model.totalBytes()
+	key := model.key()
+	e.memory.removeResident(entry.order.Model, version)
 	return key
 }
 
-// releaseAdapter is releaseModel for an adapter.
-func (e *Engine) releaseAdapter(entry *orderEntry) string {
-	at := e.memory.find(entry.order.Model, entry.order.Version)
-	i := at.adapter(entry.order.Adapter)
-	entry.accelerators, entry.bytes = at.accelerators, at.adapters[i].bytes
-	at.adapters = slices.Delete(at.adapters, i, i+1)
-	return at.adapterKey(entry.order.Adapter)
+// withdrawAdapter is withdrawModel for an adapter.
+func (e *Engine) withdrawAdapter(entry *orderEntry) string {
+	model := e.memory.findResident(entry.order.Model, entry.order.Version)
+	i := model.adapterIndex(entry.order.Adapter)
+	entry.reservedAccelerators, entry.reservedBytes = model.accelerators, model.adapters[i].bytes
+	model.adapters = slices.Delete(model.adapters, i, i+1)
+	return model.adapterKey(entry.order.Adapter)
 }
 
-// carryOut loads, and then unloads what has the key leaving, as far as the order
-// does either. What leaves is unloaded once the requests that use it have ended.
-// If the engine is closed before, the order stays as it is.
-func (e *Engine) carryOut(entry *orderEntry, leaving string) {
-	if leaving == "" {
-		if wait(e.ctx, e.clock, e.options.LoadDelay) != nil {
+// executeOrder performs the load of an order and then the unload of the model
+// or adapter with unloadKey, as far as the order includes either. The unload
+// waits until the requests that use the model or adapter have ended. If the
+// engine is closed before, the order stays in progress.
+func (e *Engine) executeOrder(entry *orderEntry, unloadKey string) {
+	if unloadKey == "" {
+		if wait(e.backgroundCtx, e.clock, e.options.LoadDelay) != nil {
 			return
 		}
-		leaving = e.loaded(entry)
+		unloadKey = e.applyLoad(entry)
 	}
-	if leaving != "" {
-		if !e.awaitIdle(leaving) || wait(e.ctx, e.clock, e.options.UnloadDelay) != nil {
+	if unloadKey != "" {
+		if !e.awaitUnused(unloadKey) || wait(e.backgroundCtx, e.clock, e.options.UnloadDelay) != nil {
 			return
 		}
-		e.unloaded(entry)
+		e.finishUnload(entry)
 	}
 	e.wakePublisher()
-	e.announcer.Soon()
+	e.announcer.Trigger()
 }
 
-// awaitIdle returns true once no request that uses the key runs or waits, and
+// awaitUnused returns true once no running or waiting request uses key, and
 // false if the engine is closed before.
-func (e *Engine) awaitIdle(key string) bool {
+func (e *Engine) awaitUnused(key string) bool {
 	for {
 		e.mu.Lock()
-		busy, idle := e.busy[key], e.idle
+		active, ended := e.activeRequests[key], e.requestEnded
 		e.mu.Unlock()
-		if busy == 0 {
+		if active == 0 {
 			return true
 		}
 		select {
-		case <-idle:
-		case <-e.ctx.Done():
+		case <-ended:
+		case <-e.backgroundCtx.Done():
 			return false
 		}
 	}
 }
 
-// loaded puts in force what the order loads. It returns the key of what leaves
-// for it, or an empty string if the order is done.
-func (e *Engine) loaded(entry *orderEntry) (leaving string) {
+// applyLoad makes the result of a load available. It returns the key of the
+// model that the order replaces, or an empty string if the order is done.
+func (e *Engine) applyLoad(entry *orderEntry) (unloadKey string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.revision++
@@ -271,32 +273,32 @@
 	case upstreamapi.OrderLoadModel:
 		e.addResident(order)
 	case upstreamapi.OrderChangeVersion:
-		// What the order held belongs to the new version from here on. It holds
-		// the old one's memory until that is gone.
+		// The memory reserved by the order now belongs to the new version. The
+		// order owns the memory of the old version until it is unloaded.
 		e.addResident(order)
-		return e.releaseModel(entry, order.FromVersion)
+		return e.withdrawModel(entry, order.FromVersion)
 	case upstreamapi.OrderLoadAdapter:
-		at := e.memory.find(order.Model, order.Version)
-		at.adapters = append(at.adapters, adapter{name: order.Adapter, bytes: order.MemoryBytes})
+		model := e.memory.findResident(order.Model, order.Version)
+		model.adapters = append(model.adapters, adapter{name: order.Adapter, bytes: order.MemoryBytes})
 	case upstreamapi.OrderChangeRole:
-		e.memory.free(e.memory.names(), max(e.memory.roleBytes-order.MemoryBytes, 0))
+		e.memory.release(e.memory.acceleratorNames(), max(e.memory.roleBytes-order.MemoryBytes, 0))
 		e.memory.role, e.memory.roleBytes = order.Role, order.MemoryBytes
 	case upstreamapi.OrderUnloadModel, upstreamapi.OrderUnloadAdapter:
 	}
-	entry.done()
+	entry.complete()
 	return ""
 }
 
-// unloaded gives back the memory of what left.
-func (e *Engine) unloaded(entry *orderEntry) {
+// finishUnload frees the memory of the unloaded model or adapter.
+func (e *Engine) finishUnload(entry *orderEntry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.revision++
-	e.memory.free(entry.accelerators, entry.bytes)
+	e.memory.release(entry.reservedAccelerators, entry.reservedBytes)
 	if entry.order.Kind != upstreamapi.OrderUnloadAdapter {
-		e.cache.Drop(entry.order.Model)
+		e.cache.EvictModel(entry.order.Model)
 	}
-	entry.done()
+	entry.complete()
 }
 
 func (e *Engine) addResident(order upstreamapi.Order) {
@@ -308,8 +310,8 @@
 	})
 }
 
-func (e *Engine) answerOrder(entry *orderEntry) upstreamapi.OrderAnswer {
-	accelerators, residents := e.memory.announced()
+func (e *Engine) orderAnswer(entry *orderEntry) upstreamapi.OrderAnswer {
+	accelerators, residents := e.memory.inventory()
 	return upstreamapi.OrderAnswer{
 		ID:              entry.order.ID,
 		State:           entry.state,
--- a/internal/standin/prefixcache.go
+++ b/internal/standin/prefixcache.go
@@ -6,17 +6,17 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// prefixCache is a bounded cache of prompt prefixes by name, which forgets the
-// least recently used. It records what happens as numbered events. It is not
-// safe for concurrent use.
+// prefixCache is an LRU cache of prompt prefixes by name. It records changes as
+// numbered events. It is not safe for concurrent use.
 type prefixCache struct {
-	// limit is the most prefixes that are kept.
-	limit int
-	// entries are from the least to the most recently used.
+	// capacity is the maximum number of prefixes.
+	capacity int
+	// entries are ordered from the least to the most recently used.
 	entries []prefixEntry
-	// first is the number of the first of events, which await their publication.
-	first  uint64
-	events []upstreamapi.CacheEvent
+	// firstNumber is the number of the first of pendingEvents, which are not
+	// published yet.
+	firstNumber   uint64
+	pendingEvents []upstreamapi.CacheEvent
 }
 
 type prefixEntry struct {
@@ -25,39 +25,39 @@
 	tokens int
 }
 
-func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, first: 1}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, firstNumber: 1}
 }
 
-// Use returns how many tokens of the prompt were cached, and then stores all
-// prefixes of it. The prefixes go from the shortest to the longest; the tokens
-// of the prompt are taken to spread over them evenly.
-func (c *prefixCache) Use(model string, prefixes []string, promptTokens int) int {
-	cached := 0
+// Prefill returns the number of prompt tokens that are cached and stores all
+// prefixes of the prompt. The prefixes are ordered from the shortest to the
+// longest, and the tokens of the prompt count as evenly distributed over them.
+func (c *prefixCache) Prefill(model string, prefixes []string, promptTokens int) int {
+	cachedTokens := 0
 	for i, name := range prefixes {
 		tokens := promptTokens * (i + 1) / len(prefixes)
 		if c.touch(model, name) {
-			cached = tokens
+			cachedTokens = tokens
 			continue
 		}
 		c.Store(model, name, tokens)
 	}
-	return cached
+	return cachedTokens
 }
 
-// Store stores a prefix that is not there, and evicts beyond the limit.
+// Store adds a prefix unless it is cached, and evicts prefixes beyond the
+// capacity.
 func (c *prefixCache) Store(model, name string, tokens int) {
-	if c.limit <= 0 || c.touch(model, name) {
+	if c.capacity <= 0 || c.touch(model, name) {
 		return
 	}
 	c.entries = append(c.entries, prefixEntry{model: model, name: name, tokens: tokens})
 	c.record(upstreamapi.CacheEvent{Kind: upstreamapi.CacheStored, Model: model, Prefix: name, Tokens: tokens})
-	for len(c.entries) > c.limit {
+	for len(c.entries) > c.capacity {
 		c.evict(0)
 	}
 }
 
-// Find returns the prefix, or false.
 func (c *prefixCache) Find(model, name string) (prefixEntry, bool) {
 	i := c.index(model, name)
 	if i < 0 {
@@ -66,8 +66,8 @@
 	return c.entries[i], true
 }
 
-// Drop evicts all prefixes of a model.
-func (c *prefixCache) Drop(model string) {
+// EvictModel evicts all prefixes of a model.
+func (c *prefixCache) EvictModel(model string) {
 	for i := len(c.entries) - 1; i >= 0; i-- {
 		if c.entries[i].model == model {
 			c.evict(i)
@@ -75,13 +75,13 @@
 	}
 }
 
-// Take returns the events that await their publication, with the number of the
-// first, and forgets them.
-func (c *prefixCache) Take() (first uint64, events []upstreamapi.CacheEvent) {
-	first, events = c.first, c.events
-	c.first += uint64(len(events))
-	c.events = nil
-	return first, events
+// DrainEvents returns and clears the pending events, with the number of the
+// first one.
+func (c *prefixCache) DrainEvents() (firstNumber uint64, events []upstreamapi.CacheEvent) {
+	firstNumber, events = c.firstNumber, c.pendingEvents
+	c.firstNumber += uint64(len(events))
+	c.pendingEvents = nil
+	return firstNumber, events
 }
 
 func (c *prefixCache) touch(model, name string) bool {
@@ -105,5 +105,5 @@
 }
 
 func (c *prefixCache) record(event upstreamapi.CacheEvent) {
-	c.events = append(c.events, event)
+	c.pendingEvents = append(c.pendingEvents, event)
 }
--- a/internal/standin/publisher.go
+++ b/internal/standin/publisher.go
@@ -6,7 +6,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// wakePublisher says that the prefix cache may have changed.
+// wakePublisher signals a possible change of the prefix cache.
 func (e *Engine) wakePublisher() {
 	select {
 	case e.cacheChanged <- struct{}{}:
@@ -14,40 +14,40 @@
 	}
 }
 
-// publish sends cache events to an instance until the engine is closed. Events
-// that no instance takes are lost, as real engines lose them: the receivers see
-// the gap by its number.
-func (e *Engine) publish() {
+// publishCacheEvents sends cache events to an instance until the engine is
+// closed. Events that no instance accepts are lost, as with a real engine; the
+// receivers detect the gap in the sequence numbers.
+func (e *Engine) publishCacheEvents() {
 	for {
 		select {
-		case <-e.ctx.Done():
+		case <-e.backgroundCtx.Done():
 			return
 		case <-e.cacheChanged:
 		}
 		e.mu.Lock()
-		first, events := e.cache.Take()
+		firstNumber, events := e.cache.DrainEvents()
 		e.mu.Unlock()
-		if len(events) == 0 || !e.can(upstreamapi.CapabilityCacheEvents) {
+		if len(events) == 0 || !e.supports(upstreamapi.CapabilityCacheEvents) {
 			continue
 		}
-		taken := e.clock.Now()
-		if wait(e.ctx, e.clock, e.options.Faults.CacheEventDelay) != nil {
+		drainedAt := e.clock.Now()
+		if wait(e.backgroundCtx, e.clock, e.options.Faults.CacheEventDelay) != nil {
 			return
 		}
-		for _, batch := range e.batches(first, events) {
-			e.sendCacheEvents(batch, e.clock.Now().Sub(taken))
+		for _, batch := range e.batchEvents(firstNumber, events) {
+			e.sendCacheEvents(batch, e.clock.Now().Sub(drainedAt))
 		}
 	}
 }
 
-// batches returns the events without those that get lost, in runs of successive
-// numbers.
-func (e *Engine) batches(first uint64, events []upstreamapi.CacheEvent) []upstreamapi.CacheEvents {
+// batchEvents drops the events that the configured fault loses and groups the
+// rest into batches of consecutive numbers.
+func (e *Engine) batchEvents(firstNumber uint64, events []upstreamapi.CacheEvent) []upstreamapi.CacheEvents {
 	var all []upstreamapi.CacheEvents
 	contiguous := false
 	for i, event := range events {
-		number := first + uint64(i)
-		if lose := e.options.Faults.LoseCacheEvent; lose != nil && lose(number) {
+		number := firstNumber + uint64(i)
+		if loseEvent := e.options.Faults.LoseCacheEvent; loseEvent != nil && loseEvent(number) {
 			contiguous = false
 			continue
 		}
@@ -68,7 +68,7 @@
 func (e *Engine) sendCacheEvents(batch upstreamapi.CacheEvents, age time.Duration) {
 	batch.Age = age
 	for _, instance := range e.announcer.instances() {
-		if e.announcer.post(e.ctx, instance+upstreamapi.CacheEventsPath, batch, nil) == nil {
+		if e.announcer.post(e.backgroundCtx, instance+upstreamapi.CacheEventsPath, batch, nil) == nil {
 			return
 		}
 	}
--- a/internal/standin/requestlog.go
+++ b/internal/standin/requestlog.go
@@ -2,24 +2,24 @@
 
 import "github.com/lovagelift/lovagelift/internal/upstreamapi"
 
-// requestLogLimit is the number of requests that are remembered.
+// requestLogLimit is the maximum number of requests in the log.
 const requestLogLimit = 4096
 
-// requestLog remembers what became of the newest requests. It is not safe for
+// requestLog stores the outcome of recent requests. It is not safe for
 // concurrent use.
 type requestLog struct {
 	entries map[string]logEntry
-	// ids are in the order of arrival.
+	// ids are in arrival order.
 	ids []string
 }
 
-// logEntry holds the run of a request, or the state of one that has none.
+// logEntry is the run of a request, or its state if it has no run.
 type logEntry struct {
 	run   *run
 	state upstreamapi.RequestState
 }
 
-// Add remembers a request, and forgets the oldest beyond the limit.
+// Add stores a request and removes the oldest one beyond the limit.
 func (l *requestLog) Add(id string, entry logEntry) {
 	if l.entries == nil {
 		l.entries = map[string]logEntry{}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Find returns what is known of a request.
+// Find returns RequestNeverSeen as the state of an unknown request.
 func (l *requestLog) Find(id string) logEntry {
 	entry, known := l.entries[id]
 	if !known {
@@ -43,7 +43,6 @@
 	return entry
 }
 
-// Status returns the status of the request.
 func (e logEntry) Status(id string) upstreamapi.RequestStatus {
 	if e.run != nil {
 		return e.run.Status()
--- a/internal/standin/requests.go
+++ b/internal/standin/requests.go
@@ -9,23 +9,23 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-func (e *Engine) find(id string) logEntry {
+func (e *Engine) findRequest(id string) logEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.log.Find(id)
+	return e.requests.Find(id)
 }
 
-// requestStatus answers what became of a request.
+// requestStatus handles a status query for a request.
 func (e *Engine) requestStatus(c echo.Context) error {
 	id := c.Param("id")
-	return c.JSON(http.StatusOK, e.find(id).Status(id))
+	return c.JSON(http.StatusOK, e.findRequest(id).Status(id))
 }
 
-// cancelRequest cancels a request, or bars the id of one that has not arrived.
-// It answers once the request will make no more tokens.
+// cancelRequest cancels a request, or blocks the id of one that has not
+// arrived. It responds once the request generates no more tokens.
 func (e *Engine) cancelRequest(c echo.Context) error {
 	id := c.Param("id")
-	entry := e.bar(id)
+	entry := e.barRequest(id)
 	if entry.run == nil {
 		return c.JSON(http.StatusOK, entry.Status(id))
 	}
@@ -43,32 +43,32 @@
 	}
 }
 
-// bar returns what is known of a request, after it has barred one that was never
-// seen.
-func (e *Engine) bar(id string) logEntry {
+// barRequest blocks the id if it has not been seen, and returns the request's
+// log entry.
+func (e *Engine) barRequest(id string) logEntry {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.log.Find(id).state == upstreamapi.RequestNeverSeen {
-		e.log.Add(id, logEntry{state: upstreamapi.RequestBarred})
+	if e.requests.Find(id).state == upstreamapi.RequestNeverSeen {
+		e.requests.Add(id, logEntry{state: upstreamapi.RequestBarred})
 	}
-	return e.log.Find(id)
+	return e.requests.Find(id)
 }
 
-// resumeStream goes on with a stream after the event that the caller has last
-// got. The connection that carried it before is cut.
+// resumeStream continues a stream after the last event that the client
+// received. The previous connection is closed.
 func (e *Engine) resumeStream(c echo.Context) error {
 	id := c.Param("id")
-	entry := e.find(id)
+	entry := e.findRequest(id)
 	if entry.run == nil {
-		return problem(c, http.StatusNotFound, "standin: the request "+id+" has no stream: "+string(entry.state))
+		return respondProblem(c, http.StatusNotFound, "standin: the request "+id+" has no stream: "+string(entry.state))
 	}
-	after := entry.run.answer.first
+	after := entry.run.answer.continuedTokens
 	if last := c.Request().Header.Get(upstreamapi.LastEventIDHeader); last != "" {
 		parsed, err := strconv.Atoi(last)
 		if err != nil || parsed < after || parsed > len(entry.run.answer.tokens)+1 {
-			return problem(c, http.StatusUnprocessableEntity, "standin: the stream has no event "+last)
+			return respondProblem(c, http.StatusUnprocessableEntity, "standin: the stream has no event "+last)
 		}
 		after = parsed
 	}
-	return e.stream(c, entry.run, after)
+	return e.sendStream(c, entry.run, after)
 }
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -20,8 +20,7 @@
 
 const longStream = `{"model":"letters","stream":true,"messages":[{"role":"user","content":"a b c d e f"}]}`
 
-// open opens a stream at a server.
-func open(server *httptest.Server, method, path, body string, header map[string]string) *http.Response {
+func sendRequest(server *httptest.Server, method, path, body string, header map[string]string) *http.Response {
 	r, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	for name, value := range header {
@@ -32,7 +31,7 @@
 	return response
 }
 
-// readEvents reads n events of a stream, as they were sent.
+// readEvents returns the next n events of a stream verbatim.
 func readEvents(reader *bufio.Reader, n int) string {
 	var read strings.Builder
 	for n > 0 {
@@ -86,14 +85,14 @@
 		})
 	})
 
-	begin := func() (*http.Response, *bufio.Reader) {
-		response := open(server, http.MethodPost, "/v1/chat/completions", longStream,
+	startStream := func() (*http.Response, *bufio.Reader) {
+		response := sendRequest(server, http.MethodPost, "/v1/chat/completions", longStream,
 			map[string]string{upstreamapi.RequestIDHeader: "r1"})
 		return response, bufio.NewReader(response.Body)
 	}
 
 	resume := func(after int) string {
-		response := open(server, http.MethodGet, upstreamapi.RequestsPath+"/r1"+upstreamapi.StreamSuffix, "",
+		response := sendRequest(server, http.MethodGet, upstreamapi.RequestsPath+"/r1"+upstreamapi.StreamSuffix, "",
 			map[string]string{upstreamapi.LastEventIDHeader: strconv.Itoa(after)})
 		defer response.Body.Close()
 		rest, err := io.ReadAll(response.Body)
@@ -101,21 +100,22 @@
 		return string(rest)
 	}
 
-	// tokens lets the clock move by the delays of n tokens.
-	tokens := func(n int) {
+	// advanceTokens advances the clock by the delays of n tokens.
+	advanceTokens := func(n int) {
 		for range n {
 			clock.AwaitWaiters(1)
 			clock.Advance(time.Second)
 		}
 	}
 
-	// The connection goes silent and the caller of the engine asks again on a
-	// fresh one. The answer went on being made; the rest of it comes with none
-	// missing or doubled, and the old connection is cut before its end mark.
+	// The connection goes silent and the client resumes the stream on a new
+	// one. The engine kept generating the answer: the client receives the rest
+	// with no event missing or duplicated, and the old connection is closed
+	// before its end marker.
 	It("resumes a stream on another connection", func() {
-		first, reader := begin()
+		first, reader := startStream()
 		defer first.Body.Close()
-		tokens(1)
+		advanceTokens(1)
 		before := readEvents(reader, 2)
 		rest := make(chan string)
 		go func() {
@@ -124,7 +124,7 @@
 		}()
 		_, err := io.ReadAll(reader)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		tokens(4)
+		advanceTokens(4)
 		text, count := deltas(before+<-rest, 0)
 		Expect(text).To(Equal("a b c d e f"))
 		Expect(count).To(Equal(7))
@@ -135,23 +135,23 @@
 		Expect(resume(7)).To(Equal("data: [DONE]\n\n"))
 	})
 
-	It("does not resume what has no stream or no such event", func() {
-		response := open(server, http.MethodGet, upstreamapi.RequestsPath+"/r9"+upstreamapi.StreamSuffix, "", nil)
+	It("rejects resuming without a stream or from an invalid event", func() {
+		response := sendRequest(server, http.MethodGet, upstreamapi.RequestsPath+"/r9"+upstreamapi.StreamSuffix, "", nil)
 		response.Body.Close()
 		Expect(response.StatusCode).To(Equal(http.StatusNotFound))
 		post(engine, "/v1/completions", "r1", `{"model":"letters","prompt":"one"}`)
 		for _, id := range []string{"-1", "3", "x"} {
-			response := open(server, http.MethodGet, upstreamapi.RequestsPath+"/r1"+upstreamapi.StreamSuffix, "",
+			response := sendRequest(server, http.MethodGet, upstreamapi.RequestsPath+"/r1"+upstreamapi.StreamSuffix, "",
 				map[string]string{upstreamapi.LastEventIDHeader: id})
 			response.Body.Close()
 			Expect(response.StatusCode).To(Equal(http.StatusUnprocessableEntity), id)
 		}
 	})
 
-	// A caller is gone for good. The engine keeps the answer for its window, and
-	// then gives the place to others.
-	It("gives up an answer that nobody resumes", func() {
-		first, reader := begin()
+	// A client disconnects for good. The engine keeps generating for the resume
+	// window and then frees the slot.
+	It("cancels an answer that is not resumed in time", func() {
+		first, reader := startStream()
 		readEvents(reader, 1)
 		first.Body.Close()
 		clock.AwaitWaiters(1)
@@ -162,11 +162,11 @@
 		Eventually(func() int { return engine.Announcement().Load.Running }).Should(BeZero())
 	})
 
-	Context("without a window to resume in", func() {
+	Context("without a resume window", func() {
 		BeforeEach(func() { options.ResumeWindow = 0 })
 
-		It("ends an answer with its connection", func() {
-			first, reader := begin()
+		It("cancels an answer when its connection closes", func() {
+			first, reader := startStream()
 			readEvents(reader, 1)
 			first.Body.Close()
 			Eventually(func() upstreamapi.RequestState {
@@ -175,8 +175,8 @@
 		})
 	})
 
-	It("cancels a stream, which is cut before its end mark", func() {
-		first, reader := begin()
+	It("cancels a stream and closes it before its end marker", func() {
+		first, reader := startStream()
 		defer first.Body.Close()
 		readEvents(reader, 1)
 		Expect(requestState(engine, "r1").State).To(Equal(upstreamapi.RequestRunning))
@@ -187,10 +187,11 @@
 		Eventually(func() int { return engine.Announcement().Load.Running }).Should(BeZero())
 	})
 
-	// An instance has sent a request and has heard nothing. It wants to run it
-	// elsewhere. That the engine has not seen it proves nothing, because it may
-	// arrive yet; after a cancel it is refused, and so it may be called not-run.
-	It("bars a request that was cancelled before it arrived", func() {
+	// An instance gets no response to a request and wants to run it elsewhere.
+	// That the engine has not seen the request proves nothing, because it may
+	// still arrive. After a cancel the engine rejects it, so the instance may
+	// report it as not run.
+	It("rejects a request that was cancelled before it arrived", func() {
 		Expect(requestState(engine, "r1").State).To(Equal(upstreamapi.RequestNeverSeen))
 		Expect(cancel(engine, "r1")).To(Equal(upstreamapi.RequestBarred))
 		w := post(engine, "/v1/chat/completions", "r1", longStream)
@@ -200,22 +201,22 @@
 		Expect(engine.Runs("r1")).To(BeZero())
 	})
 
-	It("remembers what it refused", func() {
+	It("reports the status of a rejected request", func() {
 		post(engine, "/v1/completions", "r1", `{"model":"other"}`)
 		Expect(requestState(engine, "r1").State).To(Equal(upstreamapi.RequestRefused))
 	})
 
-	// One place, three callers: the booking waits behind the running request, and
-	// passes the letter that came before it.
-	Context("with one place and a queue", func() {
+	// One slot and three requests: "booking" waits behind the running request
+	// and overtakes "letter", which arrived earlier with a lower priority.
+	Context("with one slot and a queue", func() {
 		BeforeEach(func() {
 			options.MaxRunning, options.MaxWaiting = 1, 2
 			options.FirstTokenDelay = time.Second
 		})
 
-		It("serves its queue by priority, and refuses beyond it", func() {
-			order := make(chan string, 3)
-			ask := func(id, priority string, waiting int) {
+		It("serves the queue by priority, and rejects requests when it is full", func() {
+			completed := make(chan string, 3)
+			enqueue := func(id, priority string, waiting int) {
 				r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(`{"model":"letters","prompt":"one"}`))
 				r.Header.Set(upstreamapi.RequestIDHeader, id)
 				r.Header.Set(upstreamapi.PriorityHeader, priority)
@@ -223,25 +224,25 @@
 					defer GinkgoRecover()
 					w := httptest.NewRecorder()
 					engine.ServeHTTP(w, r)
-					order <- id + " " + strconv.Itoa(w.Code)
+					completed <- id + " " + strconv.Itoa(w.Code)
 				}()
 				Eventually(func() int {
 					load := engine.Announcement().Load
 					return load.Running + load.Waiting
 				}).Should(Equal(waiting))
 			}
-			ask("running", "5", 1)
-			ask("letter", "5", 2)
-			ask("booking", "0", 3)
+			enqueue("running", "5", 1)
+			enqueue("letter", "5", 2)
+			enqueue("booking", "0", 3)
 			Expect(post(engine, "/v1/completions", "late", `{"model":"letters"}`).Code).To(Equal(http.StatusTooManyRequests))
 			Expect(requestState(engine, "letter").State).To(Equal(upstreamapi.RequestWaiting))
 			for _, expected := range []string{"running 200", "booking 200", "letter 200"} {
-				tokens(1)
-				Expect(<-order).To(Equal(expected))
+				advanceTokens(1)
+				Expect(<-completed).To(Equal(expected))
 			}
 		})
 
-		It("takes a waiting request out of the queue without running it", func() {
+		It("cancels a waiting request without running it", func() {
 			done := make(chan int, 2)
 			for i, id := range []string{"r1", "r2"} {
 				go func() {
@@ -256,12 +257,12 @@
 			Expect(cancel(engine, "r2")).To(Equal(upstreamapi.RequestRefused))
 			Expect(<-done).To(Equal(http.StatusConflict))
 			Expect(engine.Runs("r2")).To(BeZero())
-			tokens(1)
+			advanceTokens(1)
 			Expect(<-done).To(Equal(http.StatusOK))
 		})
 	})
 
-	// An engine dies in the middle of an answer. Another goes on where it ended.
+	// An engine fails in the middle of an answer, and another one continues it.
 	It("continues an answer that another engine began", func() {
 		other := standin.NewEngine(standin.EngineOptions{Resident: letters})
 		body := strings.Replace(longStream, `"stream"`, `"lovagelift-continue":{"text":"a b","events":2},"stream"`, 1)
@@ -273,14 +274,14 @@
 		Expect(w.Header().Get(upstreamapi.RefusedHeader)).To(Equal(upstreamapi.RefusedNotRun))
 	})
 
-	Context("with a connection that is cut or goes silent", func() {
+	Context("with a connection that closes early", func() {
 		BeforeEach(func() {
 			options.TokenDelay = 0
 			options.Faults.CutStreamAfter = 2
 		})
 
-		It("never looks whole", func() {
-			first, reader := begin()
+		It("does not send the end marker", func() {
+			first, reader := startStream()
 			defer first.Body.Close()
 			read, err := io.ReadAll(reader)
 			Expect(err).To(MatchError(io.ErrUnexpectedEOF))
@@ -295,7 +296,7 @@
 		})
 
 		It("stays open without events while the answer is made", func() {
-			first, reader := begin()
+			first, reader := startStream()
 			defer first.Body.Close()
 			readEvents(reader, 2)
 			Eventually(func() upstreamapi.RequestState {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,28 +14,28 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// idempotencyKeyHeader names a request that must not run twice.
+// idempotencyKeyHeader identifies a request that must not run twice.
 const idempotencyKeyHeader = "Idempotency-Key"
 
-// ServiceOptions are the settings of a stand-in plain service.
+// ServiceOptions configure a test double of a plain service.
 type ServiceOptions struct {
-	// Name, Address, FailureDomain and Services are announced as they are.
+	// Name, Address, FailureDomain and Services are announced unchanged.
 	Name          string
 	Address       string
 	FailureDomain string
 	Services      []string
 	// Incarnation is as in EngineOptions.
 	Incarnation uint64
-	// Delay passes before each answer.
+	// Delay is the time before each response.
 	Delay    time.Duration
 	Announce AnnounceOptions
-	// Clock is the machine's if it is nil.
+	// Clock defaults to SystemClock.
 	Clock Clock
 }
 
-// Service is a stand-in for a plain service. It answers any method at any path
-// with the request's own body, and counts what it ran. It is safe for
-// concurrent use.
+// Service is a test double of a plain service. It answers any method on any
+// path with the request's body and counts its runs. It is safe for concurrent
+// use.
 type Service struct {
 	options   ServiceOptions
 	clock     Clock
@@ -44,14 +44,14 @@
 
 	mu      sync.Mutex
 	running int
-	// runs counts by idempotency key, or by request id where there is no key.
-	runs map[string]int
-	// total is the sum of all runs.
-	total int
+	// runCounts is by idempotency key, or by request id for requests without a
+	// key.
+	runCounts map[string]int
+	// totalRuns is the sum of runCounts.
+	totalRuns int
 }
 
-// NewService returns a service that has started to announce itself. Close ends
-// that.
+// NewService starts a service that announces itself until Close.
 func NewService(options ServiceOptions) *Service {
 	if options.Clock == nil {
 		options.Clock = SystemClock{}
@@ -60,45 +60,44 @@
 		options.Incarnation = uint64(options.Clock.Now().UnixNano())
 	}
 	s := &Service{
-		options: options,
-		clock:   options.Clock,
-		handler: newEcho(),
-		runs:    map[string]int{},
+		options:   options,
+		clock:     options.Clock,
+		handler:   newEcho(),
+		runCounts: map[string]int{},
 	}
-	s.handler.Any("/*", s.run)
+	s.handler.Any("/*", s.handle)
 	s.announcer = newAnnouncer(options.Announce, options.Clock, s.announcement)
 	return s
 }
 
-// ServeHTTP answers a request of the system.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.handler.ServeHTTP(w, r)
 }
 
-// Close tells an instance that the service leaves. Requests that run are still
-// answered. If no instance can be told, Close returns why.
+// Close sends a Leave to an instance. Active requests are still answered. If no
+// instance is reachable, Close returns an error.
 func (s *Service) Close(ctx context.Context) error {
 	return s.announcer.Close(ctx)
 }
 
-// Announced returns the number of announcements that an instance has taken.
+// Announced returns the number of announcements that instances have accepted.
 func (s *Service) Announced() uint64 {
 	return s.announcer.Accepted()
 }
 
-// Runs returns how often a request was run under an idempotency key, or under a
-// request id where it had no key.
+// Runs returns the number of runs for an idempotency key, or for a request id
+// if the request had no key.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.runs[key]
+	return s.runCounts[key]
 }
 
-// TotalRuns returns how many requests were run.
+// TotalRuns returns the number of requests that were run.
 func (s *Service) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.totalRuns
 }
 
 func (s *Service) announcement() upstreamapi.Announcement {
@@ -115,15 +114,15 @@
 	}
 }
 
-// run counts the request as run once its whole body is there, and answers with
-// that body.
-func (s *Service) run(c echo.Context) error {
+// handle counts a run once the whole body has arrived, and responds with that
+// body.
+func (s *Service) handle(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
-		return refuse(c, &refusal{http.StatusBadRequest, "invalid_body", "standin: body: " + err.Error()})
+		return reject(c, &rejection{http.StatusBadRequest, "invalid_body", "standin: body: " + err.Error()})
 	}
-	s.begin(c.Request().Header)
-	defer s.end()
+	s.startRequest(c.Request().Header)
+	defer s.endRequest()
 	if s.options.Delay > 0 {
 		select {
 		case <-c.Request().Context().Done():
@@ -141,26 +140,26 @@
 	return c.Blob(http.StatusOK, c.Request().Header.Get(echo.HeaderContentType), body)
 }
 
-// serviceAnswer answers a request that had no body.
+// serviceAnswer is the response to a request without a body.
 type serviceAnswer struct {
 	Upstream string `json:"upstream"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
 }
 
-func (s *Service) begin(header http.Header) {
-	key := header.Get(idempotencyKeyHeader)
-	if key == "" {
-		key = header.Get(upstreamapi.RequestIDHeader)
+func (s *Service) startRequest(header http.Header) {
+	runKey := header.Get(idempotencyKeyHeader)
+	if runKey == "" {
+		runKey = header.Get(upstreamapi.RequestIDHeader)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
-	s.runs[key]++
-	s.total++
+	s.runCounts[runKey]++
+	s.totalRuns++
 }
 
-func (s *Service) end() {
+func (s *Service) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("Service", func() {
-	It("answers any method with the body and counts runs by key, else by request", func() {
+	It("answers any method with the body and counts runs by idempotency key or request id", func() {
 		service := standin.NewService(standin.ServiceOptions{Name: "bookings-1"})
 		r := httptest.NewRequest(http.MethodPut, "/bookings/7", strings.NewReader("seat 4"))
 		r.Header.Set("Content-Type", "text/plain")
@@ -31,28 +31,28 @@
 		Expect(service.TotalRuns()).To(Equal(3))
 	})
 
-	It("answers a request without a body by what it asked", func() {
+	It("answers a request without a body with its method and path", func() {
 		service := standin.NewService(standin.ServiceOptions{Name: "seats-1"})
 		w := httptest.NewRecorder()
 		service.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/seats/bus-3", nil))
 		Expect(w.Body.String()).To(MatchJSON(`{"upstream":"seats-1","method":"GET","path":"/seats/bus-3"}`))
 	})
 
-	It("is as slow as it was told", func() {
+	It("waits for the configured delay", func() {
 		clock := standin.NewManualClock(start)
 		service := standin.NewService(standin.ServiceOptions{Delay: time.Second, Clock: clock})
-		answers := make(chan *httptest.ResponseRecorder)
+		responses := make(chan *httptest.ResponseRecorder)
 		go func() {
 			defer GinkgoRecover()
-			answers <- post(service, "/pings", "r1", "ping")
+			responses <- post(service, "/pings", "r1", "ping")
 		}()
 		clock.AwaitWaiters(1)
-		Expect(answers).NotTo(Receive())
+		Expect(responses).NotTo(Receive())
 		clock.Advance(time.Second)
-		Expect((<-answers).Body.String()).To(Equal("ping"))
+		Expect((<-responses).Body.String()).To(Equal("ping"))
 	})
 
-	It("does not run a request whose body breaks off", func() {
+	It("does not run a request with an incomplete body", func() {
 		service := standin.NewService(standin.ServiceOptions{})
 		r := httptest.NewRequest(http.MethodPost, "/bookings", brokenBody{})
 		w := httptest.NewRecorder()
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -5,33 +5,34 @@
 	"sync"
 )
 
-// slots are the places in an engine's running batch, with a queue before them.
-// It is safe for concurrent use.
+// slots are the slots of an engine's running batch, with a queue for them. It
+// is safe for concurrent use.
 type slots struct {
-	// limit is the number of places, 0 for no limit, and queueLimit the most that
-	// wait for one.
+	// limit is the number of slots, 0 for no limit. queueLimit is the maximum
+	// number of waiting requests.
 	limit      int
 	queueLimit int
 
 	mu      sync.Mutex
 	running int
-	// queue is sorted by priority, then by arrival.
-	queue []*claim
+	// queue is ordered by priority, then by arrival.
+	queue []*slotClaim
 }
 
-// claim is one request's claim of a place.
-type claim struct {
+// slotClaim is one request's claim to a slot.
+type slotClaim struct {
 	// priority is 0 for the highest.
 	priority int
-	// granted is closed once the place is taken.
+	// granted is closed once the request has the slot.
 	granted chan struct{}
 }
 
-// Claim claims a place. If the batch and the queue are full, Claim returns false.
-func (s *slots) Claim(priority int) (*claim, bool) {
+// Acquire claims a slot. If the batch and the queue are full, Acquire returns
+// false.
+func (s *slots) Acquire(priority int) (*slotClaim, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &claim{priority: priority, granted: make(chan struct{})}
+	c := &slotClaim{priority: priority, granted: make(chan struct{})}
 	if s.limit == 0 || s.running < s.limit {
 		s.running++
 		close(c.granted)
@@ -40,16 +41,16 @@
 	if len(s.queue) >= s.queueLimit {
 		return nil, false
 	}
-	behind := slices.IndexFunc(s.queue, func(other *claim) bool { return other.priority > priority })
-	if behind < 0 {
-		behind = len(s.queue)
+	position := slices.IndexFunc(s.queue, func(other *slotClaim) bool { return other.priority > priority })
+	if position < 0 {
+		position = len(s.queue)
 	}
-	s.queue = slices.Insert(s.queue, behind, c)
+	s.queue = slices.Insert(s.queue, position, c)
 	return c, true
 }
 
-// Release gives back a place, or takes the claim out of the queue.
-func (s *slots) Release(c *claim) {
+// Release frees the slot, or removes the claim from the queue.
+func (s *slots) Release(c *slotClaim) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(s.queue, c); i >= 0 {
@@ -65,7 +66,7 @@
 	close(next.granted)
 }
 
-// Counts returns how many run and how many wait.
+// Counts returns the number of running and of waiting requests.
 func (s *slots) Counts() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,25 +1,26 @@
-// Package standin holds small stand-ins for upstreams (test doubles): a model
-// engine and a plain service that speak the interface of package upstreamapi
-// and announce themselves to an instance as any other upstream does.
+// Package standin provides test doubles of upstreams: a model engine and a
+// plain service. They implement the API of package upstreamapi and announce
+// themselves to an instance like any other upstream.
 //
-// They serve the examples and the tests. Time and the HTTP client are injected,
-// so that a test decides when a token is made and what the network does.
+// The examples and the tests use them. The clock and the HTTP client are
+// injected, so that a test controls when tokens are generated and how the
+// network behaves.
 package standin
 
 import "time"
 
-// Clock tells the time and waits for it.
+// Clock provides the current time and timers.
 type Clock interface {
-	// Now returns the present time.
+	// Now returns the current time.
 	Now() time.Time
-	// After returns a channel that receives the time once d has passed.
+	// After returns a channel that receives the time after d.
 	After(d time.Duration) <-chan time.Time
 }
 
-// SystemClock is the Clock of the machine.
+// SystemClock is the Clock of the operating system.
 type SystemClock struct{}
 
-// Now returns the machine's time.
+// Now returns time.Now().
 func (SystemClock) Now() time.Time {
 	return time.Now()
 }
--- a/internal/standin/unload_test.go
+++ b/internal/standin/unload_test.go
@@ -14,11 +14,11 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// A caller reads its answer while the model is unloaded. New requests are
-// refused at once, the answer ends whole, and the memory is free only after it.
+// A model is unloaded while a request uses it. New requests are rejected at
+// once, the active request completes, and the memory is freed only afterwards.
 //
-// The test runs in a bubble, because it shows that something does not happen:
-// synctest.Wait returns once every goroutine has done what it can.
+// The test runs in a synctest bubble because it asserts that something does not
+// happen: synctest.Wait returns once all goroutines are blocked.
 func TestUnloadAwaitsItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
@@ -31,21 +31,21 @@
 		})
 		defer func() { _ = engine.Close(context.Background()) }()
 
-		answers := make(chan *httptest.ResponseRecorder, 1)
-		go func() { answers <- post(engine, "/v1/completions", "r1", `{"model":"letters","prompt":"one"}`) }()
+		responses := make(chan *httptest.ResponseRecorder, 1)
+		go func() { responses <- post(engine, "/v1/completions", "r1", `{"model":"letters","prompt":"one"}`) }()
 		synctest.Wait()
-		give(engine, unload("o1", "letters"))
+		sendOrder(engine, unloadOrder("o1", "letters"))
 		synctest.Wait()
-		Expect(state(engine, "o1")).To(Equal(upstreamapi.OrderRunning))
-		Expect(used(engine)).To(BeEquivalentTo(40))
-		Expect(underWay(engine)).To(BeEquivalentTo(40))
-		refused := post(engine, "/v1/completions", "r2", `{"model":"letters","prompt":"two"}`)
-		Expect(refused.Code).To(Equal(http.StatusNotFound))
+		Expect(orderState(engine, "o1")).To(Equal(upstreamapi.OrderRunning))
+		Expect(usedBytes(engine)).To(BeEquivalentTo(40))
+		Expect(bytesInProgress(engine)).To(BeEquivalentTo(40))
+		rejected := post(engine, "/v1/completions", "r2", `{"model":"letters","prompt":"two"}`)
+		Expect(rejected.Code).To(Equal(http.StatusNotFound))
 
 		clock.Advance(time.Minute)
 		synctest.Wait()
-		Expect(decode((<-answers).Body.String()).Choices[0].Text).To(Equal("one"))
-		Expect(state(engine, "o1")).To(Equal(upstreamapi.OrderDone))
-		Expect(used(engine)).To(BeZero())
+		Expect(decode((<-responses).Body.String()).Choices[0].Text).To(Equal("one"))
+		Expect(orderState(engine, "o1")).To(Equal(upstreamapi.OrderDone))
+		Expect(usedBytes(engine)).To(BeZero())
 	})
 }
