--- a/examples/internal/upstream/upstream.go
+++ b/examples/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream runs a stand-in upstream as a process: it listens, announces,
-// and stops gracefully on a signal.
+// Package upstream runs a test double of an upstream as a process with graceful
+// shutdown on a signal.
 package upstream
 
 import (
@@ -14,25 +14,25 @@
 )
 
 const (
-	// headerTimeout bounds the time in which the headers of a request arrive.
+	// headerTimeout limits the time to read the headers of a request.
 	headerTimeout = 5 * time.Second
-	// leaveTimeout bounds the call that says the upstream leaves.
+	// leaveTimeout limits the call that announces the shutdown to an instance.
 	leaveTimeout = 2 * time.Second
-	// stopTimeout bounds the time that running requests are given to end.
+	// stopTimeout limits the time for active requests to end.
 	stopTimeout = 60 * time.Second
 )
 
-// Upstream is a stand-in that can be served and stopped.
+// Upstream is a test double that can be served and shut down.
 type Upstream interface {
 	http.Handler
-	// Close stops announcing and tells an instance that the upstream leaves.
+	// Close stops announcing and notifies an instance of the shutdown.
 	Close(ctx context.Context) error
 }
 
-// Serve listens on address, starts the upstream that build returns for the
-// address it listens on, and serves it until ctx ends or the process gets an
-// interrupt or termination signal. Then the upstream leaves, and Serve returns
-// once the running requests have ended.
+// Serve listens on address and serves the upstream that build returns for the
+// actual address, until ctx ends or the process receives SIGINT or SIGTERM.
+// Then it closes the upstream, and returns once the active requests have ended
+// or stopTimeout has passed.
 func Serve(ctx context.Context, address string, build func(address string) Upstream) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -55,13 +55,13 @@
 	return shutdown(server, up)
 }
 
-// shutdown leaves before it stops serving, so that no instance sends new work to
-// a closed listener.
+// shutdown announces the shutdown before it stops serving, so that no instance
+// sends new requests to a closed listener.
 func shutdown(server *http.Server, up Upstream) error {
-	leaving, cancelLeaving := context.WithTimeout(context.Background(), leaveTimeout)
-	defer cancelLeaving()
-	left := up.Close(leaving)
-	stopping, cancelStopping := context.WithTimeout(context.Background(), stopTimeout)
-	defer cancelStopping()
-	return errors.CombineErrors(left, errors.Wrap(server.Shutdown(stopping), "upstream: stop"))
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
+	defer cancelLeave()
+	closeErr := up.Close(leaveCtx)
+	stopCtx, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
+	defer cancelStop()
+	return errors.CombineErrors(closeErr, errors.Wrap(server.Shutdown(stopCtx), "upstream: stop"))
 }
--- a/examples/service/main.go
+++ b/examples/service/main.go
@@ -1,5 +1,5 @@
-// Command service runs a stand-in plain service that announces itself to an
-// instance, for trying the system on one machine.
+// Command service runs a test double of a plain service that announces itself
+// to an instance, for trying out the system on one machine.
 package main
 
 import (
--- a/examples/smoke/callers.go
+++ b/examples/smoke/callers.go
@@ -18,27 +18,28 @@
 )
 
 const (
-	askers     = 12
-	submitters = 6
-	// submitAttempts is how often one submission is sent, with the same key.
-	submitAttempts = 6
-	// bothEvery is the number of submissions of which one is sent to two
-	// instances at the same moment.
-	bothEvery = 4
-	// requestTimeout bounds one exchange.
+	chatClientCount   = 12
+	submitClientCount = 6
+	// maxSubmitAttempts is the maximum number of times that one submission is
+	// sent, with the same idempotency key.
+	maxSubmitAttempts = 6
+	// concurrentSubmitInterval is the number of submissions of which one is
+	// sent to two instances at the same time.
+	concurrentSubmitInterval = 4
+	// requestTimeout limits a question or a submission with all its retries.
 	requestTimeout = 15 * time.Second
 )
 
-// startCallers starts callers that send until the returned function is called,
-// which waits for their last answers.
-func startCallers(ctx context.Context, d *deployment, up *upstreams, t *tally) (stop func()) {
-	ending := make(chan struct{})
-	var working sync.WaitGroup
-	work := func(do func(number int)) {
-		working.Go(func() {
+// startCallers starts clients that send requests until stop is called. stop
+// waits for their last responses.
+func startCallers(ctx context.Context, d *deployment, up *testUpstreams, t *tally) (stop func()) {
+	stopping := make(chan struct{})
+	var clients sync.WaitGroup
+	loop := func(do func(number int)) {
+		clients.Go(func() {
 			for number := 0; ; number++ {
 				select {
-				case <-ending:
+				case <-stopping:
 					return
 				default:
 					do(number)
@@ -46,177 +47,181 @@
 			}
 		})
 	}
-	for n := range askers {
-		a := newAsker(d, t)
-		// Unlike lengths keep the askers from moving through the instances in step.
-		text := tail + strings.Repeat(" and more", n)
-		work(func(number int) { a.ask(ctx, fmt.Sprintf("asker %d asks number %d%s", n, number, text)) })
+	for n := range chatClientCount {
+		client := newChatClient(d, t)
+		// Different lengths prevent the clients from cycling through the
+		// instances in lockstep.
+		suffix := questionSuffix + strings.Repeat(" and more", n)
+		loop(func(number int) { client.ask(ctx, fmt.Sprintf("asker %d asks number %d%s", n, number, suffix)) })
 	}
-	for n := range submitters {
-		s := &submitter{caller: caller.New(caller.Options{Known: d.addresses(callerPort)}), tally: t, upstreams: up}
-		work(func(number int) { s.submit(ctx, fmt.Sprintf("submission-%d-%d", n, number), number%bothEvery == 0) })
+	for n := range submitClientCount {
+		client := &submitClient{caller: caller.New(caller.Options{Known: d.addresses(callerPort)}), tally: t, upstreams: up}
+		loop(func(number int) {
+			client.submit(ctx, fmt.Sprintf("submission-%d-%d", n, number), number%concurrentSubmitInterval == 0)
+		})
 	}
 	return func() {
-		close(ending)
-		working.Wait()
+		close(stopping)
+		clients.Wait()
 	}
 }
 
-// asker asks one question after the other.
-type asker struct {
+// chatClient asks one question at a time and checks the streamed answers.
+type chatClient struct {
 	deployment *deployment
 	tally      *tally
 	caller     *caller.Caller
-	transport  *remembering
+	recorder   *lastHostTransport
 }
 
-// remembering is a transport that remembers where the last request went.
-type remembering struct {
+// lastHostTransport records the host of the last request.
+type lastHostTransport struct {
 	http.Transport
-	last string
+	lastHost string
 }
 
-func (r *remembering) RoundTrip(request *http.Request) (*http.Response, error) {
-	r.last = request.URL.Host
+func (r *lastHostTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	r.lastHost = request.URL.Host
 	return r.Transport.RoundTrip(request)
 }
 
-func newAsker(d *deployment, t *tally) *asker {
-	transport := &remembering{}
-	transport.DisableCompression = true
-	client := &http.Client{Transport: transport}
-	return &asker{
-		deployment: d, tally: t, transport: transport,
+func newChatClient(d *deployment, t *tally) *chatClient {
+	recorder := &lastHostTransport{}
+	recorder.DisableCompression = true
+	client := &http.Client{Transport: recorder}
+	return &chatClient{
+		deployment: d, tally: t, recorder: recorder,
 		caller: caller.New(caller.Options{Known: d.addresses(callerPort), Client: client}),
 	}
 }
 
-// tail makes each answer a stream of some time.
-const tail = " and goes on with words that come back one after the other so that there is always a stream open"
+// questionSuffix makes each answer long enough that a stream is open most of
+// the time.
+const questionSuffix = " and goes on with words that come back one after the other so that there is always a stream open"
 
-func (a *asker) ask(ctx context.Context, text string) {
+func (c *chatClient) ask(ctx context.Context, text string) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	begun, started := false, time.Now()
-	answer, err := a.caller.Ask(ctx, caller.Question{Model: model, Text: text}, func(string) {
-		if !begun {
-			a.tally.firstTokenAfter(time.Since(started))
+	receivedToken, startedAt := false, time.Now()
+	answer, err := c.caller.Ask(ctx, caller.Question{Model: model, Text: text}, func(string) {
+		if !receivedToken {
+			c.tally.recordFirstToken(time.Since(startedAt))
 		}
-		begun = true
+		receivedToken = true
 	})
 	switch {
 	case err == nil && answer.Text == text:
-		a.tally.add(&a.tally.answers, "")
-		a.tally.answeredBy(answer.Entry.Name)
+		c.tally.add(&c.tally.answers, "")
+		c.tally.recordAnswer(answer.Entry.Name)
 	case err == nil:
-		a.tally.add(&a.tally.wrong, fmt.Sprintf("%q was answered by %q", text, answer.Text))
-	case !begun:
-		a.tally.add(&a.tally.refused, fmt.Sprintf("%.30s: %v", text, err))
-	case a.deployment.endedByKill(a.transport.last):
-		a.tally.add(&a.tally.killedStreams, "")
+		c.tally.add(&c.tally.wrongAnswers, fmt.Sprintf("%q was answered by %q", text, answer.Text))
+	case !receivedToken:
+		c.tally.add(&c.tally.rejected, fmt.Sprintf("%.30s: %v", text, err))
+	case c.deployment.interruptedByKill(c.recorder.lastHost):
+		c.tally.add(&c.tally.streamsEndedByKill, "")
 	default:
-		a.tally.add(&a.tally.cutOff, fmt.Sprintf("%.30s at %s: %v", text, a.transport.last, err))
+		c.tally.add(&c.tally.interruptedStreams, fmt.Sprintf("%.30s at %s: %v", text, c.recorder.lastHost, err))
 	}
 }
 
-// submitter sends requests that must not run twice.
-type submitter struct {
+// submitClient sends requests that must not run twice.
+type submitClient struct {
 	caller    *caller.Caller
 	tally     *tally
-	upstreams *upstreams
+	upstreams *testUpstreams
 }
 
-// fate is what a caller knows of its submission.
-type fate struct {
-	whole bool
-	wrong bool
-	// notRun says that it was told so.
+// submitResult is the outcome of one attempt as the client sees it.
+type submitResult struct {
+	complete bool
+	mismatch bool
+	// notRun is set if the request was certainly not run.
 	notRun bool
 	reason string
 }
 
-// submit sends a submission until it is answered or there were too many tries.
-func (s *submitter) submit(ctx context.Context, key string, both bool) {
+// submit sends a submission until it is answered or the attempts are exhausted.
+func (s *submitClient) submit(ctx context.Context, key string, concurrent bool) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	last, notRun := fate{}, true
-	for attempt := range submitAttempts {
+	lastResult, notRun := submitResult{}, true
+	for attempt := range maxSubmitAttempts {
 		entries, err := s.caller.Entries(ctx)
 		if err != nil {
-			last.reason = err.Error()
+			lastResult.reason = err.Error()
 			continue
 		}
-		fates := make(chan fate, 2)
-		send := func(n int) { fates <- s.send(ctx, entries[n%len(entries)].Address, key) }
-		sent := 1
-		if both && attempt == 0 {
-			sent = 2
+		results := make(chan submitResult, 2)
+		send := func(n int) { results <- s.post(ctx, entries[n%len(entries)].Address, key) }
+		pending := 1
+		if concurrent && attempt == 0 {
+			pending = 2
 			go send(attempt + 1)
 		}
 		send(attempt)
-		for range sent {
-			got := <-fates
-			notRun = notRun && got.notRun
-			if !last.whole {
-				last = got
+		for range pending {
+			result := <-results
+			notRun = notRun && result.notRun
+			if !lastResult.complete {
+				lastResult = result
 			}
 		}
-		if last.whole || last.wrong || !pause.For(ctx, 10*again) {
+		if lastResult.complete || lastResult.mismatch || !pause.For(ctx, 10*retryInterval) {
 			break
 		}
 	}
-	s.count(key, last, notRun)
+	s.recordOutcome(key, lastResult, notRun)
 }
 
-func (s *submitter) count(key string, last fate, notRun bool) {
-	runs := s.upstreams.runs(key)
+func (s *submitClient) recordOutcome(key string, lastResult submitResult, notRun bool) {
+	runs := s.upstreams.runCount(key)
 	switch {
-	case last.wrong:
-		s.tally.add(&s.tally.wrong, key+": "+last.reason)
-	case last.whole:
+	case lastResult.mismatch:
+		s.tally.add(&s.tally.wrongAnswers, key+": "+lastResult.reason)
+	case lastResult.complete:
 		s.tally.add(&s.tally.submissions, "")
 		if runs == 0 {
-			s.tally.add(&s.tally.lost, key)
+			s.tally.add(&s.tally.answeredNotRun, key)
 		}
 	case notRun:
-		s.tally.add(&s.tally.refused, key+": "+last.reason)
+		s.tally.add(&s.tally.rejected, key+": "+lastResult.reason)
 		if runs > 0 {
-			s.tally.add(&s.tally.ranThoughNotRun, key)
+			s.tally.add(&s.tally.ranDespiteNotRun, key)
 		}
 	default:
-		s.tally.add(&s.tally.open, key+": "+last.reason)
+		s.tally.add(&s.tally.unknownOutcomes, key+": "+lastResult.reason)
 	}
 }
 
-func (s *submitter) send(ctx context.Context, address, key string) fate {
+func (s *submitClient) post(ctx context.Context, address, key string) submitResult {
 	body := "the whole text of " + key
 	url := "http://" + address + "/services/" + service + "/submissions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewBufferString(body))
 	if err != nil {
-		return fate{reason: err.Error()}
+		return submitResult{reason: err.Error()}
 	}
 	request.Header.Set("Idempotency-Key", key)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		// A connection that was not made carried nothing.
-		return fate{notRun: isDial(err), reason: err.Error()}
+		// A request whose connection was refused was not sent.
+		return submitResult{notRun: isConnectionRefused(err), reason: err.Error()}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fate{reason: err.Error()}
+		return submitResult{reason: err.Error()}
 	}
 	if response.StatusCode != http.StatusOK {
 		notRun := response.Header.Get(outcome.Header) == outcome.NotRun.String()
-		return fate{notRun: notRun, reason: fmt.Sprintf("%s: %d %s", address, response.StatusCode, text)}
+		return submitResult{notRun: notRun, reason: fmt.Sprintf("%s: %d %s", address, response.StatusCode, text)}
 	}
 	if string(text) != body {
-		return fate{wrong: true, reason: fmt.Sprintf("%s answered %q", address, text)}
+		return submitResult{mismatch: true, reason: fmt.Sprintf("%s answered %q", address, text)}
 	}
-	return fate{whole: true}
+	return submitResult{complete: true}
 }
 
-func isDial(err error) bool {
-	var failed interface{ Timeout() bool }
-	return errors.As(err, &failed) && bytes.Contains([]byte(err.Error()), []byte("connection refused"))
+func isConnectionRefused(err error) bool {
+	var netErr interface{ Timeout() bool }
+	return errors.As(err, &netErr) && bytes.Contains([]byte(err.Error()), []byte("connection refused"))
 }
--- a/examples/smoke/deployment.go
+++ b/examples/smoke/deployment.go
@@ -16,8 +16,8 @@
 	"github.com/lovagelift/lovagelift/internal/registrar"
 )
 
-// names are the instances, in the order of their ports.
-var names = []string{"a", "b", "c"}
+// instanceNames are in the order of the instances' ports.
+var instanceNames = []string{"a", "b", "c"}
 
 type deploymentOptions struct {
 	program      string
@@ -26,21 +26,21 @@
 	ports        string
 }
 
-// deployment is three instances as processes, with data folders of their own.
+// deployment is three instances as processes, each with its own data folder.
 type deployment struct {
 	options   deploymentOptions
 	folder    string
 	tokenFile string
 	clients   map[string]*registrar.Client
-	// revision is the last one that was accepted.
+	// revision is the last accepted revision of the configuration.
 	revision uint64
-	// keep leaves the folder with the logs there.
-	keep bool
+	// keepFolder keeps the folder with the logs on close.
+	keepFolder bool
 
-	mu        sync.Mutex
-	processes map[string]*exec.Cmd
-	killed    string
-	killedAt  time.Time
+	mu             sync.Mutex
+	processes      map[string]*exec.Cmd
+	killedInstance string
+	killedAt       time.Time
 }
 
 func newDeployment(options deploymentOptions) (*deployment, error) {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "token")
 	}
-	for _, name := range names {
+	for _, name := range instanceNames {
 		d.clients[name], err = registrar.NewClient(registrar.ClientOptions{
 			Addresses: []netip.AddrPort{netip.MustParseAddrPort(d.address(name, operatorPort))},
 			Token:     strings.TrimSpace(string(token)), Timeout: time.Second,
@@ -76,8 +76,8 @@
 	return d, nil
 }
 
-// copySettings copies the example's files, so that the data folders beside them
-// are new and the ports may be others.
+// copySettings copies the settings of the example, so that the instances start
+// with new data folders and may use other ports.
 func (d *deployment) copySettings() error {
 	for _, pattern := range []string{"*.toml", "*.token"} {
 		files, err := filepath.Glob(filepath.Join(d.options.settings, pattern))
@@ -89,8 +89,8 @@
 			if err != nil {
 				return errors.Wrap(err, "settings")
 			}
-			moved := strings.ReplaceAll(string(text), "127.0.0.1:76", "127.0.0.1:"+d.options.ports)
-			if err := os.WriteFile(filepath.Join(d.folder, filepath.Base(file)), []byte(moved), 0o600); err != nil {
+			adapted := strings.ReplaceAll(string(text), "127.0.0.1:76", "127.0.0.1:"+d.options.ports)
+			if err := os.WriteFile(filepath.Join(d.folder, filepath.Base(file)), []byte(adapted), 0o600); err != nil {
 				return errors.Wrap(err, "settings")
 			}
 		}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// The last digit of a port says who connects there.
+// The last digit of a port identifies the listener.
 const (
 	callerPort = iota
 	upstreamPort
@@ -106,7 +106,7 @@
 )
 
 func (d *deployment) address(name string, port int) string {
-	for number, known := range names {
+	for number, known := range instanceNames {
 		if known == name {
 			return fmt.Sprintf("127.0.0.1:%s%d%d", d.options.ports, number, port)
 		}
@@ -116,14 +116,14 @@
 
 func (d *deployment) addresses(port int) []string {
 	var all []string
-	for _, name := range names {
+	for _, name := range instanceNames {
 		all = append(all, d.address(name, port))
 	}
 	return all
 }
 
-// start starts an instance as the example says. Its log is appended to a file.
-// It is killed when ctx ends.
+// start starts an instance with the settings of the example and appends its
+// output to a log file. The process is killed when ctx ends.
 func (d *deployment) start(ctx context.Context, name string) error {
 	log, err := os.OpenFile(filepath.Join(d.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -141,8 +141,9 @@
 	return nil
 }
 
-// take returns the process of an instance, which is then no longer kept.
-func (d *deployment) take(name string) *exec.Cmd {
+// removeProcess returns the process of an instance and removes it from the
+// deployment.
+func (d *deployment) removeProcess(name string) *exec.Cmd {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	process := d.processes[name]
@@ -150,12 +151,12 @@
 	return process
 }
 
-// running returns the names of the instances that have a process.
-func (d *deployment) running() []string {
+// runningInstances returns the names of the instances that have a process.
+func (d *deployment) runningInstances() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []string
-	for _, name := range names {
+	for _, name := range instanceNames {
 		if d.processes[name] != nil {
 			all = append(all, name)
 		}
@@ -163,17 +164,17 @@
 	return all
 }
 
-// endedByKill tells whether a connection to address that broke now did so
-// because its instance was killed.
-func (d *deployment) endedByKill(address string) bool {
+// interruptedByKill reports whether a connection to address that just broke did
+// so because its instance was killed.
+func (d *deployment) interruptedByKill(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	const noticed = 2 * time.Second
-	return !d.killedAt.IsZero() && address == d.address(d.killed, callerPort) && time.Since(d.killedAt) < noticed
+	const killGracePeriod = 2 * time.Second
+	return !d.killedAt.IsZero() && address == d.address(d.killedInstance, callerPort) && time.Since(d.killedAt) < killGracePeriod
 }
 
-// command runs an operator's command at the given instances.
-func (d *deployment) command(ctx context.Context, instances []string, arguments ...string) error {
+// runCommand runs an operator command against the given instances.
+func (d *deployment) runCommand(ctx context.Context, instances []string, arguments ...string) error {
 	for _, name := range instances {
 		arguments = append(arguments, "--operator-address", d.address(name, operatorPort))
 	}
@@ -183,13 +184,13 @@
 }
 
 func (d *deployment) close() {
-	for _, name := range names {
-		if process := d.take(name); process != nil {
+	for _, name := range instanceNames {
+		if process := d.removeProcess(name); process != nil {
 			_ = process.Process.Kill()
 			_ = process.Wait()
 		}
 	}
-	if !d.keep {
+	if !d.keepFolder {
 		_ = os.RemoveAll(d.folder)
 	}
 }
--- a/examples/smoke/main.go
+++ b/examples/smoke/main.go
@@ -1,7 +1,7 @@
 // Command smoke runs the three instances of examples/three as processes, with
-// stand-in upstreams of its own, and counts broken promises while one instance
+// test doubles of upstreams, and counts violated guarantees while one instance
 // is drained, one is killed and the configuration is changed twice. It takes
-// about half a minute and is no part of CI's verdict.
+// about half a minute and does not affect the result of CI.
 //
 //	go build -o bin/lovagelift ./cmd/lovagelift
 //	go run ./examples/smoke
@@ -20,8 +20,8 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// longest bounds the whole run.
-const longest = 110 * time.Second
+// runTimeout limits the whole run.
+const runTimeout = 110 * time.Second
 
 func main() {
 	options := deploymentOptions{
@@ -39,77 +39,78 @@
 	flaggy.Parse()
 
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	ctx, cancel := context.WithTimeout(ctx, longest)
-	broken, err := run(ctx, options)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
+	violations, err := run(ctx, options)
 	cancel()
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "smoke:", err)
 		os.Exit(1)
 	}
-	if broken > 0 {
+	if violations > 0 {
 		os.Exit(1)
 	}
 }
 
-// run returns the number of promises that were broken. If the run itself could
-// not be made, run returns an error.
+// run returns the number of violated guarantees, or an error if the run could
+// not be completed.
 func run(ctx context.Context, options deploymentOptions) (int, error) {
 	d, err := newDeployment(options)
 	if err != nil {
 		return 0, err
 	}
 	defer d.close()
-	up, err := newUpstreams(ctx, d)
+	up, err := startUpstreams(ctx, d)
 	if err != nil {
 		return 0, err
 	}
 	defer up.close()
 	t := &tally{}
-	if err := d.found(ctx); err != nil {
+	if err := d.bootstrap(ctx); err != nil {
 		return 0, err
 	}
 	stopWatching := watchRevisions(ctx, d, t)
 	stopCallers := startCallers(ctx, d, up, t)
-	err = script(ctx, d, t)
+	err = runScript(ctx, d, t)
 	stopCallers()
 	stopWatching()
-	up.count(t)
+	up.recordViolations(t)
 	t.print(os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "the logs are kept in", d.folder)
-		d.keep = true
+		d.keepFolder = true
 	}
-	return t.broken(), err
+	return t.violations(), err
 }
 
-// settle is how long callers go on undisturbed between two steps.
-const settle = 3 * time.Second
+// settleTime is the time between two steps, during which only the clients are
+// active.
+const settleTime = 3 * time.Second
 
-// script is what happens while callers keep sending.
-func script(ctx context.Context, d *deployment, t *tally) error {
+// runScript performs the steps of the test while the clients keep sending.
+func runScript(ctx context.Context, d *deployment, t *tally) error {
 	steps := []struct {
 		name  string
 		after time.Duration
 		do    func() error
 	}{
-		{"change the preset to peak", settle, func() error { return d.change(ctx, t, "peak") }},
-		{"drain b", settle, func() error { return d.drain(ctx, "b") }},
-		{"start b again", settle, func() error { return d.restart(ctx, "b") }},
-		{"kill the leader", settle, func() error { return d.killLeader(ctx) }},
-		{"change the preset to ordinary", 0, func() error { return d.change(ctx, t, "ordinary") }},
-		{"start the killed one again", settle, func() error { return d.restart(ctx, d.killed) }},
+		{"change the preset to peak", settleTime, func() error { return d.changePreset(ctx, t, "peak") }},
+		{"drain b", settleTime, func() error { return d.drain(ctx, "b") }},
+		{"start b again", settleTime, func() error { return d.restart(ctx, "b") }},
+		{"kill the leader", settleTime, func() error { return d.killLeader(ctx) }},
+		{"change the preset to ordinary", 0, func() error { return d.changePreset(ctx, t, "ordinary") }},
+		{"start the killed one again", settleTime, func() error { return d.restart(ctx, d.killedInstance) }},
 	}
 	for _, step := range steps {
 		if !pause.For(ctx, step.after) {
 			return ctx.Err()
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		if err := step.do(); err != nil {
 			return fmt.Errorf("%s: %w", step.name, err)
 		}
-		fmt.Printf("%-32s %v\n", step.name, time.Since(began).Round(time.Millisecond))
+		fmt.Printf("%-32s %v\n", step.name, time.Since(startedAt).Round(time.Millisecond))
 	}
-	pause.For(ctx, settle)
+	pause.For(ctx, settleTime)
 	return ctx.Err()
 }
--- a/examples/smoke/steps.go
+++ b/examples/smoke/steps.go
@@ -12,61 +12,63 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// again is the pause between two tries of an operator, or two looks at a state.
-const again = 50 * time.Millisecond
+// retryInterval is the interval between retries of an operator command, and
+// between polls of the status.
+const retryInterval = 50 * time.Millisecond
 
-// found starts all instances, founds their cluster and applies declarations.
-func (d *deployment) found(ctx context.Context) error {
-	for _, name := range names {
+// bootstrap starts all instances, bootstraps the cluster and applies the
+// declarations.
+func (d *deployment) bootstrap(ctx context.Context) error {
+	for _, name := range instanceNames {
 		if err := d.start(ctx, name); err != nil {
 			return err
 		}
 	}
-	if err := d.until(ctx, func() error { return d.command(ctx, []string{"a"}, "voters", "--bootstrap") }); err != nil {
+	if err := d.retry(ctx, func() error { return d.runCommand(ctx, []string{"a"}, "voters", "--bootstrap") }); err != nil {
 		return err
 	}
-	err := d.until(ctx, func() error {
-		return d.command(ctx, []string{"a"}, "apply", "--expect", "0", d.options.declarations)
+	err := d.retry(ctx, func() error {
+		return d.runCommand(ctx, []string{"a"}, "apply", "--expect", "0", d.options.declarations)
 	})
 	if err != nil {
 		return err
 	}
 	d.revision = 1
-	if _, err := d.inForce(ctx); err != nil {
+	if _, err := d.awaitRevision(ctx); err != nil {
 		return err
 	}
-	return d.entriesOfAll(ctx)
+	return d.awaitEntries(ctx)
 }
 
-// change brings a preset into force, and repeats the command as the operators'
-// page says where an answer was lost or no leader is known yet.
-func (d *deployment) change(ctx context.Context, t *tally, preset string) error {
-	err := d.until(ctx, func() error {
-		return d.command(ctx, names, "preset", "--expect", strconv.FormatUint(d.revision, 10), preset)
+// changePreset activates a preset. As the operators' documentation prescribes,
+// it repeats the command if a response was lost or no leader is known yet.
+func (d *deployment) changePreset(ctx context.Context, t *tally, preset string) error {
+	err := d.retry(ctx, func() error {
+		return d.runCommand(ctx, instanceNames, "preset", "--expect", strconv.FormatUint(d.revision, 10), preset)
 	})
 	if err != nil {
 		return err
 	}
 	d.revision++
-	took, err := d.inForce(ctx)
-	t.inForceAfter(took)
+	took, err := d.awaitRevision(ctx)
+	t.recordApplyTime(took)
 	return err
 }
 
-// drain stops an instance as planned and waits until its process has ended.
+// drain shuts an instance down gracefully and waits for its process to exit.
 func (d *deployment) drain(ctx context.Context, name string) error {
 	status, err := d.clients[name].Status(ctx)
 	if err != nil {
 		return err
 	}
 	fmt.Println(name, "has requests in progress:", status.Streams)
-	if err := d.command(ctx, []string{name}, "drain"); err != nil {
+	if err := d.runCommand(ctx, []string{name}, "drain"); err != nil {
 		return err
 	}
-	return errors.Wrapf(d.take(name).Wait(), "%s ended", name)
+	return errors.Wrapf(d.removeProcess(name).Wait(), "%s ended", name)
 }
 
-// killLeader ends the process of the instance that leads.
+// killLeader kills the process of the leader.
 func (d *deployment) killLeader(ctx context.Context) error {
 	status, err := d.clients["a"].Status(ctx)
 	if err != nil {
@@ -77,36 +79,36 @@
 		return err
 	}
 	fmt.Println(leader.Name, "leads and has requests in progress:", leader.Streams)
-	process := d.take(leader.Name)
+	process := d.removeProcess(leader.Name)
 	if process == nil {
 		return errors.Newf("the leader %s has no process", leader.Name)
 	}
 	d.mu.Lock()
-	d.killed, d.killedAt = leader.Name, time.Now()
+	d.killedInstance, d.killedAt = leader.Name, time.Now()
 	d.mu.Unlock()
 	err = process.Process.Kill()
 	_ = process.Wait()
 	return err
 }
 
-// restart starts an instance again and waits until what was accepted is in force
-// there.
+// restart starts an instance again and waits until it has applied the last
+// accepted revision.
 func (d *deployment) restart(ctx context.Context, name string) error {
 	if err := d.start(ctx, name); err != nil {
 		return err
 	}
-	if _, err := d.inForce(ctx); err != nil {
+	if _, err := d.awaitRevision(ctx); err != nil {
 		return err
 	}
-	return d.entriesOfAll(ctx)
+	return d.awaitEntries(ctx)
 }
 
-// inForce waits until the last accepted revision is in force at all instances
-// that run, and returns how long that took.
-func (d *deployment) inForce(ctx context.Context) (time.Duration, error) {
-	began := time.Now()
-	err := d.until(ctx, func() error {
-		for _, name := range d.running() {
+// awaitRevision waits until all running instances have applied the last
+// accepted revision, and returns how long that took.
+func (d *deployment) awaitRevision(ctx context.Context) (time.Duration, error) {
+	startedAt := time.Now()
+	err := d.retry(ctx, func() error {
+		for _, name := range d.runningInstances() {
 			status, err := d.clients[name].Status(ctx)
 			if err != nil {
 				return err
@@ -117,24 +119,24 @@
 		}
 		return nil
 	})
-	return time.Since(began), err
+	return time.Since(startedAt), err
 }
 
-// entriesOfAll waits until each instance knows all upstreams and names all
-// instances to callers.
-func (d *deployment) entriesOfAll(ctx context.Context) error {
-	return d.until(ctx, func() error {
-		for _, name := range d.running() {
+// awaitEntries waits until each running instance knows all upstreams and
+// returns all instances to callers.
+func (d *deployment) awaitEntries(ctx context.Context) error {
+	return d.retry(ctx, func() error {
+		for _, name := range d.runningInstances() {
 			status, err := d.clients[name].Status(ctx)
 			if err != nil {
 				return err
 			}
-			asker := caller.New(caller.Options{Known: []string{d.address(name, callerPort)}})
-			entries, err := asker.Entries(ctx)
+			client := caller.New(caller.Options{Known: []string{d.address(name, callerPort)}})
+			entries, err := client.Entries(ctx)
 			if err != nil {
 				return err
 			}
-			if len(status.Upstreams) < upstreamsOfAll || len(entries) < len(names) {
+			if len(status.Upstreams) < upstreamCount || len(entries) < len(instanceNames) {
 				return errors.Newf("%s knows %d upstreams and names %d instances", name, len(status.Upstreams), len(entries))
 			}
 		}
@@ -142,37 +144,37 @@
 	})
 }
 
-// until repeats do until it succeeds. If ctx ends before, until returns the
-// error of the last try.
-func (d *deployment) until(ctx context.Context, do func() error) error {
-	const patience = 25 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// retry calls attempt until it succeeds. If ctx or the timeout ends before,
+// retry returns the error of the last attempt.
+func (d *deployment) retry(ctx context.Context, attempt func() error) error {
+	const retryTimeout = 25 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	for {
-		err := do()
-		if err == nil || !pause.For(ctx, again) {
+		err := attempt()
+		if err == nil || !pause.For(ctx, retryInterval) {
 			return err
 		}
 	}
 }
 
-// watchRevisions looks at all instances until the returned function is called.
-// An instance that admits work under a revision lower than it had before has
-// reverted.
+// watchRevisions polls all instances until stop is called. An instance that
+// admits requests under a lower revision than before has reverted its
+// configuration.
 func watchRevisions(ctx context.Context, d *deployment, t *tally) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		highest := map[string]uint64{}
-		for pause.For(ctx, again) {
-			for _, name := range names {
+		for pause.For(ctx, retryInterval) {
+			for _, name := range instanceNames {
 				status, err := d.clients[name].Status(ctx)
 				if err != nil || !status.Fresh {
 					continue
 				}
 				if status.Revision < highest[name] {
-					t.add(&t.reverted, name+" went back to revision "+strconv.FormatUint(status.Revision, 10))
+					t.add(&t.revertedRevisions, name+" went back to revision "+strconv.FormatUint(status.Revision, 10))
 				}
 				highest[name] = max(highest[name], status.Revision)
 			}
@@ -180,6 +182,6 @@
 	}()
 	return func() {
 		cancel()
-		<-ended
+		<-done
 	}
 }
--- a/examples/smoke/upstreams.go
+++ b/examples/smoke/upstreams.go
@@ -14,62 +14,64 @@
 )
 
 const (
-	// model and service are declared in the example's declarations.
+	// model and service are defined in the example's declarations.
 	model   = "juror-chat"
 	service = "submissions"
 
-	enginesOfAll   = 2
-	servicesOfAll  = 2
-	upstreamsOfAll = enginesOfAll + servicesOfAll
+	engineCount   = 2
+	serviceCount  = 2
+	upstreamCount = engineCount + serviceCount
 
 	headerTimeout = 5 * time.Second
 	gibibyte      = 1 << 30
 )
 
-// upstreams are stand-ins in this process, which count what they run.
-type upstreams struct {
+// testUpstreams are test doubles of upstreams in this process. They count the
+// requests they run.
+type testUpstreams struct {
 	servers  []*http.Server
 	engines  []*standin.Engine
 	services []*standin.Service
 }
 
-func newUpstreams(ctx context.Context, d *deployment) (*upstreams, error) {
-	u := &upstreams{}
+func startUpstreams(ctx context.Context, d *deployment) (*testUpstreams, error) {
+	up := &testUpstreams{}
 	announce := standin.AnnounceOptions{To: d.addresses(upstreamPort)}
-	for n := range enginesOfAll {
-		err := u.serve(ctx, func(address string) http.Handler {
+	for n := range engineCount {
+		err := up.serve(ctx, func(address string) http.Handler {
 			engine := standin.NewEngine(standin.EngineOptions{
-				Name: fmt.Sprintf("drafting-%d", n), Address: address, FailureDomain: "kgn-" + names[n],
+				Name: fmt.Sprintf("drafting-%d", n), Address: address, FailureDomain: "kgn-" + instanceNames[n],
 				Announce: announce, Fencing: upstreamapi.FencingChecked, MaxRunning: 64,
 				FirstTokenDelay: 50 * time.Millisecond, TokenDelay: 20 * time.Millisecond,
 				Accelerators: []upstreamapi.Accelerator{{Name: "a0", MemoryBytes: 80 * gibibyte}},
 				Resident:     []upstreamapi.Resident{{Model: model, Accelerators: []string{"a0"}, MemoryBytes: 8 * gibibyte}},
 			})
-			u.engines = append(u.engines, engine)
+			up.engines = append(up.engines, engine)
 			return engine
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	for n := range servicesOfAll {
-		err := u.serve(ctx, func(address string) http.Handler {
-			plain := standin.NewService(standin.ServiceOptions{
-				Name: fmt.Sprintf("portal-%d", n), Address: address, FailureDomain: "kgn-" + names[n],
+	for n := range serviceCount {
+		err := up.serve(ctx, func(address string) http.Handler {
+			plainService := standin.NewService(standin.ServiceOptions{
+				Name: fmt.Sprintf("portal-%d", n), Address: address, FailureDomain: "kgn-" + instanceNames[n],
 				Announce: announce, Services: []string{service}, Delay: 50 * time.Millisecond,
 			})
-			u.services = append(u.services, plain)
-			return plain
+			up.services = append(up.services, plainService)
+			return plainService
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	return u, nil
+	return up, nil
 }
 
-// serve starts the upstream that build returns for the address it listens on.
-func (u *upstreams) serve(ctx context.Context, build func(address string) http.Handler) error {
+// serve listens on a free port and serves the upstream that build returns for
+// its address.
+func (u *testUpstreams) serve(ctx context.Context, build func(address string) http.Handler) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,8 +83,8 @@
 	return nil
 }
 
-// runs returns how often a submission was run, at all services together.
-func (u *upstreams) runs(key string) int {
+// runCount returns the number of runs of a submission on all services together.
+func (u *testUpstreams) runCount(key string) int {
 	sum := 0
 	for _, plain := range u.services {
 		sum += plain.Runs(key)
@@ -90,25 +92,26 @@
 	return sum
 }
 
-// count adds what the upstreams saw themselves.
-func (u *upstreams) count(t *tally) {
-	for n := range submitters {
-		// Keys are numbered without gaps; far fewer can be sent in a run.
+// recordViolations adds the violations that the upstreams detected.
+func (u *testUpstreams) recordViolations(t *tally) {
+	for n := range submitClientCount {
+		// The numbers of keys are consecutive, and one run of the program sends
+		// far fewer than this.
 		for number := range 10_000 {
 			key := fmt.Sprintf("submission-%d-%d", n, number)
-			if u.runs(key) > 1 {
+			if u.runCount(key) > 1 {
 				t.add(&t.ranTwice, key)
 			}
 		}
 	}
 	for _, engine := range u.engines {
 		for range engine.Overcommits() {
-			t.add(&t.overcommitted, "")
+			t.add(&t.overcommits, "")
 		}
 	}
 }
 
-func (u *upstreams) close() {
+func (u *testUpstreams) close() {
 	leaving, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, engine := range u.engines {
