--- a/examples/smoke/callers.go
+++ b/examples/smoke/callers.go
@@ -23,8 +23,8 @@
 	// maxSubmitAttempts is the maximum number of times that one submission is
 	// sent, with the same idempotency key.
 	maxSubmitAttempts = 6
-	// concurrentSubmitInterval is the number of submissions of which one is
-	// sent to two instances at the same time.
+	// One of every concurrentSubmitInterval submissions is sent to two
+	// instances at the same time.
 	concurrentSubmitInterval = 4
 	// requestTimeout limits a question or a submission with all its retries.
 	requestTimeout = 15 * time.Second
--- a/internal/standin/kvcache.go
+++ b/internal/standin/kvcache.go
@@ -18,7 +18,7 @@
 const (
 	// kvExportTTL is how long an export can be imported.
 	kvExportTTL = time.Minute
-	// kvBytesPerToken is the KV cache size reported for an export.
+	// kvBytesPerToken is the KV cache size per token that an export reports.
 	kvBytesPerToken = 128 << 10
 )
 
--- a/internal/standin/manualclock.go
+++ b/internal/standin/manualclock.go
@@ -8,14 +8,14 @@
 // ManualClock is a Clock that only moves when Advance is called. It is safe for
 // concurrent use.
 type ManualClock struct {
-	mu      sync.Mutex
-	now     time.Time
-	waiters []waiter
-	// changed is signalled when a waiter is added.
-	changed *sync.Cond
+	mu     sync.Mutex
+	now    time.Time
+	timers []timer
+	// timerAdded is signalled when a timer is added.
+	timerAdded *sync.Cond
 }
 
-type waiter struct {
+type timer struct {
 	due time.Time
 	ch  chan time.Time
 }
@@ -23,7 +23,7 @@
 // NewManualClock returns a clock set to now.
 func NewManualClock(now time.Time) *ManualClock {
 	c := &ManualClock{now: now}
-	c.changed = sync.NewCond(&c.mu)
+	c.timerAdded = sync.NewCond(&c.mu)
 	return c
 }
 
@@ -39,14 +39,14 @@
 func (c *ManualClock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := waiter{due: c.now.Add(d), ch: make(chan time.Time, 1)}
+	t := timer{due: c.now.Add(d), ch: make(chan time.Time, 1)}
 	if d <= 0 {
-		w.ch <- c.now
-		return w.ch
+		t.ch <- c.now
+		return t.ch
 	}
-	c.waiters = append(c.waiters, w)
-	c.changed.Broadcast()
-	return w.ch
+	c.timers = append(c.timers, t)
+	c.timerAdded.Broadcast()
+	return t.ch
 }
 
 // Advance moves the clock forward by d and fires the timers that are due.
@@ -54,15 +54,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
-	kept := c.waiters[:0]
-	for _, w := range c.waiters {
-		if w.due.After(c.now) {
-			kept = append(kept, w)
+	pending := c.timers[:0]
+	for _, t := range c.timers {
+		if t.due.After(c.now) {
+			pending = append(pending, t)
 			continue
 		}
-		w.ch <- c.now
+		t.ch <- c.now
 	}
-	c.waiters = kept
+	c.timers = pending
 }
 
 // AwaitWaiters blocks until at least n timers are pending. A timer whose
@@ -70,7 +70,7 @@
 func (c *ManualClock) AwaitWaiters(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.waiters) < n {
-		c.changed.Wait()
+	for len(c.timers) < n {
+		c.timerAdded.Wait()
 	}
 }
--- a/internal/standin/orderlog.go
+++ b/internal/standin/orderlog.go
@@ -65,7 +65,7 @@
 }
 
 // Conflicts reports whether a running order has the same model. Changes of role
-// have none, so they conflict with each other.
+// name no model, so they conflict with each other.
 func (l *orderLog) Conflicts(order upstreamapi.Order) bool {
 	for _, entry := range l.entries {
 		if entry.state == upstreamapi.OrderRunning && entry.order.Model == order.Model {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -223,8 +223,8 @@
 	return model.adapterKey(entry.order.Adapter)
 }
 
-// executeOrder performs the load of an order and then the unload of the model
-// or adapter with unloadKey, as far as the order includes either. The unload
+// executeOrder performs the load of an order, if it has one, and then the
+// unload of the model or adapter with unloadKey, if there is one. The unload
 // waits until the requests that use the model or adapter have ended. If the
 // engine is closed before, the order stays in progress.
 func (e *Engine) executeOrder(entry *orderEntry, unloadKey string) {
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// slots are the slots of an engine's running batch, with a queue for them. It
-// is safe for concurrent use.
+// slots is the set of slots in an engine's running batch, with a queue of
+// waiting requests. It is safe for concurrent use.
 type slots struct {
 	// limit is the number of slots, 0 for no limit. queueLimit is the maximum
 	// number of waiting requests.
