--- a/internal/standin/manualclock.go
+++ b/internal/standin/manualclock.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// ManualClock is a Clock that stands still until it is advanced. It is safe for
+// ManualClock is a Clock that only moves when Advance is called. It is safe for
 // concurrent use.
 type ManualClock struct {
-	mu      sync.Mutex
-	now     time.Time
-	waiters []waiter
-	// changed is signalled when a waiter is added.
-	changed *sync.Cond
+	mu     sync.Mutex
+	now    time.Time
+	timers []timer
+	// timerAdded is signalled when a timer is added.
+	timerAdded *sync.Cond
 }
 
-type waiter struct {
+type timer struct {
 	due time.Time
-	c   chan time.Time
+	ch  chan time.Time
 }
 
-// NewManualClock returns a clock that stands at now.
+// NewManualClock returns a clock set to now.
 func NewManualClock(now time.Time) *ManualClock {
 	c := &ManualClock{now: now}
-	c.changed = sync.NewCond(&c.mu)
+	c.timerAdded = sync.NewCond(&c.mu)
 	return c
 }
 
-// Now returns the time at which the clock stands.
+// Now returns the current time of the clock.
 func (c *ManualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,38 +39,38 @@
 func (c *ManualClock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := waiter{due: c.now.Add(d), c: make(chan time.Time, 1)}
+	t := timer{due: c.now.Add(d), ch: make(chan time.Time, 1)}
 	if d <= 0 {
-		w.c <- c.now
-		return w.c
+		t.ch <- c.now
+		return t.ch
 	}
-	c.waiters = append(c.waiters, w)
-	c.changed.Broadcast()
-	return w.c
+	c.timers = append(c.timers, t)
+	c.timerAdded.Broadcast()
+	return t.ch
 }
 
-// Advance moves the clock by d and wakes the waiters that are due.
+// Advance moves the clock forward by d and fires the timers that are due.
 func (c *ManualClock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
-	kept := c.waiters[:0]
-	for _, w := range c.waiters {
-		if w.due.After(c.now) {
-			kept = append(kept, w)
+	pending := c.timers[:0]
+	for _, t := range c.timers {
+		if t.due.After(c.now) {
+			pending = append(pending, t)
 			continue
 		}
-		w.c <- c.now
+		t.ch <- c.now
 	}
-	c.waiters = kept
+	c.timers = pending
 }
 
-// AwaitWaiters blocks until at least n waiters wait for the clock. A waiter that
-// has given up counts until its time has passed.
+// AwaitWaiters blocks until at least n timers are pending. A timer whose
+// receiver has stopped waiting counts until it is due.
 func (c *ManualClock) AwaitWaiters(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.waiters) < n {
-		c.changed.Wait()
+	for len(c.timers) < n {
+		c.timerAdded.Wait()
 	}
 }
