--- a/caller.go
+++ b/caller.go
@@ -27,7 +27,7 @@
 
 // NewCaller returns a Caller.
 func NewCaller(options CallerOptions) *Caller {
-	return &Caller{inner: caller.New(caller.Options{Known: options.Instances, TLS: options.TLS})}
+	return &Caller{inner: caller.New(caller.Options{Seeds: options.Instances, TLS: options.TLS})}
 }
 
 // Outcome reports whether a request was executed. docs/CALLERS.md describes the
@@ -65,7 +65,7 @@
 	if piece == nil {
 		piece = func(string) {}
 	}
-	answer, err := c.inner.Ask(ctx, caller.Question{Model: model, Text: text}, piece)
+	answer, err := c.inner.Complete(ctx, caller.Request{Model: model, Prompt: text}, piece)
 	if err == nil {
 		return answer.Text, nil
 	}
--- a/examples/smoke/callers.go
+++ b/examples/smoke/callers.go
@@ -55,7 +55,7 @@
 		loop(func(number int) { client.ask(ctx, fmt.Sprintf("asker %d asks number %d%s", n, number, suffix)) })
 	}
 	for n := range submitClientCount {
-		client := &submitClient{caller: caller.New(caller.Options{Known: d.addresses(callerPort)}), tally: t, upstreams: up}
+		client := &submitClient{caller: caller.New(caller.Options{Seeds: d.addresses(callerPort)}), tally: t, upstreams: up}
 		loop(func(number int) {
 			client.submit(ctx, fmt.Sprintf("submission-%d-%d", n, number), number%concurrentSubmitInterval == 0)
 		})
@@ -91,7 +91,7 @@
 	client := &http.Client{Transport: recorder}
 	return &chatClient{
 		deployment: d, tally: t, recorder: recorder,
-		caller: caller.New(caller.Options{Known: d.addresses(callerPort), Client: client}),
+		caller: caller.New(caller.Options{Seeds: d.addresses(callerPort), Client: client}),
 	}
 }
 
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	receivedToken, startedAt := false, time.Now()
-	answer, err := c.caller.Ask(ctx, caller.Question{Model: model, Text: text}, func(string) {
+	answer, err := c.caller.Complete(ctx, caller.Request{Model: model, Prompt: text}, func(string) {
 		if !receivedToken {
 			c.tally.recordFirstToken(time.Since(startedAt))
 		}
--- a/examples/smoke/steps.go
+++ b/examples/smoke/steps.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(name, "has requests in progress:", status.Streams)
+	fmt.Println(name, "has requests in progress:", status.ActiveRequests)
 	if err := d.runCommand(ctx, []string{name}, "drain"); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(leader.Name, "leads and has requests in progress:", leader.Streams)
+	fmt.Println(leader.Name, "leads and has requests in progress:", leader.ActiveRequests)
 	process := d.removeProcess(leader.Name)
 	if process == nil {
 		return errors.Newf("the leader %s has no process", leader.Name)
@@ -113,8 +113,8 @@
 			if err != nil {
 				return err
 			}
-			if !status.Fresh || status.Revision < d.revision {
-				return errors.Newf("%s is at revision %d, fresh %t", name, status.Revision, status.Fresh)
+			if !status.HasConfigLease || status.Revision < d.revision {
+				return errors.Newf("%s is at revision %d, fresh %t", name, status.Revision, status.HasConfigLease)
 			}
 		}
 		return nil
@@ -131,7 +131,7 @@
 			if err != nil {
 				return err
 			}
-			client := caller.New(caller.Options{Known: []string{d.address(name, callerPort)}})
+			client := caller.New(caller.Options{Seeds: []string{d.address(name, callerPort)}})
 			entries, err := client.Entries(ctx)
 			if err != nil {
 				return err
@@ -170,7 +170,7 @@
 		for pause.For(ctx, retryInterval) {
 			for _, name := range instanceNames {
 				status, err := d.clients[name].Status(ctx)
-				if err != nil || !status.Fresh {
+				if err != nil || !status.HasConfigLease {
 					continue
 				}
 				if status.Revision < highest[name] {
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -52,12 +52,12 @@
 }
 
 // Float returns the exact limit. Value is its integer part.
-func (l Limit) Float() float64 {
+func (l Limit) Exact() float64 {
 	return max(l.value, minLimit)
 }
 
 // Calm reports whether the last decrease of the limit is longer ago than since.
-func (l Limit) Calm(now time.Time, since time.Duration) bool {
+func (l Limit) StableFor(now time.Time, since time.Duration) bool {
 	return now.Sub(l.decreasedAt) > since
 }
 
@@ -65,7 +65,7 @@
 // Requests of priority 0 may exceed the limit by a tenth, at least by one. All others stay
 // a tenth under it, so that a burst of them can't occupy the whole limit when an urgent
 // request comes. An upstream without open requests has room for any priority.
-func (l Limit) Room(inFlight int, priority uint8) bool {
+func (l Limit) Allows(inFlight int, priority uint8) bool {
 	value := max(l.value, minLimit)
 	if priority == 0 {
 		return inFlight < int(value+max(1, value*priorityReserveShare))
@@ -81,7 +81,7 @@
 		return l
 	}
 	if took > goal {
-		return l.WithCut(now, sentAt)
+		return l.WithDecrease(now, sentAt)
 	}
 	used := float64(inFlight) >= l.value*minUsedShare
 	early := float64(took) <= float64(goal)*maxGoalShare
@@ -102,7 +102,7 @@
 
 // WithCut returns the Limit after a request, sent at sentAt, that the upstream answered
 // too late or refused because it had no room.
-func (l Limit) WithCut(now, sentAt time.Time) Limit {
+func (l Limit) WithDecrease(now, sentAt time.Time) Limit {
 	if sentAt.Before(l.decreasedAt) {
 		return l
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -51,7 +51,7 @@
 }
 
 // New returns an empty Queue.
-func New(options Options) *Queue {
+func NewQueue(options Options) *Queue {
 	if options.MaxWaiting <= 0 {
 		options.MaxWaiting = defaultMaxWaiting
 	}
@@ -70,7 +70,7 @@
 // Waiting returns the number of waiting tickets of pool that have the given priority or a
 // higher one. If it is not 0, a request of that priority must be offered to the queue even
 // if an upstream has room, or it would overtake them.
-func (q *Queue) Waiting(pool string, priority uint8) int {
+func (q *Queue) Ahead(pool string, priority uint8) int {
 	p := q.pools[pool]
 	if p == nil || p.size == 0 {
 		return 0
@@ -170,7 +170,7 @@
 
 // Return queues a ticket again that Take has just returned, because its request could not
 // be sent. Its service gets the cost of the ticket back.
-func (q *Queue) Return(now time.Time, t Ticket) {
+func (q *Queue) Requeue(now time.Time, t Ticket) {
 	p := q.pool(t.Pool)
 	f := q.flow(p, t)
 	f.account.virtualTime -= t.cost()
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -32,7 +32,7 @@
 	var q *admission.Queue
 
 	BeforeEach(func() {
-		q = admission.New(admission.Options{MaxWaiting: 8})
+		q = admission.NewQueue(admission.Options{MaxWaiting: 8})
 	})
 
 	It("takes tickets by priority, then by StartBy", func() {
@@ -143,7 +143,7 @@
 		// The expected capacity is 100 starts a second, but the upstreams start one a
 		// second. The last callers are refused after some seconds, not only when their
 		// StartBy has passed.
-		q = admission.New(admission.Options{})
+		q = admission.NewQueue(admission.Options{})
 		for id := range uint64(60) {
 			q.Offer(start, ticket(id, "drafts", 2, 20*time.Second), 100)
 		}
@@ -192,10 +192,10 @@
 
 	It("reserves room for priority 0", func() {
 		l := admission.NewLimit(10, 20)
-		Expect(l.Room(8, 3)).To(BeTrue())
-		Expect(l.Room(9, 3)).To(BeFalse())
-		Expect(l.Room(10, 0)).To(BeTrue())
-		Expect(l.Room(11, 0)).To(BeFalse())
-		Expect(admission.NewLimit(1, 1).Room(0, 7)).To(BeTrue())
+		Expect(l.Allows(8, 3)).To(BeTrue())
+		Expect(l.Allows(9, 3)).To(BeFalse())
+		Expect(l.Allows(10, 0)).To(BeTrue())
+		Expect(l.Allows(11, 0)).To(BeFalse())
+		Expect(admission.NewLimit(1, 1).Allows(0, 7)).To(BeTrue())
 	})
 })
--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -9,17 +9,17 @@
 // Options configures Ages. All fields must be above 0.
 type Options struct {
 	// After is the time without service after which a requested key starves.
-	After time.Duration
+	StarvedAfter time.Duration
 	// Forget is the time without a request after which a key is forgotten. It must be
 	// longer than After.
-	Forget time.Duration
+	ForgetAfter time.Duration
 	// Keys is the largest number of keys that are tracked. Further keys are ignored.
-	Keys int
+	MaxKeys int
 }
 
 // Ages tracks how long each key has been requested without being served. It is not safe
 // for concurrent use.
-type Ages[K comparable] struct {
+type Tracker[K comparable] struct {
 	options Options
 	// unserved holds the keys that were requested since they were last served, at most
 	// options.Keys of them.
@@ -33,17 +33,17 @@
 }
 
 // New returns Ages that track no keys.
-func New[K comparable](options Options) *Ages[K] {
-	return &Ages[K]{options: options, unserved: map[K]requestTimes{}}
+func New[K comparable](options Options) *Tracker[K] {
+	return &Tracker[K]{options: options, unserved: map[K]requestTimes{}}
 }
 
 // Asked records a request for a key.
-func (a *Ages[K]) Asked(now time.Time, key K) {
+func (a *Tracker[K]) Requested(now time.Time, key K) {
 	times, found := a.unserved[key]
 	switch {
-	case found && now.Sub(times.last) <= a.options.Forget:
+	case found && now.Sub(times.last) <= a.options.ForgetAfter:
 		times.last = now
-	case !found && len(a.unserved) >= a.options.Keys && !a.removeExpired(now):
+	case !found && len(a.unserved) >= a.options.MaxKeys && !a.removeExpired(now):
 		return
 	default:
 		times = requestTimes{first: now, last: now}
@@ -53,10 +53,10 @@
 
 // removeExpired forgets the keys that are no longer requested, and reports whether there
 // were any.
-func (a *Ages[K]) removeExpired(now time.Time) bool {
+func (a *Tracker[K]) removeExpired(now time.Time) bool {
 	count := len(a.unserved)
 	for key, times := range a.unserved {
-		if now.Sub(times.last) > a.options.Forget {
+		if now.Sub(times.last) > a.options.ForgetAfter {
 			delete(a.unserved, key)
 		}
 	}
@@ -64,18 +64,18 @@
 }
 
 // Served records that a key was served.
-func (a *Ages[K]) Served(key K) {
+func (a *Tracker[K]) Served(key K) {
 	delete(a.unserved, key)
 }
 
 // Starved returns the time for which a key has been requested without being served, and
 // whether that is long enough for starvation. A key that is no longer requested doesn't
 // starve.
-func (a *Ages[K]) Starved(now time.Time, key K) (time.Duration, bool) {
+func (a *Tracker[K]) Starved(now time.Time, key K) (time.Duration, bool) {
 	times, found := a.unserved[key]
-	if !found || now.Sub(times.last) > a.options.Forget {
+	if !found || now.Sub(times.last) > a.options.ForgetAfter {
 		return 0, false
 	}
 	unservedFor := now.Sub(times.first)
-	return unservedFor, unservedFor >= a.options.After
+	return unservedFor, unservedFor >= a.options.StarvedAfter
 }
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -40,10 +40,10 @@
 	// Fresh reports whether Open created the identity file. If so, nothing is
 	// known about votes and acknowledgements that this instance may have sent
 	// before.
-	Fresh bool
+	NewFolder bool
 	// Number is a random number that identifies the data folder. It is generated
 	// with the identity file.
-	Number uint64
+	FolderNumber uint64
 	// ClusterID is empty until RecordCluster is called.
 	ClusterID string
 	HardState jury.HardState
@@ -53,7 +53,7 @@
 	Entries []jury.Entry
 	// Cut is the torn tail that Open removed from the log. Its Bytes is 0 if
 	// there was none.
-	Cut TornTail
+	TornTail TornTail
 }
 
 // TornTail is an incomplete record that a crash left at the end of the last
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -28,8 +28,8 @@
 	It("restores the hard state, snapshot and entries after a restart", func() {
 		a, loaded, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(loaded.Fresh).To(BeTrue())
-		Expect(loaded.Number).NotTo(BeZero())
+		Expect(loaded.NewFolder).To(BeTrue())
+		Expect(loaded.FolderNumber).NotTo(BeZero())
 		var entries []jury.Entry
 		for i := jury.Index(1); i <= 100; i++ {
 			entries = append(entries, commandEntry(i, 1))
@@ -45,10 +45,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer reopened.Close()
 		Expect(reloaded).To(Equal(archive.Loaded{
-			Number:    loaded.Number,
-			HardState: jury.HardState{Term: 1, Vote: "kgn-a/1"},
-			Snapshot:  snapshot,
-			Entries:   entries[90:],
+			FolderNumber: loaded.FolderNumber,
+			HardState:    jury.HardState{Term: 1, Vote: "kgn-a/1"},
+			Snapshot:     snapshot,
+			Entries:      entries[90:],
 		}))
 		logs, err := filepath.Glob(filepath.Join(options.Folder, "log-*"))
 		Expect(err).NotTo(HaveOccurred())
@@ -104,8 +104,8 @@
 		Expect(a.Close()).To(Succeed())
 		a, second, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(second.Fresh).To(BeFalse())
-		Expect(second.Number).To(Equal(first.Number))
+		Expect(second.NewFolder).To(BeFalse())
+		Expect(second.FolderNumber).To(Equal(first.FolderNumber))
 		Expect(second.ClusterID).To(Equal("parish-courts"))
 		Expect(a.Close()).To(Succeed())
 	})
@@ -117,8 +117,8 @@
 		Expect(os.RemoveAll(options.Folder)).To(Succeed())
 		a, second, err := archive.Open(options)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(second.Fresh).To(BeTrue())
-		Expect(second.Number).NotTo(Equal(first.Number))
+		Expect(second.NewFolder).To(BeTrue())
+		Expect(second.FolderNumber).NotTo(Equal(first.FolderNumber))
 		Expect(a.Close()).To(Succeed())
 	})
 
--- a/internal/archive/corruption_test.go
+++ b/internal/archive/corruption_test.go
@@ -143,7 +143,7 @@
 	copied := fs.crash(keepUnsynced, nil)
 	_, loaded, err := openArchive(copied)
 	Expect(err).NotTo(HaveOccurred())
-	return loaded.Number
+	return loaded.FolderNumber
 }
 
 var _ = Describe("an acknowledged last record", func() {
@@ -204,7 +204,7 @@
 		_, before, err := openArchive(intact.crash(keepUnsynced, nil))
 		Expect(err).NotTo(HaveOccurred())
 		size := len(intact.files[last].data)
-		lastRecord := archive.LastRecordOffset(intact.files[last].data, before.Number)
+		lastRecord := archive.LastRecordOffset(intact.files[last].data, before.FolderNumber)
 		for keptBytes := lastRecord + 1; keptBytes < size; keptBytes++ {
 			fs, data := intact.crash(keepUnsynced, nil), intact.files[last].data[:keptBytes]
 			fs.files[last] = &inode{data: append([]byte(nil), data...), syncedBytes: keptBytes}
@@ -213,7 +213,7 @@
 			delete(fs.files, "/data/mark")
 			_, loaded, err := openArchive(fs)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(loaded.Cut).To(Equal(archive.TornTail{File: last, Offset: int64(lastRecord), Bytes: int64(keptBytes - lastRecord)}))
+			Expect(loaded.TornTail).To(Equal(archive.TornTail{File: last, Offset: int64(lastRecord), Bytes: int64(keptBytes - lastRecord)}))
 			Expect(loaded.Entries).To(Equal(before.Entries[:len(before.Entries)-1]))
 		}
 	})
--- a/internal/archive/fuzz_test.go
+++ b/internal/archive/fuzz_test.go
@@ -39,7 +39,7 @@
 		}
 		a.Close()
 		_, reloaded, err := openArchive(fs)
-		if err != nil || len(reloaded.Entries) != len(loaded.Entries) || reloaded.HardState != loaded.HardState || reloaded.Cut.Bytes != 0 {
+		if err != nil || len(reloaded.Entries) != len(loaded.Entries) || reloaded.HardState != loaded.HardState || reloaded.TornTail.Bytes != 0 {
 			t.Fatal(err, reloaded, loaded)
 		}
 	})
--- a/internal/archive/open.go
+++ b/internal/archive/open.go
@@ -105,7 +105,7 @@
 	loaded.HardState = a.log.hardState
 	loaded.Snapshot = snapshot
 	loaded.Entries = a.log.entries
-	loaded.Cut = tail.torn
+	loaded.TornTail = tail.torn
 	a.log.dropEntryData()
 	return loaded, nil
 }
@@ -125,7 +125,7 @@
 			return Loaded{}, err
 		}
 		loaded, err := a.parseIdentity(path, created.encode())
-		loaded.Fresh = true
+		loaded.NewFolder = true
 		return loaded, err
 	}
 	text, err := a.fs.ReadFile(path)
@@ -144,7 +144,7 @@
 	}
 	a.identity = id
 	a.codec = newRecordCodec(folderNumber)
-	return Loaded{Number: folderNumber, ClusterID: id.ClusterID}, nil
+	return Loaded{FolderNumber: folderNumber, ClusterID: id.ClusterID}, nil
 }
 
 // newCorruptionError returns a CorruptionError for err. The advice is to upgrade
--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -24,33 +24,33 @@
 // Instance processes the messages of upstreams. Its methods may be called concurrently.
 type Instance interface {
 	// Announce accepts an announcement, or returns an error and changes nothing.
-	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error)
+	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.AnnounceResponse, error)
 	// Load processes a load report, which an upstream sends between two announcements.
-	Load(now time.Time, report upstreamapi.LoadReport)
+	ReportLoad(now time.Time, report upstreamapi.LoadReport)
 	// Leave processes the leave message of an upstream that is going away.
 	Leave(now time.Time, leave upstreamapi.Leave)
 	// Cached processes events of an engine's prefix cache.
-	Cached(now time.Time, events upstreamapi.CacheEvents)
+	ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents)
 }
 
 // Options configures the handler.
 type Options struct {
 	Instance Instance
 	// Holder returns the name of the upstream that holds a token.
-	Holder func(token string) (string, bool)
-	Now    func() time.Time
-	Log    zerolog.Logger
+	UpstreamByToken func(token string) (string, bool)
+	Now             func() time.Time
+	Log             zerolog.Logger
 }
 
 // Arrivals is the HTTP handler for messages of upstreams. It is safe for concurrent use.
-type Arrivals struct {
+type Handler struct {
 	options Options
 	echo    *echo.Echo
 }
 
 // New returns the handler.
-func New(options Options) *Arrivals {
-	a := &Arrivals{options: options, echo: echo.New()}
+func New(options Options) *Handler {
+	a := &Handler{options: options, echo: echo.New()}
 	a.echo.Use(a.checkToken)
 	a.echo.POST(upstreamapi.AnnouncePath, a.announce)
 	a.echo.POST(upstreamapi.LoadPath, a.load)
@@ -60,21 +60,21 @@
 }
 
 // ServeHTTP responds to one message of an upstream.
-func (a *Arrivals) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.echo.ServeHTTP(w, r)
 }
 
-func (a *Arrivals) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
+func (a *Handler) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if _, ok := a.options.Holder(token); !ok {
+		if _, ok := a.options.UpstreamByToken(token); !ok {
 			return a.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
 		}
 		return next(c)
 	}
 }
 
-func (a *Arrivals) announce(c echo.Context) error {
+func (a *Handler) announce(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return a.reject(c, http.StatusBadRequest, "", err.Error())
@@ -93,7 +93,7 @@
 	return c.JSON(http.StatusOK, welcome)
 }
 
-func (a *Arrivals) load(c echo.Context) error {
+func (a *Handler) load(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return a.reject(c, http.StatusBadRequest, "", err.Error())
@@ -102,11 +102,11 @@
 	if findings.Len() > 0 {
 		return a.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Load(a.options.Now(), report)
+	a.options.Instance.ReportLoad(a.options.Now(), report)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Arrivals) leave(c echo.Context) error {
+func (a *Handler) leave(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return a.reject(c, http.StatusBadRequest, "", err.Error())
@@ -119,7 +119,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Arrivals) cacheEvents(c echo.Context) error {
+func (a *Handler) cacheEvents(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return a.reject(c, http.StatusBadRequest, "", err.Error())
@@ -128,12 +128,12 @@
 	if findings.Len() > 0 {
 		return a.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Cached(a.options.Now(), events)
+	a.options.Instance.ApplyCacheEvents(a.options.Now(), events)
 	return c.NoContent(http.StatusNoContent)
 }
 
 // reject responds with all findings about a message, and logs them.
-func (a *Arrivals) reject(c echo.Context, status int, upstream string, findings ...string) error {
+func (a *Handler) reject(c echo.Context, status int, upstream string, findings ...string) error {
 	a.options.Log.Warn().
 		Str("upstream", upstream).
 		Str("path", c.Path()).
--- a/internal/arrivals/arrivals_test.go
+++ b/internal/arrivals/arrivals_test.go
@@ -32,21 +32,21 @@
 	cacheEvents *[]upstreamapi.CacheEvents
 }
 
-func (i rosterInstance) Cached(_ time.Time, events upstreamapi.CacheEvents) {
+func (i rosterInstance) ApplyCacheEvents(_ time.Time, events upstreamapi.CacheEvents) {
 	*i.cacheEvents = append(*i.cacheEvents, events)
 }
 
-func (i rosterInstance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error) {
+func (i rosterInstance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.AnnounceResponse, error) {
 	if err := i.Roster.Announce(now, announcement); err != nil {
-		return upstreamapi.Welcome{}, err
+		return upstreamapi.AnnounceResponse{}, err
 	}
-	return upstreamapi.Welcome{RenewEvery: time.Second, Lease: lease}, nil
+	return upstreamapi.AnnounceResponse{RenewEvery: time.Second, Lease: lease}, nil
 }
 
 var _ = Describe("Arrivals", func() {
 	var (
 		instance rosterInstance
-		handler  *arrivals.Arrivals
+		handler  *arrivals.Handler
 	)
 
 	BeforeEach(func() {
@@ -55,10 +55,10 @@
 			cacheEvents: &[]upstreamapi.CacheEvents{},
 		}
 		handler = arrivals.New(arrivals.Options{
-			Instance: instance,
-			Holder:   func(token string) (string, bool) { return "engine", token == "secret" },
-			Now:      func() time.Time { return now },
-			Log:      zerolog.Nop(),
+			Instance:        instance,
+			UpstreamByToken: func(token string) (string, bool) { return "engine", token == "secret" },
+			Now:             func() time.Time { return now },
+			Log:             zerolog.Nop(),
 		})
 	})
 
--- a/internal/arrivals/bench_test.go
+++ b/internal/arrivals/bench_test.go
@@ -22,10 +22,10 @@
 	for _, adapters := range []int{2, 10, 50} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
 			handler := arrivals.New(arrivals.Options{
-				Instance: rosterInstance{Roster: roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: time.Minute})},
-				Holder:   func(string) (string, bool) { return "engine", true },
-				Now:      time.Now,
-				Log:      zerolog.Nop(),
+				Instance:        rosterInstance{Roster: roster.New(roster.Options{Self: "one", Incarnation: 1, Lease: time.Minute})},
+				UpstreamByToken: func(string) (string, bool) { return "engine", true },
+				Now:             time.Now,
+				Log:             zerolog.Nop(),
 			})
 			announcement := upstreamapi.Announcement{
 				Name: "engine-0001", Incarnation: 1, Address: "10.0.0.1:8000", Kind: upstreamapi.KindEngine,
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -19,7 +19,7 @@
 )
 
 // Backoffice is one control plane instance. It is safe for concurrent use.
-type Backoffice struct {
+type Instance struct {
 	options     Options
 	voter       *chamber.Voter
 	innerServer *courier.Server
@@ -54,12 +54,12 @@
 
 // New starts a control plane instance. If the data folder can't be used, New closes the
 // listener and returns an error.
-func New(options Options) (*Backoffice, error) {
+func New(options Options) (*Instance, error) {
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &Backoffice{
+	b := &Instance{
 		options:       options,
 		callPool:      courier.NewPool(options.Dial, callTimeout),
 		heartbeatPool: courier.NewPool(options.Dial, callTimeout),
@@ -80,7 +80,7 @@
 	b.crashRecorder = newCrashRecorder(b)
 	if err := b.start(); err != nil {
 		cancel()
-		options.Inner.Close()
+		options.InnerListener.Close()
 		b.closePools()
 		return nil, err
 	}
@@ -95,14 +95,14 @@
 }
 
 // start starts the replica, the roster and the inner listener.
-func (b *Backoffice) start() error {
+func (b *Instance) start() error {
 	voter, err := chamber.NewVoter(b.voterOptions())
 	if err != nil {
 		return err
 	}
 	b.voter = voter
 	b.startRoster()
-	b.innerServer, err = courier.NewServer(b.options.Inner, courier.Services{
+	b.innerServer, err = courier.NewServer(b.options.InnerListener, courier.Services{
 		Roster: courier.NewRosterService(b.handlePull),
 		Others: map[string]any{
 			"Control": courier.NewControlService(voter.Control()),
@@ -114,7 +114,7 @@
 
 // startRoster creates the roster, which needs the replica's identity. The replica
 // already runs at this point and may call peerIdentities concurrently.
-func (b *Backoffice) startRoster() {
+func (b *Instance) startRoster() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.roster = roster.New(roster.Options{
@@ -126,23 +126,23 @@
 			Voter:         true,
 			Identity:      string(b.voter.Identity()),
 		},
-		Lease:    b.options.UpstreamLease,
-		Restarts: true,
+		Lease:                 b.options.UpstreamLease,
+		AllowRestartElsewhere: true,
 	})
-	b.roster.Beat(b.options.Now(), roster.InstanceBeat{})
+	b.roster.Heartbeat(b.options.Now(), roster.InstanceBeat{})
 }
 
-func (b *Backoffice) voterOptions() chamber.VoterOptions {
+func (b *Instance) voterOptions() chamber.VoterOptions {
 	options := chamber.Options{
 		Self:  b.options.Address,
 		Calls: b.callPool,
 		// An instance's name is its address.
-		Address:    func(instance string) (string, bool) { return instance, true },
-		RenewEvery: electionTimeout,
-		Lease:      electionTimeout,
-		Now:        b.options.Now,
-		Log:        b.options.Log,
-		Metrics:    b.options.Metrics,
+		ResolveAddress: func(instance string) (string, bool) { return instance, true },
+		RenewInterval:  electionTimeout,
+		ConfigLease:    electionTimeout,
+		Now:            b.options.Now,
+		Log:            b.options.Log,
+		Metrics:        b.options.Metrics,
 	}
 	for _, seed := range b.options.Seeds {
 		if seed != b.options.Address {
@@ -154,9 +154,9 @@
 	limits.MaxStep = docketAgingInterval
 	return chamber.VoterOptions{
 		Options:         options,
-		Folder:          b.options.Folder,
-		Heartbeats:      b.heartbeatPool,
-		Entries:         b.logEntryPool,
+		Folder:          b.options.DataDir,
+		HeartbeatPool:   b.heartbeatPool,
+		EntryPool:       b.logEntryPool,
 		Heartbeat:       heartbeatInterval,
 		ElectionTimeout: electionTimeout,
 		ClockDrift:      maxClockDrift,
@@ -171,7 +171,7 @@
 const docketAgingInterval = 24 * time.Hour
 
 // peerIdentities returns the known identities of the other replicas.
-func (b *Backoffice) peerIdentities() []jury.Identity {
+func (b *Instance) peerIdentities() []jury.Identity {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.roster == nil {
@@ -187,7 +187,7 @@
 }
 
 // Announce records an announcement that an upstream sent to this instance.
-func (b *Backoffice) Announce(now time.Time, announcement upstreamapi.Announcement) error {
+func (b *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, found := b.roster.Upstream(announcement.Name)
@@ -205,7 +205,7 @@
 // that this instance does not know yet: another control plane instance may know it
 // already, and the upstream would still receive work after its leave was acknowledged.
 // Incarnation 0 matches any incarnation.
-func (b *Backoffice) Leave(now time.Time, leave upstreamapi.Leave) {
+func (b *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	placeholder := upstreamapi.Announcement{Name: leave.Name, Incarnation: leave.Incarnation}
@@ -225,7 +225,7 @@
 
 // Put proposes a new version of the routes. If it returns an error, the version may
 // still come into force.
-func (b *Backoffice) Put(ctx context.Context, put edition.Put) (edition.Result, error) {
+func (b *Instance) PutRoutes(ctx context.Context, put edition.Put) (edition.Result, error) {
 	result, err := b.voter.Propose(ctx, put)
 	if err != nil {
 		return edition.Result{}, err
@@ -235,19 +235,19 @@
 
 // Edition returns the routes in force, confirmed by the voters after the call began. If
 // they can't be confirmed before ctx ends, Edition returns false.
-func (b *Backoffice) Edition(ctx context.Context) (edition.Edition, bool) {
-	return b.voter.FreshEdition(ctx)
+func (b *Instance) Routes(ctx context.Context) (edition.Edition, bool) {
+	return b.voter.ConfirmedEdition(ctx)
 }
 
 // InTouch reports whether the instance knows a leader, so that announcements made to it
 // reach the other instances.
-func (b *Backoffice) InTouch() bool {
+func (b *Instance) KnowsLeader() bool {
 	leader, _ := b.voter.Leader()
 	return leader != ""
 }
 
 // Seed replaces the addresses of the seed control plane instances.
-func (b *Backoffice) Seed(seeds []string) {
+func (b *Instance) SetSeeds(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.peers {
@@ -265,19 +265,19 @@
 }
 
 // Entry is an entry instance that is open to callers.
-type Entry struct {
+type EntryInstance struct {
 	Address       string
 	FailureDomain string
 }
 
 // Entries returns the entry instances that accept requests at now.
-func (b *Backoffice) Entries(now time.Time) []Entry {
+func (b *Instance) EntryInstances(now time.Time) []EntryInstance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var entries []Entry
+	var entries []EntryInstance
 	for _, instance := range b.roster.Instances(now) {
 		if instance.CallerAddress != "" && !instance.Draining && !instance.Stale {
-			entries = append(entries, Entry{Address: instance.CallerAddress, FailureDomain: instance.FailureDomain})
+			entries = append(entries, EntryInstance{Address: instance.CallerAddress, FailureDomain: instance.FailureDomain})
 		}
 	}
 	return entries
@@ -285,13 +285,13 @@
 
 // Failed returns a channel that is closed when the replica has stopped for good after a
 // disk failure. The process must then be restarted.
-func (b *Backoffice) Failed() <-chan struct{} {
+func (b *Instance) Failed() <-chan struct{} {
 	return b.failed
 }
 
 // Close stops the instance. If it leads, it hands over the leadership, for which it has
 // until ctx ends.
-func (b *Backoffice) Close(ctx context.Context) {
+func (b *Instance) Close(ctx context.Context) {
 	b.stop()
 	b.voter.Close(ctx)
 	b.innerServer.Close()
@@ -299,7 +299,7 @@
 	b.done.Wait()
 }
 
-func (b *Backoffice) closePools() {
+func (b *Instance) closePools() {
 	for _, pool := range []*courier.Pool{b.callPool, b.heartbeatPool, b.logEntryPool} {
 		pool.Close()
 	}
--- a/internal/backoffice/backoffice_test.go
+++ b/internal/backoffice/backoffice_test.go
@@ -74,7 +74,7 @@
 	e := f.engines[engine.Name]
 	report := backoffice.Report{Sequence: e.sequence}
 	for model, adapters := range e.models {
-		report.Models = append(report.Models, courier.HeldModel{Name: model, Adapters: append([]string(nil), adapters...)})
+		report.Models = append(report.Models, courier.LoadedModel{Name: model, Adapters: append([]string(nil), adapters...)})
 	}
 	return report, nil
 }
@@ -89,9 +89,9 @@
 	f.orders = append(f.orders, receivedOrder{engine.Name, order.Holder})
 	e := f.engines[engine.Name]
 	if e.replaced {
-		return backoffice.Gone, nil
+		return backoffice.RefusedByOtherProcess, nil
 	}
-	if order.Expected != e.sequence {
+	if order.ExpectedSequence != e.sequence {
 		return backoffice.Refused, nil
 	}
 	e.sequence++
@@ -143,7 +143,7 @@
 // three models.
 func encodedRoutes(version uint64) []byte {
 	model := func(name string) routes.Model {
-		return routes.Model{Name: name, Megabytes: 70_000, AdapterMegabytes: 50, Adapters: 4, Load: time.Second}
+		return routes.Model{Name: name, Megabytes: 70_000, AdapterMegabytes: 50, Adapters: 4, LoadTime: time.Second}
 	}
 	text, err := json.Marshal(routes.Draft{Version: version, Services: []routes.Service{{Name: "pool", Engine: &routes.Engine{
 		Slots: 8, Megabytes: 200_000, AdapterSlots: 2, LoadsPerSecond: 100,
@@ -157,7 +157,7 @@
 type testCluster struct {
 	seeds     []string
 	fakes     *fakeEngines
-	instances map[string]*backoffice.Backoffice
+	instances map[string]*backoffice.Instance
 	folders   map[string]string
 	calls     *courier.Pool
 	// stopped marks the instances that were stopped and are not restarted.
@@ -173,7 +173,7 @@
 
 func newTestClusterWithOrderGap(gap time.Duration) *testCluster {
 	c := &testCluster{
-		fakes: newFakeEngines(), instances: map[string]*backoffice.Backoffice{}, folders: map[string]string{},
+		fakes: newFakeEngines(), instances: map[string]*backoffice.Instance{}, folders: map[string]string{},
 		calls: courier.NewPool(courier.DialTCP, time.Second), orderGap: gap, stopped: map[string]bool{},
 	}
 	listeners := make([]net.Listener, 3)
@@ -200,16 +200,16 @@
 
 func (c *testCluster) start(address string, listener net.Listener, founder bool) {
 	instance, err := backoffice.New(backoffice.Options{
-		Address: address, FailureDomain: "here", Seeds: c.seeds, Founder: founder, Voters: 3,
-		Folder: c.folders[address], Inner: listener, Dial: courier.DialTCP, UpstreamLease: 3 * time.Second, OrderGap: c.orderGap,
-		Table: parseRoutes, Engines: c.fakes, Now: time.Now, Log: zerolog.Nop(),
+		Address: address, FailureDomain: "here", Seeds: c.seeds, Bootstrap: founder, MinVoters: 3,
+		DataDir: c.folders[address], InnerListener: listener, Dial: courier.DialTCP, UpstreamLease: 3 * time.Second, MinOrderGap: c.orderGap,
+		ParseRoutes: parseRoutes, Engines: c.fakes, Now: time.Now, Log: zerolog.Nop(),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	c.instances[address] = instance
 }
 
 // stop closes an instance without handing over its leadership, as if it was killed.
-func (c *testCluster) stop(instance *backoffice.Backoffice) {
+func (c *testCluster) stop(instance *backoffice.Instance) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	instance.Close(canceled)
@@ -236,7 +236,7 @@
 	Eventually(ctx, func() (err error) {
 		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
-		result, err = c.instances[address].Put(callCtx, edition.Put{Version: version, Content: encodedRoutes(version)})
+		result, err = c.instances[address].PutRoutes(callCtx, edition.Put{Version: version, Content: encodedRoutes(version)})
 		return err
 	}).Should(Succeed())
 	return result
@@ -245,7 +245,7 @@
 // beAccepted matches the verdict on a version that is in force. A put whose first
 // answer was lost is retried and finds its own content in force.
 func beAccepted() types.GomegaMatcher {
-	return BeElementOf(edition.Stored, edition.Held)
+	return BeElementOf(edition.Stored, edition.AlreadyInForce)
 }
 
 // routesVersion returns the version in force as read from one instance.
@@ -255,7 +255,7 @@
 	Eventually(ctx, func() (ok bool) {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		held, ok = c.instances[address].Edition(callCtx)
+		held, ok = c.instances[address].Routes(callCtx)
 		return ok
 	}).Should(BeTrue())
 	return held.Version
@@ -304,7 +304,7 @@
 		}
 		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
-		got, err := c.calls.Want(callCtx, reply.Leader, courier.WantArgs{Service: "pool", Model: model, Adapter: adapter, Timeout: time.Second})
+		got, err := c.calls.RequestModel(callCtx, reply.Leader, courier.WantArgs{Service: "pool", Model: model, Adapter: adapter, Timeout: time.Second})
 		if err != nil {
 			return err.Error()
 		}
@@ -329,7 +329,7 @@
 		c := newTestCluster()
 		large := edition.Put{Version: 1, Content: append(encodedRoutes(1), bytes.Repeat([]byte(" "), 400_000)...)}
 		Eventually(ctx, func() error {
-			_, err := c.instances[c.seeds[0]].Put(ctx, large)
+			_, err := c.instances[c.seeds[0]].PutRoutes(ctx, large)
 			return err
 		}).Should(Succeed())
 		var received *edition.Edition
@@ -339,7 +339,7 @@
 			return ok && received != nil
 		}).Should(BeTrue())
 		Expect(len(received.Content)).To(BeNumerically("<", len(large.Content)/10))
-		Expect(registry.Unpack(received.Content)).To(Equal(large.Content))
+		Expect(registry.Decompress(received.Content)).To(Equal(large.Content))
 	}, SpecTimeout(specTimeout))
 
 	// Each instance in turn loses its disk right after a change was acknowledged. It must
@@ -352,7 +352,7 @@
 			c.putRoutes(ctx, address, version)
 			c.wipe(address)
 			Eventually(ctx, func() uint64 { return c.routesVersion(ctx, address) }).Should(Equal(version))
-			Eventually(ctx, c.instances[address].Votes).Should(BeTrue())
+			Eventually(ctx, c.instances[address].IsVoter).Should(BeTrue())
 		}
 		Expect(c.putRoutes(ctx, c.seeds[0], 9).Verdict).To(beAccepted())
 	}, SpecTimeout(specTimeout))
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -25,7 +25,7 @@
 // crashRecorder records in the replicated log the upstreams that entry instances report
 // as crashed while they served requests.
 type crashRecorder struct {
-	backoffice *Backoffice
+	backoffice *Instance
 
 	mu sync.Mutex
 	// batch holds the reports that are not recorded yet.
@@ -36,7 +36,7 @@
 	wake chan struct{}
 }
 
-func newCrashRecorder(b *Backoffice) *crashRecorder {
+func newCrashRecorder(b *Instance) *crashRecorder {
 	return &crashRecorder{backoffice: b, wake: make(chan struct{}, 1)}
 }
 
@@ -99,33 +99,33 @@
 // runRecall withdraws crash reports of upstreams that were heard from after the report.
 func (c *crashRecorder) runRecall(ctx context.Context) {
 	for pause.For(ctx, crashRecallInterval) {
-		c.backoffice.voter.RecallCrashes(ctx, c.backoffice.lastHeardFrom)
+		c.backoffice.voter.RetractFalseCrashes(ctx, c.backoffice.lastHeardFrom)
 	}
 }
 
 // Quarantined returns the quarantined and the suspected requests.
-func (b *Backoffice) Quarantined(now time.Time) ([]quarantine.Listing, error) {
+func (b *Instance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
 	return b.voter.Quarantined(now)
 }
 
 // Lift releases requests from quarantine. If it returns an error, they may still be
 // released.
-func (b *Backoffice) Lift(ctx context.Context, digests []quarantine.Digest) error {
+func (b *Instance) Lift(ctx context.Context, digests []quarantine.Digest) error {
 	return b.voter.Lift(ctx, digests)
 }
 
 // lastHeardFrom returns the time when an incarnation of an upstream was last heard from.
 // It returns false if the roster does not hold this incarnation.
-func (b *Backoffice) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
+func (b *Instance) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, found := b.roster.Upstream(lifetime.Upstream)
-	return known.Heard, found && known.Announcement.Incarnation == lifetime.Incarnation
+	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
 
 // withoutLeavingUpstreams returns update without the reports of upstreams that had
 // announced their leave before they ended.
-func (b *Backoffice) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
+func (b *Instance) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update.Reports = slices.DeleteFunc(slices.Clone(update.Reports), func(report quarantine.Report) bool {
--- a/internal/backoffice/crashes_test.go
+++ b/internal/backoffice/crashes_test.go
@@ -23,7 +23,7 @@
 
 	// note reports to one instance that an upstream crashed while it served the request.
 	note := func(ctx context.Context, address, upstream string) bool {
-		reply, err := c.calls.Note(ctx, address, courier.NoteArgs{Update: quarantine.Update{
+		reply, err := c.calls.UpdateQuarantine(ctx, address, courier.NoteArgs{Update: quarantine.Update{
 			Reports: []quarantine.Report{{
 				Lifetime: quarantine.Lifetime{Upstream: upstream}, Suspects: []quarantine.Suspect{{Digest: digest, Request: "r1"}},
 			}},
--- a/internal/backoffice/engine.go
+++ b/internal/backoffice/engine.go
@@ -100,7 +100,7 @@
 		e.report.Running, e.report.Queued, e.report.KVUsed = report.Running, report.Queued, report.KVUsed
 		return
 	}
-	for _, adapter := range report.Coming {
+	for _, adapter := range report.LoadingAdapters {
 		report.Models = withAdapter(report.Models, adapter)
 	}
 	if !report.Busy {
@@ -157,7 +157,7 @@
 
 // withAdapter returns a copy of models in which adapter is added to its model, if the
 // model is held.
-func withAdapter(models []courier.HeldModel, adapter Adapter) []courier.HeldModel {
+func withAdapter(models []courier.LoadedModel, adapter Adapter) []courier.LoadedModel {
 	models = slices.Clone(models)
 	for i, held := range models {
 		if held.Name == adapter.Model && !slices.Contains(held.Adapters, adapter.Name) {
@@ -174,7 +174,7 @@
 	return held != nil && model != e.withdrawn && (adapter == "" || slices.Contains(held.Adapters, adapter))
 }
 
-func (e *engine) model(name string) *courier.HeldModel {
+func (e *engine) model(name string) *courier.LoadedModel {
 	for i := range e.report.Models {
 		if e.report.Models[i].Name == name {
 			return &e.report.Models[i]
@@ -185,11 +185,11 @@
 
 // advertisedModels returns the models for which entry instances may send requests to
 // the engine.
-func (e *engine) advertisedModels() []courier.HeldModel {
+func (e *engine) advertisedModels() []courier.LoadedModel {
 	if e.withdrawn == "" {
 		return e.report.Models
 	}
-	return slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.HeldModel) bool { return m.Name == e.withdrawn })
+	return slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.LoadedModel) bool { return m.Name == e.withdrawn })
 }
 
 // usedAdapterSlots returns how many adapter slots are occupied, including those that
@@ -223,7 +223,7 @@
 
 // applyOrder updates the report by an order that the engine accepted.
 func (e *engine) applyOrder(now time.Time, order Order) {
-	e.report.Sequence = max(e.report.Sequence, order.Expected+1)
+	e.report.Sequence = max(e.report.Sequence, order.ExpectedSequence+1)
 	held := e.model(order.Model)
 	switch {
 	case order.Adapter != "" && held != nil && order.Kind == Load:
@@ -231,7 +231,7 @@
 	case order.Adapter != "" && held != nil:
 		held.Adapters = slices.DeleteFunc(slices.Clone(held.Adapters), func(a string) bool { return a == order.Adapter })
 	case order.Adapter == "" && order.Kind == Unload:
-		e.report.Models = slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.HeldModel) bool {
+		e.report.Models = slices.DeleteFunc(slices.Clone(e.report.Models), func(m courier.LoadedModel) bool {
 			return m.Name == order.Model
 		})
 	}
@@ -248,11 +248,11 @@
 	model, _ := e.spec.Model(name)
 	switch {
 	case slices.Contains(e.report.InMemory, name):
-		return model.WarmLoad
+		return model.MemoryLoadTime
 	case slices.Contains(e.report.OnDisk, name):
-		return model.DiskLoad
+		return model.DiskLoadTime
 	default:
-		return model.Load
+		return model.LoadTime
 	}
 }
 
--- a/internal/backoffice/engine_test.go
+++ b/internal/backoffice/engine_test.go
@@ -15,7 +15,7 @@
 	report := func(sequence uint64, busy bool, models ...string) backoffice.Report {
 		r := backoffice.Report{Sequence: sequence, Busy: busy}
 		for _, model := range models {
-			r.Models = append(r.Models, courier.HeldModel{Name: model})
+			r.Models = append(r.Models, courier.LoadedModel{Name: model})
 		}
 		return r
 	}
@@ -99,7 +99,7 @@
 	reportFrom := func(incarnation, sequence uint64, models ...string) backoffice.Report {
 		r := backoffice.Report{Incarnation: incarnation, Sequence: sequence}
 		for _, model := range models {
-			r.Models = append(r.Models, courier.HeldModel{Name: model})
+			r.Models = append(r.Models, courier.LoadedModel{Name: model})
 		}
 		return r
 	}
@@ -134,7 +134,7 @@
 	It("keeps room for an order to the one before until its count has passed it", func() {
 		first := backoffice.NewEngineOf(spec, 1)
 		first.ApplyReport(now, reportFrom(1, 1, "a"))
-		first.SendUnanswered(now, backoffice.Order{Kind: backoffice.Load, Model: "c", Expected: 1})
+		first.SendUnanswered(now, backoffice.Order{Kind: backoffice.Load, Model: "c", ExpectedSequence: 1})
 		Expect(first.UsedMegabytes()).To(Equal(70.0), "within one process, the sequence number alone makes a late order harmless")
 		second := first.Restart(now, 2)
 		second.ApplyReport(now, reportFrom(2, 0, "a"))
@@ -148,7 +148,7 @@
 	It("keeps room for an order that is on its way when the engine crashes, for some time", func() {
 		first := backoffice.NewEngineOf(spec, 1)
 		first.ApplyReport(now, reportFrom(1, 3, "a"))
-		first.Send(now, backoffice.Order{Kind: backoffice.Load, Model: "a", Adapter: "x", Expected: 3})
+		first.Send(now, backoffice.Order{Kind: backoffice.Load, Model: "a", Adapter: "x", ExpectedSequence: 3})
 		second := first.Restart(now, 2)
 		second.ApplyReport(now, reportFrom(2, 0, "a"))
 		Expect(second.UsedAdapterSlots()).To(Equal(1))
--- a/internal/backoffice/export_test.go
+++ b/internal/backoffice/export_test.go
@@ -70,7 +70,7 @@
 // AcceptUnload applies an accepted order to unload a model.
 func (e Engine) AcceptUnload(model string, expected uint64) {
 	e.engine.withdrawn, e.engine.unloading = model, true
-	e.engine.applyOrder(time.Time{}, Order{Kind: Unload, Model: model, Expected: expected})
+	e.engine.applyOrder(time.Time{}, Order{Kind: Unload, Model: model, ExpectedSequence: expected})
 }
 
 // AdvertisedModels returns the names of the advertised models.
@@ -84,7 +84,7 @@
 
 // AcceptLoad applies an accepted order to load a model.
 func (e Engine) AcceptLoad(model string, expected uint64) {
-	e.engine.applyOrder(time.Time{}, Order{Kind: Load, Model: model, Expected: expected})
+	e.engine.applyOrder(time.Time{}, Order{Kind: Load, Model: model, ExpectedSequence: expected})
 }
 
 // ReportDue reports whether a report is due at now, among engines of which some are
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -16,7 +16,7 @@
 // feedServer answers the calls of entry instances, and those of control plane instances
 // that relay for them.
 type feedServer struct {
-	backoffice *Backoffice
+	backoffice *Instance
 }
 
 // Sync records an entry instance's roster record and demand, and returns what has
@@ -27,7 +27,7 @@
 	leader, _ := b.voter.Leader()
 	reply := courier.SyncReply{Leader: leader.Instance()}
 	b.mu.Lock()
-	b.roster.Hear(now, args.From)
+	b.roster.Renew(now, args.From)
 	reply.Changes = b.roster.Since(now, args.Cursor)
 	if members := b.membership(now).forDomain(args.FailureDomain); members.Revision != args.Members {
 		reply.Members = &members
@@ -36,7 +36,7 @@
 	// Entry instances need only the upstreams for routing.
 	reply.Changes.Instances = nil
 	reply.Changes.InstanceBeats = roster.InstanceBeats{}
-	held, reading := b.voter.Reading()
+	held, reading := b.voter.EditionWithAge()
 	reply.Reading = reading
 	if held.Version > args.Edition {
 		reply.Edition = b.packEdition(held)
@@ -72,13 +72,13 @@
 // packEdition returns held with its content packed, and packs each version once for all
 // callers. The content of 1,400 routes takes 0.4 MB: unpacked, it often does not
 // reach 86 entry instances through the leader's link before their calls time out.
-func (b *Backoffice) packEdition(held edition.Edition) *edition.Edition {
+func (b *Instance) packEdition(held edition.Edition) *edition.Edition {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.packedEdition != nil && b.packedEdition.Version == held.Version {
 		return b.packedEdition
 	}
-	content, err := registry.Pack(held.Content)
+	content, err := registry.Compress(held.Content)
 	if err != nil {
 		b.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
 		return &held
@@ -121,7 +121,7 @@
 }
 
 // membership returns the instances that are alive. b.mu is held.
-func (b *Backoffice) membership(now time.Time) membership {
+func (b *Instance) membership(now time.Time) membership {
 	if now.Sub(b.cachedMembership.computedAt) < membershipTTL {
 		return b.cachedMembership
 	}
--- a/internal/backoffice/holdings.go
+++ b/internal/backoffice/holdings.go
@@ -31,19 +31,19 @@
 }
 
 // collectHoldings returns the holdings of all engines with a report. o.mu is held.
-func (o *orchestrator) collectHoldings(now time.Time) courier.Holdings {
-	holdings := courier.Holdings{Revision: o.revision}
+func (o *orchestrator) collectHoldings(now time.Time) courier.EngineStates {
+	holdings := courier.EngineStates{Revision: o.revision}
 	for _, e := range o.engines {
 		if !e.hasReport {
 			continue
 		}
-		holdings.Engines = append(holdings.Engines, courier.Holding{
+		holdings.Engines = append(holdings.Engines, courier.EngineState{
 			Name: e.Name, Incarnation: e.incarnation, Age: now.Sub(e.reportedAt),
 			Running: e.report.Running, Queued: e.report.Queued, KVUsed: e.report.KVUsed,
 			Models: e.advertisedModels(),
 		})
 		last := &holdings.Engines[len(holdings.Engines)-1]
-		last.Coming, last.ComingIn = e.nextModel(now)
+		last.NextModel, last.NextModelIn = e.nextModel(now)
 	}
 	return holdings
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -133,7 +133,7 @@
 // leaseValidity later, which may arrive up to orderTimeout and retransmitTime after
 // that. OrderGap must then pass before the next order.
 func (l *leaseBatcher) exclusionTime() time.Duration {
-	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.OrderGap
+	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.MinOrderGap
 }
 
 // isFree reports whether no other instance can have ordered an engine within the
--- a/internal/backoffice/models.go
+++ b/internal/backoffice/models.go
@@ -13,7 +13,7 @@
 // placementOptions are the options of every plan. The time to first token of an engine
 // rises from about two thirds of its load on. A load takes seconds, so another copy is
 // ordered before that point.
-var placementOptions = stocking.Options{Busy: 0.65, Gain: 0.3, Orders: 4}
+var placementOptions = stocking.Options{MaxLoad: 0.65, MinGain: 0.3, MaxMoves: 4}
 
 // maxFetchTokens is the burst of loads from the weight store, in addition to the rate
 // that the store allows.
@@ -83,17 +83,17 @@
 	o.fetchTokensAt = now
 	o.fetchTokens = min(o.fetchTokens+elapsed.Seconds()*spec.LoadsPerSecond, maxFetchTokens)
 	options := placementOptions
-	options.Fetches = int(o.fetchTokens)
+	options.MaxFetches = int(o.fetchTokens)
 	for _, move := range stocking.Plan(o.plannerModels(now, service, spec), o.plannerEngines(now, service), options) {
 		e := o.engines[move.Engine]
 		o.backoffice.options.Log.Info().Str("engine", e.Name).Str("model", move.Model).Bool("unload", move.Unload).
-			Bool("fetch", move.Fetch).Str("reason", string(move.Reason)).Float64("load", move.Load).Msg("placement move")
+			Bool("fetch", move.FromStore).Str("reason", string(move.Reason)).Float64("load", move.Load).Msg("placement move")
 		if move.Unload {
-			e.withdrawn, e.withdrawnAt, e.replacement = move.Model, now, move.For
+			e.withdrawn, e.withdrawnAt, e.replacement = move.Model, now, move.MakesRoomFor
 			o.markChanged()
 			continue
 		}
-		if move.Fetch {
+		if move.FromStore {
 			o.fetchTokens--
 		}
 		e.orderPending = true
@@ -108,14 +108,14 @@
 	for _, model := range spec.Models {
 		m := stocking.Model{
 			Name: model.Name, Megabytes: model.Megabytes,
-			Load: model.Load, WarmLoad: model.WarmLoad, DiskLoad: model.DiskLoad,
+			LoadTime: model.LoadTime, MemoryLoadTime: model.MemoryLoadTime, DiskLoadTime: model.DiskLoadTime,
 		}
 		demand := o.demand[demandKey{service, model.Name}]
 		m.Idle = demand == nil || now.Sub(demand.lastRequested) > modelIdleTimeout
 		if demand != nil {
 			m.Demand = demand.rate(now)
 			m.Waiting = demand.totalWaiting(now)
-			m.Missing = demand.missingFor(now, held[model.Name])
+			m.MissingFor = demand.missingFor(now, held[model.Name])
 		}
 		models = append(models, m)
 	}
@@ -147,12 +147,12 @@
 			continue
 		}
 		engine := stocking.Engine{
-			Name: e.Name, Megabytes: e.spec.Megabytes, Used: e.usedMegabytes(), Coming: e.loading,
-			Closed:  !e.hasReport || e.orderPending || e.stale || e.report.Busy || e.withdrawn != "" || !o.leases.isFree(now, e.Name),
-			Leaving: e.leaving, Narrow: o.hasLowLimit(e), InMemory: e.report.InMemory, OnDisk: e.report.OnDisk,
+			Name: e.Name, Megabytes: e.spec.Megabytes, UsedMegabytes: e.usedMegabytes(), Loading: e.loading,
+			Unavailable: !e.hasReport || e.orderPending || e.stale || e.report.Busy || e.withdrawn != "" || !o.leases.isFree(now, e.Name),
+			Leaving:     e.leaving, Throttled: o.hasLowLimit(e), InMemory: e.report.InMemory, OnDisk: e.report.OnDisk,
 		}
 		for _, held := range e.advertisedModels() {
-			engine.Holds = append(engine.Holds, held.Name)
+			engine.Loaded = append(engine.Loaded, held.Name)
 		}
 		engines = append(engines, engine)
 	}
--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -27,25 +27,25 @@
 	Seeds []string
 	// Founder is set at the very first start of the whole system, on the instances listed
 	// in Seeds. They become the first voters.
-	Founder bool
+	Bootstrap bool
 	// Voters is the minimum number of voters.
-	Voters int
+	MinVoters int
 	// Folder is the data folder.
-	Folder string
+	DataDir string
 	// Inner listens on Address. The Backoffice closes it.
-	Inner net.Listener
+	InnerListener net.Listener
 	// Dial connects to another instance.
 	Dial courier.Dial
 	// UpstreamLease is how long an upstream receives work after it was last heard from.
 	UpstreamLease time.Duration
 	// OrderGap is the minimum time between orders of two instances to the same engine.
-	OrderGap time.Duration
+	MinOrderGap time.Duration
 	// Quarantine determines when requests that crash upstreams are quarantined.
 	Quarantine quarantine.Limits
 	// Table parses routes as sent by an operator.
-	Table func(content []byte) (*routes.Table, error)
+	ParseRoutes func(content []byte) (*routes.Table, error)
 	// Engines is the client for reports and orders of engines.
-	Engines Engines
+	Engines EngineClient
 	Now     func() time.Time
 	Log     zerolog.Logger
 	// Metrics defaults to a scope that discards everything.
@@ -53,7 +53,7 @@
 }
 
 // Engines is a client for engines. Its methods must be safe for concurrent use.
-type Engines interface {
+type EngineClient interface {
 	// Report asks an engine for the models that it holds and its load.
 	Report(ctx context.Context, engine EngineAddress) (Report, error)
 	// Order orders an engine to load or unload a model or an adapter. After an error, the
@@ -77,14 +77,14 @@
 	Sequence uint64
 	// Busy is set while a model is being loaded or unloaded.
 	Busy   bool
-	Models []courier.HeldModel
+	Models []courier.LoadedModel
 	// Running and Queued are numbers of requests. KVUsed is the number of KV cache tokens
 	// that can't be evicted.
 	Running int
 	Queued  int
 	KVUsed  int
 	// Coming are adapters that are being loaded. They already occupy slots.
-	Coming []Adapter
+	LoadingAdapters []Adapter
 	// InMemory and OnDisk are models whose weights the engine has cached, so that a load
 	// does not fetch them from the weight store.
 	InMemory []string
@@ -115,10 +115,10 @@
 	// Expected is the engine's Sequence at which the order is valid. Without it, an order
 	// that is carried out late, after another one, could take memory that is no longer
 	// free.
-	Expected uint64
+	ExpectedSequence uint64
 	// Holder is the instance that sends the order, and Fence its fencing token.
-	Holder string
-	Fence  uint64
+	Holder       string
+	FencingToken uint64
 }
 
 // OrderAnswer is an engine's answer to an order.
@@ -134,7 +134,7 @@
 	Refused
 	// Gone means that the order was refused by another process that now has the engine's
 	// address.
-	Gone
+	RefusedByOtherProcess
 )
 
 // String returns the name for logs and metrics. The zero value, which stands for no
@@ -147,7 +147,7 @@
 		return "already-done"
 	case Refused:
 		return "refused"
-	case Gone:
+	case RefusedByOtherProcess:
 		return "gone"
 	default:
 		return "unknown"
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -56,7 +56,7 @@
 // orchestrator polls the reports of engines and orders engines to load and unload
 // models and adapters, while this instance leads.
 type orchestrator struct {
-	backoffice *Backoffice
+	backoffice *Instance
 
 	mu      sync.Mutex
 	engines map[string]*engine
@@ -94,7 +94,7 @@
 	fetchTokensAt time.Time
 }
 
-func newOrchestrator(ctx context.Context, b *Backoffice) *orchestrator {
+func newOrchestrator(ctx context.Context, b *Instance) *orchestrator {
 	o := &orchestrator{
 		backoffice: b, engines: map[string]*engine{}, changed: make(chan struct{}),
 		demand: map[demandKey]*modelDemand{}, usesByEntry: map[string]adapterUses{},
@@ -118,7 +118,7 @@
 // fencingToken returns the fencing token of this instance's orders. ok is false if it
 // may not send orders. Each order also needs the lease of its engine.
 func (o *orchestrator) fencingToken() (fence uint64, ok bool) {
-	term, ok := o.backoffice.voter.Leads(o.backoffice.options.Now())
+	term, ok := o.backoffice.voter.IsLeader(o.backoffice.options.Now())
 	return uint64(term), ok
 }
 
@@ -184,7 +184,7 @@
 	if held.Content == nil || o.table != nil && o.table.Version == held.Version {
 		return
 	}
-	table, err := o.backoffice.options.Table(held.Content)
+	table, err := o.backoffice.options.ParseRoutes(held.Content)
 	if err != nil {
 		o.backoffice.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("parsing the routes in force failed")
 		return
@@ -213,7 +213,7 @@
 		if latest[upstream.Announcement.Address] != upstream.Announcement.Name {
 			continue
 		}
-		if now.Sub(upstream.Heard) >= o.backoffice.options.UpstreamLease || len(upstream.Announcement.Services) == 0 {
+		if now.Sub(upstream.LastContact) >= o.backoffice.options.UpstreamLease || len(upstream.Announcement.Services) == 0 {
 			continue
 		}
 		service := o.table.Service(upstream.Announcement.Services[0])
@@ -265,8 +265,8 @@
 			continue
 		}
 		address := upstream.Announcement.Address
-		if at, known := heard[address]; !known || !upstream.Leaving && upstream.Heard.After(at) {
-			names[address], heard[address] = upstream.Announcement.Name, upstream.Heard
+		if at, known := heard[address]; !known || !upstream.Leaving && upstream.LastContact.After(at) {
+			names[address], heard[address] = upstream.Announcement.Name, upstream.LastContact
 		}
 	}
 	return names
@@ -329,9 +329,9 @@
 		allowed = err == nil
 	}
 	if allowed {
-		order.Holder, order.Fence = o.backoffice.options.Address, fence
+		order.Holder, order.FencingToken = o.backoffice.options.Address, fence
 		o.mu.Lock()
-		order.Expected = e.report.Sequence
+		order.ExpectedSequence = e.report.Sequence
 		e.orderSent(o.backoffice.options.Now(), order)
 		o.mu.Unlock()
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -339,7 +339,7 @@
 		cancel()
 	}
 	o.logOrder(e, order, answer, allowed, err)
-	if answer == Gone {
+	if answer == RefusedByOtherProcess {
 		// Announcements of the engine may still arrive, but its process no longer exists.
 		o.backoffice.Leave(o.backoffice.options.Now(), upstreamapi.Leave{Name: e.Name, Incarnation: e.incarnation})
 	}
@@ -360,7 +360,7 @@
 		// The engine may still carry out the order. Expected, the number of accepted
 		// orders, prevents this order and a later one from both taking the same memory.
 		e.markStale()
-	case !allowed || answer == Refused || answer == Gone:
+	case !allowed || answer == Refused || answer == RefusedByOtherProcess:
 		e.orderAnswered()
 		e.markStale()
 	default:
@@ -371,7 +371,7 @@
 		}
 	}
 	o.markChanged()
-	return err == nil && allowed && answer != Refused && answer != Gone
+	return err == nil && allowed && answer != Refused && answer != RefusedByOtherProcess
 }
 
 func (o *orchestrator) logOrder(e *engine, order Order, answer OrderAnswer, allowed bool, err error) {
@@ -380,6 +380,6 @@
 		kind = "unload"
 	}
 	o.backoffice.options.Log.Info().Err(err).Str("engine", e.Name).Str("order", kind).Str("model", order.Model).
-		Str("adapter", order.Adapter).Uint64("expected", order.Expected).Uint64("fence", order.Fence).
+		Str("adapter", order.Adapter).Uint64("expected", order.ExpectedSequence).Uint64("fence", order.FencingToken).
 		Bool("right", allowed).Stringer("answer", answer).Msg("order to an engine")
 }
--- a/internal/backoffice/pulls.go
+++ b/internal/backoffice/pulls.go
@@ -13,7 +13,7 @@
 	// seed is set if the settings list the instance. A seed is also pulled from while it
 	// is unreachable, to notice its return.
 	seed   bool
-	source roster.Source
+	source roster.PullState
 	// pulling is set during a pull.
 	pulling bool
 	// unreachable is set while pulls fail.
@@ -22,7 +22,7 @@
 
 // runPulls pulls the roster changes of the other control plane instances until ctx
 // ends.
-func (b *Backoffice) runPulls(ctx context.Context) {
+func (b *Instance) runPulls(ctx context.Context) {
 	ticker := time.NewTicker(rosterPullInterval)
 	defer ticker.Stop()
 	for {
@@ -39,11 +39,11 @@
 
 // beginPulls renews this instance's record and returns the peers to pull from, with
 // pulling set.
-func (b *Backoffice) beginPulls(now time.Time) []*peer {
+func (b *Instance) beginPulls(now time.Time) []*peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.roster.Beat(now, roster.InstanceBeat{})
-	b.roster.Sweep(now)
+	b.roster.Heartbeat(now, roster.InstanceBeat{})
+	b.roster.EvictExpired(now)
 	alive := map[string]bool{}
 	for _, instance := range b.roster.Instances(now) {
 		if instance.Identity == "" || instance.Name == b.options.Address {
@@ -68,10 +68,10 @@
 	return started
 }
 
-func (b *Backoffice) pullFrom(ctx context.Context, p *peer) {
+func (b *Instance) pullFrom(ctx context.Context, p *peer) {
 	b.mu.Lock()
 	cursor := p.source.Cursor(true)
-	introduction := b.roster.Introduction(b.options.Now())
+	introduction := b.roster.SelfRecord(b.options.Now())
 	b.mu.Unlock()
 	sentAt := b.options.Now()
 	changes, err := b.callPool.PullRoster(ctx, p.address, cursor, introduction)
@@ -89,12 +89,12 @@
 
 // handlePull answers the pull of another control plane instance, which includes the
 // caller's own record.
-func (b *Backoffice) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
+func (b *Instance) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
 	now := b.options.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if from != nil {
-		b.roster.Introduce(now, *from)
+		b.roster.Discover(now, *from)
 	}
 	return b.roster.Since(now, cursor)
 }
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -28,7 +28,7 @@
 // a core. Its heartbeats are then late and it is replaced again. With the relay, the
 // number of callers of the leader does not depend on the number of entry instances.
 type relay struct {
-	backoffice *Backoffice
+	backoffice *Instance
 
 	mu sync.Mutex
 	// demand holds the reports since the last call to the leader, by entry instance.
@@ -107,7 +107,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := r.backoffice.callPool.Gather(ctx, leader.Instance(), args)
+	reply, err := r.backoffice.callPool.ReportDemand(ctx, leader.Instance(), args)
 	if err != nil {
 		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching holdings from the leader failed")
 		return
--- a/internal/backoffice/relay_test.go
+++ b/internal/backoffice/relay_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil
 	}
-	holdings, err := courier.DecodeHoldings(reply.Holdings)
+	holdings, err := courier.DecodeEngineStates(reply.Holdings)
 	if err != nil {
 		return nil
 	}
--- a/internal/backoffice/unconfirmed.go
+++ b/internal/backoffice/unconfirmed.go
@@ -65,7 +65,7 @@
 // stillExecutable returns the inherited orders that e could still carry out.
 func (u *unconfirmedOrders) stillExecutable(e *engine) []unconfirmedOrder {
 	return slices.DeleteFunc(slices.Clone(u.inherited), func(o unconfirmedOrder) bool {
-		return o.Expected < e.report.Sequence || o.Adapter == "" && (e.model(o.Model) != nil || e.loading == o.Model)
+		return o.ExpectedSequence < e.report.Sequence || o.Adapter == "" && (e.model(o.Model) != nil || e.loading == o.Model)
 	})
 }
 
--- a/internal/backoffice/voters.go
+++ b/internal/backoffice/voters.go
@@ -17,8 +17,8 @@
 
 // bootstrap founds the cluster at the very first start. All founders try it: the same
 // identities result in the same cluster.
-func (b *Backoffice) bootstrap(ctx context.Context) {
-	if !b.options.Founder {
+func (b *Instance) bootstrap(ctx context.Context) {
+	if !b.options.Bootstrap {
 		return
 	}
 	for b.voter.Status().Cluster == "" {
@@ -34,7 +34,7 @@
 
 // maintainVoters updates metrics, detects a failed replica, and adjusts the set of
 // voters while this instance leads.
-func (b *Backoffice) maintainVoters(ctx context.Context) {
+func (b *Instance) maintainVoters(ctx context.Context) {
 	for pause.For(ctx, voterCheckInterval) {
 		status := b.voter.Status()
 		b.updateMetrics(status)
@@ -49,7 +49,7 @@
 }
 
 // updateMetrics exports the state of the replica.
-func (b *Backoffice) updateMetrics(status jury.Status) {
+func (b *Instance) updateMetrics(status jury.Status) {
 	scope := b.options.Metrics.SubScope("backoffice")
 	leads := 0.0
 	if status.Role == jury.Leader {
@@ -59,7 +59,7 @@
 	scope.Gauge("term").Update(float64(status.Term))
 	scope.Gauge("voters").Update(float64(len(status.Voters)))
 	scope.Gauge("learners").Update(float64(len(b.voter.Peers()) + 1 - len(status.Voters)))
-	_, reading := b.voter.Reading()
+	_, reading := b.voter.EditionWithAge()
 	scope.Gauge("routes_version").Update(float64(reading.Version))
 	if reading.Confirmed {
 		scope.Gauge("routes_age_seconds").Update(reading.Age.Seconds())
@@ -69,7 +69,7 @@
 
 // logCaughtUp logs once when the replica has applied all committed log entries after
 // its start.
-func (b *Backoffice) logCaughtUp(reading edition.Reading) {
+func (b *Instance) logCaughtUp(reading edition.Reading) {
 	b.mu.Lock()
 	first := reading.Confirmed && !b.caughtUp
 	b.caughtUp = b.caughtUp || reading.Confirmed
@@ -81,7 +81,7 @@
 
 // trackLeadership reports whether this instance leads, and records the time since which
 // it does.
-func (b *Backoffice) trackLeadership(now time.Time) bool {
+func (b *Instance) trackLeadership(now time.Time) bool {
 	leader, _ := b.voter.Leader()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,13 +96,13 @@
 }
 
 // changeVoters requests the next change of the voters, if one is due.
-func (b *Backoffice) changeVoters(ctx context.Context) {
+func (b *Instance) changeVoters(ctx context.Context) {
 	b.mu.Lock()
 	since := b.leaderSince
 	b.mu.Unlock()
 	change := electorate.Decide(
 		b.options.Now(), b.voter.Identity(), b.voter.Status().Voters, b.voter.Peers(), since,
-		electorate.Options{Least: b.options.Voters, Patience: voterSilenceTimeout},
+		electorate.Options{MinVoters: b.options.MinVoters, SilenceTimeout: voterSilenceTimeout},
 	)
 	if change == (electorate.Change{}) {
 		return
@@ -115,6 +115,6 @@
 }
 
 // Votes reports whether this instance is a voter.
-func (b *Backoffice) Votes() bool {
+func (b *Instance) IsVoter() bool {
 	return b.voter.Status().Voter
 }
--- a/internal/badge/badge.go
+++ b/internal/badge/badge.go
@@ -16,7 +16,7 @@
 
 // Book is the list of token holders. It is immutable and safe for concurrent use. The zero value
 // has no holders.
-type Book struct {
+type Tokens struct {
 	holders []holder
 }
 
@@ -30,10 +30,10 @@
 }
 
 // Load reads the Book in the TOML file path.
-func Load(path string) (Book, error) {
+func Load(path string) (Tokens, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Book{}, errors.Wrap(err, "badge: reading the file")
+		return Tokens{}, errors.Wrap(err, "badge: reading the file")
 	}
 	return Parse(path, data)
 }
@@ -44,32 +44,32 @@
 //
 // A plain SHA-256 is sufficient for randomly generated tokens, which no dictionary contains.
 // docs/operators/settings.md describes how to generate one.
-func Parse(file string, data []byte) (Book, error) {
+func Parse(file string, data []byte) (Tokens, error) {
 	var findings finding.List
 	root, ok := form.Open(file, data, &findings)
 	if !ok {
-		return Book{}, findings.Err()
+		return Tokens{}, findings.Err()
 	}
-	var book Book
+	var book Tokens
 	namePlaces := map[string]finding.Place{}
 	hashPlaces := map[[sha256.Size]byte]finding.Place{}
 	for _, table := range root.Tables(tokenKey) {
 		parsed := readHolder(table, namePlaces, hashPlaces)
 		book.holders = append(book.holders, parsed)
 	}
-	root.Done()
+	root.ReportUnknownKeys()
 	if len(book.holders) == 0 {
 		findings.Add(finding.Place{File: file}, "no token is listed, so nobody could act",
 			`write [[token]] with name = "..." and sha256 = "..."`)
 	}
 	if err := findings.Err(); err != nil {
-		return Book{}, err
+		return Tokens{}, err
 	}
 	return book, nil
 }
 
 // IsBook reports whether data is TOML that lists tokens, even if the list is invalid.
-func IsBook(data []byte) bool {
+func IsTokenFile(data []byte) bool {
 	var ignored finding.List
 	root, ok := form.Open("", data, &ignored)
 	return ok && root.Has(tokenKey)
@@ -80,7 +80,7 @@
 	table.Require("sha256", `"..."`)
 	h := holder{name: table.Text("name", "")}
 	hexHash := table.Text("sha256", "")
-	table.Done()
+	table.ReportUnknownKeys()
 	hash, err := hex.DecodeString(hexHash)
 	switch {
 	case hexHash == "":
@@ -103,7 +103,7 @@
 
 // Holder returns the name of the holder of token, or false if there is none. Its running time does
 // not depend on the tokens.
-func (b Book) Holder(token string) (string, bool) {
+func (b Tokens) Holder(token string) (string, bool) {
 	hash := sha256.Sum256([]byte(token))
 	index := -1
 	for i := range b.holders {
--- a/internal/badge/badge_test.go
+++ b/internal/badge/badge_test.go
@@ -27,7 +27,7 @@
 			Expect(name).To(Equal(want), token)
 			Expect(ok).To(Equal(want != ""), token)
 		}
-		_, ok := badge.Book{}.Holder("")
+		_, ok := badge.Tokens{}.Holder("")
 		Expect(ok).To(BeFalse())
 	})
 
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -20,7 +20,7 @@
 type Options struct {
 	// Known are seed addresses of instances (IP address and port), used to fetch the
 	// entries when no cached instance answers.
-	Known []string
+	Seeds []string
 	// Client sends the requests. Nil means a new client that uses TLS as set below.
 	Client *http.Client
 	// TLS configures TLS connections to the instances. Nil means plain HTTP.
@@ -104,7 +104,7 @@
 	for _, entry := range cached {
 		addresses = append(addresses, entry.Address)
 	}
-	return append(addresses, c.options.Known...)
+	return append(addresses, c.options.Seeds...)
 }
 
 func (c *Caller) fetchEntries(ctx context.Context, address string) (entriesResponse, error) {
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -65,16 +65,16 @@
 	fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"in\"}}]}\n\n")
 }
 
-var question = caller.Question{Model: "m", Text: "when"}
+var question = caller.Request{Model: "m", Prompt: "when"}
 
 func discardText(string) {}
 
 var _ = Describe("Caller", func() {
 	It("fetches the entries once and caches them", func(ctx SpecContext) {
 		instance := newFakeInstance(respondComplete)
-		client := caller.New(caller.Options{Known: []string{instance.address()}})
+		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
 		for range 3 {
-			answer, err := client.Ask(ctx, question, discardText)
+			answer, err := client.Complete(ctx, question, discardText)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.Text).To(Equal("in ten minutes"))
 		}
@@ -84,7 +84,7 @@
 	It("fetches the entries again when the cached ones have expired", func(ctx SpecContext) {
 		instance := newFakeInstance(respondComplete)
 		now := time.Now()
-		client := caller.New(caller.Options{Known: []string{instance.address()}, Now: func() time.Time { return now }})
+		client := caller.New(caller.Options{Seeds: []string{instance.address()}, Now: func() time.Time { return now }})
 		_, err := client.Entries(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(time.Hour)
@@ -98,8 +98,8 @@
 	It("goes to another instance when one refuses", func(ctx SpecContext) {
 		serving := newFakeInstance(respondComplete)
 		draining := newFakeInstance(respondDraining, serving)
-		client := caller.New(caller.Options{Known: []string{draining.address()}})
-		answer, err := client.Ask(ctx, question, discardText)
+		client := caller.New(caller.Options{Seeds: []string{draining.address()}})
+		answer, err := client.Complete(ctx, question, discardText)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Entry.Address).To(Equal(serving.address()))
 		Expect(answer.Attempts).To(Equal(2))
@@ -109,9 +109,9 @@
 	// caller must neither treat it as complete nor retry and append another response.
 	It("never takes half an answer for the whole", func(ctx SpecContext) {
 		instance := newFakeInstance(respondPartial)
-		client := caller.New(caller.Options{Known: []string{instance.address()}})
+		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
 		received := ""
-		_, err := client.Ask(ctx, question, func(chunk string) { received += chunk })
+		_, err := client.Complete(ctx, question, func(chunk string) { received += chunk })
 		var callErr *caller.Error
 		Expect(errors.As(err, &callErr)).To(BeTrue())
 		Expect(callErr.Outcome).To(Equal(outcome.Ran))
@@ -121,8 +121,8 @@
 
 	It("gives up with the reason when nobody takes the question", func(ctx SpecContext) {
 		instance := newFakeInstance(respondDraining)
-		client := caller.New(caller.Options{Known: []string{instance.address()}})
-		_, err := client.Ask(ctx, question, discardText)
+		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
+		_, err := client.Complete(ctx, question, discardText)
 		var callErr *caller.Error
 		Expect(errors.As(err, &callErr)).To(BeTrue())
 		Expect(callErr.Outcome).To(Equal(outcome.NotRun))
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -18,15 +18,15 @@
 )
 
 // Question is a request for a chat completion.
-type Question struct {
+type Request struct {
 	// Service is the service that the request belongs to. It may be empty.
 	Service string
 	Model   string
-	Text    string
+	Prompt  string
 }
 
 // Answer is a complete response.
-type Answer struct {
+type Response struct {
 	// Entry is the instance that answered.
 	Entry Entry
 	Text  string
@@ -44,12 +44,12 @@
 // attempt fails before the first chunk, unless the response has a 4xx status. Once all
 // entries have failed, it first waits for the retry delay of the last response. If Ask
 // receives no complete response, it returns an *Error.
-func (c *Caller) Ask(ctx context.Context, question Question, onChunk func(string)) (Answer, error) {
+func (c *Caller) Complete(ctx context.Context, question Request, onChunk func(string)) (Response, error) {
 	var lastErr error
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		entries, err := c.Entries(ctx)
 		if err != nil {
-			return Answer{}, &Error{Outcome: outcome.NotRun, Message: err.Error()}
+			return Response{}, &Error{Outcome: outcome.NotRun, Message: err.Error()}
 		}
 		entry := c.pick(entries)
 		started := false
@@ -58,7 +58,7 @@
 			onChunk(chunk)
 		})
 		if err == nil {
-			return Answer{Entry: entry, Text: text, Attempts: attempt}, nil
+			return Response{Entry: entry, Text: text, Attempts: attempt}, nil
 		}
 		lastErr = err
 		if started || isFinal(err) || ctx.Err() != nil {
@@ -69,7 +69,7 @@
 			break
 		}
 	}
-	return Answer{}, lastErr
+	return Response{}, lastErr
 }
 
 // Limits of the delay before a failed instance is tried again.
@@ -107,11 +107,11 @@
 }
 
 func (c *Caller) stream(
-	ctx context.Context, entry Entry, question Question, onChunk func(string),
+	ctx context.Context, entry Entry, question Request, onChunk func(string),
 ) (string, error) {
 	body, err := json.Marshal(chatRequest{
 		Model:    question.Model,
-		Messages: []chatMessage{{Role: "user", Content: question.Text}},
+		Messages: []chatMessage{{Role: "user", Content: question.Prompt}},
 		Stream:   true,
 	})
 	if err != nil {
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -21,7 +21,7 @@
 const clusterIDBytes = 8
 
 // Founding returns the state of this voter that a bootstrap needs to know.
-func (c controlServer) Founding() courier.Founding {
+func (c controlServer) BootstrapState() courier.Founding {
 	status := c.voter.replica.Status()
 	founding := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
 	// A voter in operation can be in this state too, when its snapshot covers the whole log.
@@ -41,7 +41,7 @@
 
 // Origin is the state of a cluster that lost its quorum, from which a new cluster starts. The zero
 // value starts with an empty state.
-type Origin struct {
+type InitialState struct {
 	Index jury.Index
 	Term  jury.Term
 	// Data is a snapshot of the registry.
@@ -66,13 +66,13 @@
 // Bootstrap create a new cluster. Instances that followed the old cluster then refuse to follow the
 // new one until they are restarted.
 func (v *Voter) Bootstrap(ctx context.Context) error {
-	return v.BootstrapFrom(ctx, Origin{})
+	return v.BootstrapFrom(ctx, InitialState{})
 }
 
 // BootstrapFrom is Bootstrap with the state of a cluster that lost its quorum. The new cluster has
 // a new ID: voters of the old cluster that come back are ignored, and instances that followed the
 // old cluster must be restarted.
-func (v *Voter) BootstrapFrom(ctx context.Context, origin Origin) error {
+func (v *Voter) BootstrapFrom(ctx context.Context, origin InitialState) error {
 	foundings, err := v.collectFoundings(ctx)
 	if err != nil {
 		return err
@@ -103,9 +103,9 @@
 // collectFoundings collects the Founding of every voter, including this one.
 func (v *Voter) collectFoundings(ctx context.Context) ([]courier.Founding, error) {
 	var findings finding.List
-	foundings := []courier.Founding{v.Control().Founding()}
+	foundings := []courier.Founding{v.Control().BootstrapState()}
 	for _, voter := range v.options.Voters {
-		founding, err := v.options.Calls.Founding(ctx, voter.InnerAddress)
+		founding, err := v.options.Calls.BootstrapState(ctx, voter.InnerAddress)
 		if err != nil {
 			findings.Add(finding.Place{File: voter.Name}, err.Error(), "start this voter before the bootstrap")
 			continue
@@ -117,7 +117,7 @@
 
 // newCharter returns the charter for the voters that reported foundings. If one of them prevents the
 // bootstrap, newCharter returns a *finding.Error.
-func newCharter(foundings []courier.Founding, origin Origin) (courier.Charter, error) {
+func newCharter(foundings []courier.Founding, origin InitialState) (courier.Charter, error) {
 	var findings finding.List
 	charter := courier.Charter{}
 	identities := make([]jury.Identity, 0, len(foundings))
@@ -155,7 +155,7 @@
 // completeCharter sets the fields of a charter that are still missing. The cluster ID is derived
 // from the voters and the initial state, so that concurrent bootstraps of the same voters create
 // one cluster, and bootstraps of different voters never share one.
-func completeCharter(charter courier.Charter, identities []jury.Identity, origin Origin) (courier.Charter, error) {
+func completeCharter(charter courier.Charter, identities []jury.Identity, origin InitialState) (courier.Charter, error) {
 	charter.Voters = identities
 	charter.Index, charter.Term, charter.Data = origin.Index, origin.Term, origin.Data
 	if origin.Index == 0 {
--- a/internal/chamber/bootstrap_test.go
+++ b/internal/chamber/bootstrap_test.go
@@ -23,7 +23,7 @@
 	writeDelay time.Duration
 }
 
-func (v *slowVoter) Founding() courier.Founding {
+func (v *slowVoter) BootstrapState() courier.Founding {
 	return courier.Founding{Identity: jury.Identity(v.name + "/1")}
 }
 
@@ -59,9 +59,9 @@
 		voter, err := chamber.NewVoter(chamber.VoterOptions{
 			Options: chamber.Options{
 				Self: "a", Voters: []chamber.VoterAddress{{Name: "b", InnerAddress: slow.listen()}}, Calls: calls,
-				RenewEvery: heartbeat, Lease: configLease, Now: time.Now, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+				RenewInterval: heartbeat, ConfigLease: configLease, Now: time.Now, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 			},
-			Folder: GinkgoT().TempDir(), Heartbeats: calls, Entries: calls, Heartbeat: heartbeat,
+			Folder: GinkgoT().TempDir(), HeartbeatPool: calls, EntryPool: calls, Heartbeat: heartbeat,
 			ElectionTimeout: electionTimeout, Identities: func() []jury.Identity { return nil }, Docket: docket.DefaultLimits(),
 		})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/chamber/chamber.go
+++ b/internal/chamber/chamber.go
@@ -21,12 +21,12 @@
 
 // Chamber is the control plane of an instance, a *Voter or a *Follower. Its methods are safe for
 // concurrent use.
-type Chamber interface {
+type ControlPlane interface {
 	// Gazette returns the publisher of the configuration in force.
-	Gazette() *gazette.Gazette
+	ConfigCache() *gazette.Cache
 	// Fresh reports whether the instance holds its configuration lease at now: whether the latest
 	// published configuration was still in force less than Options.Lease ago.
-	Fresh(now time.Time) bool
+	HasConfigLease(now time.Time) bool
 	// Propose replicates and applies command. If the command was not applied and never will be, the
 	// error matches ErrNotAccepted. After any other error, the outcome is unknown.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
@@ -66,15 +66,15 @@
 	Voters []VoterAddress
 	// Address returns the inner address of an instance that joined later and is therefore not in
 	// Voters. It may be nil.
-	Address func(instance string) (string, bool)
+	ResolveAddress func(instance string) (string, bool)
 	// Calls carries proposals, lookups and configuration requests.
 	Calls *courier.Pool
 	// RenewEvery is the interval at which the configuration is confirmed.
-	RenewEvery time.Duration
+	RenewInterval time.Duration
 	// Lease is how long a configuration remains valid after it was confirmed.
-	Lease time.Duration
-	Now   func() time.Time
-	Log   zerolog.Logger
+	ConfigLease time.Duration
+	Now         func() time.Time
+	Log         zerolog.Logger
 	// Metrics receives the metrics of a voter. If it is nil, none are reported.
 	Metrics tally.Scope
 }
@@ -85,9 +85,9 @@
 // proposalError returns the error for a proposal's fate, nil for success.
 func proposalError(proposed courier.Proposed) error {
 	switch proposed.Fate {
-	case courier.FateCarriedOut:
+	case courier.ProposalExecuted:
 		return nil
-	case courier.FateNotAccepted:
+	case courier.ProposalRejected:
 		return errors.Mark(errors.Newf("chamber: not accepted: %s", proposed.Reason), ErrNotAccepted)
 	default:
 		return errors.Newf("chamber: it is unknown whether the command is carried out: %s", proposed.Reason)
--- a/internal/chamber/chamber_test.go
+++ b/internal/chamber/chamber_test.go
@@ -28,7 +28,7 @@
 		return func() bool {
 			now := time.Now()
 			for _, node := range c.running() {
-				if !node.Fresh(now) || node.Gazette().Latest().Revision != revision {
+				if !node.HasConfigLease(now) || node.ConfigCache().Latest().Revision != revision {
 					return false
 				}
 			}
@@ -61,7 +61,7 @@
 		Eventually(ctx, func() bool {
 			now := time.Now()
 			for _, node := range c.running() {
-				if node.Fresh(now) {
+				if node.HasConfigLease(now) {
 					return false
 				}
 			}
@@ -78,7 +78,7 @@
 		for _, local := range []bool{false, true} {
 			for _, name := range []string{"a", "b", "c"} {
 				proposed := c.nodes["f"].pools[0].Propose(ctx, c.nodes[name].address(), []byte(`{"format":1000}`), local)
-				Expect(proposed.Fate).To(Equal(courier.FateNotAccepted))
+				Expect(proposed.Fate).To(Equal(courier.ProposalRejected))
 				Expect(proposed.Reason).To(ContainSubstring("newer program"))
 			}
 		}
@@ -89,7 +89,7 @@
 	// one change must be accepted, and the other operators must learn what was changed and by whom.
 	It("is one of those that raced for a revision", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		var goroutines sync.WaitGroup
-		answers := make(chan registry.Answer, 8)
+		answers := make(chan registry.ChangeResult, 8)
 		for n, node := range append(c.running(), c.running()...) {
 			goroutines.Go(func() {
 				defer GinkgoRecover()
@@ -105,7 +105,7 @@
 				continue
 			}
 			Expect(answer.Verdict).To(Equal(registry.VerdictConflict))
-			Expect(answer.Since).To(HaveLen(1))
+			Expect(answer.ChangesSince).To(HaveLen(1))
 		}
 		Expect(accepted).To(Equal(1))
 	})
@@ -120,7 +120,7 @@
 			node := c.nodes[name]
 			node.isolate()
 			Expect(proposeChange(ctx, c.nodes["a"], newChange("two", 1)).Verdict).To(Equal(registry.VerdictApplied))
-			Eventually(ctx, func() bool { return node.Fresh(time.Now()) }).Should(BeFalse())
+			Eventually(ctx, func() bool { return node.HasConfigLease(time.Now()) }).Should(BeFalse())
 			callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			defer cancel()
 			_, err := node.Propose(callCtx, newChange("three", 2))
@@ -136,11 +136,11 @@
 	// immediately and don't hang.
 	It("is not used without voters for longer than its lease", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		follower := c.nodes["f"]
-		Eventually(ctx, func() bool { return follower.Fresh(time.Now()) }).Should(BeTrue())
+		Eventually(ctx, func() bool { return follower.HasConfigLease(time.Now()) }).Should(BeTrue())
 		for _, name := range []string{"a", "b", "c"} {
 			c.nodes[name].stop()
 		}
-		Eventually(ctx, func() bool { return follower.Fresh(time.Now()) }).Should(BeFalse())
+		Eventually(ctx, func() bool { return follower.HasConfigLease(time.Now()) }).Should(BeFalse())
 		callCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
 		_, err := follower.Propose(callCtx, newChange("one", 0))
@@ -167,7 +167,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(result.Change.Verdict).To(Equal(registry.VerdictApplied))
 		}).Should(Succeed())
-		Expect(lost.Gazette().Latest().Revision).To(BeNumerically(">=", 1))
+		Expect(lost.ConfigCache().Latest().Revision).To(BeNumerically(">=", 1))
 	})
 
 	// Two of three voters lose their disks, so that there is no quorum. The state of the third
@@ -191,20 +191,20 @@
 			Expect(os.RemoveAll(c.nodes[name].folder)).To(Succeed())
 			c.nodes[name].restart()
 		}
-		origin := chamber.Origin{Index: state.Index, Term: state.Term, Data: state.Data}
+		origin := chamber.InitialState{Index: state.Index, Term: state.Term, Data: state.Data}
 		Expect(c.voter("b").BootstrapFrom(ctx, origin)).To(Succeed())
 		for _, name := range []string{"a", "b", "c"} {
 			voter := c.nodes[name]
-			Eventually(ctx, func() bool { return voter.Fresh(time.Now()) }).Should(BeTrue())
-			Expect(voter.Gazette().Latest().Revision).To(Equal(registry.Revision(3)))
+			Eventually(ctx, func() bool { return voter.HasConfigLease(time.Now()) }).Should(BeTrue())
+			Expect(voter.ConfigCache().Latest().Revision).To(Equal(registry.Revision(3)))
 		}
 		_, term := c.nodes["a"].Leader()
 		Expect(term).To(BeNumerically(">", formerTerm))
 		follower := c.nodes["f"]
-		Eventually(ctx, func() bool { return follower.Fresh(time.Now()) }).Should(BeFalse())
+		Eventually(ctx, func() bool { return follower.HasConfigLease(time.Now()) }).Should(BeFalse())
 		follower.stop()
 		follower.restart()
-		Eventually(ctx, func() bool { return follower.Fresh(time.Now()) }).Should(BeTrue())
+		Eventually(ctx, func() bool { return follower.HasConfigLease(time.Now()) }).Should(BeTrue())
 		Expect(proposeChange(ctx, follower, newChange("change-3", 3)).Verdict).To(Equal(registry.VerdictApplied))
 	})
 
@@ -268,7 +268,7 @@
 				return 0
 			}).Should(Equal(1.0))
 		}
-		Expect(c.nodes["b"].Lookup(ctx, key)).To(HaveField("Verdict", docket.VerdictNone))
+		Expect(c.nodes["b"].Lookup(ctx, key)).To(HaveField("Verdict", docket.VerdictNotFound))
 	})
 })
 
--- a/internal/chamber/cluster_test.go
+++ b/internal/chamber/cluster_test.go
@@ -45,7 +45,7 @@
 	server   *courier.Server
 	metrics  tally.TestScope
 	pools    []*courier.Pool
-	chamber.Chamber
+	chamber.ControlPlane
 
 	mu sync.Mutex
 	// isolated blocks all connections from and to the node.
@@ -99,14 +99,14 @@
 }
 
 func (c *cluster) voter(name string) *chamber.Voter {
-	return c.nodes[name].Chamber.(*chamber.Voter)
+	return c.nodes[name].ControlPlane.(*chamber.Voter)
 }
 
-func (c *cluster) running() []chamber.Chamber {
-	var running []chamber.Chamber
+func (c *cluster) running() []chamber.ControlPlane {
+	var running []chamber.ControlPlane
 	for _, n := range c.nodes {
-		if n.Chamber != nil {
-			running = append(running, n.Chamber)
+		if n.ControlPlane != nil {
+			running = append(running, n.ControlPlane)
 		}
 	}
 	return running
@@ -119,7 +119,7 @@
 // start starts the node at its address, with its data folder.
 func (n *node) start() {
 	options := chamber.Options{
-		Self: n.name, RenewEvery: n.cluster.options.renewInterval, Lease: configLease, Now: time.Now, Log: zerolog.Nop(),
+		Self: n.name, RenewInterval: n.cluster.options.renewInterval, ConfigLease: configLease, Now: time.Now, Log: zerolog.Nop(),
 	}
 	for _, other := range n.cluster.nodes {
 		if other.voter && other.name != n.name {
@@ -133,16 +133,16 @@
 	services := courier.Services{Others: map[string]any{}}
 	if n.voter {
 		voter, err := chamber.NewVoter(chamber.VoterOptions{
-			Options: options, Folder: n.folder, Heartbeats: n.pools[1], Entries: n.pools[2],
+			Options: options, Folder: n.folder, HeartbeatPool: n.pools[1], EntryPool: n.pools[2],
 			Heartbeat: heartbeat, ElectionTimeout: electionTimeout, ClockDrift: 0.05,
-			OrderFlight: 100 * time.Millisecond, Identities: n.cluster.identities, Docket: n.cluster.options.docket,
+			OrderTimeout: 100 * time.Millisecond, Identities: n.cluster.identities, Docket: n.cluster.options.docket,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		n.Chamber = voter
+		n.ControlPlane = voter
 		n.cluster.recordIdentity(n.name, voter.Identity())
 		services.Others["Control"] = courier.NewControlService(voter.Control())
 	} else {
-		n.Chamber = chamber.NewFollower(options)
+		n.ControlPlane = chamber.NewFollower(options)
 	}
 	server, err := courier.NewServer(&isolatingListener{Listener: n.listener, node: n}, services)
 	Expect(err).NotTo(HaveOccurred())
@@ -168,7 +168,7 @@
 
 // stop ends the node as in a crash, without a transfer of leadership.
 func (n *node) stop() {
-	if n.Chamber == nil {
+	if n.ControlPlane == nil {
 		return
 	}
 	canceled, cancel := context.WithCancel(context.Background())
@@ -178,7 +178,7 @@
 		pool.Close()
 	}
 	n.Close(canceled)
-	n.Chamber = nil
+	n.ControlPlane = nil
 }
 
 // restart starts a stopped node at the same address.
@@ -254,13 +254,13 @@
 	Expect(err).NotTo(HaveOccurred())
 	prepared, err := registry.Change{
 		ID: id, Expected: expected, Declarations: set.Canonical(), Preset: id, By: "kim", Summary: id, Now: time.Now(),
-	}.Prepare(declaration.Check)
+	}.Validated(declaration.Check)
 	Expect(err).NotTo(HaveOccurred())
 	return prepared
 }
 
 // proposeChange proposes a change and returns the answer.
-func proposeChange(ctx context.Context, node chamber.Chamber, change registry.Change) registry.Answer {
+func proposeChange(ctx context.Context, node chamber.ControlPlane, change registry.Change) registry.ChangeResult {
 	result, err := node.Propose(ctx, change)
 	Expect(err).NotTo(HaveOccurred())
 	return *result.Change
--- a/internal/chamber/control.go
+++ b/internal/chamber/control.go
@@ -32,7 +32,7 @@
 }
 
 // ProposeHere proposes command if this voter is the leader.
-func (c controlServer) ProposeHere(ctx context.Context, command []byte) courier.Proposed {
+func (c controlServer) ProposeLocally(ctx context.Context, command []byte) courier.Proposed {
 	if rejection, ok := rejectUndecodable(command); ok {
 		return rejection
 	}
@@ -55,7 +55,7 @@
 	if err == nil {
 		return courier.Proposed{}, false
 	}
-	return courier.Proposed{Fate: courier.FateNotAccepted, Reason: err.Error()}, true
+	return courier.Proposed{Fate: courier.ProposalRejected, Reason: err.Error()}, true
 }
 
 // ChangeVoters adds or removes a voter if this voter is the leader.
@@ -94,18 +94,18 @@
 
 func toProposed(result []byte, err error) courier.Proposed {
 	if err == nil {
-		return courier.Proposed{Fate: courier.FateCarriedOut, Result: result}
+		return courier.Proposed{Fate: courier.ProposalExecuted, Result: result}
 	}
 	var rejected *clerk.RejectedError
 	if errors.As(err, &rejected) {
 		return courier.Proposed{
-			Fate:    courier.FateNotAccepted,
+			Fate:    courier.ProposalRejected,
 			Leader:  rejected.Leader,
 			Passing: rejected.Retryable,
 			Reason:  err.Error(),
 		}
 	}
-	return courier.Proposed{Fate: courier.FateUnknown, Reason: err.Error()}
+	return courier.Proposed{Fate: courier.ProposalUnknown, Reason: err.Error()}
 }
 
 // replicaAddress returns the inner address of the instance that runs a replica.
@@ -115,8 +115,8 @@
 			return voter.InnerAddress, nil
 		}
 	}
-	if v.options.Address != nil {
-		if address, known := v.options.Address(identity.Instance()); known {
+	if v.options.ResolveAddress != nil {
+		if address, known := v.options.ResolveAddress(identity.Instance()); known {
 			return address, nil
 		}
 	}
@@ -129,10 +129,10 @@
 	if err != nil {
 		return err
 	}
-	pool := v.options.Heartbeats
+	pool := v.options.HeartbeatPool
 	switch message.Body.(type) {
 	case jury.Append, jury.InstallRequest:
-		pool = v.options.Entries
+		pool = v.options.EntryPool
 	default:
 	}
 	return pool.Deliver(ctx, address, message)
@@ -146,9 +146,9 @@
 	}
 	proposed := v.options.Calls.Propose(ctx, address, command, true)
 	switch proposed.Fate {
-	case courier.FateCarriedOut:
+	case courier.ProposalExecuted:
 		return proposed.Result, nil
-	case courier.FateNotAccepted:
+	case courier.ProposalRejected:
 		return nil, &clerk.RejectedError{
 			Leader:    proposed.Leader,
 			Retryable: proposed.Passing,
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -20,7 +20,7 @@
 // it admits work only once a voter has confirmed the configuration.
 type Follower struct {
 	options Options
-	gazette *gazette.Gazette
+	gazette *gazette.Cache
 
 	mu sync.Mutex
 	// freshAsOf is the latest time for which the gazette is known to hold the configuration that
@@ -47,7 +47,7 @@
 }
 
 // Gazette returns the publisher of the configuration in force.
-func (f *Follower) Gazette() *gazette.Gazette {
+func (f *Follower) ConfigCache() *gazette.Cache {
 	return f.gazette
 }
 
@@ -63,10 +63,10 @@
 }
 
 // Fresh reports whether the follower holds its configuration lease.
-func (f *Follower) Fresh(now time.Time) bool {
+func (f *Follower) HasConfigLease(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.freshAsOf.IsZero() && now.Sub(f.freshAsOf) < f.options.Lease
+	return !f.freshAsOf.IsZero() && now.Sub(f.freshAsOf) < f.options.ConfigLease
 }
 
 // Close stops the follower.
@@ -76,7 +76,7 @@
 }
 
 func (f *Follower) run(ctx context.Context) {
-	ticker := time.NewTicker(f.options.RenewEvery)
+	ticker := time.NewTicker(f.options.RenewInterval)
 	defer ticker.Stop()
 	for {
 		f.renew(ctx)
@@ -199,16 +199,16 @@
 	for {
 		proposed := f.proposeOnce(ctx, data)
 		switch {
-		case proposed.Fate == courier.FateCarriedOut:
+		case proposed.Fate == courier.ProposalExecuted:
 			return registry.DecodeResult(proposed.Result)
-		case proposed.Fate == courier.FateUnknown:
+		case proposed.Fate == courier.ProposalUnknown:
 			outcomeUnknown = true
 		case !proposed.Passing && !outcomeUnknown:
 			return registry.Result{}, proposalError(proposed)
 		}
 		if !pause.For(ctx, retryInterval) {
 			if outcomeUnknown {
-				proposed.Fate = courier.FateUnknown
+				proposed.Fate = courier.ProposalUnknown
 			}
 			return registry.Result{}, proposalError(proposed)
 		}
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposed := f.options.Calls.Propose(ctx, voter.InnerAddress, data, false)
-	if proposed.Fate != courier.FateCarriedOut {
+	if proposed.Fate != courier.ProposalExecuted {
 		f.skipVoter(voter)
 	}
 	return proposed
@@ -252,10 +252,10 @@
 
 // ChangeVoters asks one voter after another until it reaches the leader and the change is made.
 func (f *Follower) ChangeVoters(ctx context.Context, change courier.VotersChange) error {
-	proposed := courier.Proposed{Fate: courier.FateNotAccepted, Reason: "the settings name no voter"}
+	proposed := courier.Proposed{Fate: courier.ProposalRejected, Reason: "the settings name no voter"}
 	for _, voter := range f.options.Voters {
 		proposed = f.options.Calls.ChangeVoters(ctx, voter.InnerAddress, change)
-		if proposed.Fate != courier.FateNotAccepted || !proposed.Passing {
+		if proposed.Fate != courier.ProposalRejected || !proposed.Passing {
 			break
 		}
 	}
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -14,14 +14,14 @@
 func (v *Voter) recordLease(take lease.Take) {
 	v.leaseMutex.Lock()
 	defer v.leaseMutex.Unlock()
-	v.leaseSightings.Saw(v.options.Now(), take)
+	v.leaseSightings.Record(v.options.Now(), take)
 }
 
 // recordLeases records the leases of a restored snapshot, which does not say when they were taken.
 func (v *Voter) recordLeases() {
 	v.leaseMutex.Lock()
 	defer v.leaseMutex.Unlock()
-	v.leaseSightings.SawAll(v.options.Now(), v.registry.Leases())
+	v.leaseSightings.Reset(v.options.Now(), v.registry.Leases())
 }
 
 // LeaseFree reports whether this replica has seen no other instance take the lease of upstream
@@ -71,11 +71,11 @@
 
 // Leads reports whether this voter is the leader and has applied everything that earlier leaders
 // committed. term is its fencing number.
-func (v *Voter) Leads(now time.Time) (term jury.Term, ok bool) {
+func (v *Voter) IsLeader(now time.Time) (term jury.Term, ok bool) {
 	status := v.replica.Status()
 	if status.Role != jury.Leader {
 		return 0, false
 	}
 	asOf, fresh := v.replica.Freshness()
-	return status.Term, fresh && now.Sub(asOf) < v.options.Lease
+	return status.Term, fresh && now.Sub(asOf) < v.options.ConfigLease
 }
--- a/internal/chamber/propagation_test.go
+++ b/internal/chamber/propagation_test.go
@@ -41,7 +41,7 @@
 // allAtRevision reports whether the revision, or a later one, is in force on all nodes.
 func (c *cluster) allAtRevision(revision registry.Revision) bool {
 	for _, node := range c.running() {
-		if node.Gazette().Latest().Revision < revision {
+		if node.ConfigCache().Latest().Revision < revision {
 			return false
 		}
 	}
--- a/internal/chamber/quarantine.go
+++ b/internal/chamber/quarantine.go
@@ -11,7 +11,7 @@
 func (v *Voter) Quarantine(now time.Time) quarantine.News {
 	v.quarantineMutex.Lock()
 	defer v.quarantineMutex.Unlock()
-	news := v.quarantinePublisher.News(now, v.registry.Crashes())
+	news := v.quarantinePublisher.News(now, v.registry.CrashRecords())
 	for _, change := range v.quarantinePublisher.Changes() {
 		v.logQuarantineChange(change)
 	}
@@ -22,7 +22,7 @@
 // or left the quarantine.
 func (v *Voter) logQuarantineChange(change quarantine.Change) {
 	if len(change.Crashes) == 0 {
-		v.options.Log.Info().Stringer(quarantine.FieldDigest, change.Digest).Msg(quarantine.LineLeft)
+		v.options.Log.Info().Stringer(quarantine.FieldDigest, change.Digest).Msg(quarantine.LogLeft)
 		return
 	}
 	upstreams := make([]string, 0, len(change.Crashes))
@@ -32,12 +32,12 @@
 		requests = append(requests, crash.Request)
 	}
 	v.options.Log.Warn().Stringer(quarantine.FieldDigest, change.Digest).Strs("upstreams", upstreams).Strs("requests", requests).
-		Msg(quarantine.LineEntered)
+		Msg(quarantine.LogEntered)
 }
 
 // Quarantined lists the requests in quarantine and those under suspicion.
 func (v *Voter) Quarantined(now time.Time) ([]quarantine.Listing, error) {
-	return v.registry.Crashes().List(now, v.options.Quarantine), nil
+	return v.registry.CrashRecords().List(now, v.options.Quarantine), nil
 }
 
 // Lift lifts the quarantine of requests. After an error, the quarantine may still be in place.
@@ -50,10 +50,10 @@
 // does so only if this voter is the leader. lastHeard returns when the process of an upstream last
 // showed a sign of life, and false if it never did. RecallCrashes must be called from a single
 // goroutine, about twice a second.
-func (v *Voter) RecallCrashes(ctx context.Context, lastHeard func(quarantine.Lifetime) (time.Time, bool)) {
+func (v *Voter) RetractFalseCrashes(ctx context.Context, lastHeard func(quarantine.Lifetime) (time.Time, bool)) {
 	now := v.options.Now()
-	alive := v.falseCrashDetector.Alive(now, v.registry.Crashes(), lastHeard)
-	if _, leads := v.Leads(now); !leads || len(alive) == 0 {
+	alive := v.falseCrashDetector.Alive(now, v.registry.CrashRecords(), lastHeard)
+	if _, leads := v.IsLeader(now); !leads || len(alive) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -65,5 +65,5 @@
 
 // Crashes returns the recorded crashes of upstreams, with the requests that were running there.
 func (v *Voter) Crashes() quarantine.Records {
-	return v.registry.Crashes()
+	return v.registry.CrashRecords()
 }
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -32,13 +32,13 @@
 	Folder string
 	// Heartbeats carries messages that must not wait behind entries and snapshots, and Entries
 	// carries the others. Each has its own connections.
-	Heartbeats *courier.Pool
-	Entries    *courier.Pool
+	HeartbeatPool *courier.Pool
+	EntryPool     *courier.Pool
 	// Heartbeat, ElectionTimeout, ClockDrift and OrderFlight are those of jury.Options.
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
 	ClockDrift      float64
-	OrderFlight     time.Duration
+	OrderTimeout    time.Duration
 	// Identities returns the identities of all known voters.
 	Identities func() []jury.Identity
 	// Docket limits the idempotency records.
@@ -51,19 +51,19 @@
 type Voter struct {
 	options  VoterOptions
 	identity jury.Identity
-	gazette  *gazette.Gazette
+	gazette  *gazette.Cache
 	registry *registry.Registry
 	archive  *archive.Archive
 	replica  *clerk.Replica
 	ticker   *time.Ticker
 
 	leaseMutex     sync.Mutex
-	leaseSightings *lease.Sightings
+	leaseSightings *lease.Observations
 
 	quarantineMutex     sync.Mutex
-	quarantinePublisher *quarantine.Bulletin
+	quarantinePublisher *quarantine.Publisher
 	// falseCrashDetector is used only by RecallCrashes.
-	falseCrashDetector quarantine.Recall
+	falseCrashDetector quarantine.FalseCrashDetector
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -85,11 +85,11 @@
 	}
 	v := &Voter{
 		options:             options,
-		identity:            jury.Identity(fmt.Sprintf("%s/%016x", options.Self, loaded.Number)),
+		identity:            jury.Identity(fmt.Sprintf("%s/%016x", options.Self, loaded.FolderNumber)),
 		gazette:             gazette.New(),
 		registry:            registry.New(),
-		leaseSightings:      lease.NewSightings(options.Self),
-		quarantinePublisher: quarantine.NewBulletin(options.Quarantine),
+		leaseSightings:      lease.NewObservations(options.Self),
+		quarantinePublisher: quarantine.NewPublisher(options.Quarantine),
 		archive:             store,
 		ticker:              time.NewTicker(options.Heartbeat / ticksPerHeartbeat),
 	}
@@ -100,7 +100,7 @@
 			Heartbeat:       options.Heartbeat,
 			ElectionTimeout: options.ElectionTimeout,
 			ClockDrift:      options.ClockDrift,
-			OrderFlight:     options.OrderFlight,
+			OrderTimeout:    options.OrderTimeout,
 		},
 		State: jury.State{
 			Cluster:   loaded.ClusterID,
@@ -129,10 +129,10 @@
 
 // logOpened logs the state of the data folder for operators.
 func logDataFolder(log zerolog.Logger, loaded archive.Loaded) {
-	log.Info().Bool("fresh", loaded.Fresh).Str("cluster-id", loaded.ClusterID).
+	log.Info().Bool("fresh", loaded.NewFolder).Str("cluster-id", loaded.ClusterID).
 		Uint64("snapshot-index", uint64(loaded.Snapshot.Index)).Int("entries", len(loaded.Entries)).Msg("data folder opened")
-	if loaded.Cut.Bytes > 0 {
-		log.Warn().Str("file", loaded.Cut.File).Int64("offset", loaded.Cut.Offset).Int64("bytes", loaded.Cut.Bytes).
+	if loaded.TornTail.Bytes > 0 {
+		log.Warn().Str("file", loaded.TornTail.File).Int64("offset", loaded.TornTail.Offset).Int64("bytes", loaded.TornTail.Bytes).
 			Msg("truncated the incomplete end of the log, which was never acknowledged")
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 // Gazette returns the publisher of the configuration in force.
-func (v *Voter) Gazette() *gazette.Gazette {
+func (v *Voter) ConfigCache() *gazette.Cache {
 	return v.gazette
 }
 
@@ -213,12 +213,12 @@
 }
 
 // Fresh reports whether the voter holds its configuration lease.
-func (v *Voter) Fresh(now time.Time) bool {
+func (v *Voter) HasConfigLease(now time.Time) bool {
 	// Read the freshness before the view: the view then includes everything that the freshness
 	// covers.
 	asOf, ok := v.replica.Freshness()
 	published := v.gazette.Latest().Revision >= v.registry.View().Revision
-	return ok && published && now.Sub(asOf) < v.options.Lease
+	return ok && published && now.Sub(asOf) < v.options.ConfigLease
 }
 
 // Edition returns the operator-versioned document according to this replica.
@@ -228,7 +228,7 @@
 
 // Reading returns the operator-versioned document according to this replica, and how current it is
 // known to be.
-func (v *Voter) Reading() (edition.Edition, edition.Reading) {
+func (v *Voter) EditionWithAge() (edition.Edition, edition.Reading) {
 	// Read the freshness before the document: the document then includes everything that the
 	// freshness covers.
 	age, confirmed := v.stateAge()
@@ -248,7 +248,7 @@
 
 // FreshEdition returns the operator-versioned document as of the time of the call or later. It
 // returns false if the voter can't confirm before ctx ends that its state is up to date.
-func (v *Voter) FreshEdition(ctx context.Context) (edition.Edition, bool) {
+func (v *Voter) ConfirmedEdition(ctx context.Context) (edition.Edition, bool) {
 	if !v.awaitFresh(ctx, v.options.Now()) {
 		return edition.Edition{}, false
 	}
@@ -304,13 +304,13 @@
 // reportDocketMetrics reports the size of the docket and its counters, which are part of the
 // replicated state: all voters report the same values.
 func (v *Voter) reportDocketMetrics() {
-	counters, records, responseBytes := v.registry.Docket()
+	counters, records, responseBytes := v.registry.DocketStats()
 	scope := v.options.Metrics.SubScope("docket")
 	for name, value := range map[string]float64{
 		"records":           float64(records),
 		"response-bytes":    float64(responseBytes),
 		"granted":           float64(counters.Granted),
-		"refused":           float64(counters.Refused),
+		"refused":           float64(counters.RefusedFull),
 		"expired":           float64(counters.Expired),
 		"overdue":           float64(counters.Overdue),
 		"responses-dropped": float64(counters.ResponsesDropped),
@@ -336,13 +336,13 @@
 			return registry.DecodeResult(result)
 		}
 		proposed := toProposed(nil, err)
-		outcomeUnknown = outcomeUnknown || proposed.Fate == courier.FateUnknown
+		outcomeUnknown = outcomeUnknown || proposed.Fate == courier.ProposalUnknown
 		if !outcomeUnknown && !proposed.Passing {
 			return registry.Result{}, proposalError(proposed)
 		}
 		if !pause.For(ctx, retryInterval) {
 			if outcomeUnknown {
-				proposed.Fate = courier.FateUnknown
+				proposed.Fate = courier.ProposalUnknown
 			}
 			return registry.Result{}, proposalError(proposed)
 		}
@@ -378,7 +378,7 @@
 	if !v.awaitFresh(ctx, v.options.Now()) {
 		return docket.Answer{}, errors.New("chamber: the voter could not confirm that it is up to date")
 	}
-	return v.registry.Lookup(key), nil
+	return v.registry.LookupRequest(key), nil
 }
 
 // freshnessPollInterval is the interval at which awaitFresh checks the freshness, which each
--- a/internal/clerk/fakes_test.go
+++ b/internal/clerk/fakes_test.go
@@ -195,7 +195,7 @@
 	replica, err := clerk.New(clerk.Options{
 		Member: jury.Options{
 			Self: n.identity, Seed: uint64(n.identity[4]), Heartbeat: 50 * time.Millisecond,
-			ElectionTimeout: 500 * time.Millisecond, OrderFlight: 100 * time.Millisecond, Kept: 1,
+			ElectionTimeout: 500 * time.Millisecond, OrderTimeout: 100 * time.Millisecond, KeptEntries: 1,
 		},
 		State:         state,
 		Store:         store,
--- a/internal/clerk/loop.go
+++ b/internal/clerk/loop.go
@@ -128,11 +128,11 @@
 	}
 	delete(l.pending, a.ID)
 	switch {
-	case a.Refusal != nil:
+	case a.Err != nil:
 		request.result.complete(nil, &RejectedError{
 			Leader:    l.member.Status().Leader,
-			Retryable: retryable(a.Refusal),
-			Cause:     a.Refusal,
+			Retryable: retryable(a.Err),
+			Cause:     a.Err,
 		})
 	case request.awaitApplied:
 		l.replica.applier.register(a.Index, a.Term, request.result)
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -21,7 +21,7 @@
 		if err := requireExpectedRevision(expectedRevision); err != nil {
 			return printError(streams, err)
 		}
-		return apply(ctx, &operator, folder, registrar.Change{Expected: uint64(expectedRevision), Preset: preset}, streams)
+		return apply(ctx, &operator, folder, registrar.Change{ExpectedRevision: uint64(expectedRevision), Preset: preset}, streams)
 	}
 	return command{flags: flags, run: run}
 }
@@ -36,7 +36,7 @@
 		return printError(streams, err)
 	}
 	change.Declarations = set.Canonical()
-	change.Preset, err = choosePreset(change.Preset, change.Expected == 0, set, active)
+	change.Preset, err = choosePreset(change.Preset, change.ExpectedRevision == 0, set, active)
 	if err != nil {
 		return printError(streams, err)
 	}
--- a/internal/command/ask.go
+++ b/internal/command/ask.go
@@ -22,7 +22,7 @@
 	entryAddresses []string
 	caFile         string
 	asJSON         bool
-	question       caller.Question
+	question       caller.Request
 }
 
 func newAsk() command {
@@ -34,7 +34,7 @@
 	flags.String(&askOptions.question.Service, "s", "service", "service that the question belongs to")
 	flags.String(&askOptions.caFile, "", "ca", "file with the certificates that verify the instances; turns TLS on")
 	flags.Bool(&askOptions.asJSON, "", "json", "write the whole answer as JSON once it is there")
-	flags.AddPositionalValue(&askOptions.question.Text, "text", 1, true, "what to ask")
+	flags.AddPositionalValue(&askOptions.question.Prompt, "text", 1, true, "what to ask")
 	run := func(ctx context.Context, streams Streams) int {
 		return ask(ctx, askOptions, streams)
 	}
@@ -55,21 +55,21 @@
 
 func ask(ctx context.Context, flags askFlags, streams Streams) int {
 	var findings finding.List
-	options := caller.Options{Known: flags.entryAddresses, TLS: readCA(flags.caFile, &findings)}
+	options := caller.Options{Seeds: flags.entryAddresses, TLS: readCA(flags.caFile, &findings)}
 	if flags.question.Model == "" {
 		findings.Add(flagPlace("model"), "no model is named", "give one that GET /v1/models lists")
 	}
 	if err := findings.Err(); err != nil {
 		return printError(streams, err)
 	}
-	if len(options.Known) == 0 {
-		options.Known = []string{defaultEntryAddress}
+	if len(options.Seeds) == 0 {
+		options.Seeds = []string{defaultEntryAddress}
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	start := time.Now()
 	var output askOutput
-	answer, err := caller.New(options).Ask(ctx, flags.question, func(piece string) {
+	answer, err := caller.New(options).Complete(ctx, flags.question, func(piece string) {
 		if output.FirstTokenMilliseconds == 0 {
 			output.FirstTokenMilliseconds = time.Since(start).Milliseconds()
 		}
--- a/internal/command/changes.go
+++ b/internal/command/changes.go
@@ -26,7 +26,7 @@
 		return requested, requirePreset(requested, set)
 	}
 	if first {
-		return set.FirstPreset().Name, nil
+		return set.InitialPreset().Name, nil
 	}
 	if active.Preset == "" {
 		return "", nil
@@ -78,7 +78,7 @@
 // propose sends a change and prints the result. latest is the active revision
 // known before the change.
 func propose(ctx context.Context, client *registrar.Client, change registrar.Change, latest uint64, streams Streams, asJSON bool) int {
-	change.ID = registrar.ChangeID(change.Expected, change.Declarations, change.Preset)
+	change.ID = registrar.ChangeID(change.ExpectedRevision, change.Declarations, change.Preset)
 	result, err := client.Change(ctx, change)
 	if err != nil {
 		return printError(streams, err)
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -73,7 +73,7 @@
 		c.addError(path, err)
 		return
 	}
-	if badge.IsBook(data) {
+	if badge.IsTokenFile(data) {
 		c.tokenFiles++
 		_, err = badge.Parse(path, data)
 		c.addError(path, err)
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -25,7 +25,7 @@
 				return ExitBadInput
 			}
 		}
-		return printHistory(streams, id, logs.Story(id))
+		return printHistory(streams, id, logs.History(id))
 	}
 	return command{flags: flags, run: run}
 }
@@ -50,8 +50,8 @@
 
 // printHistory prints the history of a request. It fails if no log line names the
 // request.
-func printHistory(streams Streams, id string, history explain.Story) int {
-	fmt.Fprintf(streams.Out, "%d lines read, %d of them unreadable\n", history.Read, history.Bad)
+func printHistory(streams Streams, id string, history explain.History) int {
+	fmt.Fprintf(streams.Out, "%d lines read, %d of them unreadable\n", history.LineCount, history.UnparsedCount)
 	if len(history.Lines) == 0 {
 		fmt.Fprintf(streams.Out, "no line names request %s\n", id)
 		return ExitFailed
@@ -60,14 +60,14 @@
 	for _, line := range history.Lines {
 		fmt.Fprintln(streams.Out, "  "+line.String())
 	}
-	if len(history.Quarantine) > 0 {
+	if len(history.QuarantineLines) > 0 {
 		fmt.Fprintln(streams.Out, "other attempts at the same request, under which upstreams ended:")
 	}
-	for _, line := range history.Quarantine {
+	for _, line := range history.QuarantineLines {
 		fmt.Fprintln(streams.Out, "  "+line.String()+requestSuffix(line))
 	}
 	fmt.Fprintln(streams.Out, "what changed around it:")
-	for _, line := range history.Around {
+	for _, line := range history.RelatedLines {
 		fmt.Fprintln(streams.Out, "  "+line.String())
 	}
 	return ExitOK
--- a/internal/command/fakes_test.go
+++ b/internal/command/fakes_test.go
@@ -22,7 +22,7 @@
 // fakeInstance is an instance with a replicated state machine, but without a log,
 // a disk or peers.
 type fakeInstance struct {
-	publisher *gazette.Gazette
+	publisher *gazette.Cache
 
 	mu       sync.Mutex
 	registry *registry.Registry
@@ -38,13 +38,13 @@
 func newFakeInstance() *fakeInstance {
 	f := &fakeInstance{publisher: gazette.New(), registry: registry.New()}
 	handler := registrar.New(registrar.Options{
-		Register: registrar.NewReplicated(registrar.ReplicatedOptions{
-			Gazette: f.publisher, Propose: f.propose,
-			NotAccepted: func(error) bool { return false },
-			Fresh:       func(time.Time) bool { return !f.isStale() },
+		ConfigStore: registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
+			ConfigCache: f.publisher, Propose: f.propose,
+			NotAccepted:    func(error) bool { return false },
+			HasConfigLease: func(time.Time) bool { return !f.isStale() },
 		}),
-		House: f, Quarantine: f, Now: time.Now, Log: zerolog.Nop(),
-		Holder: func(token string) (string, bool) { return "kim", token == validToken },
+		Instance: f, QuarantineStore: f, Now: time.Now, Log: zerolog.Nop(),
+		OperatorByToken: func(token string) (string, bool) { return "kim", token == validToken },
 	})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost && f.losesAnswers() {
@@ -93,14 +93,14 @@
 	active := f.publisher.Latest()
 	return registrar.Status{
 		Name: "a", FailureDomain: "kgn-a", Version: "1", Revision: uint64(active.Revision), Preset: active.Preset.Name,
-		Fresh: !f.stale, Draining: f.drained, Streams: 2, Leader: "b", Term: 5,
-		Instances: []registrar.InstanceStatus{{Name: "b", CallerAddress: "127.0.0.1:7610", FailureDomain: "kgn-b", Voter: true, Silent: 120 * time.Millisecond}},
-		Upstreams: []registrar.UpstreamStatus{{Name: "e1", Kind: "engine", Address: "127.0.0.1:9000", FailureDomain: "kgn-a", Holds: []string{"base", "base-kgn"}, Running: 4, Leaving: true}},
+		HasConfigLease: !f.stale, Draining: f.drained, ActiveRequests: 2, Leader: "b", Term: 5,
+		Instances: []registrar.InstanceStatus{{Name: "b", CallerAddress: "127.0.0.1:7610", FailureDomain: "kgn-b", Voter: true, SinceLastContact: 120 * time.Millisecond}},
+		Upstreams: []registrar.UpstreamStatus{{Name: "e1", Kind: "engine", Address: "127.0.0.1:9000", FailureDomain: "kgn-a", Serves: []string{"base", "base-kgn"}, Running: 4, Leaving: true}},
 	}
 }
 
 func (f *fakeInstance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
-	return f.registry.Crashes().List(now, quarantine.Limits{}), nil
+	return f.registry.CrashRecords().List(now, quarantine.Limits{}), nil
 }
 
 func (f *fakeInstance) Lift(ctx context.Context, digests []quarantine.Digest) error {
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, registrar.ActiveConfig{}, err
 	}
-	config, err := client.InForce(ctx)
+	config, err := client.ActiveConfig(ctx)
 	return client, config, err
 }
 
--- a/internal/command/operator_test.go
+++ b/internal/command/operator_test.go
@@ -98,7 +98,7 @@
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(ContainSubstring("\"revision\": 2,\n  \"in-force\": 3,\n  \"changed\": true"))
 		Expect(instance.publisher.Latest().Revision).To(BeEquivalentTo(3))
-		Expect(instance.publisher.Latest().Declarations.FirstPreset().ReservePercent).To(Equal(14))
+		Expect(instance.publisher.Latest().Declarations.InitialPreset().ReservePercent).To(Equal(14))
 	})
 
 	It("rejects invalid declarations without contacting an instance", func() {
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -64,7 +64,7 @@
 		preset = active.Preset
 	}
 	if preset == "" {
-		preset = set.FirstPreset().Name
+		preset = set.InitialPreset().Name
 	}
 	moves, err := client.Moves(ctx, set, preset)
 	return &moves, err
@@ -80,11 +80,11 @@
 			fmt.Fprintf(out, "/%s", move.Adapter)
 		}
 		fmt.Fprintf(out, ", %s", move.Reason)
-		if move.For != "" {
-			fmt.Fprintf(out, " of %s", move.For)
+		if move.MakesRoomFor != "" {
+			fmt.Fprintf(out, " of %s", move.MakesRoomFor)
 		}
-		if move.Waits != "" {
-			fmt.Fprintf(out, ", waits for %s", move.Waits)
+		if move.WaitsFor != "" {
+			fmt.Fprintf(out, ", waits for %s", move.WaitsFor)
 		}
 		fmt.Fprintln(out)
 	}
@@ -152,7 +152,7 @@
 		return changeAdd, c.Item.Title()
 	case declaration.Removed:
 		return changeRemove, c.Item.Title()
-	case declaration.Altered:
+	case declaration.Modified:
 		return changeModify, c.After.Title()
 	default:
 		return "", ""
--- a/internal/command/preset.go
+++ b/internal/command/preset.go
@@ -23,7 +23,7 @@
 		if err := requireExpectedRevision(expectedRevision); err != nil {
 			return printError(streams, err)
 		}
-		return changePreset(ctx, &operator, registrar.Change{Expected: uint64(expectedRevision), Preset: name}, streams)
+		return changePreset(ctx, &operator, registrar.Change{ExpectedRevision: uint64(expectedRevision), Preset: name}, streams)
 	}
 	return command{flags: flags, run: run}
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -37,14 +37,14 @@
 
 func printStatus(out io.Writer, status registrar.Status) {
 	fmt.Fprintf(out, "instance %s in %s, version %s: %s\n", status.Name, status.FailureDomain, status.Version,
-		strings.Join(instanceStates(status.Draining, !status.Fresh), ", "))
+		strings.Join(instanceStates(status.Draining, !status.HasConfigLease), ", "))
 	fmt.Fprintf(out, "revision %d, preset %s, leader %s in term %d, %d requests in progress\n",
-		status.Revision, valueOrNone(status.Preset), valueOrNone(status.Leader), status.Term, status.Streams)
+		status.Revision, valueOrNone(status.Preset), valueOrNone(status.Leader), status.Term, status.ActiveRequests)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\nINSTANCE\tADDRESS\tFAILURE DOMAIN\tVOTER\tSTATE\tREQUESTS\tLAST HEARD")
 	for _, instance := range status.Instances {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s ago\n", instance.Name, instance.CallerAddress, instance.FailureDomain, instance.Voter,
-			strings.Join(instanceStates(instance.Draining, instance.Stale), ", "), instance.Streams, instance.Silent.Round(time.Millisecond))
+			strings.Join(instanceStates(instance.Draining, instance.Stale), ", "), instance.ActiveRequests, instance.SinceLastContact.Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\nUPSTREAM\tKIND\tADDRESS\tFAILURE DOMAIN\tSTATE\tRUNNING\tWAITING\tHOLDS")
 	for _, upstream := range status.Upstreams {
@@ -53,7 +53,7 @@
 			state = "leaving"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", upstream.Name, upstream.Kind, upstream.Address, upstream.FailureDomain, state,
-			upstream.Running, upstream.Waiting, valueOrNone(strings.Join(upstream.Holds, ", ")))
+			upstream.Running, upstream.Waiting, valueOrNone(strings.Join(upstream.Serves, ", ")))
 	}
 	printPlacement(table, status.Engines)
 	// A closed output is not a failure of the command.
@@ -77,7 +77,7 @@
 	for _, engine := range engines {
 		for _, order := range engine.Orders {
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", engine.Name, order.ID, order.Kind, order.Model+"@"+order.Version,
-				valueOrNone(order.Adapter), order.Why, order.At.UTC().Format(time.RFC3339), order.State, valueOrNone(order.Reason))
+				valueOrNone(order.Adapter), order.PlacementReason, order.At.UTC().Format(time.RFC3339), order.State, valueOrNone(order.RefusalReason))
 		}
 	}
 	for _, engine := range engines {
--- a/internal/command/voters.go
+++ b/internal/command/voters.go
@@ -86,7 +86,7 @@
 	for _, identity := range current.Voters {
 		fmt.Fprintf(streams.Out, "voter    %s\n", identity)
 	}
-	for _, identity := range current.Waiting {
+	for _, identity := range current.NonVoting {
 		fmt.Fprintf(streams.Out, "waiting  %s\n", identity)
 	}
 }
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -22,13 +22,13 @@
 // Options configures a Coroner.
 type Options struct {
 	// Contact returns what the instance currently knows about an upstream.
-	Contact func(endpoint quarantine.Place) quarantine.Contact
+	Status func(endpoint quarantine.Endpoint) quarantine.Status
 	// Report records an update, and reports whether it is certain that the update is
 	// recorded. Recording it more than once is safe.
 	Report func(ctx context.Context, update quarantine.Update) bool
 	// Line starts a log line of a kind. It returns nil if there were too many of that
 	// kind.
-	Line func(kind string) *zerolog.Event
+	NewLogEvent func(kind string) *zerolog.Event
 	// Dial connects to an upstream. If nil, TCP is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Now  func() time.Time
@@ -38,7 +38,7 @@
 
 // Coroner detects the upstreams that ended while they had requests, and reports them. It
 // is safe for concurrent use. It calls Contact and Report without holding its lock.
-type Coroner struct {
+type CrashDetector struct {
 	options Options
 	crashes tally.Counter
 
@@ -47,7 +47,7 @@
 
 	// probes holds the upstreams to probe, because their answers were interrupted.
 	// reportSignal holds a token if there may be something to report.
-	probes       chan quarantine.Place
+	probes       chan quarantine.Endpoint
 	reportSignal chan struct{}
 	stop         context.CancelFunc
 	goroutines   sync.WaitGroup
@@ -70,7 +70,7 @@
 )
 
 // New returns a Coroner and starts its goroutines.
-func New(options Options) *Coroner {
+func New(options Options) *CrashDetector {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
 	}
@@ -78,11 +78,11 @@
 		options.Metrics = tally.NoopScope
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Coroner{
+	c := &CrashDetector{
 		options:      options,
 		crashes:      options.Metrics.Counter("upstreams_ended"),
 		watch:        quarantine.NewWatch(),
-		probes:       make(chan quarantine.Place, maxProbes),
+		probes:       make(chan quarantine.Endpoint, maxProbes),
 		reportSignal: make(chan struct{}, 1),
 		stop:         cancel,
 	}
@@ -92,13 +92,13 @@
 }
 
 // Close stops all probes and reports, and waits until they have stopped.
-func (c *Coroner) Close() {
+func (c *CrashDetector) Close() {
 	c.stop()
 	c.goroutines.Wait()
 }
 
 // Holds reports whether a request is in quarantine and must not be sent.
-func (c *Coroner) Holds(digest quarantine.Digest) bool {
+func (c *CrashDetector) IsQuarantined(digest quarantine.Digest) bool {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,21 +106,21 @@
 }
 
 // Held returns the number of requests in quarantine and the number of suspected requests.
-func (c *Coroner) Held() (quarantined, suspected int) {
+func (c *CrashDetector) Counts() (quarantined, suspected int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watch.Counts()
 }
 
 // Mark returns the mark of the latest news, and 0 if there is none.
-func (c *Coroner) Mark() uint64 {
+func (c *CrashDetector) Mark() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watch.Mark()
 }
 
 // Follow applies news of the quarantine.
-func (c *Coroner) Follow(news quarantine.News) {
+func (c *CrashDetector) ApplyNews(news quarantine.News) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 // Review calls contact for each upstream whose answers were interrupted, and records the
 // result. contact is like Options.Contact, and is called with the lock of the Coroner
 // held.
-func (c *Coroner) Review(contact func(quarantine.Place) quarantine.Contact) {
+func (c *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +141,7 @@
 
 // Succeeded records that an upstream gave a whole answer to a request. It ignores answers
 // with an error status.
-func (c *Coroner) Succeeded(digest quarantine.Digest, status int) {
+func (c *CrashDetector) Succeeded(digest quarantine.Digest, status int) {
 	if status >= http.StatusBadRequest {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // Left records that a caller abandoned a request while an upstream had it.
-func (c *Coroner) Left(endpoint quarantine.Place, suspect quarantine.Suspect) {
+func (c *CrashDetector) Abandoned(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +162,7 @@
 
 // Broke records that the answer of an upstream to a request was interrupted, or did not
 // arrive.
-func (c *Coroner) Broke(endpoint quarantine.Place, suspect quarantine.Suspect) {
+func (c *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,13 +179,13 @@
 
 // Failed records why a connection to an upstream failed. Only a refused connection
 // counts.
-func (c *Coroner) Failed(endpoint quarantine.Place, cause error) {
+func (c *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := c.options.Contact(endpoint)
-	if contact != quarantine.ContactLeaving {
-		contact = quarantine.ContactRefused
+	contact := c.options.Status(endpoint)
+	if contact != quarantine.StatusLeaving {
+		contact = quarantine.StatusRefused
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +194,7 @@
 }
 
 // wakeReporter signals the reporter if there is something to report. c.mu must be held.
-func (c *Coroner) wakeReporter() {
+func (c *CrashDetector) wakeReporter() {
 	if !c.watch.IsPending() {
 		return
 	}
@@ -205,7 +205,7 @@
 }
 
 // runProbes starts a probe for each upstream in the queue, until ctx ends.
-func (c *Coroner) runProbes(ctx context.Context) {
+func (c *CrashDetector) runProbes(ctx context.Context) {
 	for {
 		select {
 		case endpoint := <-c.probes:
@@ -216,7 +216,7 @@
 	}
 }
 
-func (c *Coroner) probe(ctx context.Context, endpoint quarantine.Place) {
+func (c *CrashDetector) probe(ctx context.Context, endpoint quarantine.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := c.options.Dial(ctx, "tcp", endpoint.Address)
@@ -224,11 +224,11 @@
 		conn.Close()
 		return
 	}
-	c.Failed(endpoint, err)
+	c.ConnectionFailed(endpoint, err)
 }
 
 // runReporter reports what is pending after each signal, until ctx ends.
-func (c *Coroner) runReporter(ctx context.Context) {
+func (c *CrashDetector) runReporter(ctx context.Context) {
 	for {
 		select {
 		case <-c.reportSignal:
@@ -240,7 +240,7 @@
 }
 
 // reportPending reports until nothing is left to report, or ctx ends.
-func (c *Coroner) reportPending(ctx context.Context) {
+func (c *CrashDetector) reportPending(ctx context.Context) {
 	var unsent quarantine.Update
 	for pause.For(ctx, reportInterval) {
 		update, more := c.takeDue()
@@ -256,7 +256,7 @@
 }
 
 // takeDue returns what is to be reported now, and whether there will be more soon.
-func (c *Coroner) takeDue() (update quarantine.Update, more bool) {
+func (c *CrashDetector) takeDue() (update quarantine.Update, more bool) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,24 +264,24 @@
 	return update, c.watch.IsPending()
 }
 
-func (c *Coroner) send(ctx context.Context, update quarantine.Update) bool {
+func (c *CrashDetector) send(ctx context.Context, update quarantine.Update) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	return c.options.Report(ctx, update)
 }
 
 // logReports logs each request that an upstream had when it ended.
-func (c *Coroner) logReports(update quarantine.Update) {
+func (c *CrashDetector) logReports(update quarantine.Update) {
 	for _, report := range update.Reports {
 		c.crashes.Inc(1)
 		for _, suspect := range report.Suspects {
-			event := c.options.Line("upstream ended")
+			event := c.options.NewLogEvent("upstream ended")
 			if event == nil {
 				continue
 			}
 			event.Str("request", suspect.Request).Str(quarantine.FieldDigest, suspect.Digest.Short()).
 				Str("upstream", report.Upstream).Bool("answering", suspect.Answering).
-				Int("requests", len(report.Suspects)).Msg(quarantine.LineEnded)
+				Int("requests", len(report.Suspects)).Msg(quarantine.LogEnded)
 		}
 	}
 }
--- a/internal/coroner/coroner_test.go
+++ b/internal/coroner/coroner_test.go
@@ -25,7 +25,7 @@
 	mu sync.Mutex
 	// contact is what is known about all upstreams, and dialErr the error of connecting
 	// to them.
-	contact quarantine.Contact
+	contact quarantine.Status
 	dialErr error
 	// refusals is the number of reports that fail before one is recorded.
 	refusals int
@@ -36,7 +36,7 @@
 
 func (f *fakeInstance) options() coroner.Options {
 	return coroner.Options{
-		Contact: func(quarantine.Place) quarantine.Contact {
+		Status: func(quarantine.Endpoint) quarantine.Status {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.contact
@@ -61,8 +61,8 @@
 			conn, _ := net.Pipe()
 			return conn, nil
 		},
-		Line: func(string) *zerolog.Event { return nil },
-		Now:  time.Now,
+		NewLogEvent: func(string) *zerolog.Event { return nil },
+		Now:         time.Now,
 	}
 }
 
@@ -80,12 +80,12 @@
 var errRefused = errors.Wrap(syscall.ECONNREFUSED, "dial")
 
 var _ = Describe("Coroner", func() {
-	endpoint := quarantine.Place{Lifetime: quarantine.Lifetime{Upstream: "e1"}, Address: "e1:80"}
+	endpoint := quarantine.Endpoint{Lifetime: quarantine.Lifetime{Upstream: "e1"}, Address: "e1:80"}
 	suspect := func(body string) quarantine.Suspect {
 		return quarantine.Suspect{Digest: quarantine.Identity{Body: []byte(body)}.Digest(), Request: body}
 	}
 	var fake *fakeInstance
-	var c *coroner.Coroner
+	var c *coroner.CrashDetector
 
 	BeforeEach(func() {
 		fake = &fakeInstance{}
@@ -102,8 +102,8 @@
 	// that is not counted allows the request to crash one more engine.
 	It("repeats the report of an upstream that refuses connections until it is recorded", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		fake.dialErr, fake.refusals = errRefused, 3
-		c.Broke(endpoint, suspect("a"))
-		c.Broke(endpoint, suspect("b"))
+		c.Interrupted(endpoint, suspect("a"))
+		c.Interrupted(endpoint, suspect("b"))
 		Eventually(ctx, recorded).Should(Equal(1))
 		_, suspects := fake.reports()
 		Expect(suspects).To(Equal(2))
@@ -114,26 +114,26 @@
 	})
 
 	It("reports no upstream that accepts connections or has announced its shutdown", SpecTimeout(specTimeout), func(_ SpecContext) {
-		c.Broke(endpoint, suspect("a"))
+		c.Interrupted(endpoint, suspect("a"))
 		fake.mu.Lock()
-		fake.contact, fake.dialErr = quarantine.ContactLeaving, errRefused
+		fake.contact, fake.dialErr = quarantine.StatusLeaving, errRefused
 		fake.mu.Unlock()
-		leaving := quarantine.Place{Lifetime: quarantine.Lifetime{Upstream: "e2"}, Address: "e2:80"}
-		c.Broke(leaving, suspect("a"))
+		leaving := quarantine.Endpoint{Lifetime: quarantine.Lifetime{Upstream: "e2"}, Address: "e2:80"}
+		c.Interrupted(leaving, suspect("a"))
 		Consistently(recorded).WithTimeout(400 * time.Millisecond).Should(BeZero())
 	})
 
 	It("reports an upstream that later refuses the connection of another request", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		c.Broke(endpoint, suspect("a"))
-		c.Failed(endpoint, errors.New("timeout"))
+		c.Interrupted(endpoint, suspect("a"))
+		c.ConnectionFailed(endpoint, errors.New("timeout"))
 		Consistently(recorded).WithTimeout(300 * time.Millisecond).Should(BeZero())
-		c.Failed(endpoint, errRefused)
+		c.ConnectionFailed(endpoint, errRefused)
 		Eventually(ctx, recorded).Should(Equal(1))
 	})
 
 	It("clears a suspected request that succeeds here", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		digest := suspect("a").Digest
-		c.Follow(quarantine.News{Revision: 1, Mark: 7, Suspected: []quarantine.Digest{digest}})
+		c.ApplyNews(quarantine.News{Revision: 1, Mark: 7, Suspected: []quarantine.Digest{digest}})
 		c.Succeeded(digest, http.StatusInternalServerError)
 		c.Succeeded(digest, http.StatusOK)
 		Eventually(ctx, func() []quarantine.Digest {
@@ -146,9 +146,9 @@
 
 	It("applies the news of the quarantine", func() {
 		digest := suspect("a").Digest
-		c.Follow(quarantine.News{Revision: 1, Mark: 7, Quarantined: []quarantine.Entry{{Digest: digest}}})
-		Expect(c.Holds(digest)).To(BeTrue())
-		quarantined, suspected := c.Held()
+		c.ApplyNews(quarantine.News{Revision: 1, Mark: 7, Quarantined: []quarantine.Entry{{Digest: digest}}})
+		Expect(c.IsQuarantined(digest)).To(BeTrue())
+		quarantined, suspected := c.Counts()
 		Expect([]int{quarantined, suspected}).To(Equal([]int{1, 0}))
 	})
 })
--- a/internal/counter/acquire.go
+++ b/internal/counter/acquire.go
@@ -62,7 +62,7 @@
 
 // enqueueLocal adds a request of this instance to the queue. It returns the reason if the request
 // is rejected immediately.
-func (c *Counter) enqueueLocal(w *waiter, local localRequest) *rejection {
+func (c *Proxy) enqueueLocal(w *waiter, local localRequest) *rejection {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 }
 
 // surveyUpstreams counts the states of the upstreams that could have run the request.
-func (c *Counter) surveyUpstreams(now time.Time, t *transaction) *survey {
+func (c *Proxy) surveyUpstreams(now time.Time, t *transaction) *survey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.pool.survey(now, t.query())
--- a/internal/counter/attempt.go
+++ b/internal/counter/attempt.go
@@ -17,7 +17,7 @@
 	c := t.counter
 	a := &upstreamAttempt{grant: granted}
 	defer c.finishAttempt(t, a)
-	if c.crashes.Holds(t.digest) {
+	if c.crashes.IsQuarantined(t.digest) {
 		t.refuseQuarantined(w)
 		return true
 	}
@@ -31,7 +31,7 @@
 		return t.handleFailure(ctx, w, a, err)
 	}
 	defer response.Body.Close()
-	judgement := c.options.Dialect.Judge(response, t.call.ID)
+	judgement := c.options.Dialect.Classify(response, t.call.ID)
 	if judgement == Answered || judgement == NotRun {
 		c.observeLimit(t, a, response.Header)
 	}
@@ -47,15 +47,15 @@
 }
 
 // handleNotRun handles an upstream that did not run the request.
-func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, judgement Judgement) bool {
+func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, judgement ResponseClass) bool {
 	c := t.counter
 	now := c.options.Now()
 	a.outcome = permit.Full
 	if judgement == Misdirected && t.model != "" {
-		a.outcome = permit.Absent
+		a.outcome = permit.ModelAbsent
 	}
 	c.mu.Lock()
-	verdict := c.budgets.Of(now, t.service).Decide(now, retry.Attempt{
+	verdict := c.budgets.Get(now, t.service).Decide(now, retry.Attempt{
 		Number: t.sends, Outcome: outcome.NotRun, Deadline: t.deadline,
 	})
 	c.mu.Unlock()
@@ -123,10 +123,10 @@
 	if run == outcome.NotRun && t.sends < maxSends {
 		return retry.Again
 	}
-	if t.possibleRuns >= t.route.Attempts {
+	if t.possibleRuns >= t.route.MaxAttempts {
 		return retry.AttemptsSpent
 	}
-	return t.counter.budgets.Of(now, t.service).Decide(now, retry.Attempt{
+	return t.counter.budgets.Get(now, t.service).Decide(now, retry.Attempt{
 		Number: t.sends, Outcome: run, Idempotent: t.route.Repeatable(), Deadline: t.deadline,
 	})
 }
--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -14,12 +14,12 @@
 var engineCounts = []int{20, 240, 1100}
 
 // holdingsOf returns the states of engines with four models each.
-func holdingsOf(engines int) courier.Holdings {
-	var holdings courier.Holdings
+func holdingsOf(engines int) courier.EngineStates {
+	var holdings courier.EngineStates
 	for i := range engines {
-		engine := courier.Holding{Name: fmt.Sprint("e", i), Age: 100 * time.Millisecond, Running: 6}
+		engine := courier.EngineState{Name: fmt.Sprint("e", i), Age: 100 * time.Millisecond, Running: 6}
 		for m := range 4 {
-			engine.Models = append(engine.Models, courier.HeldModel{Name: fmt.Sprint("model-", (i*4+m)%(engines+50)), Adapters: []string{"a1", "a2"}})
+			engine.Models = append(engine.Models, courier.LoadedModel{Name: fmt.Sprint("model-", (i*4+m)%(engines+50)), Adapters: []string{"a1", "a2"}})
 		}
 		holdings.Engines = append(holdings.Engines, engine)
 	}
@@ -60,7 +60,7 @@
 			for b.Loop() {
 				id++
 				instance.Receive(start, among[1], askMessage(id, "model-7"))
-				instance.Receive(start, among[1], permit.Ended{ID: id, Outcome: permit.Worked})
+				instance.Receive(start, among[1], permit.Release{ID: id, Outcome: permit.Succeeded})
 			}
 		})
 	}
--- a/internal/counter/boost.go
+++ b/internal/counter/boost.go
@@ -8,7 +8,7 @@
 
 // starvationOptions define when a model or adapter that is requested but not served gets a boost.
 // Callers wait for some seconds and retry a few times.
-var starvationOptions = aging.Options{After: 3 * time.Second, Forget: 10 * time.Second, Keys: 4096}
+var starvationOptions = aging.Options{StarvedAfter: 3 * time.Second, ForgetAfter: 10 * time.Second, MaxKeys: 4096}
 
 const (
 	// boostInterval is the time between two checks for starved requests.
--- a/internal/counter/boost_test.go
+++ b/internal/counter/boost_test.go
@@ -89,8 +89,8 @@
 		}
 		pool = counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
-			Name: "e", Models: []courier.HeldModel{{Name: "m", Adapters: adapters}},
+		pool.ApplyHoldings(start, courier.EngineStates{Engines: []courier.EngineState{{
+			Name: "e", Models: []courier.LoadedModel{{Name: "m", Adapters: adapters}},
 		}}})
 		queue = counter.NewQueue(pool, 1)
 	})
--- a/internal/counter/budget.go
+++ b/internal/counter/budget.go
@@ -12,6 +12,6 @@
 
 // perInstance returns the reserve and the refill per second of each instance.
 func (l RetryLimits) perInstance(instances int) (reserve, refill float64) {
-	share := l.Slack / float64(max(instances, 1))
+	share := l.Burst / float64(max(instances, 1))
 	return max(share*reserveShare, minReserve), share * refillShare / l.Window.Seconds()
 }
--- a/internal/counter/budget_test.go
+++ b/internal/counter/budget_test.go
@@ -14,7 +14,7 @@
 	// within a window must stay within the slack for any number of instances.
 	DescribeTable("is divided among the instances",
 		func(instances int, slack float64) {
-			limits := counter.RetryLimits{Slack: slack, Window: 10 * time.Second}
+			limits := counter.RetryLimits{Burst: slack, Window: 10 * time.Second}
 			reserve, refill := counter.RetryBudget(limits, instances)
 			Expect(float64(instances) * (reserve + refill*limits.Window.Seconds())).To(BeNumerically("<=", slack))
 			Expect(reserve).To(BeNumerically(">=", 1))
--- a/internal/counter/choose.go
+++ b/internal/counter/choose.go
@@ -206,15 +206,15 @@
 // recordOutcome updates u with the outcome of a request for a model.
 func (u *upstream) recordOutcome(now time.Time, t target, outcome permit.Outcome) {
 	switch outcome {
-	case permit.Worked:
+	case permit.Succeeded:
 		u.recordSuccess()
 	case permit.Full:
 		u.recordRefusal(now)
-	case permit.Absent:
+	case permit.ModelAbsent:
 		u.removeModel(t.model, t.adapter)
 	case permit.Failed:
 		u.recordFailure(now)
-	case permit.Over:
+	case permit.RateLimited:
 		if limit, hasLimit := u.limit.Limit(); hasLimit && !now.Before(u.limit.pausedUntil) {
 			u.limit.pause(now, limit.Period())
 		}
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -17,7 +17,7 @@
 // limitOwner returns the other instance that paces the requests to an upstream. It returns false if
 // this instance does. An owner that does not answer is not replaced, because two pacing instances
 // would allow twice the limit. c.mu is held.
-func (c *Counter) limitOwner(u *upstream) (netip.AddrPort, bool) {
+func (c *Proxy) limitOwner(u *upstream) (netip.AddrPort, bool) {
 	if c.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
@@ -28,7 +28,7 @@
 
 // allowByLimit reports whether the rate limit of an upstream allows a request now. If not, it
 // returns the time until the next one.
-func (c *Counter) allowByLimit(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
+func (c *Proxy) allowByLimit(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
 	now := c.options.Now()
 	c.mu.Lock()
 	limit, hasLimit := u.limit.Limit()
@@ -39,7 +39,7 @@
 	owner, remote := c.limitOwner(u)
 	switch {
 	case !remote:
-		wait, ok = u.limit.paceForAll(now).TakeOwned(now, limit)
+		wait, ok = u.limit.paceForAll(now).TakeAtLimit(now, limit)
 		c.mu.Unlock()
 		return wait, ok
 	case now.Before(c.owners.avoided[owner]):
@@ -50,11 +50,11 @@
 	id, pending := c.expectReply(owner)
 	c.mu.Unlock()
 	defer c.dropReply(id)
-	answer := c.claimFromOwner(ctx, owner, permit.Claim{ID: id, Upstream: u.name, Limit: limit}, pending)
+	answer := c.claimFromOwner(ctx, owner, permit.SendRequest{ID: id, Upstream: u.name, Limit: limit}, pending)
 	switch m := answer.(type) {
-	case permit.Allowed:
+	case permit.SendAllowed:
 		return 0, true
-	case permit.Held:
+	case permit.SendDelayed:
 		return m.Wait, false
 	}
 	c.avoidOwner(owner, unresponsiveAvoidance)
@@ -64,7 +64,7 @@
 }
 
 // claimFromOwner sends a claim to the owner of a limit. The answer is nil if none arrives in time.
-func (c *Counter) claimFromOwner(ctx context.Context, owner netip.AddrPort, claim permit.Claim, pending *pendingReply) permit.Message {
+func (c *Proxy) claimFromOwner(ctx context.Context, owner netip.AddrPort, claim permit.SendRequest, pending *pendingReply) permit.Message {
 	for range ownerAttempts {
 		c.peers.send(owner, claim)
 		timer := time.NewTimer(ownerTimeout)
@@ -92,7 +92,7 @@
 }
 
 // handleClaim decides a peer's claim, or repeats the earlier answer. c.mu is held.
-func (c *Counter) handleClaim(now time.Time, from netip.AddrPort, m permit.Claim) {
+func (c *Proxy) handleClaim(now time.Time, from netip.AddrPort, m permit.SendRequest) {
 	requester := peerRequest{from, m.ID}
 	stored, found := c.claimAnswers[requester]
 	if !found {
@@ -102,24 +102,24 @@
 	c.peers.send(from, stored.answer)
 }
 
-func (c *Counter) decideClaim(now time.Time, m permit.Claim) permit.Message {
+func (c *Proxy) decideClaim(now time.Time, m permit.SendRequest) permit.Message {
 	u := c.pool.byName[m.Upstream]
 	if u == nil {
-		return permit.Held{ID: m.ID, Wait: m.Limit.Period()}
+		return permit.SendDelayed{ID: m.ID, Wait: m.Limit.Period()}
 	}
 	limit, hasLimit := u.limit.Limit()
 	if !hasLimit {
 		limit = m.Limit
 	}
-	wait, ok := u.limit.paceForAll(now).TakeOwned(now, limit)
+	wait, ok := u.limit.paceForAll(now).TakeAtLimit(now, limit)
 	if !ok {
-		return permit.Held{ID: m.ID, Wait: wait}
+		return permit.SendDelayed{ID: m.ID, Wait: wait}
 	}
-	return permit.Allowed{ID: m.ID}
+	return permit.SendAllowed{ID: m.ID}
 }
 
 // expireClaims removes the answers whose claims are over. c.mu is held.
-func (c *Counter) expireClaims(now time.Time) {
+func (c *Proxy) expireClaims(now time.Time) {
 	for requester, stored := range c.claimAnswers {
 		if now.After(stored.expires) {
 			delete(c.claimAnswers, requester)
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -21,7 +21,7 @@
 )
 
 // Counter is the proxy of one entry instance. It is safe for concurrent use.
-type Counter struct {
+type Proxy struct {
 	options Options
 	// keepAlive serves idempotent requests over reused connections. singleUse serves all others and
 	// opens a connection for each.
@@ -36,7 +36,7 @@
 	seeds   []string
 	demand  *demand
 	// speeds holds the estimated engine speed of each service.
-	speeds  map[string]*speed.Speed
+	speeds  map[string]*speed.Estimator
 	budgets *retry.Budgets
 	metrics *metrics
 	// logQuotas limits the log lines of each kind.
@@ -61,7 +61,7 @@
 	claimAnswers map[peerRequest]claimAnswer
 	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock
 	// of the detector.
-	crashes *coroner.Coroner
+	crashes *coroner.CrashDetector
 	// active is the number of requests in flight.
 	active   int
 	draining bool
@@ -81,8 +81,8 @@
 const maxIdleConnsPerUpstream = 8
 
 // New returns a Counter that has started to sync with control instances.
-func New(options Options) *Counter {
-	options.RoutesWithin = cmp.Or(options.RoutesWithin, defaultRoutesMaxDelay)
+func New(options Options) *Proxy {
+	options.MaxRouteUpdateDelay = cmp.Or(options.MaxRouteUpdateDelay, defaultRoutesMaxDelay)
 	ctx, cancel := context.WithCancel(context.Background())
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -90,7 +90,7 @@
 		var dialer net.Dialer
 		return dialer.DialContext(ctx, network, address)
 	}
-	c := &Counter{
+	c := &Proxy{
 		options: options,
 		keepAlive: &http.Transport{
 			DialContext: dial, DisableCompression: true,
@@ -107,9 +107,9 @@
 		}),
 		pool:   newUpstreamPool(options.FailureDomain, options.UpstreamLease),
 		demand: newDemand(),
-		speeds: map[string]*speed.Speed{},
+		speeds: map[string]*speed.Estimator{},
 		budgets: retry.NewBudgets(retry.Options{
-			Attempts: maxSends, Share: options.Retries.Share, Reserve: minReserve,
+			MaxAttempts: maxSends, Share: options.Retries.Ratio, Reserve: minReserve,
 		}),
 		seeds:        options.Seeds,
 		metrics:      newMetrics(options.Metrics),
@@ -134,7 +134,7 @@
 		nextIndex:   rand.IntN(len(options.Seeds)),
 	}
 	c.control.current = options.Seeds[c.control.nextIndex]
-	c.peers = newPeerLink(options.Peers, options.Now, c.receive, options.Log)
+	c.peers = newPeerLink(options.PeerConn, options.Now, c.receive, options.Log)
 	c.crashes = c.newCrashDetector()
 	c.background.Go(func() { c.syncLoop(ctx) })
 	return c
@@ -150,14 +150,14 @@
 const maxSends = 4
 
 // Serves reports whether the instance accepts requests: it has routes and is not draining.
-func (c *Counter) Serves() bool {
+func (c *Proxy) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.draining && c.routes.Load() != nil
 }
 
 // Open returns the number of requests in flight.
-func (c *Counter) Open() int {
+func (c *Proxy) ActiveRequests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.active
@@ -165,7 +165,7 @@
 
 // Drain begins a planned shutdown. Callers are directed to other instances; requests that still
 // arrive are served.
-func (c *Counter) Drain() {
+func (c *Proxy) Drain() {
 	c.mu.Lock()
 	c.draining = true
 	c.mu.Unlock()
@@ -173,7 +173,7 @@
 }
 
 // syncSoon triggers the next sync immediately.
-func (c *Counter) syncSoon() {
+func (c *Proxy) syncSoon() {
 	select {
 	case c.syncNow <- struct{}{}:
 	default:
@@ -181,14 +181,14 @@
 }
 
 // Draining reports whether a planned shutdown has begun.
-func (c *Counter) Draining() bool {
+func (c *Proxy) Draining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.draining
 }
 
 // Seed replaces the control instances to fall back on.
-func (c *Counter) Seed(seeds []string) {
+func (c *Proxy) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
@@ -196,7 +196,7 @@
 }
 
 // Close stops synchronizing and closes all connections.
-func (c *Counter) Close() {
+func (c *Proxy) Close() {
 	c.cancel()
 	c.control.syncCalls.Close()
 	c.control.loadCalls.Close()
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -47,7 +47,7 @@
 	header.Set("Spec-Remaining", attempt.Remaining.String())
 }
 
-func (dialect) Judge(response *http.Response, requestID string) counter.Judgement {
+func (dialect) Classify(response *http.Response, requestID string) counter.ResponseClass {
 	switch {
 	case response.Header.Get(notRunHeader) != "":
 		return counter.NotRun
@@ -58,16 +58,16 @@
 	}
 }
 
-func (dialect) Limit(header http.Header) ratelimit.Said {
+func (dialect) ParseLimit(header http.Header) ratelimit.Observation {
 	text := header.Get(limitHeader)
 	if text == "" {
-		return ratelimit.Unnamed{}
+		return ratelimit.NoLimit{}
 	}
 	limit, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return ratelimit.Unclear{Text: text}
+		return ratelimit.InvalidLimit{Text: text}
 	}
-	return ratelimit.Named{Limit: ratelimit.Limit(limit)}
+	return ratelimit.NamedLimit{Limit: ratelimit.Limit(limit)}
 }
 
 // withoutLookRoute is the content of the second version of the routes, which lacks the route
@@ -79,7 +79,7 @@
 	route := func(name string, kind routes.Kind, change func(*routes.Route)) routes.Route {
 		r := routes.Route{
 			Name: name, Host: "spec.test", Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
-			Attempts: 2, Shares: []routes.Share{{Service: "desk", Weight: 1}},
+			MaxAttempts: 2, Shares: []routes.Share{{Service: "desk", Weight: 1}},
 		}
 		if change != nil {
 			change(&r)
@@ -335,7 +335,7 @@
 type testProxy struct {
 	upstreams []*upstream
 	control   *fakeControl
-	counter   *counter.Counter
+	counter   *counter.Proxy
 	server    *httptest.Server
 	// clockOffset is the offset of the instance's clock in nanoseconds.
 	clockOffset atomic.Int64
@@ -353,18 +353,18 @@
 	p.counter = counter.New(counter.Options{
 		Name: "127.0.0.1:1", CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{p.control.address},
 		Dial: courier.DialTCP, UpstreamLease: time.Minute,
-		Retries: counter.RetryLimits{Share: 0.1, Slack: 20, Window: 10 * time.Second},
-		Table:   parseRoutes, Dialect: dialect{}, Now: p.now, Log: zerolog.Nop(),
+		Retries:     counter.RetryLimits{Ratio: 0.1, Burst: 20, Window: 10 * time.Second},
+		ParseRoutes: parseRoutes, Dialect: dialect{}, Now: p.now, Log: zerolog.Nop(),
 	})
 	p.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.counter.Serve(w, r, counter.Call{ID: r.Header.Get(idHeader), Patience: 5 * time.Second})
+		p.counter.ServeRequest(w, r, counter.Call{ID: r.Header.Get(idHeader), Timeout: 5 * time.Second})
 	}))
 	DeferCleanup(func() {
 		p.server.CloseClientConnections()
 		p.server.Close()
 		p.counter.Close()
 	})
-	Eventually(p.counter.Serves, specTimeout).Should(BeTrue())
+	Eventually(p.counter.Ready, specTimeout).Should(BeTrue())
 	return p
 }
 
@@ -560,7 +560,7 @@
 		p.control.mu.Lock()
 		p.control.leaderless = true
 		p.control.mu.Unlock()
-		p.counter.Seed([]string{other.address})
+		p.counter.SetSeeds([]string{other.address})
 		Eventually(ctx, func() int {
 			other.mu.Lock()
 			defer other.mu.Unlock()
@@ -571,7 +571,7 @@
 	It("reports draining as soon as a planned shutdown begins, and continues to serve", func(ctx SpecContext) {
 		p := newTestProxy(newFakeUpstream(succeed))
 		p.counter.Drain()
-		Expect(p.counter.Serves()).To(BeFalse())
+		Expect(p.counter.Ready()).To(BeFalse())
 		Eventually(ctx, func() bool {
 			p.control.mu.Lock()
 			defer p.control.mu.Unlock()
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -13,27 +13,27 @@
 )
 
 // newCrashDetector returns the detector of upstreams that crash while running requests.
-func (c *Counter) newCrashDetector() *coroner.Coroner {
+func (c *Proxy) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
-		Contact: func(place quarantine.Place) quarantine.Contact {
+		Status: func(place quarantine.Endpoint) quarantine.Status {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.pool.contact(place)
 		},
-		Report:  c.reportCrashes,
-		Line:    func(kind string) *zerolog.Event { return c.logLine(c.options.Now(), kind) },
-		Now:     c.options.Now,
-		Metrics: c.metrics.scope,
+		Report:      c.reportCrashes,
+		NewLogEvent: func(kind string) *zerolog.Event { return c.logLine(c.options.Now(), kind) },
+		Now:         c.options.Now,
+		Metrics:     c.metrics.scope,
 	})
 }
 
 // reportCrashes sends a quarantine update to a control instance and reports whether it was
 // recorded.
-func (c *Counter) reportCrashes(ctx context.Context, update quarantine.Update) bool {
+func (c *Proxy) reportCrashes(ctx context.Context, update quarantine.Update) bool {
 	c.mu.Lock()
 	address := c.control.current
 	c.mu.Unlock()
-	reply, err := c.control.reportCalls.Note(ctx, address, courier.NoteArgs{Update: update})
+	reply, err := c.control.reportCalls.UpdateQuarantine(ctx, address, courier.NoteArgs{Update: update})
 	if err != nil {
 		c.options.Log.Debug().Err(err).Str("control", address).Msg("cannot send crash reports to the control instance")
 	}
@@ -50,8 +50,8 @@
 	return quarantine.Suspect{Digest: t.digest, Request: t.call.ID, Answering: a.bodyStarted}
 }
 
-func (u *upstream) place() quarantine.Place {
-	return quarantine.Place{
+func (u *upstream) place() quarantine.Endpoint {
+	return quarantine.Endpoint{
 		Lifetime: quarantine.Lifetime{Upstream: u.name, Incarnation: u.incarnation}, Address: u.address,
 	}
 }
@@ -60,31 +60,31 @@
 func (t *transaction) reportBroken(a *upstreamAttempt, cause error) {
 	place := a.upstream.place()
 	if a.mayHaveSent.Load() {
-		t.counter.crashes.Broke(place, t.suspect(a))
+		t.counter.crashes.Interrupted(place, t.suspect(a))
 	}
-	t.counter.crashes.Failed(place, cause)
+	t.counter.crashes.ConnectionFailed(place, cause)
 }
 
 // reportCallerLeft reports that the caller disconnected while its request was at an upstream.
 func (t *transaction) reportCallerLeft(a *upstreamAttempt) {
 	if a.mayHaveSent.Load() {
-		t.counter.crashes.Left(a.upstream.place(), t.suspect(a))
+		t.counter.crashes.Abandoned(a.upstream.place(), t.suspect(a))
 	}
 }
 
 // contact returns the state of an upstream for the crash detector.
-func (p *upstreamPool) contact(place quarantine.Place) quarantine.Contact {
+func (p *upstreamPool) contact(place quarantine.Endpoint) quarantine.Status {
 	known := p.byName[place.Upstream]
 	current := p.byAddress[place.Address]
 	switch {
 	case known != nil && known.incarnation == place.Incarnation && known.Leaving:
-		return quarantine.ContactLeaving
+		return quarantine.StatusLeaving
 	case known != nil && known.incarnation > place.Incarnation:
-		return quarantine.ContactReplaced
-	case current != nil && current.name != place.Upstream && known != nil && current.Heard.After(known.Heard):
-		return quarantine.ContactReplaced
+		return quarantine.StatusReplaced
+	case current != nil && current.name != place.Upstream && known != nil && current.LastContact.After(known.LastContact):
+		return quarantine.StatusReplaced
 	default:
-		return quarantine.ContactNone
+		return quarantine.StatusUnknown
 	}
 }
 
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -43,7 +43,7 @@
 }
 
 // ApplyHoldings applies engine states known to the leader.
-func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.Holdings) {
+func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.EngineStates) {
 	p.pool.applyHoldings(now, &holdings)
 }
 
@@ -61,7 +61,7 @@
 
 // prefillTime is the assumed prefill time before any measurement.
 func prefillTime(tokens int) time.Duration {
-	return speed.New(3).Reading("m", tokens)
+	return speed.New(3).PrefillTime("m", tokens)
 }
 
 // PeerSent records a request that a peer sends to an upstream.
@@ -88,7 +88,7 @@
 // by their prompt backlog, or avoided.
 func (p UpstreamPool) Survey(now time.Time, service, model string, tried ...string) (holders, full, paced, avoided int) {
 	s := p.pool.survey(now, upstreamQuery{service: service, model: model, pacing: pacingFor(p.maxGap, speed.New(3)), tried: tried})
-	return s.Holders, s.Full, s.Paced, s.Avoided
+	return s.Holders, s.Full, s.PrefillBusy, s.Avoided
 }
 
 // Fail records that an upstream did not answer.
@@ -118,13 +118,13 @@
 
 // Queue gives specs access to the request queue of an instance without a network.
 type Queue struct {
-	counter *Counter
+	counter *Proxy
 	pool    UpstreamPool
 }
 
 // NewQueue returns the queue of one of several instances.
 func NewQueue(pool UpstreamPool, instances int) Queue {
-	c := &Counter{
+	c := &Proxy{
 		pool: pool.pool, peers: &peerLink{}, demand: newDemand(), pendingLoads: map[courier.WantArgs]bool{}, loadLimiter: newLoadLimiter(),
 		metrics: newMetrics(nil), options: Options{Now: func() time.Time { return time.Time{} }},
 	}
@@ -187,7 +187,7 @@
 
 // Instance gives specs access to an instance that owns models, without a network.
 type Instance struct {
-	counter *Counter
+	counter *Proxy
 	conn    *recordingConn
 }
 
@@ -249,7 +249,7 @@
 }
 
 // Permits returns the number of peers' requests that the instance places.
-func (c *Counter) Permits() int {
+func (c *Proxy) Permits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.permits)
@@ -262,7 +262,7 @@
 }
 
 // Instances returns the number of entry instances by the latest sync.
-func (c *Counter) Instances() int {
+func (c *Proxy) Instances() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.control.entryInstances
@@ -289,7 +289,7 @@
 }
 
 // Upstreams returns the number of upstreams that the instance knows.
-func (c *Counter) Upstreams() int {
+func (c *Proxy) Upstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pool.byName)
@@ -349,7 +349,7 @@
 }
 
 // LimitOf returns a function that returns the known rate limit of an upstream.
-func (c *Counter) LimitOf(name string) func() string {
+func (c *Proxy) LimitOf(name string) func() string {
 	return func() string {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -371,7 +371,7 @@
 
 // SetLimit records that an upstream has stated a rate limit.
 func (p UpstreamPool) SetLimit(now time.Time, name string, limit float64) {
-	p.pool.byName[name].applyLimit(now, now, ratelimit.Named{Limit: ratelimit.Limit(limit)})
+	p.pool.byName[name].applyLimit(now, now, ratelimit.NamedLimit{Limit: ratelimit.Limit(limit)})
 }
 
 // AllowByLimit reports whether the rate limit of an upstream allows a request.
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -54,9 +54,9 @@
 // Error returns the text sent to the caller, which is also the metric tag of the refusal.
 func (r *rejection) Error() string {
 	switch r.reason {
-	case permit.Missing:
+	case permit.ModelUnavailable:
 		return "no upstream: " + missingModel.String()
-	case permit.Limits:
+	case permit.LimitsExhausted:
 		return limitsReached
 	default:
 		return "too many requests wait"
@@ -65,13 +65,13 @@
 
 // rejectionFor decides whether a request that was just enqueued is rejected. It returns nil if the
 // request may wait. c.mu is held.
-func (c *Counter) rejectionFor(now time.Time, w *waiter) *rejection {
+func (c *Proxy) rejectionFor(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
 	if rejected := c.rejectRateLimited(now, w); rejected != nil {
 		return rejected
 	}
 	if forecast := c.forecastWait(now, w); forecast > req.maxForecast(now) && !c.queue.isOnlyStarved(now, w) {
-		return &rejection{reason: permit.Crowded, retryAfter: req.retryAfterWait(now, forecast), forecastWait: forecast}
+		return &rejection{reason: permit.WaitTooLong, retryAfter: req.retryAfterWait(now, forecast), forecastWait: forecast}
 	}
 	if req.model == "" || w.missing != missingModel {
 		return nil
@@ -80,18 +80,18 @@
 	if loading && loadTime <= req.maxForecast(now) {
 		return nil
 	}
-	return &rejection{reason: permit.Missing, retryAfter: req.retryAfterLoad(now, loadTime, loading)}
+	return &rejection{reason: permit.ModelUnavailable, retryAfter: req.retryAfterLoad(now, loadTime, loading)}
 }
 
 // rejectOrWait removes a request that was just enqueued from the queue if it is rejected, and
 // returns the reason. It returns nil if the request may wait. c.mu is held.
-func (c *Counter) rejectOrWait(now time.Time, w *waiter) *rejection {
+func (c *Proxy) rejectOrWait(now time.Time, w *waiter) *rejection {
 	rejected := c.rejectionFor(now, w)
 	if rejected == nil {
 		c.requestLoad(w)
 		return nil
 	}
-	if rejected.reason == permit.Missing {
+	if rejected.reason == permit.ModelUnavailable {
 		// The caller will retry, so the leader must learn that the model is wanted.
 		c.requestLoad(w)
 	}
@@ -104,7 +104,7 @@
 // longest time that a request before it has been waiting, or the time to serve those before it at
 // the recent grant rate, whichever is longer. This holds for any number of instances that share the
 // engines.
-func (c *Counter) forecastWait(now time.Time, w *waiter) time.Duration {
+func (c *Proxy) forecastWait(now time.Time, w *waiter) time.Duration {
 	req := &w.requirements
 	wait := time.Duration(0)
 	if req.model == "" || w.missing != missingCapacity {
@@ -127,7 +127,7 @@
 // capacity returns how many requests per second the engines that have loaded the requested model
 // and adapter could run for this instance, assuming an equal share for each placing instance. c.mu
 // is held.
-func (c *Counter) capacity(now time.Time, w *waiter) float64 {
+func (c *Proxy) capacity(now time.Time, w *waiter) float64 {
 	req := &w.requirements
 	slots := 0
 	for _, u := range c.pool.upstreamsWith(req.service, req.model) {
--- a/internal/counter/forecast_test.go
+++ b/internal/counter/forecast_test.go
@@ -79,8 +79,8 @@
 	It("is refused at once if no engine will hold its model in time", func() {
 		w := queue.Enqueue(start, "gone", objective)
 		Expect(queue.Rejects(start, w)).To(BeTrue())
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
-			Name: "e", Models: []courier.HeldModel{{Name: "m"}}, Coming: "gone", ComingIn: 2 * time.Second,
+		pool.ApplyHoldings(start, courier.EngineStates{Engines: []courier.EngineState{{
+			Name: "e", Models: []courier.LoadedModel{{Name: "m"}}, NextModel: "gone", NextModelIn: 2 * time.Second,
 		}}})
 		Expect(queue.Rejects(start, w)).To(BeTrue())
 		Expect(queue.Rejects(start.Add(1900*time.Millisecond), queue.Enqueue(start.Add(1900*time.Millisecond), "gone", objective))).
@@ -97,8 +97,8 @@
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
 		pool.PeerActive(start, "e", 20, 1)
 		now := start.Add(500 * time.Millisecond)
-		report := courier.Holdings{Engines: []courier.Holding{{
-			Name: "e", Age: 400 * time.Millisecond, Running: 30, Models: []courier.HeldModel{{Name: "m"}},
+		report := courier.EngineStates{Engines: []courier.EngineState{{
+			Name: "e", Age: 400 * time.Millisecond, Running: 30, Models: []courier.LoadedModel{{Name: "m"}},
 		}}}
 		before := pool.Load(now, "e")
 		pool.ApplyHoldings(now, report)
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -11,20 +11,20 @@
 
 // upstreamLimit tracks the rate limit of an upstream.
 type upstreamLimit struct {
-	ratelimit.Known
+	ratelimit.State
 	// sharedPace paces the requests of all instances, if this one owns the limit. ownPace paces the
 	// requests of this instance alone while the owner does not answer. They are nil before the
 	// first request.
-	sharedPace *ratelimit.Pace
-	ownPace    *ratelimit.Pace
+	sharedPace *ratelimit.TokenBucket
+	ownPace    *ratelimit.TokenBucket
 	// pausedUntil is the time until which nothing is sent to the upstream.
 	pausedUntil time.Time
 }
 
 // paceForAll returns the pace of all instances.
-func (l *upstreamLimit) paceForAll(now time.Time) *ratelimit.Pace {
+func (l *upstreamLimit) paceForAll(now time.Time) *ratelimit.TokenBucket {
 	if l.sharedPace == nil {
-		l.sharedPace = ratelimit.NewPace(now)
+		l.sharedPace = ratelimit.NewTokenBucket(now)
 	}
 	return l.sharedPace
 }
@@ -33,9 +33,9 @@
 // among instances.
 func (l *upstreamLimit) takeOwnShare(now time.Time, limit ratelimit.Limit, instances int) (wait time.Duration, ok bool) {
 	if l.ownPace == nil {
-		l.ownPace = ratelimit.NewPace(now)
+		l.ownPace = ratelimit.NewTokenBucket(now)
 	}
-	return l.ownPace.Take(now, ratelimit.Share(limit, instances))
+	return l.ownPace.Take(now, ratelimit.ShareRate(limit, instances))
 }
 
 // pause stops requests to the upstream for a while.
@@ -47,10 +47,10 @@
 const maxPause = 2 * time.Second
 
 // observeLimit processes the rate limit stated in an upstream's response and broadcasts changes.
-func (c *Counter) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
-	stated := c.options.Dialect.Limit(header)
+func (c *Proxy) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
+	stated := c.options.Dialect.ParseLimit(header)
 	now := c.options.Now()
-	if unclear, ok := stated.(ratelimit.Unclear); ok {
+	if unclear, ok := stated.(ratelimit.InvalidLimit); ok {
 		c.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
 			Msg("cannot parse the rate limit that an upstream states")
 		return
@@ -94,9 +94,9 @@
 
 // applyLimit updates the limit from a response to a request that was sent at sent, and returns the
 // change.
-func (u *upstream) applyLimit(now, sent time.Time, stated ratelimit.Said) limitChange {
+func (u *upstream) applyLimit(now, sent time.Time, stated ratelimit.Observation) limitChange {
 	previous, hadLimit := u.limit.Limit()
-	u.limit.Known = u.limit.With(now, sent, stated)
+	u.limit.State = u.limit.With(now, sent, stated)
 	current, hasLimit := u.limit.Limit()
 	switch {
 	case hasLimit && !hadLimit:
@@ -112,9 +112,9 @@
 }
 
 // broadcastLimit sends the limit stated in a response to all other instances. c.mu is held.
-func (c *Counter) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Said) {
-	message := permit.Limited{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
-	if named, ok := stated.(ratelimit.Named); ok {
+func (c *Proxy) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Observation) {
+	message := permit.LimitReport{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
+	if named, ok := stated.(ratelimit.NamedLimit); ok {
 		message.Named, message.Limit = true, named.Limit
 	}
 	for _, instance := range c.owners.assignment.All() {
@@ -125,24 +125,24 @@
 }
 
 // receiveLimit applies a limit stated in a response to another instance. c.mu is held.
-func (c *Counter) receiveLimit(now time.Time, m permit.Limited) {
+func (c *Proxy) receiveLimit(now time.Time, m permit.LimitReport) {
 	u := c.pool.byName[m.Upstream]
 	if u == nil || u.incarnation != m.Incarnation {
 		return
 	}
-	var stated ratelimit.Said = ratelimit.Unnamed{}
+	var stated ratelimit.Observation = ratelimit.NoLimit{}
 	if m.Named {
-		stated = ratelimit.Named{Limit: m.Limit}
+		stated = ratelimit.NamedLimit{Limit: m.Limit}
 	}
 	u.applyLimit(now, now.Add(-m.Age), stated)
 }
 
 // logLimit logs a changed limit.
-func (c *Counter) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Said) {
+func (c *Proxy) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Observation) {
 	if changed == limitUnchanged {
 		return
 	}
-	named, _ := stated.(ratelimit.Named)
+	named, _ := stated.(ratelimit.NamedLimit)
 	text := changed.String()
 	c.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
 }
@@ -152,7 +152,7 @@
 func (t *transaction) handleRateLimit(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
 	c := t.counter
 	now := c.options.Now()
-	a.outcome = permit.Over
+	a.outcome = permit.RateLimited
 	c.mu.Lock()
 	c.metrics.countLimitedSend(t.service)
 	if u := c.pool.byName[a.upstream.name]; u != nil {
@@ -204,7 +204,7 @@
 
 // rejectRateLimited rejects a request that cannot be sent in time because of rate limits. It
 // returns nil if the request may wait. c.mu is held.
-func (c *Counter) rejectRateLimited(now time.Time, w *waiter) *rejection {
+func (c *Proxy) rejectRateLimited(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
 	wait, perSecond, limited := c.pool.limitedFor(now, req.query())
 	if !limited {
@@ -218,7 +218,7 @@
 	if wait <= req.maxForecast(now) {
 		return nil
 	}
-	return &rejection{reason: permit.Limits, retryAfter: req.retryAfterWait(now, wait), forecastWait: wait}
+	return &rejection{reason: permit.LimitsExhausted, retryAfter: req.retryAfterWait(now, wait), forecastWait: wait}
 }
 
 // limitedUpstreams returns the upstreams that have a rate limit.
@@ -233,7 +233,7 @@
 }
 
 // updateLimitGauges sets the number of rate-limited upstreams of each service. c.mu is held.
-func (c *Counter) updateLimitGauges() {
+func (c *Proxy) updateLimitGauges() {
 	counts := map[string]int{}
 	for _, upstream := range c.pool.limitedUpstreams() {
 		counts[c.pool.byName[upstream.Name].service]++
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -127,8 +127,8 @@
 			request := httptest.NewRequest(http.MethodPost, "http://spec.test"+path, nil)
 			request.Header.Set(idHeader, "r1")
 			recorder := httptest.NewRecorder()
-			call := counter.Call{ID: "r1", Patience: 400 * time.Millisecond, Model: model}
-			peers[i%len(peers)].counter.Serve(recorder, request, call)
+			call := counter.Call{ID: "r1", Timeout: 400 * time.Millisecond, Model: model}
+			peers[i%len(peers)].counter.ServeRequest(recorder, request, call)
 			statuses[recorder.Code]++
 			if recorder.Code == http.StatusServiceUnavailable {
 				Expect(recorder.Header().Get("Retry-After")).NotTo(BeEmpty())
@@ -146,7 +146,7 @@
 			from := clock.Now()
 			statuses := send(200, path, model)
 			arrivals := u.arrivalsSince(from)
-			Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.Allowed(limit)))
+			Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.MaxRequests(limit)))
 			Expect(len(arrivals)).To(BeNumerically(">=", 4), "some requests are still sent")
 			Expect(statuses[http.StatusServiceUnavailable]).To(BeNumerically(">=", 100), "the rest receives Retry-After")
 		},
@@ -219,7 +219,7 @@
 		from := clock.Now()
 		send(160, "/short/", "")
 		arrivals := u.arrivalsSince(from)
-		Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.Allowed(1.1)))
+		Expect(maxInWindow(arrivals)).To(BeNumerically("<=", ratelimit.MaxRequests(1.1)))
 		Expect(arrivals).NotTo(BeEmpty())
 	})
 })
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -103,7 +103,7 @@
 
 // requestLoad calls the leader to load the model or adapter that a waiting request is missing, if
 // that is what it needs. Requests with the same target share one call. c.mu is held.
-func (c *Counter) requestLoad(w *waiter) {
+func (c *Proxy) requestLoad(w *waiter) {
 	if w.requirements.model == "" || w.missing != missingAdapter && w.missing != missingModel {
 		return
 	}
@@ -115,7 +115,7 @@
 	go c.runLoadCall(args)
 }
 
-func (c *Counter) runLoadCall(args courier.WantArgs) {
+func (c *Proxy) runLoadCall(args courier.WantArgs) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadCallTimeout)
 	defer cancel()
 	var reply courier.WantReply
@@ -133,7 +133,7 @@
 
 // waitForLoadCall waits until a call may be made and returns the leader to call, empty if no
 // request needs the load any more or the time has run out.
-func (c *Counter) waitForLoadCall(ctx context.Context, args courier.WantArgs) (leader string) {
+func (c *Proxy) waitForLoadCall(ctx context.Context, args courier.WantArgs) (leader string) {
 	for first := true; ; first = false {
 		c.mu.Lock()
 		leader = c.control.leader
@@ -155,7 +155,7 @@
 }
 
 // isStillWanted reports whether a waiting request needs the load. c.mu is held.
-func (c *Counter) isStillWanted(args courier.WantArgs) bool {
+func (c *Proxy) isStillWanted(args courier.WantArgs) bool {
 	for _, w := range c.queue.waiters {
 		needsLoad := w.missing == missingModel || w.missing == missingAdapter
 		if needsLoad && w.requirements.loadArgs(w.missing) == args {
@@ -167,8 +167,8 @@
 
 // callLeader makes one load call. If the callee is not the leader or does not answer, no further
 // calls are made until the next sync names a leader.
-func (c *Counter) callLeader(ctx context.Context, leader string, args courier.WantArgs) courier.WantReply {
-	reply, err := c.control.loadCalls.Want(ctx, leader, args)
+func (c *Proxy) callLeader(ctx context.Context, leader string, args courier.WantArgs) courier.WantReply {
+	reply, err := c.control.loadCalls.RequestModel(ctx, leader, args)
 	now := c.options.Now()
 	if reply.Engine == "" {
 		c.logLine(now, "not loaded").Err(err).Str("model", args.Model).Str("adapter", args.Adapter).Str("reason", reply.Reason).
--- a/internal/counter/loads_test.go
+++ b/internal/counter/loads_test.go
@@ -31,8 +31,8 @@
 		for i := range adapters {
 			callers.Go(func() {
 				request := httptest.NewRequest(http.MethodPost, "http://spec.test/write/", nil)
-				call := counter.Call{ID: fmt.Sprint(i), Patience: 5 * time.Second, Model: "m", Adapter: fmt.Sprint("a", i)}
-				p.counter.Serve(httptest.NewRecorder(), request, call)
+				call := counter.Call{ID: fmt.Sprint(i), Timeout: 5 * time.Second, Model: "m", Adapter: fmt.Sprint("a", i)}
+				p.counter.ServeRequest(httptest.NewRecorder(), request, call)
 			})
 		}
 		callers.Wait()
--- a/internal/counter/logquota.go
+++ b/internal/counter/logquota.go
@@ -35,7 +35,7 @@
 
 // logLine returns a log event of a kind, or nil if its quota is used up. zerolog ignores calls on a
 // nil event.
-func (c *Counter) logLine(now time.Time, kind string) *zerolog.Event {
+func (c *Proxy) logLine(now time.Time, kind string) *zerolog.Event {
 	c.mu.Lock()
 	quota := c.logQuotas[kind]
 	if quota == nil {
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -128,12 +128,12 @@
 }
 
 // updateGauges sets the gauges of the instance's state.
-func (c *Counter) updateGauges(now time.Time) {
+func (c *Proxy) updateGauges(now time.Time) {
 	scope := c.metrics.scope
 	scope.Gauge("open").Update(float64(c.active))
 	scope.Gauge("waiting").Update(float64(len(c.queue.waiters)))
 	scope.Gauge("permits").Update(float64(len(c.permits)))
-	quarantined, suspected := c.crashes.Held()
+	quarantined, suspected := c.crashes.Counts()
 	scope.Gauge("quarantined").Update(float64(quarantined))
 	scope.Gauge("suspected").Update(float64(suspected))
 	scope.Gauge("upstreams").Update(float64(len(c.pool.byName)))
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -31,17 +31,17 @@
 	Dial  courier.Dial
 	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
 	// it. If it is nil, this instance places all its requests itself.
-	Peers net.PacketConn
+	PeerConn net.PacketConn
 	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
 	// of.
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
 	// Table parses the routes that an operator submitted.
-	Table func(content []byte) (*routes.Table, error)
+	ParseRoutes func(content []byte) (*routes.Table, error)
 	// RoutesWithin is the longest time between the acknowledgement of a route change to the
 	// operator and its effect at an instance that can reach a control instance. Default 2 s.
-	RoutesWithin time.Duration
+	MaxRouteUpdateDelay time.Duration
 	// Dialect is the protocol spoken with upstreams.
 	Dialect Dialect
 	Now     func() time.Time
@@ -54,9 +54,9 @@
 // service.
 type RetryLimits struct {
 	// Share is the number of retries allowed for each new request.
-	Share float64
+	Ratio float64
 	// Slack is the number of additional retries allowed within Window.
-	Slack  float64
+	Burst  float64
 	Window time.Duration
 }
 
@@ -65,10 +65,10 @@
 	// Prepare completes the header of a request to an upstream.
 	Prepare(header http.Header, attempt Attempt)
 	// Judge classifies a response by its status and header.
-	Judge(response *http.Response, requestID string) Judgement
+	Classify(response *http.Response, requestID string) ResponseClass
 	// Limit parses the rate limit that a response header states: the requests per second that the
 	// upstream accepts from all senders together.
-	Limit(header http.Header) ratelimit.Said
+	ParseLimit(header http.Header) ratelimit.Observation
 }
 
 // Attempt describes one attempt to send a request to an upstream.
@@ -84,11 +84,11 @@
 }
 
 // Judgement classifies an upstream's response.
-type Judgement uint8
+type ResponseClass uint8
 
 const (
 	// Answered means that the upstream ran the request and this is its response.
-	Answered Judgement = iota + 1
+	Answered ResponseClass = iota + 1
 	// NotRun means that the upstream did not run the request and never will.
 	NotRun
 	// Misdirected is NotRun from a process that is not the intended one, or that has not loaded the
@@ -104,12 +104,12 @@
 	// Caller identifies the sender. It is empty if the headers do not name one.
 	Caller string
 	// Patience is how long the caller waits, 0 if the headers do not state it.
-	Patience time.Duration
-	Model    string
+	Timeout time.Duration
+	Model   string
 	// Adapter is empty for the base model.
 	Adapter      string
 	PromptTokens int
-	AnswerTokens int
+	OutputTokens int
 }
 
 // Intervals and timeouts of the calls to control instances and upstreams.
--- a/internal/counter/ownerclient.go
+++ b/internal/counter/ownerclient.go
@@ -58,11 +58,11 @@
 		switch m := answer.(type) {
 		case permit.Granted:
 			return c.grantFrom(t, owner, m)
-		case permit.Refused:
+		case permit.Rejected:
 			return grant{}, &rejection{
-				reason: m.Reason, retryAfter: m.ComeBack, forecastWait: m.Forecast, survey: survey(m.Survey),
+				reason: m.Reason, retryAfter: m.RetryAfter, forecastWait: m.EstimatedWait, survey: survey(m.Survey),
 			}
-		case permit.Moved:
+		case permit.ShuttingDown:
 			c.avoidOwner(owner, drainingAvoidance)
 			continue
 		}
@@ -70,7 +70,7 @@
 			return grant{}, err
 		}
 		// A grant may be in transit.
-		c.peers.send(owner, permit.Ended{ID: id})
+		c.peers.send(owner, permit.Release{ID: id})
 		if ctx.Err() != nil {
 			t.lastMissing = missingCapacity
 			return grant{}, ctx.Err()
@@ -116,14 +116,14 @@
 }
 
 // countOwnerAnswer counts the owner's answer by kind, or its absence.
-func (c *Counter) countOwnerAnswer(ctx context.Context, answer permit.Message) {
+func (c *Proxy) countOwnerAnswer(ctx context.Context, answer permit.Message) {
 	name := "none"
 	switch answer.(type) {
 	case permit.Granted:
 		name = "granted"
-	case permit.Refused:
+	case permit.Rejected:
 		name = "refused"
-	case permit.Moved:
+	case permit.ShuttingDown:
 		name = "moved"
 	default:
 		if ctx.Err() != nil {
@@ -136,17 +136,17 @@
 }
 
 // askMessage returns the permit request to send now.
-func (t *transaction) askMessage(id permit.ID) permit.Ask {
+func (t *transaction) askMessage(id permit.ID) permit.Request {
 	now := t.counter.options.Now()
-	return permit.Ask{
+	return permit.Request{
 		ID: id, Service: t.service, Model: t.model, Adapter: t.adapter,
 		PromptTokens: t.promptTokens, AnswerTokens: t.outputTokens, Priority: t.priority,
-		Objective: t.objective, Gap: t.maxGap, Age: now.Sub(t.arrived), Left: t.deadline.Sub(now), Tried: t.tried,
+		Objective: t.objective, MaxEventGap: t.maxGap, Age: now.Sub(t.arrived), Remaining: t.deadline.Sub(now), Tried: t.tried,
 	}
 }
 
 // startPermitRequest registers a permit request and counts the caller's request as waiting.
-func (c *Counter) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
+func (c *Proxy) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addWaiting(&t.requirements, 1)
@@ -154,27 +154,27 @@
 }
 
 // expectReply registers a message to another instance that expects a reply. c.mu is held.
-func (c *Counter) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
+func (c *Proxy) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
 	c.lastMessageID++
 	pending := &pendingReply{owner: owner, answers: make(chan permit.Message, ownerAttempts+1)}
 	c.pendingReplies[c.lastMessageID] = pending
 	return c.lastMessageID, pending
 }
 
-func (c *Counter) dropReply(id permit.ID) {
+func (c *Proxy) dropReply(id permit.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pendingReplies, id)
 }
 
-func (c *Counter) finishPermitRequest(t *transaction, id permit.ID) {
+func (c *Proxy) finishPermitRequest(t *transaction, id permit.ID) {
 	c.dropReply(id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addWaiting(&t.requirements, -1)
 }
 
-func (c *Counter) avoidOwner(owner netip.AddrPort, duration time.Duration) {
+func (c *Proxy) avoidOwner(owner netip.AddrPort, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owners.avoid(c.options.Now(), owner, duration)
@@ -185,23 +185,23 @@
 // An owner that is cut off from the control instances does not learn that an upstream is leaving,
 // and keeps granting it until it is gone. So a grant for an upstream that is known here to be
 // leaving is returned, and grantFrom returns errDecideLocally.
-func (c *Counter) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
+func (c *Proxy) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	u := c.pool.byName[m.Upstream]
 	if u != nil && u.Leaving {
-		c.peers.send(owner, permit.Ended{ID: m.ID, Outcome: permit.Absent})
+		c.peers.send(owner, permit.Release{ID: m.ID, Outcome: permit.ModelAbsent})
 		return grant{}, errDecideLocally
 	}
 	if u == nil || u.address != m.Address {
 		// The owner knows the upstream before this instance does.
 		u = &upstream{name: m.Upstream, address: m.Address, service: t.service}
 	}
-	return grant{upstream: u, prefillAhead: m.Unread, owner: owner, id: m.ID}, nil
+	return grant{upstream: u, prefillAhead: m.PrefillBacklog, owner: owner, id: m.ID}, nil
 }
 
 // deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
-func (c *Counter) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
+func (c *Proxy) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
 	pending := c.pendingReplies[id]
 	if pending != nil && pending.owner == from {
 		select {
@@ -212,6 +212,6 @@
 	}
 	if _, granted := answer.(permit.Granted); granted {
 		// The request no longer waits, so the permit is returned.
-		c.peers.send(from, permit.Ended{ID: id})
+		c.peers.send(from, permit.Release{ID: id})
 	}
 }
--- a/internal/counter/owners.go
+++ b/internal/counter/owners.go
@@ -96,7 +96,7 @@
 
 // remoteOwner returns the other instance that places a request. It returns false if this instance
 // does. c.mu is held.
-func (c *Counter) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
+func (c *Proxy) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
 	if req.model == "" || c.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
@@ -106,7 +106,7 @@
 
 // placingInstances returns how many instances place requests for the model of a request that is
 // placed here: one if this instance owns the model, otherwise all of them. c.mu is held.
-func (c *Counter) placingInstances(now time.Time, req *requirements) int {
+func (c *Proxy) placingInstances(now time.Time, req *requirements) int {
 	if owner, known := c.owners.ownerOf(now, req.service, req.model); known && owner == c.owners.self {
 		return 1
 	}
@@ -116,7 +116,7 @@
 // notifyUse notifies the owners of the engine's other models of a request that is sent there. The
 // engine's reports arrive half a second later, and until then the owners would send to an engine
 // that only appears idle. c.mu is held.
-func (c *Counter) notifyUse(now time.Time, u *upstream, req *requirements) {
+func (c *Proxy) notifyUse(now time.Time, u *upstream, req *requirements) {
 	if req.model == "" {
 		return
 	}
@@ -127,6 +127,6 @@
 			continue
 		}
 		notified = append(notified, owner)
-		c.peers.send(owner, permit.Use{Upstream: u.name, Reading: req.prefillTime, Open: u.active})
+		c.peers.send(owner, permit.LoadReport{Upstream: u.name, PrefillTime: req.prefillTime, ActiveRequests: u.active})
 	}
 }
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -30,39 +30,39 @@
 )
 
 // receive handles a message of a peer.
-func (c *Counter) receive(now time.Time, from netip.AddrPort, message permit.Message) {
+func (c *Proxy) receive(now time.Time, from netip.AddrPort, message permit.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch m := message.(type) {
-	case permit.Ask:
+	case permit.Request:
 		c.handleAsk(now, from, m)
-	case permit.Ended:
+	case permit.Release:
 		c.handleEnded(now, peerRequest{from, m.ID}, m)
-	case permit.Use:
+	case permit.LoadReport:
 		if u := c.pool.byName[m.Upstream]; u != nil {
-			u.recordPeerUse(now, peerUse{prefill: m.Reading, active: m.Open, peer: hashAddress(from)})
+			u.recordPeerUse(now, peerUse{prefill: m.PrefillTime, active: m.ActiveRequests, peer: hashAddress(from)})
 		}
-	case permit.Limited:
+	case permit.LimitReport:
 		c.receiveLimit(now, m)
-	case permit.Claim:
+	case permit.SendRequest:
 		c.handleClaim(now, from, m)
-	case permit.Allowed:
+	case permit.SendAllowed:
 		c.deliverAnswer(from, m.ID, m)
-	case permit.Held:
+	case permit.SendDelayed:
 		c.deliverAnswer(from, m.ID, m)
 	case permit.Granted:
 		c.deliverAnswer(from, m.ID, m)
 	case permit.Queued:
 		c.deliverAnswer(from, m.ID, m)
-	case permit.Refused:
+	case permit.Rejected:
 		c.deliverAnswer(from, m.ID, m)
-	case permit.Moved:
+	case permit.ShuttingDown:
 		c.deliverAnswer(from, m.ID, m)
 	}
 }
 
 // handleAsk decides a peer's permit request, or repeats the earlier decision. c.mu is held.
-func (c *Counter) handleAsk(now time.Time, from netip.AddrPort, m permit.Ask) {
+func (c *Proxy) handleAsk(now time.Time, from netip.AddrPort, m permit.Request) {
 	requester := peerRequest{from, m.ID}
 	if record := c.permits[requester]; record != nil {
 		c.sendDecision(requester, record)
@@ -70,7 +70,7 @@
 	}
 	if c.draining {
 		c.metrics.countDecision("moved")
-		c.peers.send(from, permit.Moved{ID: m.ID})
+		c.peers.send(from, permit.ShuttingDown{ID: m.ID})
 		return
 	}
 	w := &waiter{requirements: c.requirementsOf(now, m), requester: requester, placingInstances: 1}
@@ -83,8 +83,8 @@
 	if rejected := c.rejectOrWait(now, w); rejected != nil {
 		delete(c.permits, requester)
 		c.metrics.countDecision("refused")
-		c.peers.send(from, permit.Refused{
-			ID: m.ID, Reason: rejected.reason, ComeBack: rejected.retryAfter, Forecast: rejected.forecastWait,
+		c.peers.send(from, permit.Rejected{
+			ID: m.ID, Reason: rejected.reason, RetryAfter: rejected.retryAfter, EstimatedWait: rejected.forecastWait,
 			Survey: permit.Survey(rejected.survey),
 		})
 		return
@@ -94,18 +94,18 @@
 }
 
 // requirementsOf returns the requirements of a peer's request.
-func (c *Counter) requirementsOf(now time.Time, m permit.Ask) requirements {
+func (c *Proxy) requirementsOf(now time.Time, m permit.Request) requirements {
 	req := requirements{
 		target:       target{service: m.Service, model: m.Model, adapter: m.Adapter},
 		promptTokens: m.PromptTokens, outputTokens: m.AnswerTokens, priority: m.Priority, objective: m.Objective,
-		maxGap: m.Gap, arrived: now.Add(-m.Age), deadline: now.Add(m.Left), tried: m.Tried,
+		maxGap: m.MaxEventGap, arrived: now.Add(-m.Age), deadline: now.Add(m.Remaining), tried: m.Tried,
 	}
 	c.estimateCost(&req)
 	return req
 }
 
 // issuePermit grants an upstream to a peer's request. c.mu is held.
-func (c *Counter) issuePermit(now time.Time, requester peerRequest, granted grant) {
+func (c *Proxy) issuePermit(now time.Time, requester peerRequest, granted grant) {
 	record := c.permits[requester]
 	record.grant = granted
 	c.metrics.countDecision("granted")
@@ -115,19 +115,19 @@
 }
 
 // sendDecision sends the state of a request to its requester.
-func (c *Counter) sendDecision(requester peerRequest, record *permitRecord) {
+func (c *Proxy) sendDecision(requester peerRequest, record *permitRecord) {
 	u := record.grant.upstream
 	if u == nil {
 		c.peers.send(requester.address, permit.Queued{ID: requester.id})
 		return
 	}
 	c.peers.send(requester.address, permit.Granted{
-		ID: requester.id, Upstream: u.name, Address: u.address, Unread: record.grant.prefillAhead,
+		ID: requester.id, Upstream: u.name, Address: u.address, PrefillBacklog: record.grant.prefillAhead,
 	})
 }
 
 // handleEnded processes the outcome of a peer's request. c.mu is held.
-func (c *Counter) handleEnded(now time.Time, requester peerRequest, m permit.Ended) {
+func (c *Proxy) handleEnded(now time.Time, requester peerRequest, m permit.Release) {
 	record := c.permits[requester]
 	if record == nil {
 		return
@@ -135,11 +135,11 @@
 	c.removePermit(requester, record)
 	if u := record.grant.upstream; u != nil {
 		u.recordOutcome(now, record.waiter.requirements.target, m.Outcome)
-		c.recordSpeed(&record.waiter.requirements, speedSample{firstEvent: m.First, serviceTime: m.Run, events: m.Events, streaming: m.Writing})
+		c.recordSpeed(&record.waiter.requirements, speedSample{firstEvent: m.FirstEventTime, serviceTime: m.RunTime, events: m.Events, streaming: m.StreamTime})
 	}
 }
 
-func (c *Counter) removePermit(requester peerRequest, record *permitRecord) {
+func (c *Proxy) removePermit(requester peerRequest, record *permitRecord) {
 	delete(c.permits, requester)
 	if u := record.grant.upstream; u != nil {
 		u.release()
@@ -149,7 +149,7 @@
 }
 
 // expirePermits removes permits and claim answers whose time has run out.
-func (c *Counter) expirePermits(now time.Time) {
+func (c *Proxy) expirePermits(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expireClaims(now)
--- a/internal/counter/permits_test.go
+++ b/internal/counter/permits_test.go
@@ -44,9 +44,9 @@
 	pool.Apply(start, engine)
 }
 
-func askMessage(id permit.ID, model string) permit.Ask {
-	return permit.Ask{
-		ID: id, Service: "pool", Model: model, PromptTokens: 1, Objective: 800 * time.Millisecond, Left: 12 * time.Second,
+func askMessage(id permit.ID, model string) permit.Request {
+	return permit.Request{
+		ID: id, Service: "pool", Model: model, PromptTokens: 1, Objective: 800 * time.Millisecond, Remaining: 12 * time.Second,
 	}
 }
 
@@ -83,7 +83,7 @@
 				switch m := sent.Message.(type) {
 				case permit.Granted:
 					granted[m.Upstream]++
-				case permit.Queued, permit.Refused:
+				case permit.Queued, permit.Rejected:
 					notGranted++
 				}
 			}
@@ -99,7 +99,7 @@
 		sent := instance.Receive(start, instances[1], askMessage(1, model))
 		Expect(sent).To(HaveLen(2))
 		Expect(sent[0].To).To(Equal(instances[9]))
-		Expect(sent[0].Message).To(Equal(permit.Use{Upstream: "e", Reading: sent[0].Message.(permit.Use).Reading, Open: 1}))
+		Expect(sent[0].Message).To(Equal(permit.LoadReport{Upstream: "e", PrefillTime: sent[0].Message.(permit.LoadReport).PrefillTime, ActiveRequests: 1}))
 		Expect(sent[1].To).To(Equal(instances[1]))
 	})
 
@@ -119,7 +119,7 @@
 			instance.Receive(start, instances[1], askMessage(permit.ID(i), model))
 		}
 		Expect(instance.Receive(start, instances[2], askMessage(1, model))).To(Equal([]counter.SentMessage{{To: instances[2], Message: permit.Queued{ID: 1}}}))
-		instance.Receive(start, instances[1], permit.Ended{ID: 3, Outcome: permit.Worked})
+		instance.Receive(start, instances[1], permit.Release{ID: 3, Outcome: permit.Succeeded})
 		sent := instance.Dispatch(start.Add(10 * time.Millisecond))
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].To).To(Equal(instances[2]))
@@ -131,8 +131,8 @@
 		for i := range 13 {
 			instance.Receive(start, instances[1], askMessage(permit.ID(i), model))
 		}
-		instance.Receive(start, instances[1], permit.Ended{ID: 12})
-		instance.Receive(start, instances[1], permit.Ended{ID: 3})
+		instance.Receive(start, instances[1], permit.Release{ID: 12})
+		instance.Receive(start, instances[1], permit.Release{ID: 3})
 		Expect(instance.Dispatch(start.Add(10 * time.Millisecond))).To(BeEmpty())
 	})
 
@@ -154,14 +154,14 @@
 		first := instance.Receive(start, instances[1], askMessage(1, model))
 		instance.Drain()
 		Expect(instance.Receive(start, instances[1], askMessage(1, model))).To(Equal(first))
-		Expect(instance.Receive(start, instances[1], askMessage(2, model))).To(Equal([]counter.SentMessage{{To: instances[1], Message: permit.Moved{ID: 2}}}))
+		Expect(instance.Receive(start, instances[1], askMessage(2, model))).To(Equal([]counter.SentMessage{{To: instances[1], Message: permit.ShuttingDown{ID: 2}}}))
 	})
 
 	// Two instances consider themselves the owner, because a new instance is not known everywhere
 	// yet. Both issue grants, so each counts the requests that the other reports for the engine.
 	It("counts what another instance grants that takes itself for the owner", func() {
 		addSmallEngine(pool, "e", model)
-		instance.Receive(start, instances[3], permit.Use{Upstream: "e", Open: 12})
+		instance.Receive(start, instances[3], permit.LoadReport{Upstream: "e", ActiveRequests: 12})
 		sent := instance.Receive(start, instances[1], askMessage(1, model))
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].Message).To(BeAssignableToTypeOf(permit.Queued{}))
@@ -170,7 +170,7 @@
 	It("avoids an engine that peers report as failed", func() {
 		addSmallEngine(pool, "e0", model)
 		instance.Receive(start, instances[1], askMessage(1, model))
-		instance.Receive(start, instances[1], permit.Ended{ID: 1, Outcome: permit.Failed})
+		instance.Receive(start, instances[1], permit.Release{ID: 1, Outcome: permit.Failed})
 		addSmallEngine(pool, "e1", model)
 		sent := instance.Receive(start, instances[1], askMessage(2, model))
 		Expect(sent[0].Message.(permit.Granted).Upstream).To(Equal("e1"))
@@ -186,7 +186,7 @@
 // peer is an entry instance on loopback that exchanges messages with others.
 type peer struct {
 	address netip.AddrPort
-	counter *counter.Counter
+	counter *counter.Proxy
 }
 
 func listenPeer() net.PacketConn {
@@ -210,9 +210,9 @@
 	p := peer{address: conn.LocalAddr().(*net.UDPAddr).AddrPort()}
 	p.counter = counter.New(counter.Options{
 		Name: p.address.String(), CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{c.address},
-		Dial: courier.DialTCP, UpstreamLease: time.Minute, Peers: conn,
-		Retries: counter.RetryLimits{Share: 0.1, Slack: 20, Window: 10 * time.Second},
-		Table:   parseRoutes, Dialect: dialect{}, Now: now, Log: zerolog.Nop(),
+		Dial: courier.DialTCP, UpstreamLease: time.Minute, PeerConn: conn,
+		Retries:     counter.RetryLimits{Ratio: 0.1, Burst: 20, Window: 10 * time.Second},
+		ParseRoutes: parseRoutes, Dialect: dialect{}, Now: now, Log: zerolog.Nop(),
 	})
 	DeferCleanup(p.counter.Close)
 	return p
@@ -223,7 +223,7 @@
 	request := httptest.NewRequest(http.MethodPost, "http://spec.test/write/", nil)
 	request.Header.Set(idHeader, "r1")
 	recorder := httptest.NewRecorder()
-	p.counter.Serve(recorder, request, counter.Call{ID: "r1", Patience: 5 * time.Second, Model: model})
+	p.counter.ServeRequest(recorder, request, counter.Call{ID: "r1", Timeout: 5 * time.Second, Model: model})
 	return recorder.Code
 }
 
@@ -260,7 +260,7 @@
 		c.addExactEntries(first.address, owner)
 		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
 		Eventually(first.counter.Upstreams, specTimeout).Should(Equal(2))
-		ended := make(chan permit.Ended, 1)
+		ended := make(chan permit.Release, 1)
 		go func() {
 			defer GinkgoRecover()
 			buffer := make([]byte, permit.MaxBytes)
@@ -272,10 +272,10 @@
 				message, err := permit.Decode(buffer[:n])
 				Expect(err).NotTo(HaveOccurred())
 				switch m := message.(type) {
-				case permit.Ask:
+				case permit.Request:
 					granted := permit.Granted{ID: m.ID, Upstream: "leaving", Address: leaving.address()}
 					_, _ = ownerConn.WriteTo(permit.Append(nil, granted), from)
-				case permit.Ended:
+				case permit.Release:
 					ended <- m
 				}
 			}
@@ -283,7 +283,7 @@
 		Expect(first.serve(model)).To(Equal(http.StatusOK))
 		Expect(leaving.count()).To(BeZero())
 		Expect(staying.count()).To(Equal(1))
-		Eventually(ended, specTimeout).Should(Receive(HaveField("Outcome", permit.Absent)))
+		Eventually(ended, specTimeout).Should(Receive(HaveField("Outcome", permit.ModelAbsent)))
 	})
 
 	// The owner of a model is frozen or gone, but still listed. The caller must be served as fast
