--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -30,18 +30,18 @@
 // denyProofMaxAge returns the maximum age of the routes' proof at which a request without a route
 // is refused for good.
 func (o Options) denyProofMaxAge() time.Duration {
-	return time.Duration(denyProofShare * float64(o.RoutesWithin))
+	return time.Duration(denyProofShare * float64(o.MaxRouteUpdateDelay))
 }
 
 // recordProof records up to which time the routes in force here are confirmed. c.mu is held.
-func (c *Counter) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
+func (c *Proxy) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
 	l := &c.control
 	if age, ok := l.proof.Age(now); ok {
 		c.metrics.proofAge.RecordDuration(age)
 	}
 	l.proof = l.proof.With(askedAt, address, version, reading)
 	switch {
-	case l.proof.Covers(now.Add(-sendProofFactor * c.options.RoutesWithin)):
+	case l.proof.Covers(now.Add(-sendProofFactor * c.options.MaxRouteUpdateDelay)):
 		l.unprovenSince = time.Time{}
 	case l.unprovenSince.IsZero():
 		l.unprovenSince = now
@@ -59,15 +59,15 @@
 }
 
 // hasUsableRoutes reports whether requests may be sent by the routes in force.
-func (c *Counter) hasUsableRoutes() bool {
+func (c *Proxy) hasUsableRoutes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.control.needsProof(c.options.Now(), c.options.RoutesWithin)
+	return !c.control.needsProof(c.options.Now(), c.options.MaxRouteUpdateDelay)
 }
 
 // routesProvenAt reports whether the routes in force here are confirmed to include all changes
 // committed at a given time.
-func (c *Counter) routesProvenAt(at time.Time) bool {
+func (c *Proxy) routesProvenAt(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.control.proof.Covers(at)
@@ -75,14 +75,14 @@
 
 // waitForProof waits until done returns true, or until the maximum wait for a proof of the routes,
 // and returns the last result of done.
-func (c *Counter) waitForProof(ctx context.Context, call Call, done func() bool) bool {
+func (c *Proxy) waitForProof(ctx context.Context, call Call, done func() bool) bool {
 	if done() {
 		return true
 	}
 	c.mu.Lock()
 	c.metrics.proofWaits.Inc(1)
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/routesWaitDivisor, maxProofWait))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout/routesWaitDivisor, maxProofWait))
 	defer cancel()
 	c.syncSoon()
 	for pause.For(ctx, proofPollInterval) {
@@ -95,7 +95,7 @@
 
 // matchRoute returns the route of a request and the routing table that contains it. If there is
 // none, it answers the caller and returns a nil route.
-func (c *Counter) matchRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+func (c *Proxy) matchRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
 	table, route := c.lookUpRoute(r)
 	if route != nil && !c.hasUsableRoutes() {
 		// The route may have been removed or changed.
@@ -109,7 +109,7 @@
 }
 
 // lookUpRoute returns the routes in force and the route of a request, which may be nil.
-func (c *Counter) lookUpRoute(r *http.Request) (*routes.Table, *routes.Route) {
+func (c *Proxy) lookUpRoute(r *http.Request) (*routes.Table, *routes.Route) {
 	table := c.routes.Load()
 	return table, table.Match(hostOf(r), r.URL.EscapedPath())
 }
@@ -118,7 +118,7 @@
 // the route may have been added since, and a caller that receives 404 does not retry. So the
 // request waits for a proof. If none arrives in time, the caller is asked to retry; if the routes
 // are proven and there is still no match, it receives 404.
-func (c *Counter) matchProvenRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+func (c *Proxy) matchProvenRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
 	asOf := c.options.Now().Add(-c.options.denyProofMaxAge())
 	proven := c.waitForProof(r.Context(), call, func() bool { return c.routesProvenAt(asOf) })
 	table, route := c.lookUpRoute(r)
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -63,7 +63,7 @@
 	recentGrants map[modelKey]*slidingWindow
 	// starvation tracks how long models and adapters have been requested without being served.
 	// grantsSinceBoost counts the grants of each model since the last boosted one.
-	starvation       *aging.Ages[target]
+	starvation       *aging.Tracker[target]
 	grantsSinceBoost map[modelKey]int
 	lastBoostCheck   time.Time
 }
@@ -84,24 +84,24 @@
 const dispatchInterval = 4 * time.Millisecond
 
 // enqueue adds a request and dispatches the queue. c.mu is held.
-func (c *Counter) enqueue(now time.Time, w *waiter) {
+func (c *Proxy) enqueue(now time.Time, w *waiter) {
 	c.queue.waiters = append(c.queue.waiters, w)
 	if w.requirements.model != "" {
-		c.queue.starvation.Asked(now, w.requirements.target)
+		c.queue.starvation.Requested(now, w.requirements.target)
 	}
 	c.updateWaiting(w, true)
 	c.dispatch(now)
 }
 
 // dequeue removes a request from the queue. c.mu is held.
-func (c *Counter) dequeue(w *waiter) {
+func (c *Proxy) dequeue(w *waiter) {
 	c.queue.waiters = slices.DeleteFunc(c.queue.waiters, func(other *waiter) bool { return other == w })
 	c.updateWaiting(w, false)
 }
 
 // updateWaiting updates the demand when a local request starts or stops waiting for an engine. c.mu
 // is held.
-func (c *Counter) updateWaiting(w *waiter, waiting bool) {
+func (c *Proxy) updateWaiting(w *waiter, waiting bool) {
 	if _, local := w.requester.(localRequest); !local || w.countedWaiting == waiting {
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // addWaiting adds change to the number of requests that wait for the target of req. c.mu is held.
-func (c *Counter) addWaiting(req *requirements, change int) {
+func (c *Proxy) addWaiting(req *requirements, change int) {
 	if req.model != "" {
 		c.demand.addWaiting(req.target, change)
 	}
@@ -134,7 +134,7 @@
 //
 // A failed selection applies to all later requests with the same key: hundreds of requests may wait
 // for a model whose load rises, and the engines are examined once for all of them.
-func (c *Counter) dispatch(now time.Time) {
+func (c *Proxy) dispatch(now time.Time) {
 	waiters := c.queue.waiters
 	c.queue.boostStarved(now)
 	if len(waiters) > 1 {
@@ -173,7 +173,7 @@
 }
 
 // issueGrant grants chosen to a waiting request. c.mu is held.
-func (c *Counter) issueGrant(now time.Time, w *waiter, chosen *upstream) {
+func (c *Proxy) issueGrant(now time.Time, w *waiter, chosen *upstream) {
 	granted := grant{upstream: chosen, prefillAhead: chosen.backlog.remaining(now)}
 	chosen.recordSend(now, w.requirements.prefillTime, w.requirements.pacing)
 	c.notifyUse(now, chosen, &w.requirements)
@@ -189,7 +189,7 @@
 }
 
 // setTimer schedules the next dispatch if requests are waiting.
-func (c *Counter) setTimer() {
+func (c *Proxy) setTimer() {
 	if len(c.queue.waiters) == 0 || c.queue.timerSet {
 		return
 	}
@@ -209,7 +209,7 @@
 }
 
 // requestMissingLoads requests the loads that waiting requests need. c.mu is held.
-func (c *Counter) requestMissingLoads() {
+func (c *Proxy) requestMissingLoads() {
 	for _, w := range c.queue.waiters {
 		c.requestLoad(w)
 	}
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -37,7 +37,7 @@
 	if response.StatusCode >= http.StatusInternalServerError && t.retryFailedAnswer(a, response.StatusCode) {
 		return false
 	}
-	a.outcome = permit.Worked
+	a.outcome = permit.Succeeded
 	t.counter.crashes.Succeeded(t.digest, response.StatusCode)
 	copyHeader(w, response)
 	w.WriteHeader(response.StatusCode)
@@ -93,7 +93,7 @@
 			}
 		}
 		if readErr == io.EOF {
-			a.outcome, a.speed = permit.Worked, t.measuredSpeed()
+			a.outcome, a.speed = permit.Succeeded, t.measuredSpeed()
 			t.counter.crashes.Succeeded(t.digest, response.StatusCode)
 			t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
 			return
@@ -116,7 +116,7 @@
 
 func copyHeader(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
-	for name, values := range shuttle.Forwardable(response.Header) {
+	for name, values := range shuttle.EndToEndHeader(response.Header) {
 		header[name] = values
 	}
 	if header.Get("Content-Type") == "" {
@@ -126,7 +126,7 @@
 }
 
 // logAttempt logs and counts the result of an attempt.
-func (c *Counter) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
+func (c *Proxy) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
 	now := c.options.Now()
 	c.mu.Lock()
 	if status != 0 {
@@ -147,7 +147,7 @@
 	}
 	if t.call.Model != "" {
 		line = line.Str("model", t.call.Model).Str("adapter", t.call.Adapter).Int("prompt-tokens", t.call.PromptTokens).
-			Int("answer-tokens", t.call.AnswerTokens)
+			Int("answer-tokens", t.call.OutputTokens)
 	}
 	if a.owner.IsValid() {
 		line = line.Stringer("placed-by", a.owner)
@@ -162,7 +162,7 @@
 }
 
 // logOutcome logs the end of a request that was sent to no upstream.
-func (c *Counter) logOutcome(t *transaction, event, reason string) {
+func (c *Proxy) logOutcome(t *transaction, event, reason string) {
 	now := c.options.Now()
 	c.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
 		Dur("took", now.Sub(t.arrived)).Str("reason", reason).Msg(event)
--- a/internal/counter/send.go
+++ b/internal/counter/send.go
@@ -28,7 +28,7 @@
 
 // finishAttempt records that the upstream no longer has the request, and returns the permit to the
 // instance that issued it.
-func (c *Counter) finishAttempt(t *transaction, a *upstreamAttempt) {
+func (c *Proxy) finishAttempt(t *transaction, a *upstreamAttempt) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,9 +38,9 @@
 		a.upstream.release()
 		return
 	}
-	c.peers.send(a.owner, permit.Ended{
-		ID: a.id, Outcome: a.outcome, First: a.speed.firstEvent, Run: a.speed.serviceTime, Events: a.speed.events,
-		Writing: a.speed.streaming,
+	c.peers.send(a.owner, permit.Release{
+		ID: a.id, Outcome: a.outcome, FirstEventTime: a.speed.firstEvent, RunTime: a.speed.serviceTime, Events: a.speed.events,
+		StreamTime: a.speed.streaming,
 	})
 }
 
@@ -59,7 +59,7 @@
 			Path: incoming.URL.Path, RawPath: incoming.URL.RawPath, RawQuery: incoming.URL.RawQuery,
 		},
 		Host:          incoming.Host,
-		Header:        shuttle.Forwardable(incoming.Header),
+		Header:        shuttle.EndToEndHeader(incoming.Header),
 		ContentLength: int64(len(t.body)),
 		// A body that net/http can't rewind, even an empty one, keeps the transport from retrying
 		// the request on its own.
--- a/internal/counter/speeds.go
+++ b/internal/counter/speeds.go
@@ -8,26 +8,26 @@
 )
 
 // speedOf returns the speed estimate of a service's engines. c.mu is held.
-func (c *Counter) speedOf(service *routes.Service) *speed.Speed {
+func (c *Proxy) speedOf(service *routes.Service) *speed.Estimator {
 	known := c.speeds[service.Name]
 	if known == nil {
-		known = speed.New(service.Engine.Stride)
+		known = speed.New(service.Engine.TokensPerEvent)
 		c.speeds[service.Name] = known
 	}
 	return known
 }
 
 // estimateCost sets the pacing and the expected engine time of a request. c.mu is held.
-func (c *Counter) estimateCost(req *requirements) {
+func (c *Proxy) estimateCost(req *requirements) {
 	engineSpeed := c.speedByName(req.service)
 	req.pacing = pacingFor(req.maxGap, engineSpeed)
-	req.prefillTime = engineSpeed.Reading(req.model, req.promptTokens)
-	req.decodeTime = engineSpeed.Answering(req.outputTokens)
+	req.prefillTime = engineSpeed.PrefillTime(req.model, req.promptTokens)
+	req.decodeTime = engineSpeed.AnswerTime(req.outputTokens)
 }
 
 // speedByName returns the speed estimate of a service by name, or the default estimate if no route
 // in force uses the service.
-func (c *Counter) speedByName(service string) *speed.Speed {
+func (c *Proxy) speedByName(service string) *speed.Estimator {
 	if table := c.routes.Load(); table != nil {
 		if known := table.Service(service); known != nil && known.Engine != nil {
 			return c.speedOf(known)
@@ -61,12 +61,12 @@
 }
 
 // recordSpeed updates the speed estimate of a service with a measurement. c.mu is held.
-func (c *Counter) recordSpeed(req *requirements, s speedSample) {
+func (c *Proxy) recordSpeed(req *requirements, s speedSample) {
 	engineSpeed := c.speeds[req.service]
 	if engineSpeed == nil || s.serviceTime <= 0 {
 		return
 	}
-	engineSpeed.Read(req.model, req.promptTokens, s.firstEvent)
-	engineSpeed.Ran(s.serviceTime)
-	engineSpeed.Wrote(req.outputTokens, s.events, s.streaming)
+	engineSpeed.ObservePrefill(req.model, req.promptTokens, s.firstEvent)
+	engineSpeed.ObserveRequest(s.serviceTime)
+	engineSpeed.ObserveStream(req.outputTokens, s.events, s.streaming)
 }
--- a/internal/counter/survey.go
+++ b/internal/counter/survey.go
@@ -29,7 +29,7 @@
 		case u.isFull(now):
 			s.Full++
 		case now.Before(u.backlog.readySince(q.pacing)):
-			s.Paced++
+			s.PrefillBusy++
 		default:
 			s.Yielding++
 		}
@@ -38,6 +38,6 @@
 }
 
 func (s survey) MarshalZerologObject(event *zerolog.Event) {
-	event.Int("holders", s.Holders).Int("no-slot", s.Full).Int("paced", s.Paced).Int("not-its-turn", s.Yielding).
+	event.Int("holders", s.Holders).Int("no-slot", s.Full).Int("paced", s.PrefillBusy).Int("not-its-turn", s.Yielding).
 		Int("avoided", s.Avoided).Dur("report-age", s.ReportAge)
 }
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -31,7 +31,7 @@
 	alive     []string
 	nearby    []string
 	nextIndex int
-	source    roster.Source
+	source    roster.PullState
 	// lastFailed is the control instance that most recently failed to answer, at failedAt.
 	lastFailed string
 	failedAt   time.Time
@@ -59,7 +59,7 @@
 }
 
 // syncLoop syncs repeatedly until ctx ends.
-func (c *Counter) syncLoop(ctx context.Context) {
+func (c *Proxy) syncLoop(ctx context.Context) {
 	for {
 		c.sync(ctx)
 		c.expirePermits(c.options.Now())
@@ -74,11 +74,11 @@
 
 // sync fetches updates from one control instance. If it does not answer, the next call tries
 // another.
-func (c *Counter) sync(ctx context.Context) {
+func (c *Proxy) sync(ctx context.Context) {
 	now := c.options.Now()
 	c.mu.Lock()
 	address := c.control.current
-	c.roster.Beat(now, roster.InstanceBeat{Draining: c.draining, Stale: c.routes.Load() == nil, Streams: c.active})
+	c.roster.Heartbeat(now, roster.InstanceBeat{Draining: c.draining, Stale: c.routes.Load() == nil, Streams: c.active})
 	args := courier.SyncArgs{
 		FailureDomain: c.options.FailureDomain,
 		Cursor:        c.control.source.Cursor(false),
@@ -88,7 +88,7 @@
 		Demand:        c.demand.flush(),
 		Limited:       c.pool.limitedUpstreams(),
 	}
-	if own := c.roster.Introduction(now); own != nil {
+	if own := c.roster.SelfRecord(now); own != nil {
 		args.From = *own
 	}
 	c.mu.Unlock()
@@ -109,7 +109,7 @@
 	// The quarantine is applied before the routes, so that no new route serves a quarantined
 	// request.
 	if reply.Quarantine != nil {
-		c.crashes.Follow(*reply.Quarantine)
+		c.crashes.ApplyNews(*reply.Quarantine)
 	}
 	if reply.Edition != nil {
 		c.applyRoutes(*reply.Edition)
@@ -125,13 +125,13 @@
 const failedControlAvoidance = 2 * time.Second
 
 // switchControl selects another control instance for the next sync.
-func (c *Counter) switchControl(now time.Time, address string, cause error) {
+func (c *Proxy) switchControl(now time.Time, address string, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.control.lastFailed, c.control.failedAt = address, now
 	c.control.lastSyncFailed = true
 	c.control.current = c.control.nextControl()
-	c.control.source = roster.Source{}
+	c.control.source = roster.PullState{}
 	if !c.control.disconnected {
 		c.control.disconnected = true
 		c.options.Log.Warn().Err(cause).Str("control", address).Str("next", c.control.current).
@@ -140,7 +140,7 @@
 }
 
 // applyReply applies the updates of a sync reply.
-func (c *Counter) applyReply(askedAt time.Time, address string, reply courier.SyncReply) {
+func (c *Proxy) applyReply(askedAt time.Time, address string, reply courier.SyncReply) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,14 +167,14 @@
 	c.control.leader = reply.Leader
 	if next := c.control.afterReply(now, c.options.Name, reply.Reading, c.options.denyProofMaxAge()); next != c.control.current {
 		c.control.current = next
-		c.control.source = roster.Source{}
+		c.control.source = roster.PullState{}
 	}
 	c.control.interval = c.control.syncDelay()
 	c.dispatch(now)
 }
 
 // applyMembers applies the list of live instances. c.mu is held.
-func (c *Counter) applyMembers(now time.Time, members courier.Members) {
+func (c *Proxy) applyMembers(now time.Time, members courier.Members) {
 	c.control.membersRevision = members.Revision
 	c.control.entryInstances = len(members.Entries)
 	c.owners.setInstances(now, members.Entries)
@@ -184,11 +184,11 @@
 }
 
 // applyHoldings applies the engine states of a reply, if it has any. c.mu is held.
-func (c *Counter) applyHoldings(now time.Time, reply courier.SyncReply) {
+func (c *Proxy) applyHoldings(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
 	}
-	holdings, err := courier.DecodeHoldings(reply.Holdings)
+	holdings, err := courier.DecodeEngineStates(reply.Holdings)
 	if err != nil {
 		c.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
@@ -198,7 +198,7 @@
 }
 
 // nextSyncDelay returns the time until the next sync.
-func (c *Counter) nextSyncDelay() time.Duration {
+func (c *Proxy) nextSyncDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.control.lastSyncFailed {
@@ -224,14 +224,14 @@
 }
 
 // applyRoutes puts the routes of an edition into force. Older versions are ignored.
-func (c *Counter) applyRoutes(latest edition.Edition) {
+func (c *Proxy) applyRoutes(latest edition.Edition) {
 	if table := c.routes.Load(); table != nil && table.Version >= latest.Version {
 		return
 	}
-	content, err := registry.Unpack(latest.Content)
+	content, err := registry.Decompress(latest.Content)
 	var table *routes.Table
 	if err == nil {
-		table, err = c.options.Table(content)
+		table, err = c.options.ParseRoutes(content)
 	}
 	if err != nil {
 		c.options.Log.Error().Err(err).Uint64("version", latest.Version).Msg("cannot parse the routes in force")
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -18,7 +18,7 @@
 
 // transaction is the state of one proxied request.
 type transaction struct {
-	counter *Counter
+	counter *Proxy
 	call    Call
 	route   *routes.Route
 	version uint64
@@ -44,7 +44,7 @@
 }
 
 // Serve handles one request of a caller.
-func (c *Counter) Serve(w http.ResponseWriter, r *http.Request, call Call) {
+func (c *Proxy) ServeRequest(w http.ResponseWriter, r *http.Request, call Call) {
 	arrived := c.options.Now()
 	if c.waitForRoutes(r.Context(), call) == nil {
 		c.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
@@ -63,12 +63,12 @@
 		counter: c, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
 		requirements: requirements{
 			target:       target{service: route.Service(rand.Float64()), model: call.Model, adapter: call.Adapter},
-			promptTokens: call.PromptTokens, outputTokens: call.AnswerTokens,
-			priority: route.Priority, objective: route.Objective, maxGap: route.Gap,
+			promptTokens: call.PromptTokens, outputTokens: call.OutputTokens,
+			priority: route.Priority, objective: route.Objective, maxGap: route.MaxEventGap,
 			arrived: arrived, deadline: arrived.Add(timeoutOf(call, route)),
 		},
 	}
-	if c.crashes.Holds(t.digest) {
+	if c.crashes.IsQuarantined(t.digest) {
 		t.refuseQuarantined(w)
 		return
 	}
@@ -93,11 +93,11 @@
 )
 
 // waitForRoutes returns the routes in force, or nil if there are none in time.
-func (c *Counter) waitForRoutes(ctx context.Context, call Call) *routes.Table {
+func (c *Proxy) waitForRoutes(ctx context.Context, call Call) *routes.Table {
 	if table := c.routes.Load(); table != nil {
 		return table
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/routesWaitDivisor, maxRoutesWait))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout/routesWaitDivisor, maxRoutesWait))
 	defer cancel()
 	for pause.For(ctx, routesPollInterval) {
 		if table := c.routes.Load(); table != nil {
@@ -117,14 +117,14 @@
 
 // timeoutOf returns the timeout of a request: the caller's, limited by that of the route.
 func timeoutOf(call Call, route *routes.Route) time.Duration {
-	if call.Patience > 0 {
-		return min(call.Patience, route.Timeout)
+	if call.Timeout > 0 {
+		return min(call.Timeout, route.Timeout)
 	}
 	return route.Timeout
 }
 
 // trackActive updates the counts of requests in flight, and of new requests of each service.
-func (c *Counter) trackActive(t *transaction, change int) {
+func (c *Proxy) trackActive(t *transaction, change int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active += change
@@ -132,7 +132,7 @@
 	if change < 0 {
 		return
 	}
-	c.budgets.Of(t.arrived, t.service).Fresh()
+	c.budgets.Get(t.arrived, t.service).AddRequest()
 	if t.model != "" {
 		c.estimateCost(&t.requirements)
 		c.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -96,7 +96,7 @@
 		return
 	}
 	for name, u := range p.byName {
-		if p.lastHeard.Sub(u.Heard) > forgetAfterLeases*p.lease && u.active == 0 {
+		if p.lastHeard.Sub(u.LastContact) > forgetAfterLeases*p.lease && u.active == 0 {
 			p.remove(name)
 		}
 	}
@@ -142,8 +142,8 @@
 		}
 		p.byModelStale = true
 	}
-	if known.Heard.After(p.lastHeard) {
-		p.lastHeard = known.Heard
+	if known.LastContact.After(p.lastHeard) {
+		p.lastHeard = known.LastContact
 	}
 }
 
@@ -156,7 +156,7 @@
 	if !p.isRouted(current.service) {
 		return true
 	}
-	return p.isRouted(u.service) && !known.Leaving && known.Heard.After(current.Heard)
+	return p.isRouted(u.service) && !known.Leaving && known.LastContact.After(current.LastContact)
 }
 
 // isRouted reports whether requests may go to a service. All services count as routed before the
@@ -206,7 +206,7 @@
 
 // applyHoldings applies the engine states known to the leader, which are newer than the engines'
 // own announcements.
-func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
+func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.EngineStates) {
 	for _, engine := range holdings.Engines {
 		u := p.byName[engine.Name]
 		if u == nil || engine.Incarnation != u.incarnation {
@@ -217,7 +217,7 @@
 			u.models[model.Name] = model.Adapters
 		}
 		p.byModelStale = true
-		u.loading, u.loadedAt = engine.Coming, now.Add(engine.ComingIn)
+		u.loading, u.loadedAt = engine.NextModel, now.Add(engine.NextModelIn)
 		if age := engine.Age + reportLag; age >= 0 {
 			u.applyReport(now, now.Add(-age), engine.Running+engine.Queued)
 		}
@@ -258,7 +258,7 @@
 
 // isAvailable reports whether u may receive new requests.
 func (p *upstreamPool) isAvailable(now time.Time, u *upstream) bool {
-	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.Heard) < p.lease || now.Before(p.graceUntil))
+	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.LastContact) < p.lease || now.Before(p.graceUntil))
 }
 
 // canRun reports whether u can run a model, with an adapter unless it is empty.
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -17,7 +17,7 @@
 const lease = 3 * time.Second
 
 func engineRecord(name, domain string, heard time.Time, models ...string) roster.Upstream {
-	u := roster.Upstream{Heard: heard, Announcement: upstreamapi.Announcement{
+	u := roster.Upstream{LastContact: heard, Announcement: upstreamapi.Announcement{
 		Name: name, Address: name + ".test:1", FailureDomain: domain, Services: []string{"pool"},
 		Load: upstreamapi.Load{MaxRunning: 64},
 	}}
@@ -111,7 +111,7 @@
 	It("never changes the address of an upstream", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
 		pool.Apply(start, roster.Upstream{
-			Heard: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
+			LastContact: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
 		})
 		Expect(pool.Address("a")).To(Equal("a.test:1"))
 		_, lacking := pool.Send(start, "pool", "m", "", 100)
@@ -143,8 +143,8 @@
 	// half a second.
 	It("fills no engine beyond its slots", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
-			{Name: "a", Running: 40, Models: []courier.HeldModel{{Name: "m"}}},
+		pool.ApplyHoldings(start, courier.EngineStates{Engines: []courier.EngineState{
+			{Name: "a", Running: 40, Models: []courier.LoadedModel{{Name: "m"}}},
 		}})
 		sent, lacking := 0, ""
 		for sent < 64 && lacking == "" {
@@ -163,12 +163,12 @@
 		u.Announcement.Incarnation = 2
 		return u
 	}
-	holdingsOf := func(incarnation uint64, models ...string) courier.Holdings {
-		held := courier.Holding{Name: "e", Incarnation: incarnation, Running: 24}
+	holdingsOf := func(incarnation uint64, models ...string) courier.EngineStates {
+		held := courier.EngineState{Name: "e", Incarnation: incarnation, Running: 24}
 		for _, model := range models {
-			held.Models = append(held.Models, courier.HeldModel{Name: model})
+			held.Models = append(held.Models, courier.LoadedModel{Name: model})
 		}
-		return courier.Holdings{Engines: []courier.Holding{held}}
+		return courier.EngineStates{Engines: []courier.EngineState{held}}
 	}
 	var pool counter.UpstreamPool
 
--- a/internal/courier/call_bench_test.go
+++ b/internal/courier/call_bench_test.go
@@ -20,12 +20,12 @@
 
 func (stubControl) Deliver(jury.Message) {}
 
-func (stubControl) ProposeHere(context.Context, []byte) courier.Proposed {
-	return courier.Proposed{Fate: courier.FateCarriedOut, Result: make([]byte, 100)}
+func (stubControl) ProposeLocally(context.Context, []byte) courier.Proposed {
+	return courier.Proposed{Fate: courier.ProposalExecuted, Result: make([]byte, 100)}
 }
 
 func (c stubControl) Propose(ctx context.Context, command []byte) courier.Proposed {
-	return c.ProposeHere(ctx, command)
+	return c.ProposeLocally(ctx, command)
 }
 
 func (stubControl) Configuration(registry.Revision, uint64) courier.Configuration {
@@ -38,7 +38,7 @@
 	return courier.Proposed{}
 }
 
-func (stubControl) Founding() courier.Founding { return courier.Founding{} }
+func (stubControl) BootstrapState() courier.Founding { return courier.Founding{} }
 
 func (stubControl) Bootstrap(context.Context, courier.Charter) error { return nil }
 
--- a/internal/courier/control.go
+++ b/internal/courier/control.go
@@ -29,7 +29,7 @@
 	// Deliver handles a message of another replica.
 	Deliver(message jury.Message)
 	// ProposeHere executes command if this voter is the leader.
-	ProposeHere(ctx context.Context, command []byte) Proposed
+	ProposeLocally(ctx context.Context, command []byte) Proposed
 	// Propose executes command, forwarding it to the leader if necessary.
 	Propose(ctx context.Context, command []byte) Proposed
 	// Configuration returns the configuration in force if it is newer than have, and the state of
@@ -40,25 +40,25 @@
 	// ChangeVoters adds or removes an identity if this voter is the leader.
 	ChangeVoters(ctx context.Context, change VotersChange) Proposed
 	// Founding returns the state of this voter that a bootstrap needs.
-	Founding() Founding
+	BootstrapState() Founding
 	// Bootstrap makes this blank voter a member of a new cluster.
 	Bootstrap(ctx context.Context, charter Charter) error
 }
 
 // Fate is the outcome of a proposed command.
-type Fate uint8
+type ProposalOutcome uint8
 
 // Outcomes of a proposed command. With the zero value, the command may or may not have been
 // executed.
 const (
-	FateUnknown Fate = iota
-	FateCarriedOut
-	FateNotAccepted
+	ProposalUnknown ProposalOutcome = iota
+	ProposalExecuted
+	ProposalRejected
 )
 
 // Proposed is the answer to a proposal.
 type Proposed struct {
-	Fate   Fate
+	Fate   ProposalOutcome
 	Result []byte
 	// Leader is the replica to ask instead if Fate is FateNotAccepted. It may be empty.
 	Leader jury.Identity
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	if args.Here {
-		*reply = s.control.ProposeHere(ctx, args.Command)
+		*reply = s.control.ProposeLocally(ctx, args.Command)
 		return nil
 	}
 	*reply = s.control.Propose(ctx, args.Command)
@@ -205,7 +205,7 @@
 
 // Founding is the net/rpc method "Control.Founding".
 func (s *ControlService) Founding(_ Empty, reply *Founding) error {
-	*reply = s.control.Founding()
+	*reply = s.control.BootstrapState()
 	return nil
 }
 
@@ -243,9 +243,9 @@
 		return reply
 	}
 	if isNotSent(err) {
-		return Proposed{Fate: FateNotAccepted, Passing: true, Reason: err.Error()}
+		return Proposed{Fate: ProposalRejected, Passing: true, Reason: err.Error()}
 	}
-	return Proposed{Fate: FateUnknown, Reason: err.Error()}
+	return Proposed{Fate: ProposalUnknown, Reason: err.Error()}
 }
 
 // Configuration requests the configuration in force from the voter at address.
@@ -261,7 +261,7 @@
 }
 
 // Founding requests the state of the voter at address that a bootstrap needs.
-func (p *Pool) Founding(ctx context.Context, address string) (Founding, error) {
+func (p *Pool) BootstrapState(ctx context.Context, address string) (Founding, error) {
 	return callForReply[Founding](ctx, p, address, "Control.Founding", Empty{})
 }
 
--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -201,7 +201,7 @@
 }
 
 // Note reports an update of the request quarantine to the control instance at address.
-func (p *Pool) Note(ctx context.Context, address string, args NoteArgs) (NoteReply, error) {
+func (p *Pool) UpdateQuarantine(ctx context.Context, address string, args NoteArgs) (NoteReply, error) {
 	return callForReply[NoteReply](ctx, p, address, "Feed.Note", args)
 }
 
@@ -211,12 +211,12 @@
 }
 
 // Want requests a model or an adapter from the control instance at address.
-func (p *Pool) Want(ctx context.Context, address string, args WantArgs) (WantReply, error) {
+func (p *Pool) RequestModel(ctx context.Context, address string, args WantArgs) (WantReply, error) {
 	return callForReply[WantReply](ctx, p, address, "Feed.Want", args)
 }
 
 // Gather reports the demand of entry instances to the leader at address and requests the holdings
 // of the engines.
-func (p *Pool) Gather(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
+func (p *Pool) ReportDemand(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
 	return callForReply[GatherReply](ctx, p, address, "Feed.Gather", args)
 }
--- a/internal/courier/feed_test.go
+++ b/internal/courier/feed_test.go
@@ -44,7 +44,7 @@
 		DeferCleanup(server.Close)
 		pool := courier.NewPool(courier.DialTCP, 5*time.Second)
 		DeferCleanup(pool.Close)
-		reply, err := pool.Want(ctx, server.Address(), courier.WantArgs{Model: "m", Timeout: 50 * time.Millisecond})
+		reply, err := pool.RequestModel(ctx, server.Address(), courier.WantArgs{Model: "m", Timeout: 50 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Reason).To(Equal("timed out"))
 	}, SpecTimeout(30*time.Second))
--- a/internal/courier/holdings.go
+++ b/internal/courier/holdings.go
@@ -10,15 +10,15 @@
 
 // Holdings are the models and the load of the engines, as known to the instance that sends commands
 // to them.
-type Holdings struct {
+type EngineStates struct {
 	// Revision increases with each change. Each new leader starts from a number above all previous
 	// ones.
 	Revision uint64
-	Engines  []Holding
+	Engines  []EngineState
 }
 
 // Holding is the state of one engine.
-type Holding struct {
+type EngineState struct {
 	Name string
 	// Incarnation identifies the process that holds Models. After a restart of the engine, they are
 	// no longer loaded.
@@ -30,28 +30,28 @@
 	Running int
 	Queued  int
 	KVUsed  int
-	Models  []HeldModel
+	Models  []LoadedModel
 	// Coming is the model that the engine is expected to hold next, and ComingIn the time until
 	// then, counted from when the Holdings were made. Coming is empty if there is none.
-	Coming   string
-	ComingIn time.Duration
+	NextModel   string
+	NextModelIn time.Duration
 }
 
 // HeldModel is a model that an engine can run now.
-type HeldModel struct {
+type LoadedModel struct {
 	Name     string
 	Adapters []string
 }
 
 // Encode returns the encoding of h for a SyncReply.
-func (h Holdings) Encode() []byte {
+func (h EngineStates) Encode() []byte {
 	buffer := parcel.AppendUint(nil, h.Revision)
 	buffer = parcel.AppendUint(buffer, uint64(len(h.Engines)))
 	for _, engine := range h.Engines {
 		buffer = parcel.AppendBytes(buffer, engine.Name)
 		buffer = parcel.AppendUint(buffer, engine.Incarnation)
-		buffer = parcel.AppendBytes(buffer, engine.Coming)
-		buffer = parcel.AppendUint(buffer, uint64(max(engine.ComingIn, 0)))
+		buffer = parcel.AppendBytes(buffer, engine.NextModel)
+		buffer = parcel.AppendUint(buffer, uint64(max(engine.NextModelIn, 0)))
 		for _, number := range []int{int(engine.Age), engine.Running, engine.Queued, engine.KVUsed, len(engine.Models)} {
 			buffer = parcel.AppendUint(buffer, uint64(max(number, 0)))
 		}
@@ -67,16 +67,16 @@
 }
 
 // DecodeHoldings decodes the result of Holdings.Encode. If data is damaged, it returns an error.
-func DecodeHoldings(data []byte) (Holdings, error) {
+func DecodeEngineStates(data []byte) (EngineStates, error) {
 	reader := parcel.NewReader(data)
-	holdings := Holdings{Revision: reader.Uint()}
+	holdings := EngineStates{Revision: reader.Uint()}
 	for range reader.Count() {
-		engine := Holding{
-			Name: reader.String(), Incarnation: reader.Uint(), Coming: reader.String(), ComingIn: time.Duration(reader.Uint()), Age: time.Duration(reader.Uint()),
+		engine := EngineState{
+			Name: reader.String(), Incarnation: reader.Uint(), NextModel: reader.String(), NextModelIn: time.Duration(reader.Uint()), Age: time.Duration(reader.Uint()),
 			Running: int(reader.Uint()), Queued: int(reader.Uint()), KVUsed: int(reader.Uint()),
 		}
 		for range reader.Count() {
-			model := HeldModel{Name: reader.String()}
+			model := LoadedModel{Name: reader.String()}
 			for range reader.Count() {
 				model.Adapters = append(model.Adapters, reader.String())
 			}
--- a/internal/courier/holdings_bench_test.go
+++ b/internal/courier/holdings_bench_test.go
@@ -11,12 +11,12 @@
 )
 
 // holdingsOf returns holdings of the given number of engines, each with two models of two adapters.
-func holdingsOf(engines int) courier.Holdings {
-	holdings := courier.Holdings{Revision: 1<<32 + 1}
+func holdingsOf(engines int) courier.EngineStates {
+	holdings := courier.EngineStates{Revision: 1<<32 + 1}
 	for i := range engines {
-		holdings.Engines = append(holdings.Engines, courier.Holding{
+		holdings.Engines = append(holdings.Engines, courier.EngineState{
 			Name: fmt.Sprintf("i-%010x", i), Age: 100 * time.Millisecond, Running: 9, Queued: 1, KVUsed: 40_000,
-			Models: []courier.HeldModel{
+			Models: []courier.LoadedModel{
 				{Name: fmt.Sprintf("model%05d", i), Adapters: []string{"a1", "a2"}},
 				{Name: fmt.Sprintf("model%05d", i+1), Adapters: []string{"a3", "a4"}},
 			},
--- a/internal/courier/holdings_test.go
+++ b/internal/courier/holdings_test.go
@@ -10,15 +10,15 @@
 )
 
 var _ = Describe("Holdings", func() {
-	holdings := courier.Holdings{Revision: 7<<32 + 3, Engines: []courier.Holding{
-		{Name: "e1", Age: 120 * time.Millisecond, Running: 3, Queued: 1, KVUsed: 4100, Models: []courier.HeldModel{
+	holdings := courier.EngineStates{Revision: 7<<32 + 3, Engines: []courier.EngineState{
+		{Name: "e1", Age: 120 * time.Millisecond, Running: 3, Queued: 1, KVUsed: 4100, Models: []courier.LoadedModel{
 			{Name: "a", Adapters: []string{"a1", "a2"}}, {Name: "b"},
 		}},
 		{Name: "e2"},
 	}}
 
 	It("are unchanged by encoding and decoding", func() {
-		decoded, err := courier.DecodeHoldings(holdings.Encode())
+		decoded, err := courier.DecodeEngineStates(holdings.Encode())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decoded).To(Equal(holdings))
 	})
@@ -26,7 +26,7 @@
 	It("are rejected wherever they are truncated", func() {
 		data := holdings.Encode()
 		for length := range data {
-			_, err := courier.DecodeHoldings(data[:length])
+			_, err := courier.DecodeEngineStates(data[:length])
 			Expect(err).To(HaveOccurred(), "cut after %d bytes", length)
 		}
 	})
--- a/internal/courier/roster_bench_test.go
+++ b/internal/courier/roster_bench_test.go
@@ -30,7 +30,7 @@
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	sender := roster.New(roster.Options{Self: "voter", Incarnation: 1, Lease: 3 * time.Second})
 	receiver := roster.New(roster.Options{Self: "instance", Incarnation: 1, Lease: 3 * time.Second})
-	var receiverSource, senderSource roster.Source
+	var receiverSource, senderSource roster.PullState
 	renewAll(b, sender, &senderSource, now, 1, upstreams, instances)
 	receiver.Merge(now, &receiverSource, sender.Since(now, receiverSource.Cursor(false)))
 
@@ -69,7 +69,7 @@
 }
 
 // renewAll makes every upstream announce itself to target, and merges a renewal of every instance.
-func renewAll(b *testing.B, target *roster.Roster, source *roster.Source, now time.Time, sequence uint64, upstreams, instances int) {
+func renewAll(b *testing.B, target *roster.Roster, source *roster.PullState, now time.Time, sequence uint64, upstreams, instances int) {
 	for n := range upstreams {
 		err := target.Announce(now.Add(-time.Duration(n%100)*time.Millisecond), upstreamapi.Announcement{
 			Name:          fmt.Sprintf("engine-%04d", n),
--- a/internal/declaration/capacity.go
+++ b/internal/declaration/capacity.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		accelerators := float64(layout.Accelerators)
-		candidate := footprint{copy: accelerators * float64(layout.Memory+model.KVSpace), adapters: accelerators * adapterMemory}
+		candidate := footprint{copy: accelerators * float64(layout.Memory+model.KVCacheMemory), adapters: accelerators * adapterMemory}
 		if !found || candidate.copy+candidate.adapters < smallest.copy+smallest.adapters {
 			smallest, found = candidate, true
 		}
@@ -76,7 +76,7 @@
 // for a copy in the layout.
 func fits(model Model, layout Layout, classes []AcceleratorClass) bool {
 	for _, class := range classes {
-		if layout.Memory+model.KVSpace <= class.Memory && layout.Accelerators <= class.Count {
+		if layout.Memory+model.KVCacheMemory <= class.Memory && layout.Accelerators <= class.Count {
 			return true
 		}
 	}
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -39,14 +39,14 @@
 type Removed struct{ Item Item }
 
 // Altered is an item that both Sets have with different fields.
-type Altered struct {
+type Modified struct {
 	Before Item
 	After  Item
 }
 
-func (Added) isChange()   {}
-func (Removed) isChange() {}
-func (Altered) isChange() {}
+func (Added) isChange()    {}
+func (Removed) isChange()  {}
+func (Modified) isChange() {}
 
 // String returns "add" and the item's title.
 func (a Added) String() string { return "add " + a.Item.Title() }
@@ -55,7 +55,7 @@
 func (r Removed) String() string { return "remove " + r.Item.Title() }
 
 // String returns "change" and the item's title.
-func (a Altered) String() string { return "change " + a.After.Title() }
+func (a Modified) String() string { return "change " + a.After.Title() }
 
 // Fields returns all fields of the item, with their values in After.
 func (a Added) Fields() []FieldChange {
@@ -76,7 +76,7 @@
 }
 
 // Fields returns the fields that differ.
-func (a Altered) Fields() []FieldChange {
+func (a Modified) Fields() []FieldChange {
 	after := a.After.fields()
 	changes := make([]FieldChange, 0)
 	for i, f := range a.Before.fields() {
@@ -130,8 +130,8 @@
 			changes = append(changes, Added{Item: afterItem})
 		case !inAfter:
 			changes = append(changes, Removed{Item: beforeItem})
-		case len(Altered{Before: beforeItem, After: afterItem}.Fields()) > 0:
-			changes = append(changes, Altered{Before: beforeItem, After: afterItem})
+		case len(Modified{Before: beforeItem, After: afterItem}.Fields()) > 0:
+			changes = append(changes, Modified{Before: beforeItem, After: afterItem})
 		default:
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 	return []field{
 		{"layouts", strings.Join(layouts, ", ")},
-		{"kv-space", m.KVSpace.exactString()},
+		{"kv-space", m.KVCacheMemory.exactString()},
 		{"versions", strings.Join(versions, ", ")},
 		{"version", m.Version},
 	}
@@ -225,7 +225,7 @@
 		moveWeight = fmt.Sprint(p.WeightOfMoves)
 	}
 	return []field{
-		{"first", fmt.Sprint(p.First)},
+		{"first", fmt.Sprint(p.Initial)},
 		{"copies", fmt.Sprint(p.Copies)},
 		{"floors", strings.Join(floors, ", ")},
 		{"reserve-percent", fmt.Sprint(p.ReservePercent)},
--- a/internal/declaration/presets.go
+++ b/internal/declaration/presets.go
@@ -17,7 +17,7 @@
 	for i, preset := range v.content.Presets {
 		path := elementPath("presets", i)
 		v.checkPreset(path, preset)
-		if !preset.First {
+		if !preset.Initial {
 			continue
 		}
 		if initialPath != "" {
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -93,7 +93,7 @@
 	for _, table := range root.Tables("preset") {
 		c.Presets = append(c.Presets, r.readPreset(table, nextElementPath("presets", c.Presets)))
 	}
-	root.Done()
+	root.ReportUnknownKeys()
 	return nil
 }
 
@@ -110,7 +110,7 @@
 // finishTable adds findings for the unknown keys of table, and records the places
 // of keys and the keys with invalid values in the source map under path.
 func (r *folderReader) finishTable(table *form.Reader, path string, keys ...string) {
-	table.Done()
+	table.ReportUnknownKeys()
 	r.sources.places[path] = table.Place("")
 	for _, key := range keys {
 		if table.Has(key) {
@@ -185,9 +185,9 @@
 
 func (r *folderReader) readModel(table *form.Reader, path string) Model {
 	m := Model{
-		Name:    table.Text("name", ""),
-		KVSpace: readSize(table, "kv-space"),
-		Version: table.Text("version", ""),
+		Name:          table.Text("name", ""),
+		KVCacheMemory: readSize(table, "kv-space"),
+		Version:       table.Text("version", ""),
 	}
 	for i, layout := range table.Tables("layouts") {
 		m.Layouts = append(m.Layouts, Layout{
@@ -222,7 +222,7 @@
 func (r *folderReader) readPreset(table *form.Reader, path string) Preset {
 	p := Preset{
 		Name:                   table.Text("name", ""),
-		First:                  table.Bool("first", false),
+		Initial:                table.Bool("first", false),
 		Copies:                 readCount(table, "copies", 1),
 		ReservePercent:         readCount(table, "reserve-percent", 0),
 		TolerateEngines:        readCount(table, "tolerate-engines", 1),
--- a/internal/declaration/read_test.go
+++ b/internal/declaration/read_test.go
@@ -100,19 +100,19 @@
 		Expect(adapter.Memory).To(Equal(declaration.Bytes(200 << 20)))
 		_, ok = set.Model("base-kgn")
 		Expect(ok).To(BeFalse())
-		Expect(set.FirstPreset().Name).To(Equal("ordinary"))
+		Expect(set.InitialPreset().Name).To(Equal("ordinary"))
 		peak, ok := set.Preset("peak")
 		Expect(ok).To(BeTrue())
 		Expect(peak.Floor("base")).To(Equal(declaration.Floor{Model: "base", Copies: 1, FailureDomains: 1}))
-		Expect(set.FirstPreset().Floor("base").Copies).To(Equal(2))
-		Expect(set.FirstPreset().Share("drafts")).To(Equal(2.5))
-		Expect(set.FirstPreset().Share("bookings")).To(Equal(1.0))
+		Expect(set.InitialPreset().Floor("base").Copies).To(Equal(2))
+		Expect(set.InitialPreset().Share("drafts")).To(Equal(2.5))
+		Expect(set.InitialPreset().Share("bookings")).To(Equal(1.0))
 	})
 
 	It("finds the first service that uses a model or an adapter", func() {
 		set := mustRead("a.toml", validDeclarations, "b.toml", "[[service]]\nname = \"answers\"\nkind = \"model-backed\"\nmodels = [\"base\"]\n")
 		for target, want := range map[string]string{"base": "answers", "base-kgn": "drafts", "bookings": "", "": ""} {
-			service, ok := set.ServiceOf(target)
+			service, ok := set.FirstServiceUsing(target)
 			Expect(service.Name).To(Equal(want), target)
 			Expect(ok).To(Equal(want != ""), target)
 		}
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -104,7 +104,7 @@
 
 // ServiceOf returns the first service, by name, that uses the model or adapter
 // called target, if there is one.
-func (s Set) ServiceOf(target string) (Service, bool) {
+func (s Set) FirstServiceUsing(target string) (Service, bool) {
 	return lookup(s.content.Services, s.targetServiceIndex, target)
 }
 
@@ -126,9 +126,9 @@
 
 // FirstPreset returns the preset that is in force until an operator selects one.
 // It is empty only for the zero Set.
-func (s Set) FirstPreset() Preset {
+func (s Set) InitialPreset() Preset {
 	for _, preset := range s.content.Presets {
-		if preset.First {
+		if preset.Initial {
 			return preset
 		}
 	}
@@ -140,7 +140,7 @@
 func (s Set) PresetNames() []string {
 	names := make([]string, 0, len(s.content.Presets))
 	for _, preset := range s.content.Presets {
-		if preset.First {
+		if preset.Initial {
 			names = slices.Insert(names, 0, preset.Name)
 			continue
 		}
--- a/internal/declaration/types.go
+++ b/internal/declaration/types.go
@@ -198,7 +198,7 @@
 	Layouts []Layout `json:"layouts"`
 	// KVSpace is the memory that the KV cache of a copy needs on each of its
 	// accelerators.
-	KVSpace Bytes `json:"kv-space-bytes"`
+	KVCacheMemory Bytes `json:"kv-space-bytes"`
 	// Versions has at least one version. Their names are unique.
 	Versions []Version `json:"versions"`
 	// Version is the name of the version in Versions that engines must run.
@@ -241,7 +241,7 @@
 	Name string `json:"name"`
 	// First marks the preset that is in force until an operator selects one.
 	// Exactly one preset of a Set has it.
-	First bool `json:"first"`
+	Initial bool `json:"first"`
 	// Copies is the minimum of copies, at least 1, of models without an entry in
 	// Floors.
 	Copies int `json:"copies"`
--- a/internal/declaration/validate.go
+++ b/internal/declaration/validate.go
@@ -282,7 +282,7 @@
 }
 
 func (v *validator) checkModel(path string, model Model) {
-	v.checkMemory(path, "kv-space", model.KVSpace, 0)
+	v.checkMemory(path, "kv-space", model.KVCacheMemory, 0)
 	if len(model.Layouts) == 0 {
 		v.addMissingKey(path, "layouts", `[{ accelerators = 1, memory = "18 GiB" }]`)
 	}
--- a/internal/desk/active_requests.go
+++ b/internal/desk/active_requests.go
@@ -18,10 +18,10 @@
 // Each request in progress holds its body and one or two connections. Without the limit,
 // callers that reconnect after other instances fail could exhaust memory or file descriptors
 // here; the process would end and lose all requests in progress.
-func (s *Desk) limitActiveRequests(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) limitActiveRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		limit := s.options.Limits.Streams
-		if limit == 0 || s.Streams() <= limit || c.Path() == entriesPath {
+		limit := s.options.Limits.MaxActiveRequests
+		if limit == 0 || s.ActiveRequests() <= limit || c.Path() == entriesPath {
 			return next(c)
 		}
 		refusal := &RefusalError{
@@ -31,9 +31,9 @@
 			Outcome:    outcome.NotRun,
 			RetryAfter: defaultRetryAfter,
 		}
-		for _, entry := range s.options.Instance.Entries(s.options.Now(), callerOf(c)).List {
+		for _, entry := range s.options.Instance.Entries(s.options.Now(), callerOf(c)).Instances {
 			if entry.Name != s.options.Name {
-				refusal.Others = append(refusal.Others, entry.Address)
+				refusal.OtherAddresses = append(refusal.OtherAddresses, entry.Address)
 			}
 		}
 		return refusal
--- a/internal/desk/admit.go
+++ b/internal/desk/admit.go
@@ -25,22 +25,22 @@
 // admit admits or refuses a request before any of it is sent to an upstream. It reads all
 // parameters of the request from one configuration snapshot, so that a change of the preset
 // cannot mix old and new values.
-func (s *Desk) admit(service, model string) (admittedRequest, *RefusalError) {
+func (s *Server) admit(service, model string) (admittedRequest, *RefusalError) {
 	now := s.options.Now()
-	if refusal := s.options.Instance.Admits(now); refusal != nil {
+	if refusal := s.options.Instance.CheckAdmission(now); refusal != nil {
 		return admittedRequest{}, refusal
 	}
-	configuration := s.options.Instance.Issue()
+	configuration := s.options.Instance.Configuration()
 	a := admittedRequest{service: service, arrivedAt: now}
 	if service != "" {
 		a.declared, _ = configuration.Declarations.Service(service)
 	} else {
-		a.declared, _ = configuration.Declarations.ServiceOf(model)
+		a.declared, _ = configuration.Declarations.FirstServiceUsing(model)
 		a.service = a.declared.Name
 	}
 	a.goal = a.declared.Goal
 	if model != "" {
-		a.goal = a.goal.WithDefaults(s.options.Limits.Goal)
+		a.goal = a.goal.WithDefaults(s.options.Limits.DefaultGoal)
 	}
 	if a.declared.Name == "" {
 		// Priority 0 is the highest. Only declared services may have it.
@@ -49,7 +49,7 @@
 	a.weight = configuration.Preset.Share(a.declared.Name)
 	deadline := a.goal.Deadline
 	if deadline == 0 {
-		deadline = s.options.Limits.Deadline
+		deadline = s.options.Limits.DefaultDeadline
 	}
 	a.deadline = now.Add(deadline)
 	return a, nil
--- a/internal/desk/attempts.go
+++ b/internal/desk/attempts.go
@@ -37,7 +37,7 @@
 
 // serveUnclaimed proxies a task that needs no idempotency claim: either it may run twice, or it
 // has no key. It returns an error only if nothing of a response has been sent to the caller.
-func (s *Desk) serveUnclaimed(c echo.Context, task task) error {
+func (s *Server) serveUnclaimed(c echo.Context, task task) error {
 	ctx, cancel := s.attemptContext(c.Request().Context(), task)
 	defer cancel()
 	proxied, err := s.tryUpstreams(ctx, task)
@@ -51,7 +51,7 @@
 
 // proxiedResponse is an upstream's response that is being relayed to the caller.
 type proxiedResponse struct {
-	response *shuttle.Answer
+	response *shuttle.Response
 	slot     *slot
 	evidence crashEvidence
 }
@@ -59,7 +59,7 @@
 // tryUpstreams sends a task to one upstream after another until one responds or no retry is
 // allowed. Its error covers all attempts: an attempt that may have run the request takes
 // precedence over later ones that did not.
-func (s *Desk) tryUpstreams(ctx context.Context, task task) (proxiedResponse, error) {
+func (s *Server) tryUpstreams(ctx context.Context, task task) (proxiedResponse, error) {
 	arrival := s.newArrival(task)
 	task.request.Header = task.request.Header.Clone()
 	task.request.Header.Del(upstreamapi.PrefixHeader)
@@ -74,7 +74,7 @@
 			s.logRefusal(task, attempt, err)
 			return proxiedResponse{}, worseOutcome(reported, err)
 		}
-		if s.options.Coroner.Holds(task.digest) {
+		if s.options.CrashDetector.IsQuarantined(task.digest) {
 			slot.release(dispatch.FailureCanceled)
 			return proxiedResponse{}, worseOutcome(reported, s.quarantineRefusal(task))
 		}
@@ -99,7 +99,7 @@
 // attemptContext returns a context for all attempts at a task, which expires at the task's
 // deadline. A non-idempotent request continues after its caller disconnects: canceling it would
 // leave its outcome unknown, and the caller can retrieve the response later.
-func (s *Desk) attemptContext(ctx context.Context, task task) (context.Context, context.CancelFunc) {
+func (s *Server) attemptContext(ctx context.Context, task task) (context.Context, context.CancelFunc) {
 	if !task.request.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -108,15 +108,15 @@
 
 // sendAttempt sends a task to the upstream of a slot. It prefetches the response unless that is
 // an event stream.
-func (s *Desk) sendAttempt(ctx context.Context, number int, task task, slot *slot) (*shuttle.Answer, error) {
+func (s *Server) sendAttempt(ctx context.Context, number int, task task, slot *slot) (*shuttle.Response, error) {
 	request := task.request
 	request.ID = fmt.Sprintf("%s-%d", task.id, number)
 	request.Remaining = task.deadline.Sub(s.options.Now())
-	request.AskAfter = s.router.supportsRequestStatus(slot.decision.Chosen.Name)
+	request.SupportsStatusQuery = s.router.supportsRequestStatus(slot.decision.Chosen.Name)
 	request.Header = request.Header.Clone()
 	request.Header.Set(retry.AttemptHeader, strconv.Itoa(number))
 	sentAt := s.options.Now()
-	response, err := s.options.Shuttle.Send(ctx, slot.decision.Chosen.Address, request)
+	response, err := s.options.Proxy.Send(ctx, slot.decision.Chosen.Address, request)
 	s.router.observeLimit(sentAt, slot.decision.Chosen.Name, response, err)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 
 // relayResponse streams an upstream's response to the caller. If it cannot relay the response in
 // full, it panics with http.ErrAbortHandler to abort the connection.
-func (s *Desk) relayResponse(c echo.Context, task task, proxied proxiedResponse) error {
+func (s *Server) relayResponse(c echo.Context, task task, proxied proxiedResponse) error {
 	response := proxied.response
 	c.Response().Header().Set(outcome.Header, outcome.Ran.String())
 	if isEventStream(response) {
@@ -144,8 +144,8 @@
 		// no event could then be added to report that.
 		response.Header.Del("Content-Length")
 	}
-	shuttle.Head(c.Response(), response)
-	err := shuttle.Stream(c.Response(), response, task.needsDoneEvent && isEventStream(response))
+	shuttle.WriteHeader(c.Response(), response)
+	err := shuttle.StreamBody(c.Response(), response, task.needsDoneEvent && isEventStream(response))
 	proxied.slot.release(relayFailure(response.Status, err))
 	s.reportRelay(proxied.evidence, response.Status, err)
 	if err == nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-func isEventStream(response *shuttle.Answer) bool {
+func isEventStream(response *shuttle.Response) bool {
 	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	return err == nil && mediaType == "text/event-stream"
 }
@@ -185,7 +185,7 @@
 const defaultRetryAfter = 2 * time.Second
 
 // finalRefusal returns the refusal to send for a task that failed with err.
-func (s *Desk) finalRefusal(task task, err error) *RefusalError {
+func (s *Server) finalRefusal(task task, err error) *RefusalError {
 	var existing *RefusalError
 	switch {
 	case errors.Is(err, errNoCandidate):
@@ -223,7 +223,7 @@
 	return refusal
 }
 
-func (s *Desk) unknownTargetRefusal(task task) *RefusalError {
+func (s *Server) unknownTargetRefusal(task task) *RefusalError {
 	refusal := &RefusalError{
 		Status:  http.StatusNotFound,
 		Code:    CodeUnknownModel,
--- a/internal/desk/body.go
+++ b/internal/desk/body.go
@@ -14,8 +14,8 @@
 )
 
 // readBody reads the full request body. If it fails, nothing has been sent to an upstream.
-func (s *Desk) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.Limits.BodyBytes))
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.Limits.MaxBodyBytes))
 	if err == nil {
 		return body, nil
 	}
--- a/internal/desk/claims.go
+++ b/internal/desk/claims.go
@@ -48,7 +48,7 @@
 	attempt uint32
 }
 
-func (s *Desk) newClaim(task task, key string) claim {
+func (s *Server) newClaim(task task, key string) claim {
 	request := task.request
 	return claim{
 		task:        task,
@@ -65,7 +65,7 @@
 // serveClaimed serves a request that must not run twice. The claim is committed before the
 // first byte is sent to an upstream. Any other instance that receives the same key, now or
 // after a restart, therefore replays the recorded response and never runs the request again.
-func (s *Desk) serveClaimed(c echo.Context, task task, key string) error {
+func (s *Server) serveClaimed(c echo.Context, task task, key string) error {
 	claim := s.newClaim(task, key)
 	waitDeadline := s.options.Now().Add(s.options.Limits.InProgressWait)
 	for {
@@ -92,7 +92,7 @@
 
 // proposeClaim proposes the claim to the voters. If it gets no answer, the request is not sent,
 // and the claim is withdrawn because it may still be granted.
-func (s *Desk) proposeClaim(ctx context.Context, claim claim) (docket.Answer, error) {
+func (s *Server) proposeClaim(ctx context.Context, claim claim) (docket.Answer, error) {
 	now := s.options.Now()
 	ctx, cancel := context.WithTimeout(ctx, min(claimTimeout, claim.task.deadline.Sub(now)))
 	defer cancel()
@@ -121,7 +121,7 @@
 // sendClaimed sends a request whose claim was granted, and records the outcome in the
 // background. The caller does not wait for the record; a resend in the meantime waits, as the
 // claim is still in progress.
-func (s *Desk) sendClaimed(c echo.Context, claim claim) error {
+func (s *Server) sendClaimed(c echo.Context, claim claim) error {
 	ctx, cancel := s.attemptContext(c.Request().Context(), claim.task)
 	defer cancel()
 	proxied, err := s.tryUpstreams(ctx, claim.task)
@@ -137,7 +137,7 @@
 
 // record proposes the outcome of a claimed request to the voters. If that fails, the outcome
 // becomes unknown when the claim times out, which is still correct.
-func (s *Desk) record(claim claim, state docket.State, response *docket.Response) {
+func (s *Server) record(claim claim, state docket.State, response *docket.Response) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	result, err := s.options.Instance.Propose(ctx, docket.Record{
@@ -171,9 +171,9 @@
 
 // recordableResponse returns the response to record. It returns nil for a response that was not
 // prefetched in full, such as an event stream, and for one that is too large.
-func (s *Desk) recordableResponse(response *shuttle.Answer) *docket.Response {
-	body, whole := response.Whole()
-	if !whole || int64(len(body)) > s.options.Limits.RecordedBytes {
+func (s *Server) recordableResponse(response *shuttle.Response) *docket.Response {
+	body, whole := response.PrefetchedBody()
+	if !whole || int64(len(body)) > s.options.Limits.MaxRecordedBytes {
 		return nil
 	}
 	recorded := &docket.Response{Status: response.Status, Body: body}
@@ -187,7 +187,7 @@
 
 // awaitInProgress waits while another claimant holds the key. It returns nil when the state of
 // the record has changed, and a refusal at the deadline.
-func (s *Desk) awaitInProgress(ctx context.Context, claim claim, deadline time.Time) *RefusalError {
+func (s *Server) awaitInProgress(ctx context.Context, claim claim, deadline time.Time) *RefusalError {
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(s.options.Now()))
 	defer cancel()
 	for {
@@ -283,7 +283,7 @@
 
 // handleRequestStatus handles GET /v1/requests/{key}?service=NAME. A caller that lost a
 // response can retrieve it here without sending the request again.
-func (s *Desk) handleRequestStatus(c echo.Context) error {
+func (s *Server) handleRequestStatus(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), claimTimeout)
 	defer cancel()
 	key := docket.KeyOf(c.QueryParam("service"), c.Param("key"))
@@ -297,7 +297,7 @@
 			RetryAfter: defaultRetryAfter,
 		}
 	}
-	if answer.Verdict == docket.VerdictNone {
+	if answer.Verdict == docket.VerdictNotFound {
 		return &RefusalError{
 			Status:  http.StatusNotFound,
 			Code:    CodeNotFound,
--- a/internal/desk/completions.go
+++ b/internal/desk/completions.go
@@ -12,7 +12,7 @@
 )
 
 // handleCompletion handles POST /v1/chat/completions and POST /v1/completions.
-func (s *Desk) handleCompletion(c echo.Context) error {
+func (s *Server) handleCompletion(c echo.Context) error {
 	r := c.Request()
 	body, err := s.readBody(c.Response(), r)
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // handleServiceCall handles calls of plain services, /services/{name}/….
-func (s *Desk) handleServiceCall(c echo.Context) error {
+func (s *Server) handleServiceCall(c echo.Context) error {
 	r := c.Request()
 	body, err := s.readBody(c.Response(), r)
 	if err != nil {
@@ -82,8 +82,8 @@
 
 // serveTask serves a task, at most once if it has an idempotency key and must not run twice. It
 // refuses a quarantined request.
-func (s *Desk) serveTask(c echo.Context, task task) error {
-	if s.options.Coroner.Holds(task.digest) {
+func (s *Server) serveTask(c echo.Context, task task) error {
+	if s.options.CrashDetector.IsQuarantined(task.digest) {
 		return s.quarantineRefusal(task)
 	}
 	key := c.Request().Header.Get(KeyHeader)
--- a/internal/desk/crashes.go
+++ b/internal/desk/crashes.go
@@ -20,57 +20,57 @@
 }
 
 // placeOf returns the upstream process that a slot belongs to.
-func (s *Desk) placeOf(slot *slot) quarantine.Place {
+func (s *Server) placeOf(slot *slot) quarantine.Endpoint {
 	chosen := &slot.decision.Chosen
 	lifetime := quarantine.Lifetime{Upstream: chosen.Name}
 	if known, found := s.options.Instance.Upstream(chosen.Name); found {
 		lifetime.Incarnation = known.Announcement.Incarnation
 	}
-	return quarantine.Place{Lifetime: lifetime, Address: chosen.Address}
+	return quarantine.Endpoint{Lifetime: lifetime, Address: chosen.Address}
 }
 
 // crashEvidence identifies an attempt for crash attribution.
 type crashEvidence struct {
-	place   quarantine.Place
+	place   quarantine.Endpoint
 	suspect quarantine.Suspect
 }
 
-func (s *Desk) newCrashEvidence(task task, slot *slot) crashEvidence {
+func (s *Server) newCrashEvidence(task task, slot *slot) crashEvidence {
 	return crashEvidence{place: s.placeOf(slot), suspect: quarantine.Suspect{Digest: task.digest, Request: task.id}}
 }
 
 // reportFailedAttempt reports an attempt that got no response to crash attribution.
-func (s *Desk) reportFailedAttempt(ctx context.Context, evidence crashEvidence, err error) {
+func (s *Server) reportFailedAttempt(ctx context.Context, evidence crashEvidence, err error) {
 	var failure *shuttle.Error
 	switch {
 	case !errors.As(err, &failure) || failure.Refused:
 	case failure.Outcome == outcome.NotRun:
-		s.options.Coroner.Failed(evidence.place, err)
+		s.options.CrashDetector.ConnectionFailed(evidence.place, err)
 	case errors.Is(ctx.Err(), context.Canceled):
-		s.options.Coroner.Left(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Abandoned(evidence.place, evidence.suspect)
 	default:
-		evidence.suspect.Answering = errors.Is(err, shuttle.ErrCutOff)
-		s.options.Coroner.Broke(evidence.place, evidence.suspect)
+		evidence.suspect.Answering = errors.Is(err, shuttle.ErrTruncated)
+		s.options.CrashDetector.Interrupted(evidence.place, evidence.suspect)
 	}
 }
 
 // reportRelay reports the result of relaying a response to crash attribution.
-func (s *Desk) reportRelay(evidence crashEvidence, status int, err error) {
+func (s *Server) reportRelay(evidence crashEvidence, status int, err error) {
 	var cutOff *shuttle.Error
 	switch {
 	case err == nil:
-		s.options.Coroner.Succeeded(evidence.suspect.Digest, status)
+		s.options.CrashDetector.Succeeded(evidence.suspect.Digest, status)
 	case errors.As(err, &cutOff):
 		evidence.suspect.Answering = true
-		s.options.Coroner.Broke(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Interrupted(evidence.place, evidence.suspect)
 	default:
-		s.options.Coroner.Left(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Abandoned(evidence.place, evidence.suspect)
 	}
 }
 
 // quarantineRefusal returns the refusal of a quarantined request, and logs it. Nothing of the
 // request has been sent.
-func (s *Desk) quarantineRefusal(task task) *RefusalError {
+func (s *Server) quarantineRefusal(task task) *RefusalError {
 	s.options.Log.Info().Str("request", task.id).Stringer(quarantine.FieldDigest, task.digest).Msg("quarantined request refused")
 	return &RefusalError{
 		Status:  http.StatusUnprocessableEntity,
--- a/internal/desk/crashes_test.go
+++ b/internal/desk/crashes_test.go
@@ -33,7 +33,7 @@
 	It("is refused by all instances once three have ended, and others are served",
 		SpecTimeout(specTimeout), func(ctx SpecContext) {
 			cluster := newFakeVoters()
-			bulletin := quarantine.NewBulletin(quarantine.Limits{})
+			bulletin := quarantine.NewPublisher(quarantine.Limits{})
 			servers := []*testServer{newTestServer(cluster, "a"), newTestServer(cluster, "b"), newTestServer(cluster, "c")}
 			engines := []*fakeUpstream{}
 			addresses := []string{}
@@ -44,10 +44,10 @@
 			}
 			syncQuarantine := func() {
 				cluster.mu.Lock()
-				news := bulletin.News(time.Now(), cluster.registry.Crashes())
+				news := bulletin.News(time.Now(), cluster.registry.CrashRecords())
 				cluster.mu.Unlock()
 				for _, server := range servers {
-					server.crashDetector.Follow(news)
+					server.crashDetector.ApplyNews(news)
 				}
 			}
 			crashCount := func() (count int) {
@@ -69,11 +69,11 @@
 			}
 			Eventually(ctx, func() int {
 				syncQuarantine()
-				return len(bulletin.News(time.Now(), cluster.registry.Crashes()).Quarantined)
+				return len(bulletin.News(time.Now(), cluster.registry.CrashRecords()).Quarantined)
 			}).Should(Equal(1))
 			Eventually(ctx, func() bool {
 				syncQuarantine()
-				return servers[0].crashDetector.Holds(quarantine.Identity{
+				return servers[0].crashDetector.IsQuarantined(quarantine.Identity{
 					Method: http.MethodPost, Target: "/v1/completions", Body: []byte(crashing),
 				}.Digest())
 			}).Should(BeTrue())
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -29,12 +29,12 @@
 type Instance interface {
 	// Admits returns nil if the instance accepts new requests. It returns a refusal while the
 	// instance is draining or cannot confirm its configuration.
-	Admits(now time.Time) *RefusalError
+	CheckAdmission(now time.Time) *RefusalError
 	// Entries returns the addresses that the named caller may connect to, the preferred one
 	// first.
 	Entries(now time.Time, caller string) Entries
 	// Issue returns the configuration in force. Each request reads it once and uses no other.
-	Issue() *gazette.Issue
+	Configuration() *gazette.Configuration
 	// Propose and Lookup behave like the methods of chamber.Chamber.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
 	Lookup(ctx context.Context, key docket.Key) (docket.Answer, error)
@@ -48,9 +48,9 @@
 
 // Entries is a list of addresses for a caller.
 type Entries struct {
-	List []Entry
+	Instances []Entry
 	// Keep is how long a caller may use List before it must request a new one.
-	Keep time.Duration
+	TTL time.Duration
 }
 
 // Entry is an instance that callers may connect to.
@@ -63,21 +63,21 @@
 // Limits bounds requests and the resources that each of them may use.
 type Limits struct {
 	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64
+	MaxBodyBytes int64
 	// MaxPrefetchBytes is the maximum size of a response that is read in full before any of it
 	// is sent to the caller. Larger responses and event streams are relayed as they arrive.
 	MaxPrefetchBytes int64
 	// Deadline is the time limit of a request whose service sets none.
-	Deadline time.Duration
+	DefaultDeadline time.Duration
 	// Goal is the latency goal of completions whose service sets none. It does not apply to
 	// calls of plain services, as the first byte of their responses is not a token; they have a
 	// goal only if their service declares one.
-	Goal declaration.Goal
+	DefaultGoal declaration.Goal
 	// Streams is the maximum number of concurrent requests. 0 means no limit.
-	Streams int
+	MaxActiveRequests int
 	// QueueLength is the maximum number of requests in the queue of one model or service. 0
 	// means the default of package admission.
-	QueueLength int
+	MaxQueueLength int
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	// InProgressWait is how long a request waits for another one with the same idempotency key
@@ -86,17 +86,17 @@
 	// RecordedBytes is the maximum size of a response body in an idempotency record. A larger
 	// body would be replicated through the log of every voter, only for the docket to discard
 	// it.
-	RecordedBytes int64
+	MaxRecordedBytes int64
 }
 
 // DefaultLimits has the values for limits that Options.Limits leaves at zero.
 var DefaultLimits = Limits{
-	BodyBytes:        8 << 20,
+	MaxBodyBytes:     8 << 20,
 	MaxPrefetchBytes: 8 << 20,
-	Deadline:         2 * time.Minute,
+	DefaultDeadline:  2 * time.Minute,
 	MaxAttempts:      3,
 	InProgressWait:   5 * time.Second,
-	RecordedBytes:    int64(docket.DefaultLimits().MaxBodyBytes),
+	MaxRecordedBytes: int64(docket.DefaultLimits().MaxBodyBytes),
 }
 
 // Options configures a Desk.
@@ -105,9 +105,9 @@
 	// Name and Incarnation identify the instance.
 	Name        string
 	Incarnation uint64
-	Shuttle     *shuttle.Shuttle
+	Proxy       *shuttle.Proxy
 	// Coroner attributes crashes of upstreams to requests.
-	Coroner *coroner.Coroner
+	CrashDetector *coroner.CrashDetector
 	// FailureDomain is the failure domain of the instance. RemoteDelay is the one-way network
 	// delay to another failure domain.
 	FailureDomain string
@@ -125,7 +125,7 @@
 }
 
 // Desk is the HTTP handler for callers. It is safe for concurrent use.
-type Desk struct {
+type Server struct {
 	options        Options
 	echo           *echo.Echo
 	activeRequests atomic.Int64
@@ -138,9 +138,9 @@
 }
 
 // New returns a Desk.
-func New(options Options) *Desk {
+func New(options Options) *Server {
 	options.Limits = withDefaults(options.Limits)
-	s := &Desk{
+	s := &Server{
 		options: options,
 		echo:    echo.New(),
 		metrics: newMetrics(options.Metrics),
@@ -160,42 +160,42 @@
 }
 
 // ServeHTTP handles a caller's request.
-func (s *Desk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.metrics.setActiveRequests(s.activeRequests.Add(1))
 	defer func() { s.metrics.setActiveRequests(s.activeRequests.Add(-1)) }()
 	s.echo.ServeHTTP(w, r)
 }
 
 // Update applies changed upstream states.
-func (s *Desk) Update(upstreams []roster.Upstream) {
+func (s *Server) UpdateUpstreams(upstreams []roster.Upstream) {
 	s.router.update(upstreams)
 }
 
 // Cached applies events of an engine's prefix cache.
-func (s *Desk) Cached(now time.Time, events upstreamapi.CacheEvents) {
+func (s *Server) ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents) {
 	s.router.applyCacheEvents(now, events)
 }
 
 // Wait blocks until all background records are written. It must not be called while requests
 // are in progress.
-func (s *Desk) Wait() {
+func (s *Server) Wait() {
 	s.pendingRecords.Wait()
 }
 
 // Streams returns the number of requests in progress.
-func (s *Desk) Streams() int {
+func (s *Server) ActiveRequests() int {
 	return int(s.activeRequests.Load())
 }
 
 func withDefaults(limits Limits) Limits {
-	if limits.BodyBytes == 0 {
-		limits.BodyBytes = DefaultLimits.BodyBytes
+	if limits.MaxBodyBytes == 0 {
+		limits.MaxBodyBytes = DefaultLimits.MaxBodyBytes
 	}
 	if limits.MaxPrefetchBytes == 0 {
 		limits.MaxPrefetchBytes = DefaultLimits.MaxPrefetchBytes
 	}
-	if limits.Deadline == 0 {
-		limits.Deadline = DefaultLimits.Deadline
+	if limits.DefaultDeadline == 0 {
+		limits.DefaultDeadline = DefaultLimits.DefaultDeadline
 	}
 	if limits.InProgressWait == 0 {
 		limits.InProgressWait = DefaultLimits.InProgressWait
@@ -203,8 +203,8 @@
 	if limits.MaxAttempts == 0 {
 		limits.MaxAttempts = DefaultLimits.MaxAttempts
 	}
-	if limits.RecordedBytes == 0 {
-		limits.RecordedBytes = DefaultLimits.RecordedBytes
+	if limits.MaxRecordedBytes == 0 {
+		limits.MaxRecordedBytes = DefaultLimits.MaxRecordedBytes
 	}
 	return limits
 }
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -103,8 +103,8 @@
 		upstream := newFakeUpstream(nil)
 		server.setUpstreams(upstream.address())
 		server.refusal = &desk.RefusalError{
-			Status: 503, Code: desk.CodeStale, Outcome: outcome.NotRun,
-			Others: []string{"127.0.0.1:7610", "127.0.0.1:7620"},
+			Status: 503, Code: desk.CodeConfigurationNotConfirmed, Outcome: outcome.NotRun,
+			OtherAddresses: []string{"127.0.0.1:7610", "127.0.0.1:7620"},
 		}
 		reply := complete(ctx, `{"model":"m"}`)
 		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
@@ -126,7 +126,7 @@
 			return response.StatusCode
 		}
 		Expect(list()).To(Equal(http.StatusOK))
-		server.refusal = &desk.RefusalError{Status: 503, Code: desk.CodeStale, Outcome: outcome.NotRun}
+		server.refusal = &desk.RefusalError{Status: 503, Code: desk.CodeConfigurationNotConfirmed, Outcome: outcome.NotRun}
 		Expect(list()).To(Equal(http.StatusServiceUnavailable))
 	})
 })
--- a/internal/desk/entries_bench_test.go
+++ b/internal/desk/entries_bench_test.go
@@ -31,15 +31,15 @@
 	for _, count := range []int{2, 4, 8} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
 			instance := &fixedEntriesInstance{fakeInstance: fakeInstance{gazette: gazette.New()}}
-			instance.entries.Keep = 5 * time.Second
+			instance.entries.TTL = 5 * time.Second
 			for n := range count {
-				instance.entries.List = append(instance.entries.List, desk.Entry{
+				instance.entries.Instances = append(instance.entries.Instances, desk.Entry{
 					Name: fmt.Sprintf("instance-%d", n), Address: "10.0.0.1:7600", FailureDomain: "domain",
 				})
 			}
 			detector := coroner.New(coroner.Options{Now: time.Now})
 			b.Cleanup(detector.Close)
-			server := desk.New(desk.Options{Coroner: detector, Instance: instance, Shuttle: shuttle.New(shuttle.Options{}), Now: time.Now, Log: zerolog.Nop()})
+			server := desk.New(desk.Options{CrashDetector: detector, Instance: instance, Proxy: shuttle.New(shuttle.Options{}), Now: time.Now, Log: zerolog.Nop()})
 			request := httptest.NewRequest(http.MethodGet, "/v1/entries", nil)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/desk/fakes_test.go
+++ b/internal/desk/fakes_test.go
@@ -92,7 +92,7 @@
 // fakeInstance implements desk.Instance.
 type fakeInstance struct {
 	cluster *fakeVoters
-	gazette *gazette.Gazette
+	gazette *gazette.Cache
 
 	// configurationReads counts calls of Issue.
 	configurationReads atomic.Int32
@@ -105,14 +105,14 @@
 	maxRunning int
 }
 
-func (f *fakeInstance) Admits(time.Time) *desk.RefusalError {
+func (f *fakeInstance) CheckAdmission(time.Time) *desk.RefusalError {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refusal
 }
 
 func (f *fakeInstance) Entries(time.Time, string) desk.Entries {
-	return desk.Entries{List: []desk.Entry{{Name: "a", Address: "127.0.0.1:1", FailureDomain: "d"}}, Keep: time.Second}
+	return desk.Entries{Instances: []desk.Entry{{Name: "a", Address: "127.0.0.1:1", FailureDomain: "d"}}, TTL: time.Second}
 }
 
 func (f *fakeInstance) Upstreams(time.Time) []roster.Upstream {
@@ -132,7 +132,7 @@
 	return roster.Upstream{}, false
 }
 
-func (f *fakeInstance) Issue() *gazette.Issue {
+func (f *fakeInstance) Configuration() *gazette.Configuration {
 	f.configurationReads.Add(1)
 	return f.gazette.Latest()
 }
@@ -142,7 +142,7 @@
 }
 
 func (f *fakeInstance) Lookup(_ context.Context, key docket.Key) (docket.Answer, error) {
-	return f.cluster.registry.Lookup(key), nil
+	return f.cluster.registry.LookupRequest(key), nil
 }
 
 // setUpstreams makes the upstreams at the given addresses serve the service "booking" and the
@@ -181,18 +181,18 @@
 	var changed []roster.Upstream
 	for _, upstream := range upstreams {
 		upstream.Announcement.Sequence = s.sequence
-		upstream.Heard = time.Now()
+		upstream.LastContact = time.Now()
 		upstream.Leaving = leaving
 		changed = append(changed, upstream)
 	}
-	s.api.Update(changed)
+	s.api.UpdateUpstreams(changed)
 }
 
 // testServer is a server that listens on a local port.
 type testServer struct {
 	*fakeInstance
-	api           *desk.Desk
-	crashDetector *coroner.Coroner
+	api           *desk.Server
+	crashDetector *coroner.CrashDetector
 	url           string
 	// sequence is the sequence number of the last announcement.
 	sequence uint64
@@ -200,23 +200,23 @@
 
 // newTestServer returns a server with the default limits of these tests, modified by changes.
 func newTestServer(cluster *fakeVoters, name string, changes ...func(*desk.Limits)) *testServer {
-	limits := desk.Limits{BodyBytes: 1 << 10, Deadline: 10 * time.Second, InProgressWait: 500 * time.Millisecond}
+	limits := desk.Limits{MaxBodyBytes: 1 << 10, DefaultDeadline: 10 * time.Second, InProgressWait: 500 * time.Millisecond}
 	for _, change := range changes {
 		change(&limits)
 	}
 	instance := &fakeInstance{cluster: cluster, gazette: gazette.New()}
 	proxy := shuttle.New(shuttle.Options{})
 	detector := coroner.New(coroner.Options{
-		Contact: func(quarantine.Place) quarantine.Contact { return quarantine.ContactNone },
+		Status: func(quarantine.Endpoint) quarantine.Status { return quarantine.StatusUnknown },
 		Report: func(_ context.Context, update quarantine.Update) bool {
 			_, err := cluster.propose(update)
 			return err == nil
 		},
-		Line: func(string) *zerolog.Event { return nil },
-		Now:  time.Now,
+		NewLogEvent: func(string) *zerolog.Event { return nil },
+		Now:         time.Now,
 	})
 	server := desk.New(desk.Options{
-		Coroner: detector, Instance: instance, Name: name, Incarnation: 1, Shuttle: proxy, Now: time.Now, Log: zerolog.New(GinkgoWriter).With().Timestamp().Logger(),
+		CrashDetector: detector, Instance: instance, Name: name, Incarnation: 1, Proxy: proxy, Now: time.Now, Log: zerolog.New(GinkgoWriter).With().Timestamp().Logger(),
 		UpstreamLease: time.Hour,
 		Limits:        limits,
 	})
--- a/internal/desk/limits_test.go
+++ b/internal/desk/limits_test.go
@@ -42,7 +42,7 @@
 	// requests immediately, reports that nothing was sent and names other instances. It still
 	// serves /v1/entries, and requests in progress continue.
 	It("refuses requests beyond the maximum in progress", SpecTimeout(2*specTimeout), func(ctx SpecContext) {
-		server := newTestServer(newFakeVoters(), "full", func(l *desk.Limits) { l.Streams = 1 })
+		server := newTestServer(newFakeVoters(), "full", func(l *desk.Limits) { l.MaxActiveRequests = 1 })
 		server.setUpstreams(busy.address())
 		occupy(ctx, server)
 		refused := server.book(ctx, "", "seat 7")
@@ -60,7 +60,7 @@
 	// token in time, long before its deadline of 10 s.
 	It("applies the default goal to completions", SpecTimeout(2*specTimeout), func(ctx SpecContext) {
 		server := newTestServer(newFakeVoters(), "busy", func(l *desk.Limits) {
-			l.Goal = declaration.Goal{FirstToken: time.Second}
+			l.DefaultGoal = declaration.Goal{FirstToken: time.Second}
 		})
 		server.maxRunning = 1
 		server.setUpstreams(busy.address())
@@ -72,7 +72,7 @@
 
 	// The queue of one model is bounded. The next request is refused immediately.
 	It("refuses requests beyond the queue length", SpecTimeout(2*specTimeout), func(ctx SpecContext) {
-		server := newTestServer(newFakeVoters(), "queue", func(l *desk.Limits) { l.QueueLength = 1 })
+		server := newTestServer(newFakeVoters(), "queue", func(l *desk.Limits) { l.MaxQueueLength = 1 })
 		server.maxRunning = 1
 		server.setUpstreams(busy.address())
 		replies := make(chan callerReply, 2)
--- a/internal/desk/lists.go
+++ b/internal/desk/lists.go
@@ -22,13 +22,13 @@
 
 // handleEntries handles GET /v1/entries. It responds while the instance is draining too, as
 // callers that kept this address must learn which other instances to use.
-func (s *Desk) handleEntries(c echo.Context) error {
+func (s *Server) handleEntries(c echo.Context) error {
 	entries := s.options.Instance.Entries(s.options.Now(), callerOf(c))
 	reply := entriesReply{
-		Entries:     make([]entryReply, 0, len(entries.List)),
-		KeepSeconds: entries.Keep.Seconds(),
+		Entries:     make([]entryReply, 0, len(entries.Instances)),
+		KeepSeconds: entries.TTL.Seconds(),
 	}
-	for _, entry := range entries.List {
+	for _, entry := range entries.Instances {
 		reply.Entries = append(reply.Entries, entryReply(entry))
 	}
 	return c.JSON(http.StatusOK, reply)
@@ -68,8 +68,8 @@
 // handleModels handles GET /v1/models: it lists the models and adapters that are available now,
 // without duplicates. It refuses if the instance admits no requests, as callers send their next
 // requests for the listed models to this instance.
-func (s *Desk) handleModels(c echo.Context) error {
-	if refusal := s.options.Instance.Admits(s.options.Now()); refusal != nil {
+func (s *Server) handleModels(c echo.Context) error {
+	if refusal := s.options.Instance.CheckAdmission(s.options.Now()); refusal != nil {
 		return refusal
 	}
 	reply := modelsReply{Object: "list", Data: []modelReply{}}
--- a/internal/desk/overload_test.go
+++ b/internal/desk/overload_test.go
@@ -79,10 +79,10 @@
 		go func() {
 			disconnected <- server.call(callCtx, http.MethodPost, "/v1/chat/completions", "", `{"model":"m"}`)
 		}()
-		Eventually(server.api.Streams).Should(Equal(2))
+		Eventually(server.api.ActiveRequests).Should(Equal(2))
 		disconnect()
 		Expect((<-disconnected).cutOff).To(BeTrue())
-		Eventually(server.api.Streams).Should(Equal(1))
+		Eventually(server.api.ActiveRequests).Should(Equal(1))
 		close(release)
 		Expect((<-first).status).To(Equal(http.StatusOK))
 		Expect(complete(ctx).status).To(Equal(http.StatusOK))
@@ -115,8 +115,8 @@
 			evicted.Events = append(evicted.Events, upstreamapi.CacheEvent{Kind: upstreamapi.CacheEvicted, Prefix: name})
 		}
 		Expect(stored.Events).To(HaveLen(1))
-		server.api.Cached(time.Now(), stored)
-		server.api.Cached(time.Now(), evicted)
+		server.api.ApplyCacheEvents(time.Now(), stored)
+		server.api.ApplyCacheEvents(time.Now(), evicted)
 		for range 5 {
 			server.call(ctx, http.MethodPost, "/v1/completions", "", prompt)
 		}
--- a/internal/desk/ratelimits.go
+++ b/internal/desk/ratelimits.go
@@ -26,8 +26,8 @@
 
 // upstreamLimit is the rate limit of one upstream.
 type upstreamLimit struct {
-	state ratelimit.Known
-	pace  *ratelimit.Pace
+	state ratelimit.State
+	pace  *ratelimit.TokenBucket
 }
 
 func newRateLimits(instances int, log zerolog.Logger) rateLimits {
@@ -36,19 +36,19 @@
 
 // observe applies what a response says about the upstream's limit. sentAt is when the request
 // was sent.
-func (l *rateLimits) observe(now, sentAt time.Time, upstream string, statement ratelimit.Said) {
+func (l *rateLimits) observe(now, sentAt time.Time, upstream string, statement ratelimit.Observation) {
 	limit := l.byUpstream[upstream]
 	switch stated := statement.(type) {
-	case ratelimit.Named:
+	case ratelimit.NamedLimit:
 		if limit == nil {
-			limit = &upstreamLimit{pace: ratelimit.NewPhasedPace(now, rand.Float64())}
+			limit = &upstreamLimit{pace: ratelimit.NewPhasedTokenBucket(now, rand.Float64())}
 			l.byUpstream[upstream] = limit
 			l.log.Info().Str("upstream", upstream).Float64("limit", float64(stated.Limit)).Msg("upstream states a rate limit")
 		}
-	case ratelimit.Unclear:
+	case ratelimit.InvalidLimit:
 		l.log.Debug().Str("upstream", upstream).Str("limit", stated.Text).Msg("cannot parse the rate limit that an upstream states")
 		return
-	case ratelimit.Unnamed:
+	case ratelimit.NoLimit:
 		if limit == nil {
 			return
 		}
@@ -70,13 +70,13 @@
 		return 0, true
 	}
 	limit, _ := limited.state.Limit()
-	rate := max(ratelimit.Share(limit, l.instances), ratelimit.Probes(l.instances))
+	rate := max(ratelimit.ShareRate(limit, l.instances), ratelimit.ProbeRate(l.instances))
 	return limited.pace.Take(now, rate)
 }
 
 // observeLimit applies the limit stated by the response or the refusal of an attempt.
-func (r *router) observeLimit(sentAt time.Time, upstream string, response *shuttle.Answer, err error) {
-	var statement ratelimit.Said
+func (r *router) observeLimit(sentAt time.Time, upstream string, response *shuttle.Response, err error) {
+	var statement ratelimit.Observation
 	var failure *shuttle.Error
 	switch {
 	case response != nil:
--- a/internal/desk/ratelimits_test.go
+++ b/internal/desk/ratelimits_test.go
@@ -46,8 +46,8 @@
 			Expect(reply.outcome).To(Equal("not-run"))
 			Expect(reply.header.Get("Retry-After")).NotTo(BeEmpty())
 		}
-		Expect(float64(limited.runCount())).To(BeNumerically("<=", ratelimit.Allowed(0.3)))
-		Expect(refused).To(BeNumerically(">=", callers-int(ratelimit.Allowed(0.3))))
+		Expect(float64(limited.runCount())).To(BeNumerically("<=", ratelimit.MaxRequests(0.3)))
+		Expect(refused).To(BeNumerically(">=", callers-int(ratelimit.MaxRequests(0.3))))
 	})
 
 	It("leaves the remaining requests to an upstream without a limit", SpecTimeout(specTimeout), func(ctx SpecContext) {
@@ -56,7 +56,7 @@
 		for range callers {
 			Expect(complete(ctx).status).To(Equal(http.StatusOK))
 		}
-		Expect(float64(limited.runCount())).To(BeNumerically("<=", ratelimit.Allowed(0.3)))
+		Expect(float64(limited.runCount())).To(BeNumerically("<=", ratelimit.MaxRequests(0.3)))
 	})
 
 	It("receives all requests if its limit is invalid", SpecTimeout(specTimeout), func(ctx SpecContext) {
--- a/internal/desk/refusal.go
+++ b/internal/desk/refusal.go
@@ -24,25 +24,25 @@
 
 // Codes of refusals.
 const (
-	CodeBadRequest     Code = "bad-request"
-	CodeTooLarge       Code = "body-too-large"
-	CodeNotFound       Code = "not-found"
-	CodeUnknownModel   Code = "unknown-model"
-	CodeUnknownService Code = "unknown-service"
-	CodeNoUpstream     Code = "no-upstream"
-	CodeOverloaded     Code = "overloaded"
-	CodeDraining       Code = "draining"
-	CodeStale          Code = "configuration-not-confirmed"
-	CodeUpstreamFailed Code = "upstream-failed"
-	CodeCutOff         Code = "answer-cut-off"
-	CodeDeadline       Code = "deadline-exceeded"
-	CodeInternal       Code = "internal"
-	CodeNotClaimed     Code = "not-claimed"
-	CodeKeyReused      Code = "key-reused"
-	CodeAnswerNotKept  Code = "answer-not-kept"
-	CodeOutcomeUnknown Code = "outcome-unknown"
-	CodeInProgress     Code = "in-progress"
-	CodeQuarantined    Code = quarantine.Reason
+	CodeBadRequest                Code = "bad-request"
+	CodeTooLarge                  Code = "body-too-large"
+	CodeNotFound                  Code = "not-found"
+	CodeUnknownModel              Code = "unknown-model"
+	CodeUnknownService            Code = "unknown-service"
+	CodeNoUpstream                Code = "no-upstream"
+	CodeOverloaded                Code = "overloaded"
+	CodeDraining                  Code = "draining"
+	CodeConfigurationNotConfirmed Code = "configuration-not-confirmed"
+	CodeUpstreamFailed            Code = "upstream-failed"
+	CodeCutOff                    Code = "answer-cut-off"
+	CodeDeadline                  Code = "deadline-exceeded"
+	CodeInternal                  Code = "internal"
+	CodeNotClaimed                Code = "not-claimed"
+	CodeKeyReused                 Code = "key-reused"
+	CodeAnswerNotKept             Code = "answer-not-kept"
+	CodeOutcomeUnknown            Code = "outcome-unknown"
+	CodeInProgress                Code = "in-progress"
+	CodeQuarantined               Code = quarantine.Reason
 )
 
 // RefusalError is the final response to a request that gets no response from an upstream.
@@ -54,7 +54,7 @@
 	// RetryAfter is when the caller may retry, or 0 if a retry would not help.
 	RetryAfter time.Duration
 	// Others are the addresses of other instances that the caller may use now.
-	Others []string
+	OtherAddresses []string
 }
 
 // Error returns the code and the message.
@@ -95,14 +95,14 @@
 		seconds := int(math.Ceil(r.RetryAfter.Seconds()))
 		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
-	if len(r.Others) > 0 {
-		header.Set(EntriesHeader, strings.Join(r.Others, ","))
+	if len(r.OtherAddresses) > 0 {
+		header.Set(EntriesHeader, strings.Join(r.OtherAddresses, ","))
 	}
 	return c.JSON(r.Status, r.body())
 }
 
 // handleError writes the error response, unless response headers were already sent.
-func (s *Desk) handleError(err error, c echo.Context) {
+func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -140,7 +140,7 @@
 
 // recoverPanic converts a handler's panic to an error, so that the caller gets a response. It
 // does not recover http.ErrAbortHandler, which aborts a stream on purpose.
-func (s *Desk) recoverPanic(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) recoverPanic(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) (err error) {
 		defer func() {
 			recovered := recover()
--- a/internal/desk/router.go
+++ b/internal/desk/router.go
@@ -74,8 +74,8 @@
 		now:                  options.Now,
 		upstreamLease:        options.UpstreamLease,
 		dispatcher:           dispatcher,
-		gate:                 dispatch.NewGate(dispatcher, admission.New(admission.Options{MaxWaiting: options.Limits.QueueLength})),
-		retryBudgets:         retry.NewBudgets(retry.Options{Attempts: options.Limits.MaxAttempts}),
+		gate:                 dispatch.NewGate(dispatcher, admission.NewQueue(admission.Options{MaxWaiting: options.Limits.MaxQueueLength})),
+		retryBudgets:         retry.NewBudgets(retry.Options{MaxAttempts: options.Limits.MaxAttempts}),
 		waiting:              map[uint64]chan queueResult{},
 		reportsRequestStatus: map[string]bool{},
 		rateLimits:           newRateLimits(options.Instances, options.Log),
@@ -88,7 +88,7 @@
 	defer r.mu.Unlock()
 	now := r.now()
 	for _, upstream := range upstreams {
-		view := dispatch.FromAnnouncement(upstream.Heard, upstream.Announcement, r.upstreamLease)
+		view := dispatch.ViewFromAnnouncement(upstream.LastContact, upstream.Announcement, r.upstreamLease)
 		view.Leaving = upstream.Leaving
 		if known := r.dispatcher.Incarnation(view.Name); known != view.Incarnation {
 			// A limit stated by the previous process does not apply to the new one.
@@ -99,7 +99,7 @@
 		r.startWaiting(now, view.Name)
 	}
 	if now.Sub(r.sweptAt) >= r.upstreamLease {
-		r.dispatcher.Sweep(now.Add(-r.upstreamLease))
+		r.dispatcher.RemoveExpired(now.Add(-r.upstreamLease))
 		r.sweptAt = now
 	}
 }
@@ -114,11 +114,11 @@
 func (r *router) applyCacheEvents(now time.Time, events upstreamapi.CacheEvents) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dispatcher.Cached(now, events)
+	r.dispatcher.ApplyCacheEvents(now, events)
 }
 
 // newArrival returns a task in the form that the dispatcher uses.
-func (s *Desk) newArrival(task task) dispatch.Arrival {
+func (s *Server) newArrival(task task) dispatch.Arrival {
 	goal := task.admitted.goal
 	a := dispatch.Arrival{
 		// Use only names of declared services. Otherwise callers could exhaust memory with the
@@ -159,7 +159,7 @@
 	defer r.mu.Unlock()
 	adapter := dispatch.Target{Adapter: name}
 	model := dispatch.Target{Model: name}
-	if !r.dispatcher.Serves(model) && r.dispatcher.Serves(adapter) {
+	if !r.dispatcher.HasTarget(model) && r.dispatcher.HasTarget(adapter) {
 		return adapter
 	}
 	return model
@@ -169,7 +169,7 @@
 func (r *router) countFresh(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryBudgets.Of(r.now(), service).Fresh()
+	r.retryBudgets.Get(r.now(), service).AddRequest()
 }
 
 // decideRetry decides whether a failed attempt is retried.
@@ -177,11 +177,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	return r.retryBudgets.Of(now, arrival.Service).Decide(now, retry.Attempt{
+	return r.retryBudgets.Get(now, arrival.Service).Decide(now, retry.Attempt{
 		Number:     attempt,
 		Outcome:    outcomeOf(err),
 		Idempotent: task.request.Idempotent,
-		Stacked:    task.request.Header.Get(retry.AttemptHeader) != "",
+		IsRetry:    task.request.Header.Get(retry.AttemptHeader) != "",
 		Deadline:   task.deadline,
 	})
 }
@@ -208,7 +208,7 @@
 }
 
 // resolve returns the slot or the error for a request that was not queued.
-func (r *router) resolve(answer dispatch.Answer) (*slot, error) {
+func (r *router) resolve(answer dispatch.ArriveResult) (*slot, error) {
 	switch {
 	case answer.Start.Arrival != nil:
 		return r.newSlot(answer.Start), nil
@@ -272,7 +272,7 @@
 func (r *router) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, refusal := range r.gate.Expired(r.now(), nil) {
+	for _, refusal := range r.gate.RemoveExpired(r.now(), nil) {
 		r.deliverRefusal(refusal)
 	}
 }
@@ -291,10 +291,10 @@
 // startWaiting refuses expired requests and starts queued ones that the named upstream can
 // take. The caller holds r.mu.
 func (r *router) startWaiting(now time.Time, name string) {
-	for _, refusal := range r.gate.Expired(now, nil) {
+	for _, refusal := range r.gate.RemoveExpired(now, nil) {
 		r.deliverRefusal(refusal)
 	}
-	for _, start := range r.gate.Freed(now, name, nil) {
+	for _, start := range r.gate.StartWaiting(now, name, nil) {
 		results := r.waiting[start.Arrival.ID]
 		delete(r.waiting, start.Arrival.ID)
 		results <- queueResult{start: start}
--- a/internal/desk/slot.go
+++ b/internal/desk/slot.go
@@ -24,14 +24,14 @@
 	firstByteOnce sync.Once
 	releaseOnce   sync.Once
 	// flight is guarded by the router's mutex.
-	flight dispatch.Flight
+	flight dispatch.Attempt
 }
 
 // noFailure stands for a complete response.
 const noFailure dispatch.Failure = 0
 
 func (r *router) newSlot(start dispatch.Start) *slot {
-	return &slot{router: r, decision: start.Decision, flight: start.Flight}
+	return &slot{router: r, decision: start.Decision, flight: start.Attempt}
 }
 
 // markFirstByte records that the response has begun. Only the first call has an effect.
@@ -82,11 +82,11 @@
 	var failure *shuttle.Error
 	switch {
 	case errors.As(err, &failure) && failure.Refused:
-		return dispatch.FailureRefused
+		return dispatch.FailureOverloaded
 	case errors.Is(ctx.Err(), context.Canceled):
 		return dispatch.FailureCanceled
 	default:
-		return dispatch.FailureBroken
+		return dispatch.FailureError
 	}
 }
 
@@ -96,11 +96,11 @@
 	var cutOff *shuttle.Error
 	switch {
 	case errors.As(err, &cutOff):
-		return dispatch.FailureBroken
+		return dispatch.FailureError
 	case err != nil:
 		return dispatch.FailureCanceled
 	case status >= http.StatusInternalServerError:
-		return dispatch.FailureBroken
+		return dispatch.FailureError
 	default:
 		return noFailure
 	}
@@ -132,7 +132,7 @@
 }
 
 // logRoute logs a routing decision in a single line.
-func (s *Desk) logRoute(task task, attempt int, slot *slot) {
+func (s *Server) logRoute(task task, attempt int, slot *slot) {
 	runnersUp := zerolog.Arr()
 	for _, candidate := range slot.decision.RunnersUp() {
 		runnersUp.Dict(zerolog.Dict().Str("upstream", candidate.Name).Float64("cost", candidate.Cost))
@@ -153,7 +153,7 @@
 }
 
 // logRefusal logs in a single line why a request was not routed.
-func (s *Desk) logRefusal(task task, attempt int, err error) {
+func (s *Server) logRefusal(task task, attempt int, err error) {
 	event := s.options.Log.Info()
 	var refusal *RefusalError
 	if errors.As(err, &refusal) {
@@ -169,7 +169,7 @@
 		Msg("request not routed")
 }
 
-func (s *Desk) logFailedAttempt(task task, attempt int, slot *slot, verdict retry.Verdict, err error) {
+func (s *Server) logFailedAttempt(task task, attempt int, slot *slot, verdict retry.Verdict, err error) {
 	s.options.Log.Warn().
 		Err(err).
 		Str("request", task.id).
--- a/internal/dispatch/cacheevents.go
+++ b/internal/dispatch/cacheevents.go
@@ -18,7 +18,7 @@
 // ignores a batch of another incarnation, and one that overlaps the previous batch. After
 // a gap, the known contents of the cache count for less until the cache has turned over,
 // because the lost events may have evicted any of them.
-func (d *Dispatcher) Cached(now time.Time, batch upstreamapi.CacheEvents) bool {
+func (d *Dispatcher) ApplyCacheEvents(now time.Time, batch upstreamapi.CacheEvents) bool {
 	u := d.upstreams[batch.Name]
 	if u == nil || u.view.Incarnation != batch.Incarnation || batch.First < u.nextCacheEvent {
 		return false
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -158,7 +158,7 @@
 }
 
 // Sweep removes the upstreams whose lease expired before the given time.
-func (d *Dispatcher) Sweep(before time.Time) {
+func (d *Dispatcher) RemoveExpired(before time.Time) {
 	for name, u := range d.upstreams {
 		if u.view.LeaseUntil.Before(before) {
 			d.Remove(name)
@@ -186,7 +186,7 @@
 
 // Serves reports whether any upstream serves target, even one that accepts no new
 // requests.
-func (d *Dispatcher) Serves(target Target) bool {
+func (d *Dispatcher) HasTarget(target Target) bool {
 	return d.pools[target] != nil
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -39,7 +39,7 @@
 		decision := d.Choose(now, request)
 		return decision.Chosen.Name, decision.Reason
 	}
-	send := func(now time.Time) dispatch.Flight {
+	send := func(now time.Time) dispatch.Attempt {
 		decision := d.Choose(now, request)
 		ExpectWithOffset(1, decision.OK()).To(BeTrue())
 		return d.Sent(now, request, &decision)
@@ -109,7 +109,7 @@
 		d.Update(viewOf("a", 1, 8))
 		_, reason := choose(start.Add(time.Hour))
 		Expect(reason).To(Equal(dispatch.ReasonNoneFit))
-		d.Sweep(start.Add(2 * time.Hour))
+		d.RemoveExpired(start.Add(2 * time.Hour))
 		_, reason = choose(start)
 		Expect(reason).To(Equal(dispatch.ReasonNoCandidate))
 	})
@@ -136,7 +136,7 @@
 		d.Update(newer)
 		open, _ := d.InFlight("a")
 		Expect(open).To(Equal(0))
-		d.Failed(start, &flight, dispatch.FailureBroken)
+		d.Failed(start, &flight, dispatch.FailureError)
 		open, _ = d.InFlight("a")
 		Expect(open).To(Equal(0))
 	})
@@ -202,7 +202,7 @@
 		request.Target = dispatch.Target{Service: "seat-check"}
 		now := start
 		for range 20 {
-			var flights []dispatch.Flight
+			var flights []dispatch.Attempt
 			for range 10 {
 				flights = append(flights, send(now))
 			}
@@ -240,7 +240,7 @@
 		d.Update(other)
 		d.Update(viewOf("a", 1, 16))
 		now := start.Add(10 * time.Second)
-		var flights []dispatch.Flight
+		var flights []dispatch.Attempt
 		for range 3 {
 			flights = append(flights, send(now))
 		}
@@ -277,7 +277,7 @@
 					decision = d.Choose(now, request)
 				}
 				flight := d.Sent(now, request, &decision)
-				ejected = d.Failed(now, &flight, dispatch.FailureBroken)
+				ejected = d.Failed(now, &flight, dispatch.FailureError)
 			}
 			return ejected
 		}
@@ -355,17 +355,17 @@
 				events = append(events, upstreamapi.CacheEvent{Kind: upstreamapi.CacheStored, Prefix: dispatch.BlockName(block)})
 			}
 			batch := upstreamapi.CacheEvents{Name: "e3", Incarnation: 1, First: 1, Events: events}
-			Expect(d.Cached(start, batch)).To(BeTrue())
+			Expect(d.ApplyCacheEvents(start, batch)).To(BeTrue())
 			beforeGap := d.Choose(start, request)
 			Expect(beforeGap.Chosen.Name).To(Equal("e3"))
-			Expect(d.Cached(start, batch)).To(BeFalse())
+			Expect(d.ApplyCacheEvents(start, batch)).To(BeFalse())
 			batch.First += 100
-			d.Cached(start, batch)
+			d.ApplyCacheEvents(start, batch)
 			afterGap := d.Choose(start, request)
 			Expect(afterGap.Chosen.CachedTokens).To(BeNumerically(">", 0))
 			Expect(afterGap.Chosen.CachedTokens).To(BeNumerically("<", beforeGap.Chosen.CachedTokens/2))
 			batch.First, batch.Events = batch.Next(), []upstreamapi.CacheEvent{{Kind: upstreamapi.CacheCleared}}
-			d.Cached(start, batch)
+			d.ApplyCacheEvents(start, batch)
 			afterClear := d.Choose(start, request)
 			Expect(afterClear.Chosen.CachedTokens).To(Equal(0))
 		})
@@ -381,9 +381,9 @@
 var _ = Describe("Gate", func() {
 	It("sends, queues and refuses requests, and sends a waiting one when a slot is free", func() {
 		d := dispatch.New(dispatch.Options{})
-		g := dispatch.NewGate(d, admission.New(admission.Options{}))
+		g := dispatch.NewGate(d, admission.NewQueue(admission.Options{}))
 		d.Update(viewOf("a", 1, 1))
-		arrive := func(id uint64, priority uint8, firstTokenGoal time.Duration) dispatch.Answer {
+		arrive := func(id uint64, priority uint8, firstTokenGoal time.Duration) dispatch.ArriveResult {
 			return g.Arrive(start, &dispatch.Arrival{
 				ID: id, At: start, Service: "s" + strconv.Itoa(int(priority)),
 				Request: dispatch.Request{
@@ -396,13 +396,13 @@
 		Expect(arrive(2, 2, 30*time.Second).Queued).To(BeTrue())
 		Expect(arrive(3, 2, time.Millisecond).Refusal.Cause).To(Equal(admission.CauseTooLate))
 		Expect(arrive(4, 1, 30*time.Second).Queued).To(BeTrue())
-		Expect(g.Freed(start, "a", nil)).To(BeEmpty())
+		Expect(g.StartWaiting(start, "a", nil)).To(BeEmpty())
 
-		d.Finished(start.Add(time.Second), &first.Start.Flight)
-		started := g.Freed(start.Add(time.Second), "a", nil)
+		d.Finished(start.Add(time.Second), &first.Start.Attempt)
+		started := g.StartWaiting(start.Add(time.Second), "a", nil)
 		Expect(started).To(HaveLen(1))
 		Expect(started[0].Arrival.ID).To(Equal(uint64(4)))
-		Expect(g.Expired(start.Add(time.Minute), nil)).To(HaveLen(1))
+		Expect(g.RemoveExpired(start.Add(time.Minute), nil)).To(HaveLen(1))
 		Expect(arrive(5, 2, 0).Reason).To(Equal(dispatch.ReasonNoRoom))
 	})
 
@@ -411,9 +411,9 @@
 		// others wait. It is rejected immediately instead of waiting in vain. With a second
 		// engine, it waits for that one without blocking the others.
 		d := dispatch.New(dispatch.Options{})
-		g := dispatch.NewGate(d, admission.New(admission.Options{}))
+		g := dispatch.NewGate(d, admission.NewQueue(admission.Options{}))
 		d.Update(viewOf("a", 1, 1))
-		arrive := func(id uint64, tried ...string) dispatch.Answer {
+		arrive := func(id uint64, tried ...string) dispatch.ArriveResult {
 			return g.Arrive(start, &dispatch.Arrival{ID: id, At: start, Request: dispatch.Request{
 				Target: dispatch.Target{Model: "m"}, Goal: dispatch.Goal{FirstToken: time.Minute}, Priority: 1, Tried: tried,
 			}})
@@ -422,17 +422,17 @@
 		Expect(arrive(2).Queued).To(BeTrue())
 		Expect(arrive(3, "a").Reason).To(Equal(dispatch.ReasonNoneFit))
 		d.Update(viewOf("b", 1, 1))
-		Expect(g.Freed(start, "b", nil)).To(HaveLen(1))
+		Expect(g.StartWaiting(start, "b", nil)).To(HaveLen(1))
 		Expect(arrive(4, "a").Queued).To(BeTrue())
 		Expect(arrive(5).Queued).To(BeTrue())
-		d.Finished(start, &first.Start.Flight)
-		started := g.Freed(start, "a", nil)
+		d.Finished(start, &first.Start.Attempt)
+		started := g.StartWaiting(start, "a", nil)
 		Expect(started).To(HaveLen(1))
 		Expect(started[0].Arrival.ID).To(Equal(uint64(5)))
 	})
 
 	It("says at once when nothing can run the request", func() {
-		g := dispatch.NewGate(dispatch.New(dispatch.Options{}), admission.New(admission.Options{}))
+		g := dispatch.NewGate(dispatch.New(dispatch.Options{}), admission.NewQueue(admission.Options{}))
 		answer := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
 		Expect(answer.Reason).To(Equal(dispatch.ReasonNoCandidate))
 		Expect(answer.Queued).To(BeFalse())
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -22,7 +22,7 @@
 
 // Flight is one open request of this instance at an upstream. The caller reports its
 // progress to the Dispatcher: FirstByte at most once, then either Finished or Failed once.
-type Flight struct {
+type Attempt struct {
 	upstream     *upstream
 	sentAt       time.Time
 	firstTokenAt time.Time
@@ -37,10 +37,10 @@
 }
 
 // Sent records that r is sent to the chosen upstream of decision.
-func (d *Dispatcher) Sent(now time.Time, r *Request, decision *Decision) Flight {
+func (d *Dispatcher) Sent(now time.Time, r *Request, decision *Decision) Attempt {
 	chosen := &decision.Chosen
 	u := chosen.upstream
-	flight := Flight{
+	flight := Attempt{
 		upstream:        u,
 		sentAt:          now,
 		unbiasedSeconds: chosen.FirstToken.Seconds() / u.bias,
@@ -60,7 +60,7 @@
 }
 
 // FirstByte records the arrival of the first token, or of the answer of a plain service.
-func (d *Dispatcher) FirstByte(now time.Time, flight *Flight) {
+func (d *Dispatcher) FirstByte(now time.Time, flight *Attempt) {
 	u := flight.upstream
 	flight.firstTokenAt = now
 	elapsed := now.Sub(flight.sentAt)
@@ -78,7 +78,7 @@
 
 // Finished records the end of a complete answer. If the request has no goal, or FirstByte
 // was not called, the limit may grow if the upstream reports an empty queue.
-func (d *Dispatcher) Finished(now time.Time, flight *Flight) {
+func (d *Dispatcher) Finished(now time.Time, flight *Attempt) {
 	u := flight.upstream
 	if flight.firstTokenAt.IsZero() {
 		u.health.succeeded()
@@ -123,10 +123,10 @@
 // The kinds of failure.
 const (
 	// FailureRefused means that the upstream rejected the request because it was full.
-	FailureRefused Failure = iota + 1
+	FailureOverloaded Failure = iota + 1
 	// FailureBroken means that the upstream was unreachable, closed the connection early,
 	// timed out or answered with an error.
-	FailureBroken
+	FailureError
 	// FailureCanceled means that the caller disconnected. It doesn't affect the health of
 	// the upstream.
 	FailureCanceled
@@ -134,13 +134,13 @@
 
 // Failed records that a request ended without a complete answer. It reports whether this
 // ejected the upstream.
-func (d *Dispatcher) Failed(now time.Time, flight *Flight, failure Failure) bool {
+func (d *Dispatcher) Failed(now time.Time, flight *Attempt, failure Failure) bool {
 	u := flight.upstream
 	d.release(now, flight)
 	switch failure {
-	case FailureRefused:
-		d.setLimit(u, u.limit.WithCut(now, flight.sentAt))
-	case FailureBroken:
+	case FailureOverloaded:
+		d.setLimit(u, u.limit.WithDecrease(now, flight.sentAt))
+	case FailureError:
 		u.health.failed()
 		return d.maybeEject(now, u)
 	case FailureCanceled:
@@ -149,7 +149,7 @@
 }
 
 // release removes a request from the load of its upstream.
-func (d *Dispatcher) release(now time.Time, flight *Flight) {
+func (d *Dispatcher) release(now time.Time, flight *Attempt) {
 	u := flight.upstream
 	d.addInFlight(u, flight.priority, -1)
 	change := loadChange{at: now, requests: -1}
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -36,12 +36,12 @@
 type Start struct {
 	Arrival  *Arrival
 	Decision Decision
-	Flight   Flight
+	Attempt  Attempt
 }
 
 // Answer is the result of Gate.Arrive. If Start, Queued and Refusal are all unset, no
 // upstream can run the request, for the given Reason.
-type Answer struct {
+type ArriveResult struct {
 	// Start is set, with a non-nil Arrival, if the request is to be sent now.
 	Start Start
 	// Reason is the reason of the decision.
@@ -74,17 +74,17 @@
 }
 
 // Arrive starts, queues or rejects a. The Gate keeps a reference to a while it waits.
-func (g *Gate) Arrive(now time.Time, a *Arrival) Answer {
+func (g *Gate) Arrive(now time.Time, a *Arrival) ArriveResult {
 	a.Waited = now.Sub(a.At)
 	pool := g.dispatcher.poolName(a.Target)
 	if reason := g.dispatcher.rejectReason(now, &a.Request); reason != ReasonNoRoom {
 		// No upstream can run it, even with room, so waiting is pointless.
-		return Answer{Reason: reason}
+		return ArriveResult{Reason: reason}
 	}
-	if g.queue.Waiting(pool, a.Priority) == 0 {
+	if g.queue.Ahead(pool, a.Priority) == 0 {
 		decision := g.dispatcher.Choose(now, &a.Request)
 		if decision.OK() {
-			return Answer{Start: g.start(now, a, decision), Reason: decision.Reason}
+			return ArriveResult{Start: g.start(now, a, decision), Reason: decision.Reason}
 		}
 	}
 	ticket := g.ticket(now, a, pool)
@@ -95,7 +95,7 @@
 	if verdict.Displaced.Cause != 0 {
 		delete(g.waiting, verdict.Displaced.Ticket.ID)
 	}
-	return Answer{
+	return ArriveResult{
 		Reason:    ReasonNoRoom,
 		Queued:    verdict.Queued,
 		StartBy:   ticket.StartBy,
@@ -106,7 +106,7 @@
 
 // Freed starts waiting requests for which the named upstream may have room, and appends
 // them to dst. Call it after each Finished, Failed and Update of the upstream.
-func (g *Gate) Freed(now time.Time, name string, dst []Start) []Start {
+func (g *Gate) StartWaiting(now time.Time, name string, dst []Start) []Start {
 	u := g.dispatcher.upstreams[name]
 	if u == nil || g.queue.Size() == 0 || !u.available(now) {
 		return dst
@@ -137,14 +137,14 @@
 		dst = append(dst, g.start(now, a, decision))
 	}
 	for _, ticket := range skipped[:skippedCount] {
-		g.queue.Return(now, ticket)
+		g.queue.Requeue(now, ticket)
 	}
 	return dst
 }
 
 // Expired removes the waiting requests that can no longer start in time, and appends their
 // refusals to dst. The caller answers each of them immediately.
-func (g *Gate) Expired(now time.Time, dst []admission.Refusal) []admission.Refusal {
+func (g *Gate) RemoveExpired(now time.Time, dst []admission.Refusal) []admission.Refusal {
 	if g.queue.Size() == 0 {
 		return dst
 	}
@@ -174,7 +174,7 @@
 
 func (g *Gate) start(now time.Time, a *Arrival, decision Decision) Start {
 	flight := g.dispatcher.Sent(now, &a.Request, &decision)
-	return Start{Arrival: a, Decision: decision, Flight: flight}
+	return Start{Arrival: a, Decision: decision, Attempt: flight}
 }
 
 // ticket returns the ticket of a. If even an idle upstream can't meet the goal, a rejection
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -33,13 +33,13 @@
 // instance's limits together are far from reached, and the limit for u was not reduced
 // lately.
 func (d *Dispatcher) hasRoom(now time.Time, u *upstream, priority uint8) bool {
-	if u.limit.Room(u.inFlight, priority) {
+	if u.limit.Allows(u.inFlight, priority) {
 		return true
 	}
-	if u.limit.Value() < minExceedableLimit || !u.limit.Room(u.inFlight-1, priority) {
+	if u.limit.Value() < minExceedableLimit || !u.limit.Allows(u.inFlight-1, priority) {
 		return false
 	}
-	if u.limit.Calm(now, minTimeSinceCut) && float64(d.inFlight) < d.limitTotal*maxTotalLoad {
+	if u.limit.StableFor(now, minTimeSinceCut) && float64(d.inFlight) < d.limitTotal*maxTotalLoad {
 		return true
 	}
 	fresh := now.Sub(u.view.LoadAt) <= freshReportAge
@@ -59,7 +59,7 @@
 // setLimit sets the limit of u and updates limitTotal.
 func (d *Dispatcher) setLimit(u *upstream, limit admission.Limit) {
 	if d.byID[u.id] == u {
-		d.limitTotal += limit.Float() - u.limit.Float()
+		d.limitTotal += limit.Exact() - u.limit.Exact()
 	}
 	u.limit = limit
 }
@@ -69,7 +69,7 @@
 func (d *Dispatcher) recomputeTotals() {
 	d.limitTotal, d.inFlight = 0, 0
 	for _, u := range d.upstreams {
-		d.limitTotal += u.limit.Float()
+		d.limitTotal += u.limit.Exact()
 		d.inFlight += u.inFlight
 	}
 }
--- a/internal/dispatch/policies_test.go
+++ b/internal/dispatch/policies_test.go
@@ -93,7 +93,7 @@
 	options.Seed = seed
 	d := dispatch.New(options)
 	p := &gatePolicy{
-		sim: sim, dispatcher: d, gate: dispatch.NewGate(d, admission.New(admission.Options{})),
+		sim: sim, dispatcher: d, gate: dispatch.NewGate(d, admission.NewQueue(admission.Options{})),
 		engines: map[string]*engine{}, jobs: map[uint64]*job{},
 	}
 	for _, e := range sim.engines {
@@ -130,7 +130,7 @@
 	answer := p.gate.Arrive(now, &j.arrival)
 	switch {
 	case answer.Start.Arrival != nil:
-		p.send(now, j, answer.Start.Flight, answer.Start.Decision.Chosen.Name)
+		p.send(now, j, answer.Start.Attempt, answer.Start.Decision.Chosen.Name)
 	case answer.Queued:
 		p.jobs[j.arrival.ID] = j
 	default:
@@ -148,15 +148,15 @@
 	}
 }
 
-func (p *gatePolicy) send(now time.Time, j *job, flight dispatch.Flight, name string) {
+func (p *gatePolicy) send(now time.Time, j *job, flight dispatch.Attempt, name string) {
 	delete(p.jobs, j.arrival.ID)
 	j.flight = flight
 	p.sim.send(now, p.engines[name], j)
 }
 
 func (p *gatePolicy) startWaiting(now time.Time, name string) {
-	for _, s := range p.gate.Freed(now, name, nil) {
-		p.send(now, p.jobs[s.Arrival.ID], s.Flight, s.Decision.Chosen.Name)
+	for _, s := range p.gate.StartWaiting(now, name, nil) {
+		p.send(now, p.jobs[s.Arrival.ID], s.Attempt, s.Decision.Chosen.Name)
 	}
 }
 
@@ -185,7 +185,7 @@
 }
 
 func (p *gatePolicy) tick(now time.Time) {
-	for _, r := range p.gate.Expired(now, nil) {
+	for _, r := range p.gate.RemoveExpired(now, nil) {
 		p.refuse(p.jobs[r.Ticket.ID], r)
 	}
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -34,7 +34,7 @@
 
 // FromAnnouncement returns the View for an announcement received at now, with a lease that
 // starts then.
-func FromAnnouncement(now time.Time, a upstreamapi.Announcement, lease time.Duration) View {
+func ViewFromAnnouncement(now time.Time, a upstreamapi.Announcement, lease time.Duration) View {
 	return View{
 		Name:          a.Name,
 		Address:       a.Address,
--- a/internal/docket/answer.go
+++ b/internal/docket/answer.go
@@ -63,7 +63,7 @@
 	// was changed.
 	VerdictStale
 	// VerdictNone means that the key has no record.
-	VerdictNone
+	VerdictNotFound
 )
 
 // String returns the name of the verdict for logs.
--- a/internal/docket/bench_test.go
+++ b/internal/docket/bench_test.go
@@ -14,7 +14,7 @@
 
 // claimAndComplete claims and completes the request with key n. The response has
 // a body of bodyBytes, or is missing if bodyBytes is 0.
-func claimAndComplete(d *docket.Docket, n uint64, bodyBytes int) {
+func claimAndComplete(d *docket.Store, n uint64, bodyBytes int) {
 	var key docket.Key
 	binary.BigEndian.PutUint64(key[:], n)
 	claimant := docket.Claimant{Instance: "entry-1", Incarnation: 1, Request: n}
@@ -30,7 +30,7 @@
 	d.Apply(record)
 }
 
-func newUnlimitedDocket() *docket.Docket {
+func newUnlimitedDocket() *docket.Store {
 	d := docket.New()
 	limits := docket.DefaultLimits()
 	limits.MaxRecords = 1 << 30
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -15,7 +15,7 @@
 
 // Docket is a set of idempotency records by key. It is not safe for concurrent
 // use.
-type Docket struct {
+type Store struct {
 	limits  Limits
 	records map[Key]*storedRecord
 	// byLastChange contains all records, least recently changed first.
@@ -40,7 +40,7 @@
 	// Granted counts the claims granted.
 	Granted uint64 `json:"granted"`
 	// Refused counts the claims refused because of Limits.MaxRecords.
-	Refused uint64 `json:"refused"`
+	RefusedFull uint64 `json:"refused"`
 	// Expired counts the records removed at the end of their retention. A later
 	// request with the same key counts as a new one.
 	Expired uint64 `json:"expired"`
@@ -53,32 +53,32 @@
 }
 
 // New returns an empty docket with DefaultLimits.
-func New() *Docket {
-	return &Docket{limits: DefaultLimits(), records: map[Key]*storedRecord{}}
+func New() *Store {
+	return &Store{limits: DefaultLimits(), records: map[Key]*storedRecord{}}
 }
 
 // Len returns the number of records.
-func (d *Docket) Len() int {
+func (d *Store) Len() int {
 	return len(d.records)
 }
 
 // ResponseBytes returns the estimated memory use of the kept responses in bytes.
-func (d *Docket) ResponseBytes() int64 {
+func (d *Store) ResponseBytes() int64 {
 	return d.responseBytes
 }
 
 // Counters returns the current counters.
-func (d *Docket) Counters() Counters {
+func (d *Store) Counters() Counters {
 	return d.counters
 }
 
 // Limits returns the limits in force.
-func (d *Docket) Limits() Limits {
+func (d *Store) Limits() Limits {
 	return d.limits
 }
 
 // Apply applies a command and returns its result.
-func (d *Docket) Apply(command Command) Answer {
+func (d *Store) Apply(command Command) Answer {
 	switch c := command.(type) {
 	case Claim:
 		return d.applyClaim(c)
@@ -96,11 +96,11 @@
 // Lookup returns the state of the record for key. The verdict is VerdictNone,
 // VerdictInProgress, VerdictCompleted, VerdictUnknown, or VerdictRecorded if the
 // request was not run.
-func (d *Docket) Lookup(key Key) Answer {
+func (d *Store) Lookup(key Key) Answer {
 	r, ok := d.records[key]
 	switch {
 	case !ok:
-		return Answer{Verdict: VerdictNone}
+		return Answer{Verdict: VerdictNotFound}
 	case r.state == StateNotRun:
 		return Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.claimant}
 	default:
@@ -113,11 +113,11 @@
 // whose timeout has passed is never granted to another claimant. Its owner may be
 // paused or partitioned with bytes still in transit, so a second run would
 // violate at-most-once execution whatever the timeout.
-func (d *Docket) applyClaim(c Claim) Answer {
+func (d *Store) applyClaim(c Claim) Answer {
 	r, ok := d.records[c.Key]
 	if !ok {
 		if len(d.records) >= d.limits.MaxRecords {
-			d.counters.Refused++
+			d.counters.RefusedFull++
 			return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
 		}
 		r = &storedRecord{key: c.Key, fingerprint: c.Fingerprint, state: StateNotRun}
@@ -142,18 +142,18 @@
 	}
 }
 
-func (d *Docket) grant(r *storedRecord, c Claim) Answer {
+func (d *Store) grant(r *storedRecord, c Claim) Answer {
 	r.claimant = internInstance(c.Claimant)
 	r.attempt++
 	r.state = StateInFlight
-	r.unknownAfter = d.clock + min(max(c.Timeout, 0), d.limits.MaxTimeout) + d.limits.Grace
+	r.unknownAfter = d.clock + min(max(c.Timeout, 0), d.limits.MaxTimeout) + d.limits.TimeoutGrace
 	d.markChanged(r)
 	d.counters.Granted++
 	return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.claimant}
 }
 
 // answerFor returns the state of a record in any state except StateNotRun.
-func (d *Docket) answerFor(r *storedRecord) Answer {
+func (d *Store) answerFor(r *storedRecord) Answer {
 	answer := Answer{Attempt: r.attempt, Owner: r.claimant}
 	switch {
 	case r.state == StateCompleted:
@@ -168,7 +168,7 @@
 	return answer
 }
 
-func (d *Docket) applyRecord(c Record) Answer {
+func (d *Store) applyRecord(c Record) Answer {
 	r, ok := d.records[c.Key]
 	if !ok {
 		return d.recordWithdrawal(c)
@@ -201,9 +201,9 @@
 // to its claim, if the claim hasn't arrived yet. With this record, the claim is
 // stale when it arrives. Otherwise it would block the key until its timeout
 // although nobody sends the request.
-func (d *Docket) recordWithdrawal(c Record) Answer {
+func (d *Store) recordWithdrawal(c Record) Answer {
 	if c.State != StateNotRun {
-		return Answer{Verdict: VerdictNone}
+		return Answer{Verdict: VerdictNotFound}
 	}
 	if len(d.records) >= d.limits.MaxRecords {
 		return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
@@ -216,7 +216,7 @@
 
 // storeResponse adds a response to r and evicts older ones to stay within the
 // limits.
-func (d *Docket) storeResponse(r *storedRecord, response *Response) {
+func (d *Store) storeResponse(r *storedRecord, response *Response) {
 	size := response.size()
 	if response == nil || len(response.Body) > d.limits.MaxBodyBytes || size > d.limits.MaxResponseBytes {
 		d.counters.ResponsesDropped++
@@ -229,7 +229,7 @@
 }
 
 // evictResponses drops the oldest responses until Limits.MaxResponseBytes is met.
-func (d *Docket) evictResponses() {
+func (d *Store) evictResponses() {
 	for len(d.withResponse) > 0 {
 		oldest := d.withResponse[0]
 		if oldest.response != nil {
@@ -244,14 +244,14 @@
 	}
 }
 
-func (d *Docket) dropResponse(r *storedRecord) {
+func (d *Store) dropResponse(r *storedRecord) {
 	d.responseBytes -= r.response.size()
 	r.response = nil
 }
 
 // markChanged sets the time of the last change and moves r to the end of
 // byLastChange.
-func (d *Docket) markChanged(r *storedRecord) {
+func (d *Store) markChanged(r *storedRecord) {
 	r.changedAt = d.clock
 	d.byLastChange.remove(r)
 	d.byLastChange.pushBack(r)
@@ -266,7 +266,7 @@
 
 // timeUntilExpiry returns the time until the least recently changed record
 // expires.
-func (d *Docket) timeUntilExpiry() time.Duration {
+func (d *Store) timeUntilExpiry() time.Duration {
 	if d.byLastChange.first == nil {
 		return d.limits.Retention
 	}
--- a/internal/docket/docket_test.go
+++ b/internal/docket/docket_test.go
@@ -19,13 +19,13 @@
 
 // fixture is a docket with a simulated leader clock.
 type fixture struct {
-	*docket.Docket
+	*docket.Store
 	now    time.Time
 	limits docket.Limits
 }
 
 func newFixture() *fixture {
-	f := &fixture{Docket: docket.New(), now: startTime, limits: docket.DefaultLimits()}
+	f := &fixture{Store: docket.New(), now: startTime, limits: docket.DefaultLimits()}
 	f.advance(0)
 	return f
 }
@@ -69,13 +69,13 @@
 	// through another instance while the first one is in progress. The request
 	// must run once, and both callers must get the same response.
 	It("grants a key once and returns the recorded response to later callers", func() {
-		Expect(f.Lookup(bookingKey)).To(haveVerdict(docket.VerdictNone))
+		Expect(f.Lookup(bookingKey)).To(haveVerdict(docket.VerdictNotFound))
 		granted := f.claim(claimant1)
 		Expect(granted).To(haveVerdict(docket.VerdictGranted))
 		duplicate := f.claim(claimant2)
 		Expect(duplicate).To(haveVerdict(docket.VerdictInProgress))
 		Expect(duplicate.Owner).To(Equal(claimant1))
-		Expect(duplicate.Wait).To(Equal(time.Minute + f.limits.Grace))
+		Expect(duplicate.Wait).To(Equal(time.Minute + f.limits.TimeoutGrace))
 		Expect(f.record(claimant1, granted.Attempt, docket.StateCompleted, response)).To(haveVerdict(docket.VerdictRecorded))
 		Expect(f.claim(claimant2)).To(And(haveVerdict(docket.VerdictCompleted), HaveField("Response", response)))
 		Expect(f.Lookup(bookingKey)).To(And(haveVerdict(docket.VerdictCompleted), HaveField("Response", response)))
@@ -201,7 +201,7 @@
 		}
 		Expect(runRequest(3, 10)).To(And(haveVerdict(docket.VerdictFull), HaveField("Wait", f.limits.Retention-3*time.Hour)))
 		Expect(runRequest(0, 10)).To(haveVerdict(docket.VerdictStale))
-		Expect(f.Counters().Refused).To(Equal(uint64(1)))
+		Expect(f.Counters().RefusedFull).To(Equal(uint64(1)))
 		Expect(f.advance(f.limits.Retention - 3*time.Hour)).To(HaveField("Expired", 1))
 		Expect(runRequest(3, 10)).To(haveVerdict(docket.VerdictGranted))
 		Expect(f.Len()).To(Equal(3))
--- a/internal/docket/expiry.go
+++ b/internal/docket/expiry.go
@@ -4,7 +4,7 @@
 // whose retention has ended. In-flight records are not removed. They change to
 // StateUnknown or, if they aren't overdue yet, stay in flight, and their
 // retention starts again.
-func (d *Docket) applyExpire(c Expire) Answer {
+func (d *Store) applyExpire(c Expire) Answer {
 	step := c.Now.Sub(d.leaderTime)
 	if d.leaderTime.IsZero() {
 		step = 0
@@ -35,7 +35,7 @@
 
 // applyAbandon changes the in-flight claims of an instance's earlier incarnations
 // to StateUnknown.
-func (d *Docket) applyAbandon(c Abandon) Answer {
+func (d *Store) applyAbandon(c Abandon) Answer {
 	answer := Answer{Verdict: VerdictRecorded}
 	// Changed records move to the end of the list, so the loop stops after the
 	// record that is last at the start.
@@ -56,12 +56,12 @@
 	return answer
 }
 
-func (d *Docket) markUnknown(r *storedRecord) {
+func (d *Store) markUnknown(r *storedRecord) {
 	r.state = StateUnknown
 	d.markChanged(r)
 }
 
-func (d *Docket) removeRecord(r *storedRecord) {
+func (d *Store) removeRecord(r *storedRecord) {
 	if r.response != nil {
 		d.dropResponse(r)
 	}
--- a/internal/docket/limits.go
+++ b/internal/docket/limits.go
@@ -10,7 +10,7 @@
 	Retention time.Duration `json:"retention"`
 	// Grace is added to the timeout of a claim. The claim counts as unknown after
 	// both.
-	Grace time.Duration `json:"grace"`
+	TimeoutGrace time.Duration `json:"grace"`
 	// MaxTimeout is the maximum timeout of a claim. Longer ones are shortened.
 	MaxTimeout time.Duration `json:"max-timeout"`
 	// MaxStep is the maximum time by which one Expire advances the docket's clock.
@@ -34,7 +34,7 @@
 // an Expire. With a retention of 0, all records would expire at once and every
 // resent request would run again.
 func (l Limits) Valid() bool {
-	for _, d := range []time.Duration{l.Retention, l.Grace, l.MaxTimeout, l.MaxStep} {
+	for _, d := range []time.Duration{l.Retention, l.TimeoutGrace, l.MaxTimeout, l.MaxStep} {
 		if d <= 0 || d > maxDuration {
 			return false
 		}
@@ -51,7 +51,7 @@
 func DefaultLimits() Limits {
 	return Limits{
 		Retention:        96 * time.Hour,
-		Grace:            10 * time.Second,
+		TimeoutGrace:     10 * time.Second,
 		MaxTimeout:       15 * time.Minute,
 		MaxStep:          5 * time.Second,
 		MaxRecords:       100_000,
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -15,7 +15,7 @@
 // Some answers to claims are lost.
 type simulation struct {
 	random  *rand.Rand
-	docket  *docket.Docket
+	docket  *docket.Store
 	now     time.Time
 	limits  docket.Limits
 	pending []docket.Command
@@ -147,9 +147,9 @@
 	})
 
 	It("rejects a snapshot without records that has an invalid clock or limits", func() {
-		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.ClearLimits} {
+		for _, corrupt := range []func(*docket.Store){docket.SetMaxClock, docket.ClearLimits} {
 			f := newFixture()
-			corrupt(f.Docket)
+			corrupt(f.Store)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).To(MatchError(ContainSubstring("impossible times")))
 		}
@@ -159,12 +159,12 @@
 	// its last change, so Expire would never return. A duplicate key would lose a
 	// record.
 	It("rejects a snapshot with an impossible state", func() {
-		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.SetFutureChange, docket.DuplicateLastRecord} {
+		for _, corrupt := range []func(*docket.Store){docket.SetMaxClock, docket.SetFutureChange, docket.DuplicateLastRecord} {
 			f := newFixture()
 			f.claim(claimant1)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).NotTo(HaveOccurred())
-			corrupt(f.Docket)
+			corrupt(f.Store)
 			_, err = docket.Restore(f.Snapshot(nil))
 			Expect(err).To(HaveOccurred())
 		}
--- a/internal/docket/snapshot.go
+++ b/internal/docket/snapshot.go
@@ -12,7 +12,7 @@
 
 // Snapshot appends the encoded state of the docket to buffer. Equal dockets have
 // equal encodings.
-func (d *Docket) Snapshot(buffer []byte) []byte {
+func (d *Store) Snapshot(buffer []byte) []byte {
 	buffer = parcel.AppendUint(buffer, snapshotFormatVersion)
 	buffer = appendLimits(buffer, d.limits)
 	buffer = parcel.AppendUint(buffer, uint64(d.clock))
@@ -29,12 +29,12 @@
 
 // Restore returns the docket that Snapshot encoded as data. It returns an error if
 // data has another format version or is damaged.
-func Restore(data []byte) (*Docket, error) {
+func Restore(data []byte) (*Store, error) {
 	reader := parcel.NewReader(data)
 	if format := reader.Uint(); format != snapshotFormatVersion {
 		return nil, errors.Newf("docket: snapshot format %d, of which this program knows %d", format, snapshotFormatVersion)
 	}
-	d := &Docket{limits: readLimits(reader)}
+	d := &Store{limits: readLimits(reader)}
 	d.clock = time.Duration(reader.Uint())
 	d.leaderTime = unixTime(reader.Uint())
 	for _, counter := range d.counters.inSnapshotOrder() {
@@ -66,7 +66,7 @@
 
 // isValidNext reports whether r is a valid next record of the snapshot that is
 // being restored.
-func (d *Docket) isValidNext(r *storedRecord) bool {
+func (d *Store) isValidNext(r *storedRecord) bool {
 	if _, duplicate := d.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
 		return false
 	}
@@ -80,12 +80,12 @@
 // inSnapshotOrder returns pointers to the counters in the order in which the
 // snapshot encodes them.
 func (c *Counters) inSnapshotOrder() []*uint64 {
-	return []*uint64{&c.Granted, &c.Refused, &c.Expired, &c.Overdue, &c.ResponsesDropped}
+	return []*uint64{&c.Granted, &c.RefusedFull, &c.Expired, &c.Overdue, &c.ResponsesDropped}
 }
 
 func appendLimits(buffer []byte, l Limits) []byte {
 	buffer = parcel.AppendUint(buffer, uint64(l.Retention))
-	buffer = parcel.AppendUint(buffer, uint64(l.Grace))
+	buffer = parcel.AppendUint(buffer, uint64(l.TimeoutGrace))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxTimeout))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxStep))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxRecords))
@@ -96,7 +96,7 @@
 func readLimits(reader *parcel.Reader) Limits {
 	return Limits{
 		Retention:        time.Duration(reader.Uint()),
-		Grace:            time.Duration(reader.Uint()),
+		TimeoutGrace:     time.Duration(reader.Uint()),
 		MaxTimeout:       time.Duration(reader.Uint()),
 		MaxStep:          time.Duration(reader.Uint()),
 		MaxRecords:       int(reader.Uint()),
@@ -130,8 +130,8 @@
 
 func readRecord(reader *parcel.Reader) *storedRecord {
 	r := &storedRecord{}
-	copy(r.key[:], reader.Fixed(len(r.key)))
-	copy(r.fingerprint[:], reader.Fixed(len(r.fingerprint)))
+	copy(r.key[:], reader.Take(len(r.key)))
+	copy(r.fingerprint[:], reader.Take(len(r.fingerprint)))
 	r.claimant = internInstance(Claimant{Instance: reader.String(), Incarnation: reader.Uint(), Request: reader.Uint()})
 	r.attempt = uint32(reader.Uint())
 	r.state = State(reader.Byte())
--- a/internal/edition/edition.go
+++ b/internal/edition/edition.go
@@ -30,7 +30,7 @@
 	// Stored means that the document is now in force.
 	Stored Verdict = iota + 1
 	// Held means that the same document is already in force.
-	Held
+	AlreadyInForce
 	// Superseded means that a higher version is in force. An operator who got no answer
 	// to a change may send it again after a later one has taken effect.
 	Superseded
@@ -43,7 +43,7 @@
 	switch v {
 	case Stored:
 		return "stored"
-	case Held:
+	case AlreadyInForce:
 		return "held"
 	case Superseded:
 		return "superseded"
@@ -70,14 +70,14 @@
 }
 
 // With returns the document in force after put, and the result of put.
-func (e Edition) With(put Put) (Edition, Result) {
+func (e Edition) Apply(put Put) (Edition, Result) {
 	switch {
 	case put.Version > e.Version || e.Content == nil:
 		return Edition(put), Result{Verdict: Stored, Version: put.Version}
 	case put.Version < e.Version:
 		return e, Result{Verdict: Superseded, Version: e.Version}
 	case bytes.Equal(put.Content, e.Content):
-		return e, Result{Verdict: Held, Version: e.Version}
+		return e, Result{Verdict: AlreadyInForce, Version: e.Version}
 	default:
 		return e, Result{Verdict: Conflict, Version: e.Version}
 	}
--- a/internal/edition/edition_test.go
+++ b/internal/edition/edition_test.go
@@ -11,17 +11,17 @@
 	put := func(version uint64, content string) edition.Put {
 		return edition.Put{Version: version, Content: []byte(content)}
 	}
-	held, _ := edition.Edition{}.With(put(7, "seven"))
+	held, _ := edition.Edition{}.Apply(put(7, "seven"))
 
 	DescribeTable("takes a document if its version is the highest",
 		func(next edition.Put, verdict edition.Verdict, version uint64, content string) {
-			after, result := held.With(next)
+			after, result := held.Apply(next)
 			Expect(result).To(Equal(edition.Result{Verdict: verdict, Version: version}))
 			Expect(string(after.Content)).To(Equal(content))
 		},
 		Entry("a higher version", put(9, "nine"), edition.Stored, uint64(9), "nine"),
 		// The answer to a change was lost, and the operator sends the change again.
-		Entry("the same document again", put(7, "seven"), edition.Held, uint64(7), "seven"),
+		Entry("the same document again", put(7, "seven"), edition.AlreadyInForce, uint64(7), "seven"),
 		// The operator sends a change again that a later one has replaced.
 		Entry("a lower version", put(3, "three"), edition.Superseded, uint64(7), "seven"),
 		// Two operators chose the same version. The acknowledged document must stay in
--- a/internal/edition/proof.go
+++ b/internal/edition/proof.go
@@ -49,6 +49,6 @@
 
 // Voucher returns the name of the replica that confirmed the copy last, empty if none
 // has.
-func (p Proof) Voucher() string {
+func (p Proof) ConfirmedBy() string {
 	return p.confirmedBy
 }
--- a/internal/edition/proof_test.go
+++ b/internal/edition/proof_test.go
@@ -19,7 +19,7 @@
 	It("counts the age back from the sending of the request", func() {
 		Expect(proven.Covers(sentAt.Add(-time.Second))).To(BeTrue())
 		Expect(proven.Covers(sentAt.Add(-time.Second + 1))).To(BeFalse())
-		Expect(proven.Voucher()).To(Equal("a"))
+		Expect(proven.ConfirmedBy()).To(Equal("a"))
 		age, ok := proven.Age(sentAt.Add(time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(age).To(Equal(2 * time.Second))
@@ -46,6 +46,6 @@
 	It("advances by a replica with an older version than the copy", func() {
 		later := proven.With(sentAt.Add(time.Minute), "b", 9, confirmed(8, 0))
 		Expect(later.Covers(sentAt.Add(time.Minute))).To(BeTrue())
-		Expect(later.Voucher()).To(Equal("b"))
+		Expect(later.ConfirmedBy()).To(Equal("b"))
 	})
 })
--- a/internal/electorate/electorate.go
+++ b/internal/electorate/electorate.go
@@ -18,11 +18,11 @@
 	// the largest odd number that is not above the number of replicas. Any majority of
 	// the replicas then holds a majority of the voters, so that it keeps working when
 	// the rest is cut off.
-	Least int
+	MinVoters int
 	// Patience is how long a voter must be silent before another replica takes its
 	// place. It must be above the election timeout, or every lost packet would cause a
 	// change.
-	Patience time.Duration
+	SilenceTimeout time.Duration
 }
 
 // Change adds or removes a voter. The zero value is no change.
@@ -53,13 +53,13 @@
 	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, leaderSince time.Time, options Options,
 ) Change {
 	g := newGroup(now, self, voters, peers, leaderSince, options)
-	size := max(options.Least, largestOdd(len(voters)+g.learners))
+	size := max(options.MinVoters, largestOdd(len(voters)+g.learners))
 	switch {
 	case g.diskLost != "":
 		return Change{Remove: g.diskLost, Reason: DiskLost}
 	case g.learner != "" && len(voters) < size:
 		return Change{Add: g.learner, Reason: TooFew}
-	case g.silent != "" && len(voters) > options.Least && len(voters)%2 == 0:
+	case g.silent != "" && len(voters) > options.MinVoters && len(voters)%2 == 0:
 		return Change{Remove: g.silent, Reason: Replaced}
 	case g.silent != "" && g.learner != "" && len(voters)%2 == 1:
 		return Change{Add: g.learner, Reason: Replacement}
@@ -92,34 +92,34 @@
 	var g group
 	statuses := make(map[jury.Identity]jury.PeerStatus, len(peers))
 	for _, peer := range peers {
-		statuses[peer.Name] = peer
+		statuses[peer.ID] = peer
 	}
 	votes := make(map[jury.Identity]bool, len(voters))
 	byInstance := make(map[string]jury.Identity, len(voters))
 	for _, voter := range voters {
 		votes[voter] = true
 		byInstance[voter.Instance()] = voter
-		lastHeard := statuses[voter].Heard
+		lastHeard := statuses[voter].LastContact
 		if lastHeard.Before(leaderSince) {
 			lastHeard = leaderSince
 		}
-		if voter != self && g.silent == "" && now.Sub(lastHeard) >= options.Patience {
+		if voter != self && g.silent == "" && now.Sub(lastHeard) >= options.SilenceTimeout {
 			g.silent = voter
 		}
 	}
 	for _, peer := range peers {
-		if votes[peer.Name] || !peer.Answers {
+		if votes[peer.ID] || !peer.Active {
 			continue
 		}
-		if voter, taken := byInstance[peer.Name.Instance()]; taken {
-			if voter != self && !statuses[voter].Answers {
+		if voter, taken := byInstance[peer.ID.Instance()]; taken {
+			if voter != self && !statuses[voter].Active {
 				g.diskLost = voter
 			}
 			continue
 		}
 		g.learners++
 		if peer.CaughtUp && g.learner == "" {
-			g.learner = peer.Name
+			g.learner = peer.ID
 		}
 	}
 	return g
--- a/internal/electorate/electorate_test.go
+++ b/internal/electorate/electorate_test.go
@@ -25,12 +25,12 @@
 
 // answering returns the status of a replica that answers and has caught up.
 func answering(name jury.Identity) jury.PeerStatus {
-	return jury.PeerStatus{Name: name, Answers: true, Heard: now.Add(-100 * time.Millisecond), CaughtUp: true}
+	return jury.PeerStatus{ID: name, Active: true, LastContact: now.Add(-100 * time.Millisecond), CaughtUp: true}
 }
 
 // silent returns the status of a replica that answered last before the given time.
 func silent(name jury.Identity, silence time.Duration) jury.PeerStatus {
-	return jury.PeerStatus{Name: name, Heard: now.Add(-silence), CaughtUp: true}
+	return jury.PeerStatus{ID: name, LastContact: now.Add(-silence), CaughtUp: true}
 }
 
 // behind returns the status of a replica that answers but has not caught up.
@@ -44,7 +44,7 @@
 	three := []jury.Identity{a1, b1, c1}
 	decide := func(voters []jury.Identity, leaderFor time.Duration, peers ...jury.PeerStatus) electorate.Change {
 		return electorate.Decide(now, a1, voters, peers, now.Add(-leaderFor),
-			electorate.Options{Least: 3, Patience: 1500 * time.Millisecond})
+			electorate.Options{MinVoters: 3, SilenceTimeout: 1500 * time.Millisecond})
 	}
 	const long = time.Minute
 
@@ -91,7 +91,7 @@
 	// The leader has just been elected and has not heard from b yet. Without the start of
 	// the leadership as a bound, b would be replaced at once.
 	It("counts silence from the start of the leadership at the earliest", func() {
-		peers := []jury.PeerStatus{{Name: b1}, answering(c1), answering(d1)}
+		peers := []jury.PeerStatus{{ID: b1}, answering(c1), answering(d1)}
 		Expect(decide(three, time.Second, peers...)).To(Equal(electorate.Change{}))
 		Expect(decide(three, 2*time.Second, peers...)).To(Equal(electorate.Change{Add: d1, Reason: electorate.Replacement}))
 	})
--- a/internal/entries/entries.go
+++ b/internal/entries/entries.go
@@ -29,7 +29,7 @@
 	// is never chosen.
 	Leaving bool
 	// Open is the number of open requests.
-	Open int
+	ActiveRequests int
 }
 
 // Options are the settings of Choose. Keep must be set.
@@ -38,7 +38,7 @@
 	MaxInstances int
 	// Keep is the longest time for which a caller keeps an answer. A draining instance
 	// keeps serving for that long.
-	Keep time.Duration
+	MaxTTL time.Duration
 }
 
 // Answer is the answer to a caller. The first instance is the one to use; the others are
@@ -64,7 +64,7 @@
 		options.MaxInstances = defaultMaxInstances
 	}
 	ranked := rank(caller, instances)
-	answer := Answer{Keep: keepTime(now, caller, options.Keep)}
+	answer := Answer{Keep: keepTime(now, caller, options.MaxTTL)}
 	for len(ranked) > 0 && len(answer.Instances) < options.MaxInstances {
 		i := nextDomain(ranked, answer.Instances)
 		answer.Instances = append(answer.Instances, ranked[i].Instance)
@@ -90,7 +90,7 @@
 		uniform := fraction(hash(caller, instance.Name))
 		ranked = append(ranked, scoredInstance{
 			Instance: instance,
-			score:    -weight(instance.Open, mean) / math.Log(uniform),
+			score:    -weight(instance.ActiveRequests, mean) / math.Log(uniform),
 		})
 	}
 	slices.SortFunc(ranked, func(a, b scoredInstance) int {
@@ -125,7 +125,7 @@
 	total, count := 0, 0
 	for _, instance := range instances {
 		if !instance.Leaving {
-			total += instance.Open
+			total += instance.ActiveRequests
 			count++
 		}
 	}
--- a/internal/entries/entries_test.go
+++ b/internal/entries/entries_test.go
@@ -16,14 +16,14 @@
 
 	var (
 		now       = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		options   = entries.Options{Keep: 5 * time.Second}
+		options   = entries.Options{MaxTTL: 5 * time.Second}
 		instances []entries.Instance
 	)
 
 	BeforeEach(func() {
 		instances = nil
 		for i, domain := range []string{"kgn-a", "kgn-b", "kgn-c", "kgn-a", "kgn-b", "kgn-c", "kgn-a"} {
-			instances = append(instances, entries.Instance{Name: fmt.Sprintf("entry-%d", i), FailureDomain: domain, Open: 10})
+			instances = append(instances, entries.Instance{Name: fmt.Sprintf("entry-%d", i), FailureDomain: domain, ActiveRequests: 10})
 		}
 	})
 
@@ -79,7 +79,7 @@
 	})
 
 	It("sends fewer callers to an instance with more open requests", func() {
-		instances[0].Open = 100
+		instances[0].ActiveRequests = 100
 		counts, _ := firsts()
 		Expect(counts["entry-0"]).To(BeNumerically("<", callers/7*7/10))
 		Expect(counts["entry-0"]).To(BeNumerically(">", callers/7*4/10))
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -32,20 +32,20 @@
 }
 
 // Story is the history of a request according to the logs.
-type Story struct {
+type History struct {
 	// Lines are the lines of the request itself. Around are lines without a request
 	// from about the same time that concern the same instances, upstreams or model, or
 	// a change of leader. Both are sorted by time.
-	Lines  []Line
-	Around []Line
+	Lines        []Line
+	RelatedLines []Line
 	// Quarantine are the lines that explain the quarantine of the request: lines about
 	// upstreams that terminated while they processed another request with the same
 	// digest, and lines about the quarantine itself. They are sorted by time.
-	Quarantine []Line
+	QuarantineLines []Line
 	// Read is the number of nonempty lines, and Bad the number of those that could not
 	// be parsed.
-	Read int
-	Bad  int
+	LineCount     int
+	UnparsedCount int
 }
 
 // Log is the merged log of several instances.
@@ -114,8 +114,8 @@
 }
 
 // Story returns the history of the request with the given id.
-func (l *Log) Story(id string) Story {
-	history := Story{Read: l.lineCount, Bad: l.unparsedCount}
+func (l *Log) History(id string) History {
+	history := History{LineCount: l.lineCount, UnparsedCount: l.unparsedCount}
 	related := map[string]bool{}
 	model := ""
 	for _, line := range l.lines {
@@ -140,11 +140,11 @@
 	first, last := history.Lines[0].startTime(), history.Lines[len(history.Lines)-1].Time
 	for _, line := range l.lines {
 		if line.isRelated(related, model) && !line.Time.Before(first.Add(-lookback)) && !line.Time.After(last) {
-			history.Around = append(history.Around, line)
+			history.RelatedLines = append(history.RelatedLines, line)
 		}
 	}
-	sortByTime(history.Around)
-	history.Quarantine = l.quarantineLines(id, history.Lines)
+	sortByTime(history.RelatedLines)
+	history.QuarantineLines = l.quarantineLines(id, history.Lines)
 	return history
 }
 
@@ -177,7 +177,7 @@
 // Some lines contain only a prefix of the digest.
 func (l Line) explainsQuarantine(digest string) bool {
 	switch l.Message {
-	case quarantine.LineEnded, quarantine.LineEntered, quarantine.LineLeft, quarantine.LineLifted:
+	case quarantine.LogEnded, quarantine.LogEntered, quarantine.LogLeft, quarantine.LogLifted:
 	default:
 		return false
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,11 +22,11 @@
 `
 
 var _ = Describe("Log", func() {
-	historyOf := func(id string) explain.Story {
+	historyOf := func(id string) explain.History {
 		GinkgoHelper()
 		var l explain.Log
 		Expect(l.Read(strings.NewReader(logText))).To(Succeed())
-		return l.Story(id)
+		return l.History(id)
 	}
 
 	It("returns the lines of a request sorted by time", func() {
@@ -39,7 +39,7 @@
 
 	It("returns related lines from about the same time", func() {
 		var messages []string
-		for _, line := range historyOf("r7").Around {
+		for _, line := range historyOf("r7").RelatedLines {
 			messages = append(messages, line.Message)
 		}
 		Expect(messages).To(Equal([]string{
@@ -57,7 +57,7 @@
 {"instance":"entry-1","time":"2026-12-02T08:00:01.200Z","model":"other","message":"not loaded"}
 {"instance":"entry-1","time":"2026-12-02T08:00:02.000Z","request":"r1","model":"m","message":"request not served"}
 `))).To(Succeed())
-		related := l.Story("r1").Around
+		related := l.History("r1").RelatedLines
 		Expect(related).To(HaveLen(1))
 		Expect(related[0].Fields["engine"]).To(Equal("e1"))
 	})
@@ -73,7 +73,7 @@
 {"instance":"core-1","time":"2026-12-02T08:00:03.000Z","digest":"aa11cc","upstreams":["e1"],"message":"request in quarantine: upstreams end that run it"}
 {"instance":"entry-3","time":"2026-12-02T08:00:04.000Z","request":"r3","digest":"aa11cc","message":"request not served"}
 `))).To(Succeed())
-		lines := l.Story("r3").Quarantine
+		lines := l.History("r3").QuarantineLines
 		Expect(lines).To(HaveLen(2))
 		Expect(lines[0].Fields["request"]).To(Equal("r1"))
 		Expect(lines[1].Instance).To(Equal("core-1"))
@@ -81,12 +81,12 @@
 
 	It("counts lines that cannot be parsed", func() {
 		history := historyOf("r7")
-		Expect(history.Read).To(Equal(9))
-		Expect(history.Bad).To(Equal(2))
+		Expect(history.LineCount).To(Equal(9))
+		Expect(history.UnparsedCount).To(Equal(2))
 	})
 
 	It("returns no lines for an unknown request", func() {
 		Expect(historyOf("r9").Lines).To(BeEmpty())
-		Expect(historyOf("r9").Around).To(BeEmpty())
+		Expect(historyOf("r9").RelatedLines).To(BeEmpty())
 	})
 })
--- a/internal/foreman/actions.go
+++ b/internal/foreman/actions.go
@@ -65,14 +65,14 @@
 func dueActions(now time.Time, in actionInput) []action {
 	var actions []action
 	for _, e := range in.state.Engines {
-		upstream, live := in.live[e.Announced.Name]
+		upstream, live := in.live[e.Announcement.Name]
 		if !live || len(e.Ledger.Contradictions()) > 0 {
 			continue
 		}
 		for _, order := range e.Ledger.Open() {
 			call, called := in.calls[order.ID]
 			target := delivery{
-				engine:         e.Announced.Name,
+				engine:         e.Announcement.Name,
 				address:        upstream.Announcement.Address,
 				order:          order,
 				supportsStatus: upstream.Announcement.Has(upstreamapi.CapabilityOrderStatus),
@@ -104,7 +104,7 @@
 		return true
 	}
 	for _, other := range in.state.Engines {
-		if _, live := in.live[other.Announced.Name]; live && other != e && retainsCopy(other, order) {
+		if _, live := in.live[other.Announcement.Name]; live && other != e && retainsCopy(other, order) {
 			return true
 		}
 	}
--- a/internal/foreman/actions_test.go
+++ b/internal/foreman/actions_test.go
@@ -27,12 +27,12 @@
 	// must wait until another engine holds the model.
 	It("are not sent again while that would remove the last copy", func() {
 		m := manifest.New()
-		m.Apply(manifest.Lead{Term: 1})
+		m.Apply(manifest.NewLeader{Term: 1})
 		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{holder("e1"), holder("e2")}})
 		Expect(m.Apply(manifest.Record{Engine: "e1", Order: upstreamapi.Order{
 			ID: "out", Number: 1, Fencing: 1, Incarnation: 1, Kind: upstreamapi.OrderUnloadModel, Model: "letters", Version: "1",
 		}}).Accepted).To(BeTrue())
-		m.Apply(manifest.Lost{Engine: "e1", ID: "out"})
+		m.Apply(manifest.AnswerLost{Engine: "e1", ID: "out"})
 		c := &testCluster{}
 		c.declare(map[string]int{"letters": 6})
 		bothLive := map[string]roster.Upstream{"e1": {Announcement: holder("e1")}, "e2": {Announcement: holder("e2")}}
@@ -66,12 +66,12 @@
 			Accelerators: []upstreamapi.Accelerator{{Name: "a0", MemoryBytes: 10 * gib}},
 		}
 		m := manifest.New()
-		m.Apply(manifest.Lead{Term: 1})
+		m.Apply(manifest.NewLeader{Term: 1})
 		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{engine}})
 		c := &testCluster{}
 		c.declare(map[string]int{"letters": 6, "fares": 6})
 		for name, state := range map[string]manifest.View{"recorded": m.View(), "not recorded": {}} {
-			moves, problems := foreman.Preview(testTime, state, []roster.Upstream{{Announcement: engine}}, c.declared, c.declared.FirstPreset(), 1)
+			moves, problems := foreman.Preview(testTime, state, []roster.Upstream{{Announcement: engine}}, c.declared, c.declared.InitialPreset(), 1)
 			Expect(moves).To(HaveLen(1), name)
 			Expect(moves[0].Engine).To(Equal("e1"))
 			Expect(problems).To(ContainElement(HaveField("Text", ContainSubstring("6.00GiB needed"))), name)
--- a/internal/foreman/bench_test.go
+++ b/internal/foreman/bench_test.go
@@ -47,7 +47,9 @@
 	return c
 }
 
-func (c *idleCluster) Issue() *gazette.Issue { return &gazette.Issue{Declarations: declaration.Set{}} }
+func (c *idleCluster) Configuration() *gazette.Configuration {
+	return &gazette.Configuration{Declarations: declaration.Set{}}
+}
 
 func (c *idleCluster) Upstreams(time.Time) []roster.Upstream { return c.upstreams }
 
@@ -74,7 +76,7 @@
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			c := newIdleCluster(engines)
 			f := foreman.NewWithoutLoop(foreman.Options{
-				Register: c, World: c, Planner: placement.New(placement.Options{}), Client: &http.Client{},
+				State: c, Cluster: c, Planner: placement.New(placement.Options{}), Client: &http.Client{},
 				Now: time.Now, Log: zerolog.Nop(),
 			})
 			now := time.Now()
--- a/internal/foreman/client.go
+++ b/internal/foreman/client.go
@@ -30,43 +30,43 @@
 
 // sendOrder sends an order. An error marked as errNotSent proves that the order was not sent; after
 // any other error the order may still take effect.
-func (c engineClient) sendOrder(ctx context.Context, address string, order upstreamapi.Order) (upstreamapi.OrderAnswer, error) {
+func (c engineClient) sendOrder(ctx context.Context, address string, order upstreamapi.Order) (upstreamapi.OrderResponse, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return upstreamapi.OrderAnswer{}, errors.Wrap(err, "foreman: encode order")
+		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: encode order")
 	}
 	return c.call(ctx, http.MethodPost, "http://"+address+upstreamapi.OrdersPath, body)
 }
 
 // queryStatus queries the state of an order.
-func (c engineClient) queryStatus(ctx context.Context, address, id string) (upstreamapi.OrderAnswer, error) {
+func (c engineClient) queryStatus(ctx context.Context, address, id string) (upstreamapi.OrderResponse, error) {
 	return c.call(ctx, http.MethodGet, "http://"+address+upstreamapi.OrdersPath+"/"+url.PathEscape(id), nil)
 }
 
-func (c engineClient) call(ctx context.Context, method, requestURL string, body []byte) (upstreamapi.OrderAnswer, error) {
+func (c engineClient) call(ctx context.Context, method, requestURL string, body []byte) (upstreamapi.OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, requestURL, bytes.NewReader(body))
 	if err != nil {
-		return upstreamapi.OrderAnswer{}, errors.Wrap(err, "foreman: create request")
+		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: create request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
 		var failed *net.OpError
 		if errors.As(err, &failed) && failed.Op == "dial" {
-			return upstreamapi.OrderAnswer{}, errors.Mark(err, errNotSent)
+			return upstreamapi.OrderResponse{}, errors.Mark(err, errNotSent)
 		}
-		return upstreamapi.OrderAnswer{}, errors.Wrap(err, "foreman: send request")
+		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: send request")
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return upstreamapi.OrderAnswer{}, errors.Wrap(err, "foreman: read answer")
+		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: read answer")
 	}
-	var answer upstreamapi.OrderAnswer
+	var answer upstreamapi.OrderResponse
 	if err := json.Unmarshal(data, &answer); err != nil || answer.ID == "" || answer.State == "" {
-		return upstreamapi.OrderAnswer{}, errors.Newf("foreman: body of status %d is not an order answer", response.StatusCode)
+		return upstreamapi.OrderResponse{}, errors.Newf("foreman: body of status %d is not an order answer", response.StatusCode)
 	}
 	return answer, nil
 }
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -146,9 +146,9 @@
 }
 
 // Issue returns the active configuration.
-func (c *testCluster) Issue() *gazette.Issue {
+func (c *testCluster) Configuration() *gazette.Configuration {
 	preset, _ := c.declared.Preset(c.preset)
-	return &gazette.Issue{Revision: c.revision, Preset: preset, Declarations: c.declared}
+	return &gazette.Configuration{Revision: c.revision, Preset: preset, Declarations: c.declared}
 }
 
 // Upstreams returns the engines with a valid announcement lease.
@@ -161,7 +161,7 @@
 				stale.Load.Clock = announced.Load.Clock
 				announced = stale
 			}
-			list = append(list, roster.Upstream{Announcement: announced, Heard: now})
+			list = append(list, roster.Upstream{Announcement: announced, LastContact: now})
 		}
 	}
 	return list
@@ -216,15 +216,15 @@
 }
 
 // newForeman returns a Foreman at the replica that leads in the given term.
-func (c *testCluster) newForeman(term uint64) *foreman.Foreman {
+func (c *testCluster) newForeman(term uint64) *foreman.Controller {
 	return foreman.NewWithoutLoop(foreman.Options{
-		Register:      replica{c, term},
-		World:         c,
+		State:         replica{c, term},
+		Cluster:       c,
 		Planner:       placement.New(placement.Options{}),
-		WeightStore:   placement.WeightStore{Concurrent: 2},
+		WeightStore:   placement.WeightStore{MaxConcurrentLoads: 2},
 		WeightOfMoves: 1,
 		Client:        &http.Client{Transport: c.net},
-		OrderFlight:   5 * time.Second,
+		OrderTimeout:  5 * time.Second,
 		UpstreamLease: lease,
 		Now:           time.Now,
 		Log:           zerolog.New(c.logWriter),
@@ -239,7 +239,7 @@
 }
 
 // run reconciles each Foreman every 250 ms. After each round it checks the invariants.
-func (c *testCluster) run(d time.Duration, foremen ...*foreman.Foreman) {
+func (c *testCluster) run(d time.Duration, foremen ...*foreman.Controller) {
 	for range d / (250 * time.Millisecond) {
 		for _, f := range foremen {
 			f.Reconcile(time.Now())
@@ -259,7 +259,7 @@
 			continue
 		}
 		account, _ := recorded.Ledger.Account("a0")
-		Expect(*a.Accelerators[0].UsedBytes).To(BeNumerically("<=", account.Worst()), name)
+		Expect(*a.Accelerators[0].UsedBytes).To(BeNumerically("<=", account.WorstCase()), name)
 	}
 }
 
--- a/internal/foreman/enginereports.go
+++ b/internal/foreman/enginereports.go
@@ -12,9 +12,9 @@
 const maxReportsPerCommand = 32
 
 // liveEngines returns, by name, the engines that accept orders and have a valid announcement lease.
-func (f *Foreman) liveEngines(now time.Time) map[string]roster.Upstream {
+func (f *Controller) liveEngines(now time.Time) map[string]roster.Upstream {
 	live := map[string]roster.Upstream{}
-	for _, u := range f.options.World.Upstreams(now) {
+	for _, u := range f.options.Cluster.Upstreams(now) {
 		if acceptsOrders(u.Announcement) {
 			live[u.Announcement.Name] = u
 		}
@@ -31,14 +31,14 @@
 }
 
 // recordReports records the engines' announcements that contain something new.
-func (f *Foreman) recordReports(live map[string]roster.Upstream) {
-	state := f.options.Register.Manifest()
+func (f *Controller) recordReports(live map[string]roster.Upstream) {
+	state := f.options.State.Manifest()
 	remaining := manifest.MaxEngines - len(state.Engines)
 	var changed []upstreamapi.Announcement
 	for name, u := range live {
 		e, recorded := state.Engine(name)
 		switch {
-		case recorded && !e.Learns(u.Announcement):
+		case recorded && !e.ChangedByAnnouncement(u.Announcement):
 			continue
 		case !recorded && remaining == 0:
 			f.options.Log.Error().Str("engine", name).Msg("limit of recorded engines reached; no orders are sent to this engine")
@@ -57,12 +57,12 @@
 
 // logContradictions logs, once per incarnation, each engine whose reports contradict the ledger.
 // Such an engine receives no further orders; the other engines are not affected.
-func (f *Foreman) logContradictions() {
+func (f *Controller) logContradictions() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.options.Register.Manifest().Engines {
+	for _, e := range f.options.State.Manifest().Engines {
 		contradictions := e.Ledger.Contradictions()
-		name := e.Announced.Name
+		name := e.Announcement.Name
 		if len(contradictions) == 0 {
 			delete(f.loggedIncarnations, name)
 			continue
@@ -81,18 +81,18 @@
 
 // removeGoneEngines removes the records of engines that have been missing for goneEngineRetention
 // and have no open order.
-func (f *Foreman) removeGoneEngines(now time.Time, live map[string]roster.Upstream) {
-	for _, e := range f.options.Register.Manifest().Engines {
-		name := e.Announced.Name
+func (f *Controller) removeGoneEngines(now time.Time, live map[string]roster.Upstream) {
+	for _, e := range f.options.State.Manifest().Engines {
+		name := e.Announcement.Name
 		_, isLive := live[name]
 		if f.missingFor(now, name, isLive) >= goneEngineRetention && len(e.Ledger.Open()) == 0 {
-			f.propose(manifest.Forget{Engine: name})
+			f.propose(manifest.RemoveEngine{Engine: name})
 		}
 	}
 }
 
 // missingFor returns how long the engine has been absent from liveEngines at this leader.
-func (f *Foreman) missingFor(now time.Time, name string, isLive bool) time.Duration {
+func (f *Controller) missingFor(now time.Time, name string, isLive bool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if isLive {
--- a/internal/foreman/export_test.go
+++ b/internal/foreman/export_test.go
@@ -9,12 +9,12 @@
 )
 
 // NewWithoutLoop returns a Foreman without its control loop: it acts only in Reconcile.
-func NewWithoutLoop(options Options) *Foreman {
+func NewWithoutLoop(options Options) *Controller {
 	return newForeman(options)
 }
 
 // Reconcile runs one reconciliation at now and waits for its calls to engines.
-func (f *Foreman) Reconcile(now time.Time) {
+func (f *Controller) Reconcile(now time.Time) {
 	f.reconcile(now)
 	f.inFlight.Wait()
 }
--- a/internal/foreman/followup.go
+++ b/internal/foreman/followup.go
@@ -13,8 +13,8 @@
 )
 
 // followUpOrders performs the actions that are due for open orders.
-func (f *Foreman) followUpOrders(now time.Time, term uint64, live map[string]roster.Upstream) {
-	state := f.options.Register.Manifest()
+func (f *Controller) followUpOrders(now time.Time, term uint64, live map[string]roster.Upstream) {
+	state := f.options.State.Manifest()
 	f.pruneOrderCalls(state)
 	f.mu.Lock()
 	calls := maps.Clone(f.orderCalls)
@@ -23,7 +23,7 @@
 		term:       term,
 		state:      state,
 		live:       live,
-		declared:   f.options.World.Issue().Declarations,
+		declared:   f.options.Cluster.Configuration().Declarations,
 		calls:      calls,
 		retryDelay: callRetryDelay,
 	})
@@ -40,7 +40,7 @@
 }
 
 // pruneOrderCalls removes the entries of orders that are no longer open.
-func (f *Foreman) pruneOrderCalls(state manifest.View) {
+func (f *Controller) pruneOrderCalls(state manifest.View) {
 	open := map[string]bool{}
 	for _, e := range state.Engines {
 		for _, order := range e.Ledger.Open() {
@@ -54,7 +54,7 @@
 
 // startCall runs a call about an order in the background. dueActions returns no other call about
 // the order until it ends.
-func (f *Foreman) startCall(id string, do func()) {
+func (f *Controller) startCall(id string, do func()) {
 	f.mu.Lock()
 	f.orderCalls[id] = orderCall{inFlight: true}
 	f.mu.Unlock()
@@ -68,19 +68,19 @@
 
 // queryStatus queries the state of an order, and sends the order again if the engine does not know
 // it.
-func (f *Foreman) queryStatus(term uint64, target delivery, live map[string]roster.Upstream) {
+func (f *Controller) queryStatus(term uint64, target delivery, live map[string]roster.Upstream) {
 	answer, err := f.engines.queryStatus(f.ctx, target.address, target.order.ID)
 	if err != nil {
 		f.recordLostAnswer(target, err)
 		return
 	}
 	f.recordAnswer(target, answer)
-	state := f.options.Register.Manifest()
+	state := f.options.State.Manifest()
 	e, recorded := state.Engine(target.engine)
 	if answer.State != upstreamapi.OrderUnknown || !recorded || !isOpen(e, target.order.ID) {
 		return
 	}
-	in := actionInput{state: state, live: live, declared: f.options.World.Issue().Declarations}
+	in := actionInput{state: state, live: live, declared: f.options.Cluster.Configuration().Declarations}
 	if in.mayResend(&e, target.order) {
 		f.resend(term, target)
 	}
@@ -92,7 +92,7 @@
 
 // resend sends the same order again under the current fencing number. An engine that has already
 // received it answers with the order's state.
-func (f *Foreman) resend(term uint64, target delivery) {
+func (f *Controller) resend(term uint64, target delivery) {
 	sameTerm := target.order.Fencing == term
 	if !sameTerm && !f.propose(manifest.Resend{Engine: target.engine, ID: target.order.ID, Term: term}) {
 		return
@@ -111,7 +111,7 @@
 
 // send sends an order for the first time, immediately after its record was committed. If the order
 // was certainly not sent, send withdraws it.
-func (f *Foreman) send(target delivery) {
+func (f *Controller) send(target delivery) {
 	if !f.maySend(target.order.Fencing) {
 		f.propose(manifest.Withdraw{Engine: target.engine, ID: target.order.ID, Term: target.order.Fencing})
 		return
@@ -129,22 +129,22 @@
 }
 
 // recordLostAnswer records that the answer to an order was lost, unless that is already recorded.
-func (f *Foreman) recordLostAnswer(target delivery, err error) {
+func (f *Controller) recordLostAnswer(target delivery, err error) {
 	f.options.Log.Warn().Err(err).Str("engine", target.engine).Str("order", target.order.ID).Msg("no valid answer to an order")
-	e, recorded := f.options.Register.Manifest().Engine(target.engine)
+	e, recorded := f.options.State.Manifest().Engine(target.engine)
 	if recorded && isOpen(e, target.order.ID) && !e.Ledger.Doubtful(target.order.ID) {
-		f.propose(manifest.Lost{Engine: target.engine, ID: target.order.ID})
+		f.propose(manifest.AnswerLost{Engine: target.engine, ID: target.order.ID})
 	}
 }
 
 // recordAnswer records an answer, unless it contains nothing new.
-func (f *Foreman) recordAnswer(target delivery, answer upstreamapi.OrderAnswer) {
+func (f *Controller) recordAnswer(target delivery, answer upstreamapi.OrderResponse) {
 	if answer.ID != target.order.ID {
 		f.recordLostAnswer(target, errors.Newf("foreman: engine answered for order %q instead of %q", answer.ID, target.order.ID))
 		return
 	}
-	e, recorded := f.options.Register.Manifest().Engine(target.engine)
-	if !recorded || !e.LearnsFrom(answer) {
+	e, recorded := f.options.State.Manifest().Engine(target.engine)
+	if !recorded || !e.ChangedByAnswer(answer) {
 		return
 	}
 	f.propose(manifest.Answer{Engine: target.engine, Answer: answer})
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -41,13 +41,13 @@
 	// Upstreams returns the upstreams with a valid announcement lease.
 	Upstreams(now time.Time) []roster.Upstream
 	// Issue returns the active configuration.
-	Issue() *gazette.Issue
+	Configuration() *gazette.Configuration
 }
 
 // Options configures a Foreman.
 type Options struct {
-	Register ReplicatedState
-	World    Cluster
+	State   ReplicatedState
+	Cluster Cluster
 	// Demand returns the current demand estimates. If it is nil, models are placed by minimum
 	// copies and failure tolerance alone.
 	Demand func(now time.Time) []demand.Estimate
@@ -58,14 +58,14 @@
 	// Client calls engines. It must not follow redirects.
 	Client *http.Client
 	// OrderFlight is the longest time that an order can be in flight.
-	OrderFlight time.Duration
+	OrderTimeout time.Duration
 	// UpstreamLease is the duration of the announcement lease. A new leader does not plan before it
 	// has passed: engines that have not yet announced themselves to it would count as lost.
 	UpstreamLease time.Duration
 	// Every is the interval of the control loop. 0 means DefaultInterval.
-	Every time.Duration
-	Now   func() time.Time
-	Log   zerolog.Logger
+	Interval time.Duration
+	Now      func() time.Time
+	Log      zerolog.Logger
 }
 
 // Intervals and limits without a setting.
@@ -96,7 +96,7 @@
 )
 
 // Foreman issues orders while its instance holds the order right. It is safe for concurrent use.
-type Foreman struct {
+type Controller struct {
 	options Options
 	engines engineClient
 	ctx     context.Context
@@ -125,20 +125,20 @@
 }
 
 // New starts a Foreman.
-func New(options Options) *Foreman {
+func New(options Options) *Controller {
 	f := newForeman(options)
 	f.loop.Go(f.run)
 	return f
 }
 
-func newForeman(options Options) *Foreman {
-	if options.Every == 0 {
-		options.Every = DefaultInterval
+func newForeman(options Options) *Controller {
+	if options.Interval == 0 {
+		options.Interval = DefaultInterval
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Foreman{
+	return &Controller{
 		options:            options,
-		engines:            engineClient{client: options.Client, timeout: options.OrderFlight},
+		engines:            engineClient{client: options.Client, timeout: options.OrderTimeout},
 		ctx:                ctx,
 		cancel:             cancel,
 		orderCalls:         map[string]orderCall{},
@@ -149,14 +149,14 @@
 
 // Close stops the control loop and cancels the calls in progress. Their orders are recorded, so the
 // next leader queries their state.
-func (f *Foreman) Close() {
+func (f *Controller) Close() {
 	f.cancel()
 	f.loop.Wait()
 	f.inFlight.Wait()
 }
 
-func (f *Foreman) run() {
-	ticker := time.NewTicker(f.options.Every)
+func (f *Controller) run() {
+	ticker := time.NewTicker(f.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -169,20 +169,20 @@
 }
 
 // reconcile performs everything that is due at now.
-func (f *Foreman) reconcile(now time.Time) {
-	rightTerm, _, held := f.options.Register.OrderRight(now)
+func (f *Controller) reconcile(now time.Time) {
+	rightTerm, _, held := f.options.State.OrderRight(now)
 	if !held {
 		f.resetTerm()
 		return
 	}
 	term := uint64(rightTerm)
-	state := f.options.Register.Manifest()
+	state := f.options.State.Manifest()
 	switch {
 	case state.Term > term:
 		return
 	case state.Term < term:
 		// Once this command is applied here, so are all commands that earlier leaders committed.
-		if !f.propose(manifest.Lead{Term: term}) {
+		if !f.propose(manifest.NewLeader{Term: term}) {
 			return
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // resetTerm clears the state that is bound to an order right that has ended.
-func (f *Foreman) resetTerm() {
+func (f *Controller) resetTerm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.term, f.termStart = 0, time.Time{}
@@ -204,7 +204,7 @@
 }
 
 // beginTerm initializes the state of a term, unless this process already acts in it.
-func (f *Foreman) beginTerm(now time.Time, term uint64) {
+func (f *Controller) beginTerm(now time.Time, term uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.term == term {
@@ -218,10 +218,10 @@
 }
 
 // propose proposes a command and reports whether it was accepted.
-func (f *Foreman) propose(command manifest.Command) bool {
+func (f *Controller) propose(command manifest.Command) bool {
 	ctx, cancel := context.WithTimeout(f.ctx, proposeTimeout)
 	defer cancel()
-	result, err := f.options.Register.Propose(ctx, command)
+	result, err := f.options.State.Propose(ctx, command)
 	switch {
 	case err != nil:
 		f.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
@@ -241,7 +241,7 @@
 //
 // It is checked immediately before each send: the order right may have expired while the order was
 // being recorded, and another leader may rely on no order being sent.
-func (f *Foreman) maySend(fencing uint64) bool {
-	currentTerm, _, held := f.options.Register.OrderRight(f.options.Now())
+func (f *Controller) maySend(fencing uint64) bool {
+	currentTerm, _, held := f.options.State.OrderRight(f.options.Now())
 	return held && uint64(currentTerm) == fencing
 }
--- a/internal/foreman/placement.go
+++ b/internal/foreman/placement.go
@@ -17,8 +17,8 @@
 )
 
 // updatePlacement computes a plan if one is due, and issues its orders.
-func (f *Foreman) updatePlacement(now time.Time, term uint64, live map[string]roster.Upstream) {
-	issue := f.options.World.Issue()
+func (f *Controller) updatePlacement(now time.Time, term uint64, live map[string]roster.Upstream) {
+	issue := f.options.Cluster.Configuration()
 	f.mu.Lock()
 	tooEarly := now.Sub(f.termStart) < f.options.UpstreamLease || !f.lastPlanned.IsZero() && now.Sub(f.lastPlanned) < f.planPause
 	previous := f.planState
@@ -34,11 +34,11 @@
 	plan := f.options.Planner.Plan(now, placement.Input{
 		Declarations:  issue.Declarations,
 		Preset:        issue.Preset,
-		Engines:       planningEngines(f.options.Register.Manifest(), f.options.World.Upstreams(now)),
+		Engines:       planningEngines(f.options.State.Manifest(), f.options.Cluster.Upstreams(now)),
 		Demand:        estimates,
 		WeightStore:   f.options.WeightStore,
 		WeightOfMoves: f.options.WeightOfMoves,
-		Avoid:         avoidedLoads(now, f.options.Register.Manifest()),
+		AvoidedLoads:  avoidedLoads(now, f.options.State.Manifest()),
 		Previous:      previous,
 	})
 	f.mu.Lock()
@@ -48,7 +48,7 @@
 	f.mu.Unlock()
 	if changed {
 		for _, p := range plan.Problems {
-			f.options.Log.Warn().Str("model", p.Model).Str("reason", string(p.Reason)).Str("arithmetic", p.Text).
+			f.options.Log.Warn().Str("model", p.Model).Str("reason", string(p.Reason)).Str("arithmetic", p.Description).
 				Msg("placement requirement cannot be met at present")
 		}
 	}
@@ -65,8 +65,8 @@
 
 // avoidedLoads returns the loads that recently failed or could not be sent. They are derived from
 // the replicated state, so a new leader avoids them as well.
-func avoidedLoads(now time.Time, state manifest.View) []placement.Avoided {
-	var loads []placement.Avoided
+func avoidedLoads(now time.Time, state manifest.View) []placement.AvoidedLoad {
+	var loads []placement.AvoidedLoad
 	for _, e := range state.Engines {
 		for _, record := range e.Orders {
 			age := now.Sub(record.At)
@@ -74,7 +74,7 @@
 			withdrawn := record.State == manifest.StateWithdrawn && age < unsentLoadBackoff
 			isLoad := record.Kind == upstreamapi.OrderLoadModel || record.Kind == upstreamapi.OrderLoadAdapter
 			if isLoad && (refused || withdrawn) {
-				loads = append(loads, placement.Avoided{Engine: e.Announced.Name, Model: record.Model, Adapter: record.Adapter})
+				loads = append(loads, placement.AvoidedLoad{Engine: e.Announcement.Name, Model: record.Model, Adapter: record.Adapter})
 			}
 		}
 	}
@@ -105,33 +105,33 @@
 		engines = append(engines, placement.NewEngine(a, ledger.Ledger{}.WithReport(a), placement.Serving))
 	}
 	for _, e := range state.Engines {
-		if a, isLive := live[e.Announced.Name]; isLive {
+		if a, isLive := live[e.Announcement.Name]; isLive {
 			engines = append(engines, placement.NewEngine(a, e.Ledger, placement.Serving))
 			continue
 		}
-		engines = append(engines, placement.NewEngine(e.Announced, e.Ledger, placement.Lost))
+		engines = append(engines, placement.NewEngine(e.Announcement, e.Ledger, placement.Lost))
 	}
 	slices.SortStableFunc(engines, func(a, b placement.Engine) int { return strings.Compare(a.Name(), b.Name()) })
 	return slices.CompactFunc(engines, func(a, b placement.Engine) bool { return a.Name() == b.Name() })
 }
 
 // issueOrder records the order of a move, and sends it once the record is committed.
-func (f *Foreman) issueOrder(now time.Time, term uint64, move placement.Move, live map[string]roster.Upstream) {
+func (f *Controller) issueOrder(now time.Time, term uint64, move placement.Move, live map[string]roster.Upstream) {
 	u, isLive := live[move.Engine]
-	state := f.options.Register.Manifest()
+	state := f.options.State.Manifest()
 	e, recorded := state.Engine(move.Engine)
 	if !isLive || !recorded {
 		return
 	}
 	order := move.Order
-	order.Number = state.Number + 1
+	order.Number = state.HighestNumber + 1
 	order.ID = fmt.Sprintf("order-%d-%d", term, order.Number)
 	order.Fencing = term
 	order.Incarnation = e.Ledger.Incarnation()
 	if clock := u.Announcement.Load.Clock; !clock.IsZero() {
-		order.NotAfter = clock.Add(now.Sub(u.Heard) + orderValidity).UTC()
+		order.NotAfter = clock.Add(now.Sub(u.LastContact) + orderValidity).UTC()
 	}
-	if !f.propose(manifest.Record{Engine: move.Engine, Order: order, Why: orderPurpose(move), At: now.UTC()}) {
+	if !f.propose(manifest.Record{Engine: move.Engine, Order: order, Reason: orderPurpose(move), At: now.UTC()}) {
 		return
 	}
 	f.logDecision(move, order)
@@ -142,24 +142,24 @@
 // orderPurpose describes the purpose of a move briefly.
 func orderPurpose(move placement.Move) string {
 	purpose := string(move.Reason)
-	if move.For != "" {
-		purpose += " of " + move.For
+	if move.MakesRoomFor != "" {
+		purpose += " of " + move.MakesRoomFor
 	}
-	return purpose[:min(len(purpose), manifest.MaxWhyBytes)]
+	return purpose[:min(len(purpose), manifest.MaxReasonBytes)]
 }
 
 // logDecision logs one placement decision.
-func (f *Foreman) logDecision(move placement.Move, order upstreamapi.Order) {
+func (f *Controller) logDecision(move placement.Move, order upstreamapi.Order) {
 	alternatives := zerolog.Arr()
 	for _, a := range move.Alternatives {
 		alternatives = alternatives.Dict(zerolog.Dict().Str("engine", a.Engine).
-			Float64("score", a.Score).Float64("taken-score", a.Taken))
+			Float64("score", a.Score).Float64("taken-score", a.ChosenScore))
 	}
 	f.options.Log.Info().Str("engine", move.Engine).Str("order", order.ID).Uint64("term", order.Fencing).
 		Str("kind", string(order.Kind)).Str("model", order.Model).Str("version", order.Version).
 		Str("from-version", order.FromVersion).Str("adapter", order.Adapter).
 		Strs("accelerators", order.Accelerators).Int64("memory-bytes", order.MemoryBytes).
-		Str("reason", string(move.Reason)).Str("makes-room-for", move.For).
+		Str("reason", string(move.Reason)).Str("makes-room-for", move.MakesRoomFor).
 		Float64("expected-gain", move.Gain).Float64("cost", move.Cost).Float64("weight-of-moves", move.Weight).
 		Array("alternatives", alternatives).Msg("placement decision")
 }
--- a/internal/foreman/preview.go
+++ b/internal/foreman/preview.go
@@ -26,8 +26,8 @@
 	}
 	in.Previous = planner.Plan(now, in).Next
 	plan := planner.Plan(now.Add(previewWindow), in)
-	return append(plan.Moves, plan.Waiting...), plan.Problems
+	return append(plan.Moves, plan.Deferred...), plan.Problems
 }
 
 // previewWindow is longer than the stabilization window of minimum copies and failure tolerance.
-const previewWindow = 2 * placement.DefaultPatience
+const previewWindow = 2 * placement.DefaultStabilizationWindow
--- a/internal/foreman/randomfaults_test.go
+++ b/internal/foreman/randomfaults_test.go
@@ -40,7 +40,7 @@
 	*testCluster
 	seed    uint64
 	random  *rand.Rand
-	leaders []*foreman.Foreman
+	leaders []*foreman.Controller
 	term    uint64
 	// lastIncarnation is the greatest incarnation of any engine.
 	lastIncarnation uint64
@@ -93,7 +93,7 @@
 func runRandomFaults(c *testCluster, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 31))
 	f := &faultInjector{
-		testCluster: c, seed: seed, random: random, term: 1, lastIncarnation: 1, leaders: []*foreman.Foreman{c.newForeman(1)},
+		testCluster: c, seed: seed, random: random, term: 1, lastIncarnation: 1, leaders: []*foreman.Controller{c.newForeman(1)},
 		drawCounts: map[string]int{},
 	}
 	for _, name := range []string{"e1", "e2", "e3"} {
--- a/internal/foreman/wire_test.go
+++ b/internal/foreman/wire_test.go
@@ -35,7 +35,7 @@
 func loadFailedResponse(order upstreamapi.Order, a upstreamapi.Announcement) *http.Response {
 	recorder := httptest.NewRecorder()
 	recorder.WriteHeader(http.StatusInternalServerError)
-	_ = json.NewEncoder(recorder).Encode(upstreamapi.OrderAnswer{
+	_ = json.NewEncoder(recorder).Encode(upstreamapi.OrderResponse{
 		ID: order.ID, State: upstreamapi.OrderFailed, Reason: "weights are damaged", Clock: a.Load.Clock,
 		Incarnation: a.Incarnation, Revision: a.Revision, Accelerators: a.Accelerators, Resident: a.Resident,
 		HighestFencing: a.HighestFencing, UnderWay: a.UnderWay,
--- a/internal/form/reader.go
+++ b/internal/form/reader.go
@@ -122,7 +122,7 @@
 
 // Done adds a finding for each unknown key of the table. The advice is the most
 // similar known key or, if none is similar, a list of the known keys.
-func (r *Reader) Done() {
+func (r *Reader) ReportUnknownKeys() {
 	unknown := make([]string, 0)
 	for key := range r.table.values {
 		if !r.isKnown(key) {
--- a/internal/form/reader_test.go
+++ b/internal/form/reader_test.go
@@ -63,7 +63,7 @@
 		Expect(array[0].Int("key", 0, 0, 9)).To(Equal(3))
 		Expect(array[0].Table("under").Int("key", 0, 0, 9)).To(Equal(4))
 		Expect(array[1].Int("key", 0, 0, 9)).To(Equal(5))
-		r.Done()
+		r.ReportUnknownKeys()
 		Expect(findings.Err()).NotTo(HaveOccurred())
 	})
 
@@ -76,7 +76,7 @@
 		r.Address("e", netip.AddrPort{})
 		r.Enum("f", "low", "low", "high")
 		r.Size("g", 0, 0)
-		r.Done()
+		r.ReportUnknownKeys()
 		Expect(findingLines(findings)).To(Equal([]string{
 			`x.toml:1:5: "a" must be a text, not a whole number; write for example "..."`,
 			`x.toml:2:5: "b" must be a whole number, not a text; write for example 3`,
@@ -94,7 +94,7 @@
 		r, findings := openDocument("log-lvel = \"info\"\n[zzzzzz]\nb = 1\n")
 		r.Text("log-level", "")
 		r.Text("name", "")
-		r.Done()
+		r.ReportUnknownKeys()
 		Expect(findingLines(findings)).To(Equal([]string{
 			`x.toml:1:1: unknown key "log-lvel"; write "log-level"`,
 			`x.toml:2:2: unknown key "zzzzzz"; the keys here are log-level, name`,
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -27,14 +27,14 @@
 }
 
 // Gauges are the metrics of one instance. They are safe for concurrent use.
-type Gauges struct {
+type Metrics struct {
 	scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
 // New returns the metrics of the named instance. The caller must close them.
-func New(instance string) *Gauges {
+func New(instance string) *Metrics {
 	// A separate registry keeps the metrics of several instances in one process apart.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -45,20 +45,20 @@
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &sanitizeOptions,
 	}, reportInterval)
-	return &Gauges{scope: scope, handler: reporter.HTTPHandler(), closer: closer}
+	return &Metrics{scope: scope, handler: reporter.HTTPHandler(), closer: closer}
 }
 
 // Scope returns the scope in which metrics are recorded.
-func (g *Gauges) Scope() tally.Scope {
+func (g *Metrics) Scope() tally.Scope {
 	return g.scope
 }
 
 // ServeHTTP writes all metrics.
-func (g *Gauges) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *Metrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.handler.ServeHTTP(w, r)
 }
 
 // Close reports the last values and stops the reporting.
-func (g *Gauges) Close() error {
+func (g *Metrics) Close() error {
 	return errors.Wrap(g.closer.Close(), "gauge")
 }
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -23,7 +23,7 @@
 	})
 })
 
-func scrape(g *gauge.Gauges) string {
+func scrape(g *gauge.Metrics) string {
 	recorder := httptest.NewRecorder()
 	g.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return recorder.Body.String()
--- a/internal/gazette/gazette.go
+++ b/internal/gazette/gazette.go
@@ -17,7 +17,7 @@
 //
 // A request keeps the Issue that is the latest at its admission, so that it never sees a
 // mixture of two presets.
-type Issue struct {
+type Configuration struct {
 	// Revision is 0 before the first change, when nothing is declared.
 	Revision registry.Revision
 	// Preset is the preset in force. It is empty only at revision 0.
@@ -26,8 +26,8 @@
 }
 
 // Gazette holds the latest Issue. It is safe for concurrent use.
-type Gazette struct {
-	latest atomic.Pointer[Issue]
+type Cache struct {
+	latest atomic.Pointer[Configuration]
 	// publishMu serializes calls of Publish, so that a slow one can't replace a newer
 	// Issue by an older one. It guards encoded.
 	publishMu sync.Mutex
@@ -36,14 +36,14 @@
 }
 
 // New returns a Gazette with the Issue of revision 0.
-func New() *Gazette {
-	g := &Gazette{}
-	g.latest.Store(&Issue{})
+func New() *Cache {
+	g := &Cache{}
+	g.latest.Store(&Configuration{})
 	return g
 }
 
 // Latest returns the latest Issue. It takes no lock.
-func (g *Gazette) Latest() *Issue {
+func (g *Cache) Latest() *Configuration {
 	return g.latest.Load()
 }
 
@@ -53,7 +53,7 @@
 // If the declarations of view can't be decoded or don't declare its preset, Publish returns
 // an error and keeps the latest Issue. The instance must then admit no new work, as after
 // the end of its configuration lease. Most likely it must be upgraded.
-func (g *Gazette) Publish(view *registry.View) error {
+func (g *Cache) Publish(view *registry.View) error {
 	g.publishMu.Lock()
 	defer g.publishMu.Unlock()
 	if view.Revision <= g.latest.Load().Revision {
@@ -67,14 +67,14 @@
 	if !ok {
 		return errors.Newf("gazette: revision %d: preset %q is in force but not declared", view.Revision, view.Preset)
 	}
-	g.latest.Store(&Issue{Revision: view.Revision, Preset: preset, Declarations: set})
+	g.latest.Store(&Configuration{Revision: view.Revision, Preset: preset, Declarations: set})
 	g.encoded = view.Declarations
 	return nil
 }
 
 // decode decodes declarations. It reuses those of the latest Issue if the encoding is the
 // same: a replay of hundreds of changes of the preset alone then decodes them only once.
-func (g *Gazette) decode(encoded []byte) (declaration.Set, error) {
+func (g *Cache) decode(encoded []byte) (declaration.Set, error) {
 	if latest := g.latest.Load(); latest.Revision > 0 && bytes.Equal(encoded, g.encoded) {
 		return latest.Declarations, nil
 	}
--- a/internal/gazette/gazette_test.go
+++ b/internal/gazette/gazette_test.go
@@ -27,7 +27,7 @@
 var _ = Describe("Gazette", func() {
 	It("starts at revision 0 and follows the published revisions", func() {
 		g := gazette.New()
-		Expect(*g.Latest()).To(Equal(gazette.Issue{}))
+		Expect(*g.Latest()).To(Equal(gazette.Configuration{}))
 		Expect(g.Publish(&registry.View{})).To(Succeed())
 		Expect(g.Publish(viewOf(3))).To(Succeed())
 		Expect(g.Latest().Revision).To(Equal(registry.Revision(3)))
@@ -142,7 +142,7 @@
 // view as it is sent to each other instance.
 func wireSizes(b *testing.B, declarations []byte) (change, view int) {
 	b.Helper()
-	prepared, err := registry.Change{ID: "x", Declarations: declarations}.Prepare(declaration.Check)
+	prepared, err := registry.Change{ID: "x", Declarations: declarations}.Validated(declaration.Check)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/host/example_test.go
+++ b/internal/host/example_test.go
@@ -23,14 +23,14 @@
 		go func() {
 			ended <- host.Run(runCtx, host.Options{Example: true, CallerAddress: address, Log: io.Discard})
 		}()
-		client := caller.New(caller.Options{Known: []string{address}})
-		request := caller.Question{Model: "example-model", Text: "where is the shuttle"}
-		var response caller.Answer
+		client := caller.New(caller.Options{Seeds: []string{address}})
+		request := caller.Request{Model: "example-model", Prompt: "where is the shuttle"}
+		var response caller.Response
 		Eventually(ctx, func() (err error) {
-			response, err = client.Ask(ctx, request, func(string) {})
+			response, err = client.Complete(ctx, request, func(string) {})
 			return err
 		}).WithTimeout(10 * time.Second).Should(Succeed())
-		Expect(response.Text).To(Equal(request.Text))
+		Expect(response.Text).To(Equal(request.Prompt))
 		Expect(response.Entry.Address).To(Equal(address))
 		stop()
 		Eventually(ctx, ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
@@ -48,8 +48,8 @@
 			ended <- host.Run(runCtx, host.Options{Example: true, CallerAddress: address, Log: log})
 		}()
 		Eventually(ctx, log.found).WithTimeout(20 * time.Second).Should(BeClosed())
-		client := caller.New(caller.Options{Known: []string{address}})
-		_, err := client.Ask(ctx, caller.Question{Model: "example-model", Text: "now"}, func(string) {})
+		client := caller.New(caller.Options{Seeds: []string{address}})
+		_, err := client.Complete(ctx, caller.Request{Model: "example-model", Prompt: "now"}, func(string) {})
 		Expect(err).NotTo(HaveOccurred())
 		stop()
 		Eventually(ctx, ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
--- a/internal/host/files.go
+++ b/internal/host/files.go
@@ -19,18 +19,18 @@
 // settingsFiles is the contents of the files that the settings refer to. A field is
 // nil if the settings don't set its file.
 type settingsFiles struct {
-	operatorTokens *badge.Book
-	upstreamTokens *badge.Book
-	callerTLS      *seal.Seal
-	upstreamTLS    *seal.Seal
-	operatorTLS    *seal.Seal
-	innerTLS       *seal.Seal
+	operatorTokens *badge.Tokens
+	upstreamTokens *badge.Tokens
+	callerTLS      *seal.Reloader
+	upstreamTLS    *seal.Reloader
+	operatorTLS    *seal.Reloader
+	innerTLS       *seal.Reloader
 }
 
 // loadFiles loads all files that the settings refer to. If any are invalid,
 // loadFiles returns a *finding.Error with the findings of all files.
 func loadFiles(configured settings.Settings, log zerolog.Logger) (settingsFiles, error) {
-	loader := fileLoader{now: time.Now, log: log, tlsFiles: map[settings.KeyPair]*seal.Seal{}}
+	loader := fileLoader{now: time.Now, log: log, tlsFiles: map[settings.KeyPair]*seal.Reloader{}}
 	loaded := settingsFiles{
 		operatorTokens: loader.loadTokens(configured.Tokens.OperatorsFile),
 		upstreamTokens: loader.loadTokens(configured.Tokens.UpstreamsFile),
@@ -49,7 +49,7 @@
 	findings finding.List
 	// tlsFiles caches loaded files, because several listeners may use the same. The
 	// value is nil if the files are invalid.
-	tlsFiles map[settings.KeyPair]*seal.Seal
+	tlsFiles map[settings.KeyPair]*seal.Reloader
 }
 
 func (l *fileLoader) addError(path string, err error) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (l *fileLoader) loadTokens(path string) *badge.Book {
+func (l *fileLoader) loadTokens(path string) *badge.Tokens {
 	if path == "" {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	return &read
 }
 
-func (l *fileLoader) loadTLS(pair settings.KeyPair) *seal.Seal {
+func (l *fileLoader) loadTLS(pair settings.KeyPair) *seal.Reloader {
 	if !pair.IsSet() {
 		return nil
 	}
@@ -85,7 +85,7 @@
 	loaded, err := seal.New(seal.Options{
 		Files: pair,
 		Now:   l.now,
-		Failed: func(err error) {
+		OnError: func(err error) {
 			l.log.Error().Err(err).Msg("replaced TLS files are invalid; continuing with the previous ones")
 		},
 	})
@@ -97,7 +97,7 @@
 }
 
 // withTLS returns listener with TLS, or unchanged if files is nil.
-func withTLS(listener net.Listener, files *seal.Seal) net.Listener {
+func withTLS(listener net.Listener, files *seal.Reloader) net.Listener {
 	if files == nil {
 		return listener
 	}
@@ -106,7 +106,7 @@
 
 // newDial returns a function that connects to other instances with TLS, or nil, which
 // means plain TCP, if files is nil.
-func newDial(files *seal.Seal) courier.Dial {
+func newDial(files *seal.Reloader) courier.Dial {
 	if files == nil {
 		return nil
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -67,8 +67,8 @@
 func awaitReady(ctx context.Context, running *instance.Instance, upstreams int) bool {
 	for {
 		now := time.Now()
-		hasEntry := len(running.Entries(now, "").List) > 0
-		if running.Admits(now) == nil && hasEntry && len(running.Upstreams(now)) >= upstreams {
+		hasEntry := len(running.Entries(now, "").Instances) > 0
+		if running.CheckAdmission(now) == nil && hasEntry && len(running.Upstreams(now)) >= upstreams {
 			return true
 		}
 		if !pause.For(ctx, readyPollInterval) {
@@ -129,7 +129,7 @@
 	for _, endpoint := range []struct {
 		listen    netip.AddrPort
 		advertise *netip.AddrPort
-		tlsFiles  *seal.Seal
+		tlsFiles  *seal.Reloader
 		listener  *net.Listener
 	}{
 		{configured.Listen.Caller, &advertise.Caller, loaded.callerTLS, &options.Listeners.Caller},
--- a/internal/host/placement_test.go
+++ b/internal/host/placement_test.go
@@ -75,7 +75,7 @@
 		Expect(loadedModels(engine)).To(BeEmpty())
 		change := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
 		Eventually(ctx, client.Change).WithArguments(ctx, change).WithTimeout(20 * time.Second).
-			Should(Equal(registrar.Answer{Revision: 1}))
+			Should(Equal(registrar.ChangeResult{Revision: 1}))
 		Eventually(ctx, loadedModels).WithArguments(engine).WithTimeout(60 * time.Second).Should(ConsistOf("letters", "fares"))
 		currentOrders := func() ([]registrar.OrderStatus, error) { return engineOrders(ctx, client) }
 		allDone := And(HaveLen(2), HaveEach(HaveField("State", "done")), HaveEach(HaveField("Why", "unreachable")))
@@ -116,7 +116,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		change := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
 		Eventually(ctx, clients["a"].Change).WithArguments(ctx, change).WithTimeout(30 * time.Second).
-			Should(Equal(registrar.Answer{Revision: 1}))
+			Should(Equal(registrar.ChangeResult{Revision: 1}))
 
 		Eventually(ctx, func() int { return len(engine.Announcement().UnderWay) }).WithTimeout(60 * time.Second).Should(Equal(2))
 		status, err := clients["a"].Status(ctx)
--- a/internal/host/restart_test.go
+++ b/internal/host/restart_test.go
@@ -47,15 +47,15 @@
 		declared, err := declaration.Read(os.DirFS("../../examples/declarations/kingston"), "kingston")
 		Expect(err).NotTo(HaveOccurred())
 		first := registrar.Change{ID: "first", Declarations: declared.Canonical(), Preset: "ordinary"}
-		second := registrar.Change{ID: "second", Expected: 1, Preset: "peak"}
+		second := registrar.Change{ID: "second", ExpectedRevision: 1, Preset: "peak"}
 
 		stop := runInstance(ctx, path)
 		Eventually(ctx, func() error {
 			_, err := client.Bootstrap(ctx, registrar.Origin{})
 			return err
 		}).WithTimeout(20 * time.Second).Should(Succeed())
-		Eventually(ctx, client.Change).WithArguments(ctx, first).WithTimeout(20 * time.Second).Should(Equal(registrar.Answer{Revision: 1}))
-		Expect(client.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
+		Eventually(ctx, client.Change).WithArguments(ctx, first).WithTimeout(20 * time.Second).Should(Equal(registrar.ChangeResult{Revision: 1}))
+		Expect(client.Change(ctx, second)).To(Equal(registrar.ChangeResult{Revision: 2}))
 		stop()
 
 		stop = runInstance(ctx, path)
@@ -63,9 +63,9 @@
 		status := func() (registrar.Status, error) { return client.Status(ctx) }
 		Eventually(ctx, status).WithTimeout(20 * time.Second).Should(And(
 			HaveField("Fresh", true), HaveField("Revision", uint64(2)), HaveField("Preset", "peak")))
-		Expect(client.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
-		Expect(client.Change(ctx, first)).To(Equal(registrar.Answer{Revision: 1}))
-		inForce, err := client.InForce(ctx)
+		Expect(client.Change(ctx, second)).To(Equal(registrar.ChangeResult{Revision: 2}))
+		Expect(client.Change(ctx, first)).To(Equal(registrar.ChangeResult{Revision: 1}))
+		inForce, err := client.ActiveConfig(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(inForce.Declarations).To(Equal(declared))
 	})
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -56,7 +56,7 @@
 		member.settings.Listen = member.settings.Advertise
 		member.settings.Limits.HeaderTime = 500 * time.Millisecond
 		member.settings.Limits.BodyTime = 500 * time.Millisecond
-		member.settings.Timing.EntryTime = 200 * time.Millisecond
+		member.settings.Timing.ReferralTTL = 200 * time.Millisecond
 		member.settings.Timing.ConfigurationLease = 1500 * time.Millisecond
 		member.settings.Timing.ConfigurationRenewal = 200 * time.Millisecond
 		cluster[name] = member
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -20,16 +20,16 @@
 
 // newControlPlane starts a replica of the log on a voter, and a follower on any
 // other instance.
-func (i *Instance) newControlPlane() (chamber.Chamber, error) {
+func (i *Instance) newControlPlane() (chamber.ControlPlane, error) {
 	settings := i.options.Settings
 	options := chamber.Options{
-		Self:       settings.Name,
-		Calls:      i.pools.calls,
-		RenewEvery: settings.Timing.ConfigurationRenewal,
-		Lease:      settings.Timing.ConfigurationLease,
-		Now:        i.options.Now,
-		Log:        i.options.Log,
-		Metrics:    i.metrics.Scope(),
+		Self:          settings.Name,
+		Calls:         i.pools.calls,
+		RenewInterval: settings.Timing.ConfigurationRenewal,
+		ConfigLease:   settings.Timing.ConfigurationLease,
+		Now:           i.options.Now,
+		Log:           i.options.Log,
+		Metrics:       i.metrics.Scope(),
 	}
 	for _, peer := range settings.Instances {
 		if peer.Voter {
@@ -45,12 +45,12 @@
 	return chamber.NewVoter(chamber.VoterOptions{
 		Options:         options,
 		Folder:          settings.DataFolder,
-		Heartbeats:      i.pools.heartbeats,
-		Entries:         i.pools.logEntries,
+		HeartbeatPool:   i.pools.heartbeats,
+		EntryPool:       i.pools.logEntries,
 		Heartbeat:       settings.Timing.Heartbeat,
 		ElectionTimeout: settings.Timing.ElectionTimeout,
 		ClockDrift:      float64(settings.Timing.ClockDriftPercent) / 100,
-		OrderFlight:     settings.Timing.OrderFlightTime,
+		OrderTimeout:    settings.Timing.OrderTimeout,
 		Identities:      i.identities,
 		Docket:          i.idempotencyLimits(),
 		Quarantine:      quarantine.Limits{Crashes: settings.Quarantine.Crashes, Retention: settings.Quarantine.Retention},
@@ -60,10 +60,10 @@
 func (i *Instance) idempotencyLimits() docket.Limits {
 	configured := i.options.Settings.Limits
 	limits := docket.DefaultLimits()
-	limits.Retention = configured.DocketRetention
-	limits.MaxRecords = configured.DocketRecords
-	limits.MaxResponseBytes = configured.DocketBytes
-	limits.MaxBodyBytes = int(configured.DocketAnswerBytes)
+	limits.Retention = configured.IdempotencyRetention
+	limits.MaxRecords = configured.IdempotencyRecords
+	limits.MaxResponseBytes = configured.IdempotencyBytes
+	limits.MaxBodyBytes = int(configured.IdempotencyAnswerBytes)
 	return limits
 }
 
@@ -85,8 +85,8 @@
 }
 
 // Issue returns the configuration in force.
-func (i *Instance) Issue() *gazette.Issue {
-	return i.controlPlane.Gazette().Latest()
+func (i *Instance) Configuration() *gazette.Configuration {
+	return i.controlPlane.ConfigCache().Latest()
 }
 
 // Propose replicates and applies command, see chamber.Chamber.
@@ -126,13 +126,13 @@
 )
 
 // configurationState returns the operators' access to the replicated configuration.
-func (i *Instance) configurationState() registrar.Register {
-	return registrar.NewReplicated(registrar.ReplicatedOptions{
-		Gazette:     i.controlPlane.Gazette(),
-		Propose:     i.proposeEncoded,
-		NotAccepted: func(err error) bool { return errors.Is(err, chamber.ErrNotAccepted) },
-		Fresh:       i.controlPlane.Fresh,
-		RetryAfter:  i.options.Settings.Timing.ElectionTimeout,
+func (i *Instance) configurationState() registrar.ConfigStore {
+	return registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
+		ConfigCache:    i.controlPlane.ConfigCache(),
+		Propose:        i.proposeEncoded,
+		NotAccepted:    func(err error) bool { return errors.Is(err, chamber.ErrNotAccepted) },
+		HasConfigLease: i.controlPlane.HasConfigLease,
+		RetryAfter:     i.options.Settings.Timing.ElectionTimeout,
 	})
 }
 
@@ -150,7 +150,7 @@
 	if !ok {
 		return errors.New("instance: only a voter can bootstrap")
 	}
-	return voter.BootstrapFrom(ctx, chamber.Origin{
+	return voter.BootstrapFrom(ctx, chamber.InitialState{
 		Index: jury.Index(origin.Index),
 		Term:  jury.Term(origin.Term),
 		Data:  origin.Data,
@@ -161,7 +161,7 @@
 // replica but are not voters of the cluster yet are listed as waiting.
 func (i *Instance) Voters(time.Time) registrar.Voters {
 	leader, term := i.controlPlane.Leader()
-	set := registrar.Voters{Leader: leader.Instance(), Term: uint64(term), Voters: []string{}, Waiting: []string{}}
+	set := registrar.Voters{Leader: leader.Instance(), Term: uint64(term), Voters: []string{}, NonVoting: []string{}}
 	var voters []jury.Identity
 	if voter, ok := i.controlPlane.(*chamber.Voter); ok {
 		status := voter.Status()
@@ -173,7 +173,7 @@
 	}
 	for _, identity := range append(i.identities(), i.controlPlane.Identity()) {
 		if identity != "" && !slices.Contains(voters, identity) {
-			set.Waiting = append(set.Waiting, string(identity))
+			set.NonVoting = append(set.NonVoting, string(identity))
 		}
 	}
 	return set
@@ -196,32 +196,32 @@
 func (i *Instance) Status(now time.Time) registrar.Status {
 	settings := i.options.Settings
 	leader, term := i.controlPlane.Leader()
-	issue := i.controlPlane.Gazette().Latest()
+	issue := i.controlPlane.ConfigCache().Latest()
 	status := registrar.Status{
-		Name:          settings.Name,
-		FailureDomain: settings.FailureDomain,
-		Version:       i.options.Version,
-		Revision:      uint64(issue.Revision),
-		Preset:        issue.Preset.Name,
-		Fresh:         i.controlPlane.Fresh(now),
-		Streams:       i.callerAPI.Streams(),
-		Leader:        leader.Instance(),
-		Term:          uint64(term),
-		Engines:       i.placementStatus(),
+		Name:           settings.Name,
+		FailureDomain:  settings.FailureDomain,
+		Version:        i.options.Version,
+		Revision:       uint64(issue.Revision),
+		Preset:         issue.Preset.Name,
+		HasConfigLease: i.controlPlane.HasConfigLease(now),
+		ActiveRequests: i.callerAPI.ActiveRequests(),
+		Leader:         leader.Instance(),
+		Term:           uint64(term),
+		Engines:        i.placementStatus(),
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	status.Draining = i.draining
 	for _, instance := range i.roster.Instances(now) {
 		status.Instances = append(status.Instances, registrar.InstanceStatus{
-			Name:          instance.Name,
-			CallerAddress: instance.CallerAddress,
-			FailureDomain: instance.FailureDomain,
-			Voter:         instance.Voter,
-			Draining:      instance.Draining,
-			Stale:         instance.Stale,
-			Streams:       instance.Streams,
-			Silent:        now.Sub(instance.Heard),
+			Name:             instance.Name,
+			CallerAddress:    instance.CallerAddress,
+			FailureDomain:    instance.FailureDomain,
+			Voter:            instance.Voter,
+			Draining:         instance.Draining,
+			Stale:            instance.Stale,
+			ActiveRequests:   instance.Streams,
+			SinceLastContact: now.Sub(instance.LastContact),
 		})
 	}
 	for _, upstream := range i.roster.Upstreams(now) {
@@ -230,7 +230,7 @@
 			Kind:          string(upstream.Announcement.Kind),
 			Address:       upstream.Announcement.Address,
 			FailureDomain: upstream.Announcement.FailureDomain,
-			Holds:         servedNames(upstream.Announcement),
+			Serves:        servedNames(upstream.Announcement),
 			Running:       upstream.Announcement.Load.Running,
 			Waiting:       upstream.Announcement.Load.Waiting,
 			Leaving:       upstream.Leaving,
