--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -15,13 +15,13 @@
 
 // newCrashDetector returns the detector of upstreams that terminate while they
 // process requests.
-func (i *Instance) newCrashDetector() *coroner.Coroner {
+func (i *Instance) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
-		Contact: i.upstreamContact,
-		Report:  i.reportCrashes,
-		Line:    func(string) *zerolog.Event { return i.options.Log.Warn() },
-		Now:     i.options.Now,
-		Metrics: i.metrics.Scope(),
+		Status:      i.upstreamContact,
+		Report:      i.reportCrashes,
+		NewLogEvent: func(string) *zerolog.Event { return i.options.Log.Warn() },
+		Now:         i.options.Now,
+		Metrics:     i.metrics.Scope(),
 	})
 }
 
@@ -33,17 +33,17 @@
 }
 
 // upstreamContact returns the roster's evidence on whether an upstream has terminated.
-func (i *Instance) upstreamContact(place quarantine.Place) quarantine.Contact {
+func (i *Instance) upstreamContact(place quarantine.Endpoint) quarantine.Status {
 	known, found := i.Upstream(place.Upstream)
 	switch {
 	case !found:
-		return quarantine.ContactNone
+		return quarantine.StatusUnknown
 	case known.Leaving:
-		return quarantine.ContactLeaving
+		return quarantine.StatusLeaving
 	case known.Announcement.Incarnation > place.Incarnation:
-		return quarantine.ContactReplaced
+		return quarantine.StatusReplaced
 	default:
-		return quarantine.ContactNone
+		return quarantine.StatusUnknown
 	}
 }
 
@@ -80,10 +80,10 @@
 	ticker := time.NewTicker(pullInterval)
 	defer ticker.Stop()
 	for {
-		i.crashDetector.Follow(i.controlPlane.Quarantine(i.options.Now()))
+		i.crashDetector.ApplyNews(i.controlPlane.Quarantine(i.options.Now()))
 		i.crashDetector.Review(i.upstreamContact)
 		if voter, ok := i.controlPlane.(*chamber.Voter); ok {
-			voter.RecallCrashes(ctx, i.lastHeard)
+			voter.RetractFalseCrashes(ctx, i.lastHeard)
 		}
 		select {
 		case <-ctx.Done():
@@ -97,5 +97,5 @@
 // incarnation of the upstream is not that of lifetime.
 func (i *Instance) lastHeard(lifetime quarantine.Lifetime) (time.Time, bool) {
 	known, found := i.Upstream(lifetime.Upstream)
-	return known.Heard, found && known.Announcement.Incarnation == lifetime.Incarnation
+	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -31,13 +31,13 @@
 	incarnation   uint64
 	pools         pools
 	innerServer   *courier.Server
-	controlPlane  chamber.Chamber
-	proxy         *shuttle.Shuttle
-	crashDetector *coroner.Coroner
-	callerAPI     *desk.Desk
+	controlPlane  chamber.ControlPlane
+	proxy         *shuttle.Proxy
+	crashDetector *coroner.CrashDetector
+	callerAPI     *desk.Server
 	// placementController is nil unless this instance is a voter and placement is enabled.
-	placementController *foreman.Foreman
-	metrics             *gauge.Gauges
+	placementController *foreman.Controller
+	metrics             *gauge.Metrics
 	// The HTTP servers are nil until startServers succeeds.
 	callerServer   *http.Server
 	upstreamServer *http.Server
@@ -93,8 +93,8 @@
 			logEntries: courier.NewPool(options.Dial, callTimeout),
 		},
 		proxy: shuttle.New(shuttle.Options{
-			SilenceTime: options.Settings.Timing.SilenceTime,
-			BodySilence: options.MaxResponsePause,
+			StatusQueryDelay: options.Settings.Timing.StatusQueryDelay,
+			BodyIdleTimeout:  options.MaxResponsePause,
 		}),
 		peers:          map[string]*rosterPeer{},
 		drainRequested: make(chan struct{}),
@@ -108,11 +108,11 @@
 	}
 	i.crashDetector = i.newCrashDetector()
 	i.callerAPI = desk.New(desk.Options{
-		Instance:    i,
-		Name:        options.Settings.Name,
-		Incarnation: i.incarnation,
-		Shuttle:     i.proxy,
-		Coroner:     i.crashDetector,
+		Instance:      i,
+		Name:          options.Settings.Name,
+		Incarnation:   i.incarnation,
+		Proxy:         i.proxy,
+		CrashDetector: i.crashDetector,
 
 		FailureDomain: options.Settings.FailureDomain,
 		RemoteDelay:   remoteDomainDelay,
@@ -123,15 +123,15 @@
 		Log:     options.Log,
 		Metrics: i.metrics.Scope(),
 		Limits: desk.Limits{
-			BodyBytes: options.Settings.Limits.BodyBytes,
-			Deadline:  options.Settings.Goals.Deadline,
-			Goal: declaration.Goal{
+			MaxBodyBytes:    options.Settings.Limits.BodyBytes,
+			DefaultDeadline: options.Settings.Goals.Deadline,
+			DefaultGoal: declaration.Goal{
 				FirstToken:    options.Settings.Goals.FirstToken,
 				BetweenTokens: options.Settings.Goals.BetweenTokens,
 			},
-			Streams:       options.Settings.Limits.Streams,
-			QueueLength:   options.Settings.Limits.QueueLength,
-			RecordedBytes: options.Settings.Limits.DocketAnswerBytes,
+			MaxActiveRequests: options.Settings.Limits.Streams,
+			MaxQueueLength:    options.Settings.Limits.QueueLength,
+			MaxRecordedBytes:  options.Settings.Limits.IdempotencyAnswerBytes,
 		},
 	})
 	i.renew()
@@ -182,21 +182,21 @@
 	i.innerServer = inner
 	i.callerServer = i.startHTTPServer("callers", i.options.Listeners.Caller, i.callerAPI)
 	i.upstreamServer = i.startHTTPServer("upstreams", i.options.Listeners.Upstream, arrivals.New(arrivals.Options{
-		Instance: i,
-		Holder:   tokenHolder(i.options.Upstreams, "upstream"),
-		Now:      i.options.Now,
-		Log:      i.options.Log,
+		Instance:        i,
+		UpstreamByToken: tokenHolder(i.options.Upstreams, "upstream"),
+		Now:             i.options.Now,
+		Log:             i.options.Log,
 	}))
 	i.operatorServer = i.startHTTPServer("operators", i.options.Listeners.Operator, registrar.New(registrar.Options{
-		Register:   i.configurationState(),
-		House:      operatorTarget{i},
-		Metrics:    i.metrics,
-		Quarantine: i,
-		Electorate: i,
-		Preview:    i.previewPlacement,
-		Holder:     tokenHolder(i.options.Operators, "operator"),
-		Now:        i.options.Now,
-		Log:        i.options.Log,
+		ConfigStore:     i.configurationState(),
+		Instance:        operatorTarget{i},
+		Metrics:         i.metrics,
+		QuarantineStore: i,
+		VoterManager:    i,
+		Preview:         i.previewPlacement,
+		OperatorByToken: tokenHolder(i.options.Operators, "operator"),
+		Now:             i.options.Now,
+		Log:             i.options.Log,
 	}))
 	return nil
 }
@@ -233,7 +233,7 @@
 	i.options.Log.Info().Msg("draining")
 	// The drain state reaches every instance within three pulls and one call. Until
 	// then, another instance may still list this one to callers.
-	addressExpiry := time.NewTimer(i.options.Settings.Timing.EntryTime + 3*pullInterval + callTimeout)
+	addressExpiry := time.NewTimer(i.options.Settings.Timing.ReferralTTL + 3*pullInterval + callTimeout)
 	defer addressExpiry.Stop()
 	select {
 	case <-addressExpiry.C:
@@ -246,7 +246,7 @@
 	// between the last response and Close.
 	err := i.callerServer.Shutdown(ctx)
 	if err != nil {
-		err = errors.Wrapf(err, "instance: %d requests cut off", i.callerAPI.Streams())
+		err = errors.Wrapf(err, "instance: %d requests cut off", i.callerAPI.ActiveRequests())
 	}
 	// Outcomes of requests must be recorded before the control plane closes.
 	i.callerAPI.Wait()
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -14,8 +14,8 @@
 
 // Admits returns the refusal of new requests while the instance is shutting down
 // or cannot confirm that its configuration is in force, and nil otherwise.
-func (i *Instance) Admits(now time.Time) *desk.RefusalError {
-	fresh := i.controlPlane.Fresh(now)
+func (i *Instance) CheckAdmission(now time.Time) *desk.RefusalError {
+	fresh := i.controlPlane.HasConfigLease(now)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	refusal := &desk.RefusalError{Status: http.StatusServiceUnavailable, Outcome: outcome.NotRun}
@@ -24,7 +24,7 @@
 		refusal.Code = desk.CodeDraining
 		refusal.Message = "this instance is stopping; use another"
 	case !fresh:
-		refusal.Code = desk.CodeStale
+		refusal.Code = desk.CodeConfigurationNotConfirmed
 		refusal.Message = "this instance can't confirm its configuration; use another"
 		refusal.RetryAfter = i.options.Settings.Timing.ConfigurationRenewal
 	default:
@@ -32,7 +32,7 @@
 	}
 	for _, entry := range i.entriesLocked(now) {
 		if entry.Name != i.options.Settings.Name {
-			refusal.Others = append(refusal.Others, entry.Address)
+			refusal.OtherAddresses = append(refusal.OtherAddresses, entry.Address)
 		}
 	}
 	return refusal
@@ -59,17 +59,17 @@
 	var choices []entries.Instance
 	for _, instance := range i.roster.Instances(now) {
 		choices = append(choices, entries.Instance{
-			Name:          instance.Name,
-			Address:       instance.CallerAddress,
-			FailureDomain: instance.FailureDomain,
-			Leaving:       instance.Draining || instance.Stale,
-			Open:          instance.Streams,
+			Name:           instance.Name,
+			Address:        instance.CallerAddress,
+			FailureDomain:  instance.FailureDomain,
+			Leaving:        instance.Draining || instance.Stale,
+			ActiveRequests: instance.Streams,
 		})
 	}
-	chosen := entries.Choose(now, caller, choices, entries.Options{Keep: i.options.Settings.Timing.EntryTime})
-	reply := desk.Entries{Keep: chosen.Keep}
+	chosen := entries.Choose(now, caller, choices, entries.Options{MaxTTL: i.options.Settings.Timing.ReferralTTL})
+	reply := desk.Entries{TTL: chosen.Keep}
 	for _, instance := range chosen.Instances {
-		reply.List = append(reply.List, desk.Entry{
+		reply.Instances = append(reply.Instances, desk.Entry{
 			Name:          instance.Name,
 			Address:       instance.Address,
 			FailureDomain: instance.FailureDomain,
@@ -102,14 +102,14 @@
 }
 
 // Announce records an announcement of an upstream.
-func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error) {
+func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.AnnounceResponse, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if err := i.roster.Announce(now, announcement); err != nil {
-		return upstreamapi.Welcome{}, err
+		return upstreamapi.AnnounceResponse{}, err
 	}
 	i.forwardUpstreamChangesLocked()
-	welcome := upstreamapi.Welcome{
+	welcome := upstreamapi.AnnounceResponse{
 		RenewEvery: i.options.Settings.Timing.UpstreamRenewal,
 		Lease:      i.options.Settings.Timing.UpstreamLease,
 	}
@@ -122,10 +122,10 @@
 }
 
 // Load records an upstream's load report between two announcements.
-func (i *Instance) Load(now time.Time, report upstreamapi.LoadReport) {
+func (i *Instance) ReportLoad(now time.Time, report upstreamapi.LoadReport) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.roster.Load(now, report)
+	i.roster.ReportLoad(now, report)
 	i.forwardUpstreamChangesLocked()
 }
 
@@ -140,8 +140,8 @@
 // Cached applies events of an engine's prefix cache. They are not shared with other
 // instances: they only affect the choice of an engine, and other instances learn
 // the cache contents from the requests that they send.
-func (i *Instance) Cached(now time.Time, events upstreamapi.CacheEvents) {
-	i.callerAPI.Cached(now, events)
+func (i *Instance) ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents) {
+	i.callerAPI.ApplyCacheEvents(now, events)
 }
 
 // forwardUpstreamChangesLocked forwards upstream changes in the roster to the
@@ -150,7 +150,7 @@
 	var changed []roster.Upstream
 	changed, i.forwardedChange = i.roster.UpstreamsSince(i.forwardedChange)
 	if len(changed) > 0 {
-		i.callerAPI.Update(changed)
+		i.callerAPI.UpdateUpstreams(changed)
 	}
 }
 
@@ -175,7 +175,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.renewIfDueLocked(now)
-	i.roster.Sweep(now)
+	i.roster.EvictExpired(now)
 }
 
 // renewIfDueLocked renews this instance's own record once per renewal interval, and
@@ -183,13 +183,13 @@
 func (i *Instance) renewIfDueLocked(now time.Time) {
 	beat := roster.InstanceBeat{
 		Draining: i.draining,
-		Stale:    !i.controlPlane.Fresh(now),
-		Streams:  i.callerAPI.Streams(),
+		Stale:    !i.controlPlane.HasConfigLease(now),
+		Streams:  i.callerAPI.ActiveRequests(),
 	}
 	urgent := beat.Draining != i.lastBeat.Draining || beat.Stale != i.lastBeat.Stale
 	if !urgent && now.Sub(i.lastBeatAt) < i.options.Settings.Timing.UpstreamRenewal {
 		return
 	}
 	i.lastBeat, i.lastBeatAt = beat, now
-	i.roster.Beat(now, beat)
+	i.roster.Heartbeat(now, beat)
 }
--- a/internal/instance/options.go
+++ b/internal/instance/options.go
@@ -21,8 +21,8 @@
 	Dial courier.Dial
 	// Operators and Upstreams contain the valid tokens. If one is nil, no token is
 	// required.
-	Operators *badge.Book
-	Upstreams *badge.Book
+	Operators *badge.Tokens
+	Upstreams *badge.Tokens
 	// MaxResponsePause is the longest pause within an upstream's response before
 	// the response counts as broken off. 0 means the default of package shuttle.
 	MaxResponsePause time.Duration
@@ -64,7 +64,7 @@
 
 // tokenHolder returns a function that looks up the holder of a token in book. If
 // book is nil, every token is valid and its holder is anonymous.
-func tokenHolder(book *badge.Book, anonymous string) func(token string) (string, bool) {
+func tokenHolder(book *badge.Tokens, anonymous string) func(token string) (string, bool) {
 	if book == nil {
 		return func(string) (string, bool) { return anonymous, true }
 	}
--- a/internal/instance/placement.go
+++ b/internal/instance/placement.go
@@ -14,19 +14,19 @@
 // newPlacementController starts the controller that issues orders to engines while
 // this instance is the leader. It returns nil if this instance is not a voter or
 // placement is disabled.
-func (i *Instance) newPlacementController() *foreman.Foreman {
+func (i *Instance) newPlacementController() *foreman.Controller {
 	settings := i.options.Settings
 	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok || !settings.Placement.Enabled {
 		return nil
 	}
 	return foreman.New(foreman.Options{
-		Register: voter,
-		World:    i,
-		Planner:  placement.New(placement.Options{}),
+		State:   voter,
+		Cluster: i,
+		Planner: placement.New(placement.Options{}),
 		WeightStore: placement.WeightStore{
-			LoadsPerSecond: settings.WeightStore.LoadsPerSecond,
-			Concurrent:     settings.WeightStore.Concurrent,
+			LoadsPerSecond:     settings.WeightStore.LoadsPerSecond,
+			MaxConcurrentLoads: settings.WeightStore.Concurrent,
 		},
 		WeightOfMoves: settings.Policy.WeightOfMoves,
 		Client: &http.Client{
@@ -36,7 +36,7 @@
 			// A redirect would send the order to an engine that it is not meant for.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		OrderFlight:   settings.Timing.OrderFlightTime,
+		OrderTimeout:  settings.Timing.OrderTimeout,
 		UpstreamLease: settings.Timing.UpstreamLease,
 		Now:           i.options.Now,
 		Log:           i.options.Log,
@@ -59,7 +59,7 @@
 	}
 	var list []registrar.EngineStatus
 	for _, e := range voter.Manifest().Engines {
-		status := registrar.EngineStatus{Name: e.Announced.Name, Incarnation: e.Ledger.Incarnation()}
+		status := registrar.EngineStatus{Name: e.Announcement.Name, Incarnation: e.Ledger.Incarnation()}
 		for _, found := range e.Ledger.Contradictions() {
 			status.Alarms = append(status.Alarms, found.String())
 		}
@@ -75,15 +75,15 @@
 		}
 		for _, entry := range e.Orders {
 			status.Orders = append(status.Orders, registrar.OrderStatus{
-				ID:      entry.ID,
-				Kind:    string(entry.Kind),
-				Model:   entry.Model,
-				Version: entry.Version,
-				Adapter: entry.Adapter,
-				Why:     entry.Why,
-				At:      entry.At,
-				State:   string(entry.State),
-				Reason:  entry.Reason,
+				ID:              entry.ID,
+				Kind:            string(entry.Kind),
+				Model:           entry.Model,
+				Version:         entry.Version,
+				Adapter:         entry.Adapter,
+				PlacementReason: entry.Why,
+				At:              entry.At,
+				State:           string(entry.State),
+				RefusalReason:   entry.Reason,
 			})
 		}
 		list = append(list, status)
@@ -98,27 +98,27 @@
 ) (registrar.Moves, error) {
 	voter, ok := i.controlPlane.(*chamber.Voter)
 	if !ok {
-		return registrar.Moves{}, registrar.ErrNoPlacement
+		return registrar.Moves{}, registrar.ErrNotVoter
 	}
 	weight := i.options.Settings.Policy.WeightOfMoves
 	moves, problems := foreman.Preview(now, voter.Manifest(), i.Upstreams(now), declared, preset, weight)
 	reply := registrar.Moves{Moves: []registrar.Move{}, Unmet: []string{}}
 	for _, m := range moves {
 		reply.Moves = append(reply.Moves, registrar.Move{
-			Engine:  m.Engine,
-			Kind:    string(m.Order.Kind),
-			Model:   m.Order.Model,
-			Version: m.Order.Version,
-			Adapter: m.Order.Adapter,
-			Reason:  string(m.Reason),
-			For:     m.For,
-			Waits:   string(m.Waits),
-			Gain:    m.Gain,
-			Cost:    m.Cost,
+			Engine:       m.Engine,
+			Kind:         string(m.Order.Kind),
+			Model:        m.Order.Model,
+			Version:      m.Order.Version,
+			Adapter:      m.Order.Adapter,
+			Reason:       string(m.Reason),
+			MakesRoomFor: m.MakesRoomFor,
+			WaitsFor:     string(m.WaitsFor),
+			Gain:         m.Gain,
+			Cost:         m.Cost,
 		})
 	}
 	for _, p := range problems {
-		reply.Unmet = append(reply.Unmet, p.Text)
+		reply.Unmet = append(reply.Unmet, p.Description)
 	}
 	return reply, nil
 }
--- a/internal/instance/pulls.go
+++ b/internal/instance/pulls.go
@@ -16,7 +16,7 @@
 // rosterPeer is another instance that this one pulls roster changes from.
 type rosterPeer struct {
 	address      string
-	rosterSource roster.Source
+	rosterSource roster.PullState
 	// directOnly limits pulls to members that announce themselves to the peer, without
 	// those that the peer knows from other instances.
 	directOnly bool
@@ -48,13 +48,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	candidates, unreachable, addresses := i.pullCandidatesLocked(now)
-	self := roster.Site{
+	self := roster.Location{
 		Name:          i.options.Settings.Name,
 		FailureDomain: i.options.Settings.FailureDomain,
 		Voter:         i.options.Settings.Voter,
 	}
-	sources := roster.SourcesOf(self, candidates)
-	fullPulls := slices.Concat(sources.All, i.throughFirstReachable(sources.FirstOf), unreachable)
+	sources := roster.SelectSources(self, candidates)
+	fullPulls := slices.Concat(sources.All, i.throughFirstReachable(sources.Alternatives), unreachable)
 	started := i.markPullingLocked(fullPulls, addresses, false)
 	return append(started, i.markPullingLocked(sources.Direct, addresses, true)...)
 }
@@ -96,14 +96,14 @@
 // instances from the settings are returned separately: they are pulled from to detect
 // when they are back, but this instance must not depend on them, since its own updates
 // would not propagate through them.
-func (i *Instance) pullCandidatesLocked(now time.Time) (candidates []roster.Site, unreachable []string, addresses map[string]string) {
+func (i *Instance) pullCandidatesLocked(now time.Time) (candidates []roster.Location, unreachable []string, addresses map[string]string) {
 	addresses = map[string]string{}
 	for _, alive := range i.roster.Instances(now) {
 		if alive.Name == i.options.Settings.Name {
 			continue
 		}
 		addresses[alive.Name] = alive.InnerAddress
-		candidates = append(candidates, roster.Site{Name: alive.Name, FailureDomain: alive.FailureDomain, Voter: alive.Voter})
+		candidates = append(candidates, roster.Location{Name: alive.Name, FailureDomain: alive.FailureDomain, Voter: alive.Voter})
 	}
 	for _, configured := range i.options.Settings.Instances {
 		if addresses[configured.Name] != "" {
@@ -114,7 +114,7 @@
 			unreachable = append(unreachable, configured.Name)
 			continue
 		}
-		candidates = append(candidates, roster.Site{Name: configured.Name, FailureDomain: configured.FailureDomain, Voter: configured.Voter})
+		candidates = append(candidates, roster.Location{Name: configured.Name, FailureDomain: configured.FailureDomain, Voter: configured.Voter})
 	}
 	return candidates, unreachable, addresses
 }
@@ -124,7 +124,7 @@
 	cursor := peer.rosterSource.Cursor(peer.directOnly)
 	var introduction *roster.InstanceRecord
 	if cursor.Incarnation == 0 || peer.pullCount%pullsPerIntroduction == 0 {
-		introduction = i.roster.Introduction(i.options.Now())
+		introduction = i.roster.SelfRecord(i.options.Now())
 	}
 	i.mu.Unlock()
 	requestedAt := i.options.Now()
@@ -149,7 +149,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if from != nil {
-		i.roster.Introduce(now, *from)
+		i.roster.Discover(now, *from)
 	}
 	return i.roster.Since(now, cursor)
 }
--- a/internal/jury/action.go
+++ b/internal/jury/action.go
@@ -65,7 +65,7 @@
 	ID uint64
 	// Refusal is nil if the event was accepted. Otherwise the event had no
 	// effect and never will.
-	Refusal error
+	Err error
 	// Index and Term are those of the entry that was appended for the event, or
 	// 0. The proposal succeeded if the entry committed at Index is of Term; it
 	// failed for good if the entry committed there is of another term. The
--- a/internal/jury/member.go
+++ b/internal/jury/member.go
@@ -178,14 +178,14 @@
 	switch e := event.(type) {
 	case Propose:
 		for _, proposal := range e.Proposals {
-			m.actions = append(m.actions, Answer{ID: proposal.ID, Refusal: m.failure})
+			m.actions = append(m.actions, Answer{ID: proposal.ID, Err: m.failure})
 		}
 	case ChangeVoters:
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: m.failure})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: m.failure})
 	case TransferLeadership:
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: m.failure})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: m.failure})
 	case Bootstrap:
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: m.failure})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: m.failure})
 	case Tick, Receive, Synced, Compact, Failed:
 	}
 }
@@ -310,8 +310,8 @@
 	snapshot := m.snapshot
 	m.writes.pending.dirty = true
 	m.writes.pending.snapshot = &snapshot
-	if e.Index > Index(m.options.Kept) {
-		m.log.compact(e.Index - Index(m.options.Kept))
+	if e.Index > Index(m.options.KeptEntries) {
+		m.log.compact(e.Index - Index(m.options.KeptEntries))
 	}
 	for len(m.voterSets) > 1 && m.voterSets[1].index <= m.snapshot.Index {
 		m.voterSets = m.voterSets[1:]
@@ -331,7 +331,7 @@
 
 func (m *Member) bootstrap(now time.Time, e Bootstrap) {
 	if m.cluster != "" && m.cluster != e.Cluster || e.Cluster == "" || len(e.Voters) == 0 {
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: ErrNotBlank})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: ErrNotBlank})
 		return
 	}
 	if m.blank() {
--- a/internal/jury/member_test.go
+++ b/internal/jury/member_test.go
@@ -17,7 +17,7 @@
 	GinkgoHelper()
 	answer, found := firstAction[jury.Answer](actions)
 	Expect(found).To(BeTrue(), "the actions contain an Answer")
-	return answer.Refusal
+	return answer.Err
 }
 
 // firstAction returns the first action of type T.
@@ -192,7 +192,7 @@
 			options := jury.Options{
 				ClockDrift:      drift,
 				ElectionTimeout: time.Duration(rapid.IntRange(100, 5000).Draw(t, "timeout")) * time.Millisecond,
-				OrderFlight:     time.Duration(rapid.IntRange(0, 5000).Draw(t, "flight")) * time.Millisecond,
+				OrderTimeout:    time.Duration(rapid.IntRange(0, 5000).Draw(t, "flight")) * time.Millisecond,
 			}
 			leader := rapid.Float64Range(1-drift, 1+drift).Draw(t, "leader clock rate")
 			follower := rapid.Float64Range(1-drift, 1+drift).Draw(t, "follower clock rate")
@@ -202,7 +202,7 @@
 				t.Fatalf("the lease lasts %g, but the follower withholds its vote only for %g", lease, voteWithheld)
 			}
 			wait := float64(options.TakeoverWait()) / follower
-			if orderDuration := lease + float64(options.OrderFlight); wait+2 < orderDuration {
+			if orderDuration := lease + float64(options.OrderTimeout); wait+2 < orderDuration {
 				t.Fatalf("a new leader waits %g, but an order may be in flight for %g", wait, orderDuration)
 			}
 		})
--- a/internal/jury/membership.go
+++ b/internal/jury/membership.go
@@ -14,12 +14,12 @@
 func (m *Member) changeVoters(now time.Time, e ChangeVoters) {
 	set, err := m.nextVoterSet(now, e)
 	if err != nil {
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: err})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: err})
 		return
 	}
 	data, err := EncodeVoters(set.ids)
 	if err != nil {
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: err})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: err})
 		return
 	}
 	m.appendToLeaderLog(e.ID, EntryVoters, data)
@@ -157,12 +157,12 @@
 // start; SteppedDown reports the end of the leadership.
 func (m *Member) transferLeadership(now time.Time, e TransferLeadership) {
 	if m.leading == nil {
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: ErrNotLeader})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: ErrNotLeader})
 		return
 	}
 	to, found := m.transferTarget(now)
 	if !found {
-		m.actions = append(m.actions, Answer{ID: e.ID, Refusal: ErrNoVoter})
+		m.actions = append(m.actions, Answer{ID: e.ID, Err: ErrNoVoter})
 		return
 	}
 	if m.leading.transfer.target == "" {
--- a/internal/jury/options.go
+++ b/internal/jury/options.go
@@ -11,7 +11,7 @@
 	defaultHeartbeat          = 60 * time.Millisecond
 	defaultElectionTimeout    = 600 * time.Millisecond
 	defaultClockDrift         = 0.05
-	defaultOrderFlight        = 2 * time.Second
+	defaultOrderTimeout       = 2 * time.Second
 	defaultInflightAppends    = 8
 	defaultAppendBytes        = 256 << 10
 	defaultUncommittedEntries = 8192
@@ -45,7 +45,7 @@
 	// OrderFlight is the maximum time from a leader's OrderRight check until
 	// the order has reached its upstream or has been lost. It includes the
 	// longest pause of the process between check and send.
-	OrderFlight time.Duration
+	OrderTimeout time.Duration
 	// MaxInflightAppends limits the unanswered appends to one member.
 	MaxInflightAppends int
 	// MaxAppendBytes limits the data in one append. A single larger entry is
@@ -59,7 +59,7 @@
 	MaxUncommittedBytes int
 	// Kept is how many of the entries that a snapshot covers stay in memory, for
 	// members that are slightly behind.
-	Kept int
+	KeptEntries int
 }
 
 // withDefaults returns o with each zero field replaced by its default.
@@ -67,12 +67,12 @@
 	o.Heartbeat = orDefault(o.Heartbeat, defaultHeartbeat)
 	o.ElectionTimeout = orDefault(o.ElectionTimeout, defaultElectionTimeout)
 	o.ClockDrift = orDefault(o.ClockDrift, defaultClockDrift)
-	o.OrderFlight = orDefault(o.OrderFlight, defaultOrderFlight)
+	o.OrderTimeout = orDefault(o.OrderTimeout, defaultOrderTimeout)
 	o.MaxInflightAppends = orDefault(o.MaxInflightAppends, defaultInflightAppends)
 	o.MaxAppendBytes = orDefault(o.MaxAppendBytes, defaultAppendBytes)
 	o.MaxUncommittedEntries = orDefault(o.MaxUncommittedEntries, defaultUncommittedEntries)
 	o.MaxUncommittedBytes = orDefault(o.MaxUncommittedBytes, defaultUncommittedBytes)
-	o.Kept = orDefault(o.Kept, defaultKeptEntries)
+	o.KeptEntries = orDefault(o.KeptEntries, defaultKeptEntries)
 	return o
 }
 
@@ -86,7 +86,7 @@
 	case o.Heartbeat <= 0 || o.Lease() < 3*o.Heartbeat:
 		return errors.Newf("jury: election timeout %s leaves a lease of %s, less than three heartbeats of %s",
 			o.ElectionTimeout, o.Lease(), o.Heartbeat)
-	case o.OrderFlight < 0 || o.MaxInflightAppends < 1 || o.MaxAppendBytes < 1 || o.MaxUncommittedEntries < 1 || o.MaxUncommittedBytes < 1 || o.Kept < 0:
+	case o.OrderTimeout < 0 || o.MaxInflightAppends < 1 || o.MaxAppendBytes < 1 || o.MaxUncommittedEntries < 1 || o.MaxUncommittedBytes < 1 || o.KeptEntries < 0:
 		return errors.New("jury: an option is negative")
 	}
 	return nil
@@ -109,7 +109,7 @@
 // ClockDrift.
 func (o Options) TakeoverWait() time.Duration {
 	stretch := (1 + o.ClockDrift) / (1 - o.ClockDrift)
-	return scaleDuration(o.Lease()+o.OrderFlight, stretch)
+	return scaleDuration(o.Lease()+o.OrderTimeout, stretch)
 }
 
 func scaleDuration(d time.Duration, factor float64) time.Duration {
--- a/internal/jury/replicate.go
+++ b/internal/jury/replicate.go
@@ -135,7 +135,7 @@
 			refusal = ErrOverloaded
 		}
 		if refusal != nil {
-			m.actions = append(m.actions, Answer{ID: proposal.ID, Refusal: refusal})
+			m.actions = append(m.actions, Answer{ID: proposal.ID, Err: refusal})
 			continue
 		}
 		m.appendToLeaderLog(proposal.ID, EntryCommand, proposal.Data)
--- a/internal/jury/scenario_test.go
+++ b/internal/jury/scenario_test.go
@@ -446,7 +446,7 @@
 		sim.isolate(leader, forever)
 		sim.stepUntil("the leader's lease ends", func() bool {
 			answer := sim.propose(leader, "too late")
-			return answer[0].(jury.Answer).Refusal != nil
+			return answer[0].(jury.Answer).Err != nil
 		})
 		sim.stepUntil("the leader steps down", func() bool { return leader.member.Status().Role != jury.Leader })
 		sim.stepUntil("another leads", func() bool { return sim.leader() != nil })
--- a/internal/jury/simulation_test.go
+++ b/internal/jury/simulation_test.go
@@ -202,10 +202,10 @@
 		Heartbeat:          testElectionTimeout / 10,
 		ElectionTimeout:    testElectionTimeout,
 		ClockDrift:         testClockDrift,
-		OrderFlight:        testOrderFlight,
+		OrderTimeout:       testOrderFlight,
 		MaxInflightAppends: 3,
 		MaxAppendBytes:     40,
-		Kept:               s.faults.keptEntries,
+		KeptEntries:        s.faults.keptEntries,
 	}, jury.State{Cluster: n.disk.snapshot.Cluster, HardState: n.disk.hardState, Snapshot: n.disk.snapshot, Entries: n.disk.entries})
 	if err != nil {
 		s.history.failf("%s cannot start: %v", n.identity, err)
--- a/internal/jury/status.go
+++ b/internal/jury/status.go
@@ -28,12 +28,12 @@
 
 // PeerStatus is the state of another member as seen by the leader.
 type PeerStatus struct {
-	Name Identity
+	ID Identity
 	// Answers reports whether the peer has answered a message that the leader
 	// sent within the last election timeout. Heard is when the leader sent the
 	// latest message that the peer answered, or zero if there is none.
-	Answers bool
-	Heard   time.Time
+	Active      bool
+	LastContact time.Time
 	// CaughtUp reports whether the peer has synced all committed entries.
 	CaughtUp bool
 }
@@ -63,10 +63,10 @@
 	peers := make([]PeerStatus, 0, len(m.leading.peers))
 	for id, p := range m.leading.peers {
 		peers = append(peers, PeerStatus{
-			Name: id, Answers: m.answersRecently(now, p), Heard: p.answeredSendAt, CaughtUp: p.match >= m.commitIndex,
+			ID: id, Active: m.answersRecently(now, p), LastContact: p.answeredSendAt, CaughtUp: p.match >= m.commitIndex,
 		})
 	}
-	slices.SortFunc(peers, func(a, b PeerStatus) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(peers, func(a, b PeerStatus) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return peers
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -37,9 +37,9 @@
 	const wait = 4 * time.Second
 
 	It("make an instance wait only for upstreams whose leases another instance took", func() {
-		s := lease.NewSightings("b")
-		s.Saw(start, lease.Take{Holder: "a", Upstreams: []string{"e1"}})
-		s.Saw(start, lease.Take{Holder: "b", Upstreams: []string{"e2"}})
+		s := lease.NewObservations("b")
+		s.Record(start, lease.Take{Holder: "a", Upstreams: []string{"e1"}})
+		s.Record(start, lease.Take{Holder: "b", Upstreams: []string{"e2"}})
 		later := start.Add(time.Second)
 		Expect(s.Free(later, "e1", wait)).To(BeFalse())
 		Expect(s.Free(later, "e2", wait)).To(BeTrue())
@@ -54,8 +54,8 @@
 		leases := lease.Leases{}.
 			With(lease.Take{Holder: "a", Upstreams: []string{"e1"}}).
 			With(lease.Take{Holder: "b", Upstreams: []string{"e1"}})
-		s := lease.NewSightings("b")
-		s.SawAll(start, leases)
+		s := lease.NewObservations("b")
+		s.Reset(start, leases)
 		Expect(s.Free(start.Add(time.Second), "e1", wait)).To(BeFalse())
 	})
 })
--- a/internal/lease/sightings.go
+++ b/internal/lease/sightings.go
@@ -6,19 +6,19 @@
 // leases, by its own clock. A replica sees a lease only after it was taken, so a
 // wait that starts at the sighting is never too short. It is not safe for
 // concurrent use.
-type Sightings struct {
+type Observations struct {
 	self string
 	// seenAt is keyed by the name of the upstream.
 	seenAt map[string]time.Time
 }
 
 // NewSightings returns empty Sightings for the replica of the instance self.
-func NewSightings(self string) *Sightings {
-	return &Sightings{self: self, seenAt: map[string]time.Time{}}
+func NewObservations(self string) *Observations {
+	return &Observations{self: self, seenAt: map[string]time.Time{}}
 }
 
 // Saw records that this replica applied take at now.
-func (s *Sightings) Saw(now time.Time, take Take) {
+func (s *Observations) Record(now time.Time, take Take) {
 	for _, upstream := range take.Forget {
 		delete(s.seenAt, upstream)
 	}
@@ -33,7 +33,7 @@
 // SawAll replaces the sightings after leases were restored from a snapshot. The
 // snapshot does not say when each lease was taken, so each is treated as taken at
 // now.
-func (s *Sightings) SawAll(now time.Time, leases Leases) {
+func (s *Observations) Reset(now time.Time, leases Leases) {
 	clear(s.seenAt)
 	for _, upstream := range leases.Upstreams() {
 		s.seenAt[upstream] = now
@@ -42,7 +42,7 @@
 
 // Free reports whether this replica saw no other instance take the lease of
 // upstream within the duration wait before now.
-func (s *Sightings) Free(now time.Time, upstream string, wait time.Duration) bool {
+func (s *Observations) Free(now time.Time, upstream string, wait time.Duration) bool {
 	at, seen := s.seenAt[upstream]
 	return !seen || now.Sub(at) >= wait
 }
--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -23,13 +23,13 @@
 }
 
 // Worst returns the maximum memory that may be in use.
-func (a Account) Worst() int64 {
+func (a Account) WorstCase() int64 {
 	return saturatingAdd(a.Resident, saturatingAdd(a.Reserved, a.Possible))
 }
 
 // Free returns the memory that is available to a new order.
 func (a Account) Free() int64 {
-	return a.Memory - a.Worst()
+	return a.Memory - a.WorstCase()
 }
 
 // InsufficientMemoryError reports that an accelerator may be overcommitted.
@@ -155,7 +155,7 @@
 // or false.
 func (l Ledger) overcommitted() (string, bool) {
 	for _, a := range l.accelerators {
-		if account, _ := l.Account(a.Name); account.Worst() > account.Memory {
+		if account, _ := l.Account(a.Name); account.WorstCase() > account.Memory {
 			return a.Name, true
 		}
 	}
--- a/internal/ledger/contradiction.go
+++ b/internal/ledger/contradiction.go
@@ -45,9 +45,9 @@
 		}
 	}
 	for i, a := range l.accelerators {
-		if account, _ := l.Account(a.Name); account.Worst() > a.Bytes {
+		if account, _ := l.Account(a.Name); account.WorstCase() > a.Bytes {
 			found = append(found, contradiction(fmt.Sprintf("$.accelerators[%d]", i),
-				fmt.Sprintf("%d bytes are or may be taken of %d", account.Worst(), a.Bytes)))
+				fmt.Sprintf("%d bytes are or may be taken of %d", account.WorstCase(), a.Bytes)))
 		}
 	}
 	found = append(found, l.unknownOrders(announcement.UnderWay)...)
@@ -128,9 +128,9 @@
 	var found []finding.Finding
 	for i, a := range reported {
 		account, known := l.Account(a.Name)
-		if known && a.UsedBytes != nil && *a.UsedBytes > account.Worst() {
+		if known && a.UsedBytes != nil && *a.UsedBytes > account.WorstCase() {
 			found = append(found, contradiction(fmt.Sprintf("$.accelerators[%d].used-bytes", i),
-				fmt.Sprintf("%d bytes are taken, %d at most may be", *a.UsedBytes, account.Worst())))
+				fmt.Sprintf("%d bytes are taken, %d at most may be", *a.UsedBytes, account.WorstCase())))
 		}
 	}
 	return found
--- a/internal/ledger/fake_test.go
+++ b/internal/ledger/fake_test.go
@@ -85,7 +85,7 @@
 }
 
 // receive starts an order unless its ID is known, and answers it.
-func (e *fakeEngine) receive(order upstreamapi.Order) upstreamapi.OrderAnswer {
+func (e *fakeEngine) receive(order upstreamapi.Order) upstreamapi.OrderResponse {
 	if _, known := e.states[order.ID]; !known {
 		e.revision++
 		e.states[order.ID] = e.initialState(order)
@@ -188,13 +188,13 @@
 	return a
 }
 
-func (e *fakeEngine) answer(id string) upstreamapi.OrderAnswer {
+func (e *fakeEngine) answer(id string) upstreamapi.OrderResponse {
 	a := e.announce()
 	state, known := e.states[id]
 	if !known {
 		state = upstreamapi.OrderUnknown
 	}
-	return upstreamapi.OrderAnswer{
+	return upstreamapi.OrderResponse{
 		ID: id, State: state, Clock: e.clock, Incarnation: a.Incarnation, Revision: a.Revision,
 		Accelerators: a.Accelerators, Resident: a.Resident, Role: a.Role, RoleMemoryBytes: a.RoleMemoryBytes,
 		HighestFencing: a.HighestFencing, UnderWay: a.UnderWay,
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -61,7 +61,7 @@
 }
 
 // Loads returns the holding that the order loads, or false if it loads none.
-func Loads(order upstreamapi.Order) (Holding, bool) {
+func LoadedBy(order upstreamapi.Order) (Holding, bool) {
 	loaded, loads := loadedArtifact(order)
 	return Holding{
 		Model:        loaded.Model,
@@ -90,7 +90,7 @@
 
 // ChangedByAnswer reports whether the answer changes the account in more than the
 // engine's clock.
-func (l Ledger) ChangedByAnswer(answer upstreamapi.OrderAnswer) bool {
+func (l Ledger) ChangedByAnswer(answer upstreamapi.OrderResponse) bool {
 	return l.differsIgnoringClock(l.WithAnswer(answer))
 }
 
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -33,7 +33,7 @@
 // WithAnswer returns the account updated by the engine's answer to an order or to
 // a status query. A final answer closes the order: the engine remembers the order
 // and does not execute it again.
-func (l Ledger) WithAnswer(answer upstreamapi.OrderAnswer) Ledger {
+func (l Ledger) WithAnswer(answer upstreamapi.OrderResponse) Ledger {
 	if answer.Incarnation != l.incarnation {
 		return l
 	}
@@ -46,7 +46,7 @@
 	}
 	next = next.clone()
 	switch {
-	case answer.State.Final():
+	case answer.State.Terminal():
 		next.open = slices.Delete(next.open, i, i+1)
 	case answer.State == upstreamapi.OrderRunning:
 		next.open[i].Doubtful = false
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -49,7 +49,7 @@
 }
 
 // execute delivers the order, completes all running orders and returns the answer.
-func execute(e *fakeEngine, order upstreamapi.Order) upstreamapi.OrderAnswer {
+func execute(e *fakeEngine, order upstreamapi.Order) upstreamapi.OrderResponse {
 	e.receive(order)
 	for len(e.underWay) > 0 {
 		e.finishOrder(0)
@@ -101,14 +101,14 @@
 	It("frees no memory for an unload before the engine reports it", func() {
 		order := unloadOrder("o1", 1, "letters")
 		l = recordAll(l, order)
-		Expect(accountOf(l).Worst()).To(BeEquivalentTo(40))
+		Expect(accountOf(l).WorstCase()).To(BeEquivalentTo(40))
 		e.receive(order)
 		l = l.WithReport(e.announce())
 		Expect(l.Holds("letters", "")).To(BeFalse())
-		Expect(accountOf(l).Worst()).To(BeEquivalentTo(40), "it is being unloaded")
+		Expect(accountOf(l).WorstCase()).To(BeEquivalentTo(40), "it is being unloaded")
 		e.finishOrder(0)
 		l = l.WithAnswer(e.answer("o1"))
-		Expect(accountOf(l).Worst()).To(BeZero())
+		Expect(accountOf(l).WorstCase()).To(BeZero())
 	})
 
 	// Two leaders sent orders to load the same model on different pairs of
@@ -127,7 +127,7 @@
 		worstCase := func(name string) int64 {
 			a, known := l.Account(name)
 			Expect(known).To(BeTrue())
-			return a.Worst()
+			return a.WorstCase()
 		}
 		Expect([]int64{worstCase("a0"), worstCase("a1"), worstCase("a2")}).To(Equal([]int64{50, 60, 60}))
 
@@ -150,7 +150,7 @@
 		l = l.WithAnswer(e.answer("o1"))
 		Expect(accountOf(l)).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 90}))
 		e.finishOrder(0)
-		Expect(accountOf(l.WithReport(e.announce())).Worst()).To(BeEquivalentTo(40))
+		Expect(accountOf(l.WithReport(e.announce())).WorstCase()).To(BeEquivalentTo(40))
 	})
 
 	It("counts both versions, both roles and adapters", func() {
@@ -164,7 +164,7 @@
 		Expect(accountOf(l)).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 40, Reserved: 55}))
 		smaller := role
 		smaller.ID, smaller.Number, smaller.MemoryBytes = "o4", 100, 15
-		Expect(accountOf(recordAll(l, smaller)).Worst()).To(Equal(accountOf(l).Worst()))
+		Expect(accountOf(recordAll(l, smaller)).WorstCase()).To(Equal(accountOf(l).WorstCase()))
 	})
 
 	// A fault occurs at some step of an order to load 50 bytes. A second load of 50
@@ -218,7 +218,7 @@
 			l = next
 		}, true, true}),
 		Entry("sent and lost, and its time passed at the engine", faultCase{func(o upstreamapi.Order) {
-			l = recordAll(l, o).WithLost("o1")
+			l = recordAll(l, o).WithAnswerLost("o1")
 			e.clock = startTime.Add(11 * time.Second)
 			l = l.WithReport(e.announce())
 		}, true, false}),
@@ -251,15 +251,15 @@
 		Entry("applied, and its answer lost", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			execute(e, o)
-			l = l.WithLost("o1")
+			l = l.WithAnswerLost("o1")
 		}, false, false}),
 		Entry("refused, and the answer is late", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
 			e.states["o1"] = upstreamapi.OrderRefusedNoMemory
-			l = l.WithLost("o1").WithAnswer(e.answer("o1"))
+			l = l.WithAnswerLost("o1").WithAnswer(e.answer("o1"))
 		}, true, true}),
 		Entry("unknown to the engine at a status query", faultCase{func(o upstreamapi.Order) {
-			l = recordAll(l, o).WithLost("o1").WithAnswer(e.answer("o1"))
+			l = recordAll(l, o).WithAnswerLost("o1").WithAnswer(e.answer("o1"))
 		}, false, false}),
 		Entry("executed, and unloaded by a later order that is answered first", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
@@ -274,7 +274,7 @@
 			l = recordAll(l, laterUnload).WithAnswer(execute(e, laterUnload)).WithReport(e.announce())
 		}, false, false}),
 		Entry("sent, and the engine gone without a word", faultCase{func(o upstreamapi.Order) {
-			l = recordAll(l, o).WithLost("o1")
+			l = recordAll(l, o).WithAnswerLost("o1")
 		}, false, false}),
 		Entry("sent, and the engine restarted", faultCase{func(o upstreamapi.Order) {
 			l = recordAll(l, o)
@@ -287,7 +287,7 @@
 			execute(e, o)
 			oldReport := e.announce()
 			e.restart()
-			l = l.WithReport(e.announce()).WithReport(oldReport).WithAnswer(upstreamapi.OrderAnswer{
+			l = l.WithReport(e.announce()).WithReport(oldReport).WithAnswer(upstreamapi.OrderResponse{
 				ID: "o1", State: upstreamapi.OrderDone, Incarnation: oldReport.Incarnation, Revision: oldReport.Revision,
 				Accelerators: oldReport.Accelerators, Resident: oldReport.Resident,
 			})
@@ -296,10 +296,10 @@
 
 	It("separates reserved from possible memory", func() {
 		l = recordAll(l, loadOrder("o1", 1, "pings", 10), loadOrder("o2", 1, "fares", 5))
-		Expect(accountOf(l.WithLost("o1"))).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 40, Reserved: 5, Possible: 10}))
+		Expect(accountOf(l.WithAnswerLost("o1"))).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 40, Reserved: 5, Possible: 10}))
 		Expect(accountOf(l.WithLeader(2))).To(Equal(ledger.Account{Memory: acceleratorBytes, Resident: 40, Possible: 15}))
 		e.receive(l.Open()[0])
-		Expect(accountOf(l.WithLost("o1").WithAnswer(e.answer("o1"))).Possible).To(BeZero(), "it is acknowledged")
+		Expect(accountOf(l.WithAnswerLost("o1").WithAnswer(e.answer("o1"))).Possible).To(BeZero(), "it is acknowledged")
 	})
 
 	It("records orders of the latest leader alone, with rising numbers", func() {
@@ -327,7 +327,7 @@
 	})
 
 	It("reads back what it wrote, and refuses what is overcommitted", func() {
-		l = recordAll(l, loadOrder("o1", 1, "pings", 50)).WithLost("o1")
+		l = recordAll(l, loadOrder("o1", 1, "pings", 50)).WithAnswerLost("o1")
 		data, err := json.Marshal(l)
 		Expect(err).NotTo(HaveOccurred())
 		var decoded ledger.Ledger
@@ -411,7 +411,7 @@
 		}
 		l = l.WithReport(a)
 		Expect(contradictionPaths(l)).To(ContainElement("$.accelerators[0]"))
-		Expect(accountOf(l).Worst()).To(BeZero())
+		Expect(accountOf(l).WorstCase()).To(BeZero())
 		setUp(upstreamapi.FencingChecked, true)
 		l = recordAll(l, loadOrder("o1", 1, "pings", 10))
 		_, err := l.WithOrder(loadOrder("o2", 1, "fares", math.MaxInt64))
--- a/internal/ledger/orders.go
+++ b/internal/ledger/orders.go
@@ -54,7 +54,7 @@
 	if name, overcommitted := next.overcommitted(); overcommitted {
 		before, _ := l.Account(name)
 		after, _ := next.Account(name)
-		return l, &InsufficientMemoryError{Accelerator: name, Account: before, Needed: after.Worst() - before.Worst()}
+		return l, &InsufficientMemoryError{Accelerator: name, Account: before, Needed: after.WorstCase() - before.WorstCase()}
 	}
 	return next, nil
 }
@@ -103,7 +103,7 @@
 // WithLost records that the answer to an order was lost. The order becomes
 // doubtful, and its memory counts as possible. If the order is not open, WithLost
 // changes nothing.
-func (l Ledger) WithLost(id string) Ledger {
+func (l Ledger) WithAnswerLost(id string) Ledger {
 	i := l.openIndex(id)
 	if i < 0 {
 		return l
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -38,7 +38,7 @@
 	fencing    uint64
 	number     uint64
 	orders     []upstreamapi.Order
-	answers    []upstreamapi.OrderAnswer
+	answers    []upstreamapi.OrderResponse
 	reports    []upstreamapi.Announcement
 }
 
@@ -96,7 +96,7 @@
 				s.ledger = next
 				s.sendCopies(next.Open()[slices.IndexFunc(next.Open(), func(o upstreamapi.Order) bool { return o.ID == id })])
 			}
-			s.ledger = s.ledger.WithLost(id)
+			s.ledger = s.ledger.WithAnswerLost(id)
 		}
 	case 3, 4, 5:
 		if len(s.orders) > 0 {
@@ -160,10 +160,10 @@
 	if s.engine.usedBytes() > acceleratorBytes {
 		Fail(fmt.Sprintf("step %d: %d bytes are taken, account %+v", step, s.engine.usedBytes(), account))
 	}
-	if account.Worst() > account.Memory || min(account.Resident, account.Reserved, account.Possible) < 0 {
+	if account.WorstCase() > account.Memory || min(account.Resident, account.Reserved, account.Possible) < 0 {
 		Fail(fmt.Sprintf("step %d: account %+v", step, account))
 	}
-	if s.engine.incarnation == s.ledger.Incarnation() && s.engine.usedBytes() > account.Worst() {
+	if s.engine.incarnation == s.ledger.Incarnation() && s.engine.usedBytes() > account.WorstCase() {
 		Fail(fmt.Sprintf("step %d: %d bytes are taken, account %+v", step, s.engine.usedBytes(), account))
 	}
 	if found := s.ledger.Contradictions(); len(found) > 0 {
@@ -217,7 +217,7 @@
 				Expect(s.ledger.Open()).To(BeEmpty())
 				Expect(account.Reserved + account.Possible).To(BeZero())
 				if s.fixedSizes {
-					Expect(account.Worst()).To(Equal(s.engine.usedBytes()))
+					Expect(account.WorstCase()).To(Equal(s.engine.usedBytes()))
 				}
 			}
 		},
--- a/internal/manifest/command.go
+++ b/internal/manifest/command.go
@@ -20,7 +20,7 @@
 
 // Lead records that the leader with the fencing number Term issues orders from now
 // on. The open orders of earlier leaders become doubtful.
-type Lead struct {
+type NewLeader struct {
 	Term uint64 `json:"term"`
 }
 
@@ -34,7 +34,7 @@
 	Engine string            `json:"engine"`
 	Order  upstreamapi.Order `json:"order"`
 	// Why is the reason for the order, for display only.
-	Why string `json:"why"`
+	Reason string `json:"why"`
 	// At is the time of recording on the leader's clock, for display only.
 	At time.Time `json:"at"`
 }
@@ -49,12 +49,12 @@
 
 // Answer records an engine's answer to an order or to a status query.
 type Answer struct {
-	Engine string                  `json:"engine"`
-	Answer upstreamapi.OrderAnswer `json:"answer"`
+	Engine string                    `json:"engine"`
+	Answer upstreamapi.OrderResponse `json:"answer"`
 }
 
 // Lost records that the answer to an order was lost.
-type Lost struct {
+type AnswerLost struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id"`
 }
@@ -70,36 +70,36 @@
 // Forget removes an engine that has left. It is rejected while an order to the
 // engine is open: the engine may return with the same incarnation and execute the
 // order.
-type Forget struct {
+type RemoveEngine struct {
 	Engine string `json:"engine"`
 }
 
-func (Lead) command()     {}
-func (Reports) command()  {}
-func (Record) command()   {}
-func (Resend) command()   {}
-func (Answer) command()   {}
-func (Lost) command()     {}
-func (Withdraw) command() {}
-func (Forget) command()   {}
+func (NewLeader) command()    {}
+func (Reports) command()      {}
+func (Record) command()       {}
+func (Resend) command()       {}
+func (Answer) command()       {}
+func (AnswerLost) command()   {}
+func (Withdraw) command()     {}
+func (RemoveEngine) command() {}
 
 // envelope is the encoding of a command. Exactly one field is set.
 type envelope struct {
-	Lead     *Lead     `json:"lead,omitempty"`
-	Reports  *Reports  `json:"reports,omitempty"`
-	Record   *Record   `json:"record,omitempty"`
-	Resend   *Resend   `json:"resend,omitempty"`
-	Answer   *Answer   `json:"answer,omitempty"`
-	Lost     *Lost     `json:"lost,omitempty"`
-	Withdraw *Withdraw `json:"withdraw,omitempty"`
-	Forget   *Forget   `json:"forget,omitempty"`
+	Lead     *NewLeader    `json:"lead,omitempty"`
+	Reports  *Reports      `json:"reports,omitempty"`
+	Record   *Record       `json:"record,omitempty"`
+	Resend   *Resend       `json:"resend,omitempty"`
+	Answer   *Answer       `json:"answer,omitempty"`
+	Lost     *AnswerLost   `json:"lost,omitempty"`
+	Withdraw *Withdraw     `json:"withdraw,omitempty"`
+	Forget   *RemoveEngine `json:"forget,omitempty"`
 }
 
 // Encode returns the encoding of a command as a JSON object.
 func Encode(command Command) ([]byte, error) {
 	var e envelope
 	switch c := command.(type) {
-	case Lead:
+	case NewLeader:
 		e.Lead = &c
 	case Reports:
 		e.Reports = &c
@@ -109,11 +109,11 @@
 		e.Resend = &c
 	case Answer:
 		e.Answer = &c
-	case Lost:
+	case AnswerLost:
 		e.Lost = &c
 	case Withdraw:
 		e.Withdraw = &c
-	case Forget:
+	case RemoveEngine:
 		e.Forget = &c
 	default:
 		return nil, errors.AssertionFailedf("manifest: command %T", command)
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -12,7 +12,7 @@
 type Engine struct {
 	// Announced is the last recorded announcement without the inventory, which is in
 	// Ledger, and without the load, which is in the roster, except Load.MaxRunning.
-	Announced upstreamapi.Announcement `json:"announced"`
+	Announcement upstreamapi.Announcement `json:"announced"`
 	// Ledger is the account of the engine's memory, including the open orders.
 	Ledger ledger.Ledger `json:"ledger"`
 	// Orders are the open orders and the last maxClosedOrders closed ones, in the
@@ -73,12 +73,12 @@
 // Most announcements contain nothing new and are dismissed by their revision alone:
 // an announcement with a revision that is already recorded can't close an order that
 // was recorded later.
-func (e Engine) Learns(a upstreamapi.Announcement) bool {
+func (e Engine) ChangedByAnnouncement(a upstreamapi.Announcement) bool {
 	revisionKnown := a.Incarnation == e.Ledger.Incarnation() && a.Revision <= e.Ledger.Revision()
-	if revisionKnown && ledger.GuaranteesOf(a) == ledger.GuaranteesOf(e.Announced) {
+	if revisionKnown && ledger.GuaranteesOf(a) == ledger.GuaranteesOf(e.Announcement) {
 		return false
 	}
-	return a.Incarnation > e.Announced.Incarnation || e.Ledger.ChangedByReport(e.withRecordedClock(a))
+	return a.Incarnation > e.Announcement.Incarnation || e.Ledger.ChangedByReport(e.withRecordedClock(a))
 }
 
 // withRecordedClock returns the announcement with the last recorded time of the
@@ -174,7 +174,7 @@
 
 // LearnsFrom reports whether the answer changes the recorded state of the engine in
 // more than its clock, so that an Answer command should be proposed.
-func (e Engine) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
+func (e Engine) ChangedByAnswer(answer upstreamapi.OrderResponse) bool {
 	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == answer.ID })
 	running := i >= 0 && e.Orders[i].State == StateRunning
 	return e.Ledger.ChangedByAnswer(answer) || answer.State == upstreamapi.OrderRunning && !running
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -36,7 +36,7 @@
 	// MaxOpenOrders limits the number of open orders to one engine.
 	MaxOpenOrders = 64
 	// MaxWhyBytes limits Record.Why and OrderEntry.Reason.
-	MaxWhyBytes = 256
+	MaxReasonBytes = 256
 )
 
 // Manifest is one replica of the state. It is not safe for concurrent use.
@@ -61,7 +61,7 @@
 	Term uint64
 	// Number is the highest recorded order number. Numbers are never reused, not even
 	// those of orders to removed engines.
-	Number uint64
+	HighestNumber uint64
 	// Engines are sorted by name. They must not be modified.
 	Engines []*Engine
 }
@@ -77,7 +77,7 @@
 
 // View returns the current state without copying it.
 func (m *Manifest) View() View {
-	return View{Term: m.leaderTerm, Number: m.highestNumber, Engines: m.engines}
+	return View{Term: m.leaderTerm, HighestNumber: m.highestNumber, Engines: m.engines}
 }
 
 // Result is the result of an applied command.
@@ -94,7 +94,7 @@
 func (m *Manifest) Apply(command Command) Result {
 	var err error
 	switch c := command.(type) {
-	case Lead:
+	case NewLeader:
 		m.applyLead(c)
 	case Reports:
 		err = m.applyReports(c)
@@ -104,11 +104,11 @@
 		err = m.applyResend(c)
 	case Answer:
 		err = m.applyAnswer(c)
-	case Lost:
+	case AnswerLost:
 		err = m.applyLost(c)
 	case Withdraw:
 		err = m.applyWithdraw(c)
-	case Forget:
+	case RemoveEngine:
 		err = m.applyForget(c)
 	default:
 		err = errors.AssertionFailedf("manifest: command %T", command)
@@ -119,7 +119,7 @@
 	return Result{Accepted: true}
 }
 
-func (m *Manifest) applyLead(c Lead) {
+func (m *Manifest) applyLead(c NewLeader) {
 	if c.Term <= m.leaderTerm {
 		return
 	}
@@ -143,8 +143,8 @@
 			engines = slices.Insert(engines, i, &Engine{})
 		}
 		e := *engines[i]
-		if a.Incarnation >= e.Announced.Incarnation {
-			e.Announced = withoutInventory(a)
+		if a.Incarnation >= e.Announcement.Incarnation {
+			e.Announcement = withoutInventory(a)
 		}
 		e = e.withLedger(e.Ledger.WithReport(e.withRecordedClock(a)).WithLeader(m.leaderTerm))
 		engines[i] = &e
@@ -168,8 +168,8 @@
 		return errors.Wrapf(ledger.ErrStale, "manifest: number %d after %d", c.Order.Number, m.highestNumber)
 	case len(e.Ledger.Open()) >= MaxOpenOrders:
 		return errors.Newf("manifest: %d orders to %s are open, of at most %d", MaxOpenOrders, c.Engine, MaxOpenOrders)
-	case len(c.Why) > MaxWhyBytes:
-		return errors.Newf("manifest: the reason has %d bytes, of at most %d", len(c.Why), MaxWhyBytes)
+	case len(c.Reason) > MaxReasonBytes:
+		return errors.Newf("manifest: the reason has %d bytes, of at most %d", len(c.Reason), MaxReasonBytes)
 	}
 	account, err := e.Ledger.WithOrder(c.Order)
 	if err != nil {
@@ -182,7 +182,7 @@
 		Model:   c.Order.Model,
 		Version: c.Order.Version,
 		Adapter: c.Order.Adapter,
-		Why:     c.Why,
+		Why:     c.Reason,
 		At:      c.At,
 		State:   StateRecorded,
 	})
@@ -226,7 +226,7 @@
 	case !wasOpen:
 	case !isOpen && c.Answer.State == upstreamapi.OrderDone:
 		updated = updated.withOrderState(c.Answer.ID, StateDone, "")
-	case !isOpen && c.Answer.State.Final():
+	case !isOpen && c.Answer.State.Terminal():
 		updated = updated.withOrderState(c.Answer.ID, StateRefused, truncateReason(c.Answer.Reason))
 	case isOpen && c.Answer.State == upstreamapi.OrderRunning && !account.Doubtful(c.Answer.ID):
 		updated = updated.withOrderState(c.Answer.ID, StateRunning, "")
@@ -237,15 +237,15 @@
 
 // truncateReason returns the beginning of an engine's text that is stored.
 func truncateReason(text string) string {
-	return text[:min(len(text), MaxWhyBytes)]
+	return text[:min(len(text), MaxReasonBytes)]
 }
 
-func (m *Manifest) applyLost(c Lost) error {
+func (m *Manifest) applyLost(c AnswerLost) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
 	}
-	m.replace(e.withLedger(e.Ledger.WithLost(c.ID)))
+	m.replace(e.withLedger(e.Ledger.WithAnswerLost(c.ID)))
 	return nil
 }
 
@@ -262,7 +262,7 @@
 	return nil
 }
 
-func (m *Manifest) applyForget(c Forget) error {
+func (m *Manifest) applyForget(c RemoveEngine) error {
 	i, known := findEngine(m.engines, c.Engine)
 	if !known {
 		return nil
@@ -285,7 +285,7 @@
 
 // replace replaces a recorded engine.
 func (m *Manifest) replace(e Engine) {
-	i, _ := findEngine(m.engines, e.Announced.Name)
+	i, _ := findEngine(m.engines, e.Announcement.Name)
 	m.engines = slices.Clone(m.engines)
 	m.engines[i] = &e
 }
@@ -294,7 +294,7 @@
 // it and false.
 func findEngine(engines []*Engine, name string) (int, bool) {
 	return slices.BinarySearchFunc(engines, name, func(e *Engine, name string) int {
-		return cmp.Compare(e.Announced.Name, name)
+		return cmp.Compare(e.Announcement.Name, name)
 	})
 }
 
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -36,13 +36,13 @@
 }
 
 func recordOrder(engine string, order upstreamapi.Order) manifest.Record {
-	return manifest.Record{Engine: engine, Order: order, Why: "unreachable", At: startTime}
+	return manifest.Record{Engine: engine, Order: order, Reason: "unreachable", At: startTime}
 }
 
 // newManifestWithEngine returns a manifest at term 1 with the engine "e1".
 func newManifestWithEngine() *manifest.Manifest {
 	m := manifest.New()
-	m.Apply(manifest.Lead{Term: 1})
+	m.Apply(manifest.NewLeader{Term: 1})
 	m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{announcement("e1", 1)}})
 	return m
 }
@@ -67,7 +67,7 @@
 	It("rejects an order that may overcommit, counting an order whose answer was lost", func() {
 		m := newManifestWithEngine()
 		Expect(m.Apply(recordOrder("e1", loadOrder(1, 1, 1, "letters", 60))).Accepted).To(BeTrue())
-		Expect(m.Apply(manifest.Lost{Engine: "e1", ID: "order-1"}).Accepted).To(BeTrue())
+		Expect(m.Apply(manifest.AnswerLost{Engine: "e1", ID: "order-1"}).Accepted).To(BeTrue())
 		rejected := m.Apply(recordOrder("e1", loadOrder(2, 1, 1, "fares", 60)))
 		Expect(rejected.Accepted).To(BeFalse())
 		Expect(rejected.Reason).To(ContainSubstring("60 possible leave 40, 60 are needed"))
@@ -88,7 +88,7 @@
 	It("rejects an order of an earlier leader, and marks its recorded ones as doubtful", func() {
 		m := newManifestWithEngine()
 		m.Apply(recordOrder("e1", loadOrder(1, 1, 1, "letters", 30)))
-		m.Apply(manifest.Lead{Term: 2})
+		m.Apply(manifest.NewLeader{Term: 2})
 		Expect(orderState(m, "e1", "order-1")).To(Equal(manifest.StateDoubtful))
 		Expect(m.Apply(recordOrder("e1", loadOrder(2, 1, 1, "fares", 30))).Accepted).To(BeFalse())
 		Expect(m.Apply(recordOrder("e1", loadOrder(2, 3, 1, "fares", 30))).Accepted).To(BeFalse(), "before that leader's Lead")
@@ -113,12 +113,12 @@
 		m := newManifestWithEngine()
 		m.Apply(recordOrder("e1", loadOrder(1, 1, 1, "letters", 60)))
 		a := announcement("e1", 1)
-		answer := upstreamapi.OrderAnswer{
+		answer := upstreamapi.OrderResponse{
 			ID: "order-1", State: upstreamapi.OrderUnknown, Clock: startTime.Add(time.Minute), Incarnation: 1, Revision: 1,
 			Accelerators: a.Accelerators,
 		}
 		e, _ := m.View().Engine("e1")
-		Expect(e.LearnsFrom(answer)).To(BeTrue())
+		Expect(e.ChangedByAnswer(answer)).To(BeTrue())
 		m.Apply(manifest.Answer{Engine: "e1", Answer: answer})
 		Expect(orderState(m, "e1", "order-1")).To(Equal(manifest.StateClosedWithoutAnswer))
 	})
@@ -126,9 +126,9 @@
 	It("keeps an engine while an order to it is open, and reuses no order number", func() {
 		m := newManifestWithEngine()
 		m.Apply(recordOrder("e1", loadOrder(7, 1, 1, "letters", 60)))
-		Expect(m.Apply(manifest.Forget{Engine: "e1"}).Accepted).To(BeFalse())
+		Expect(m.Apply(manifest.RemoveEngine{Engine: "e1"}).Accepted).To(BeFalse())
 		Expect(m.Apply(manifest.Withdraw{Engine: "e1", ID: "order-7", Term: 1}).Accepted).To(BeTrue())
-		Expect(m.Apply(manifest.Forget{Engine: "e1"}).Accepted).To(BeTrue())
+		Expect(m.Apply(manifest.RemoveEngine{Engine: "e1"}).Accepted).To(BeTrue())
 		Expect(m.View().Engines).To(BeEmpty())
 		m.Apply(manifest.Reports{Announcements: []upstreamapi.Announcement{announcement("e1", 1)}})
 		Expect(m.Apply(recordOrder("e1", loadOrder(7, 1, 1, "letters", 60))).Accepted).To(BeFalse())
@@ -144,7 +144,7 @@
 		e, _ := m.View().Engine("e1")
 		Expect(len(e.Orders)).To(BeNumerically("<=", 17))
 		longReason := recordOrder("e1", loadOrder(201, 1, 1, "letters", 1))
-		longReason.Why = strings.Repeat("w", manifest.MaxWhyBytes+1)
+		longReason.Reason = strings.Repeat("w", manifest.MaxReasonBytes+1)
 		Expect(m.Apply(longReason).Accepted).To(BeFalse())
 		for number := range uint64(manifest.MaxOpenOrders) {
 			Expect(m.Apply(recordOrder("e1", loadOrder(300+number, 1, 1, fmt.Sprint("m", number), 1))).Accepted).To(BeTrue())
@@ -171,7 +171,7 @@
 				Expect(snapshotText(restored)).To(Equal(snapshotText(m)), "seed %d step %d", seed, step)
 				for _, e := range m.View().Engines {
 					account, _ := e.Ledger.Account("a0")
-					Expect(account.Worst()).To(BeNumerically("<=", account.Memory), "seed %d step %d", seed, step)
+					Expect(account.WorstCase()).To(BeNumerically("<=", account.Memory), "seed %d step %d", seed, step)
 				}
 			}
 		}
@@ -191,7 +191,7 @@
 	term := 1 + number/40
 	switch random.IntN(8) {
 	case 0:
-		return manifest.Lead{Term: term}
+		return manifest.NewLeader{Term: term}
 	case 1:
 		a := announcement(engine, 1+number/100)
 		a.Revision = 1 + random.Uint64N(number)
@@ -202,11 +202,11 @@
 	case 4:
 		return manifest.Resend{Engine: engine, ID: id, Term: term}
 	case 5:
-		return manifest.Lost{Engine: engine, ID: id}
+		return manifest.AnswerLost{Engine: engine, ID: id}
 	case 6:
 		states := []upstreamapi.OrderState{upstreamapi.OrderRunning, upstreamapi.OrderFailed, upstreamapi.OrderUnknown}
 		a := announcement(engine, 1+number/100)
-		return manifest.Answer{Engine: engine, Answer: upstreamapi.OrderAnswer{
+		return manifest.Answer{Engine: engine, Answer: upstreamapi.OrderResponse{
 			ID: id, State: states[random.IntN(3)], Incarnation: a.Incarnation, Revision: number, Clock: startTime,
 			Accelerators: a.Accelerators,
 		}}
--- a/internal/parcel/parcel.go
+++ b/internal/parcel/parcel.go
@@ -9,7 +9,7 @@
 )
 
 // ErrShort is returned for a record that ends before its last field or has an invalid field.
-var ErrShort = errors.New("parcel: the record ends too early")
+var ErrTruncated = errors.New("parcel: the record ends too early")
 
 // AppendUint appends an unsigned integer, which takes 1 to 10 bytes.
 func AppendUint(buffer []byte, value uint64) []byte {
@@ -59,7 +59,7 @@
 
 // Byte returns the next byte.
 func (r *Reader) Byte() byte {
-	field := r.Fixed(1)
+	field := r.Take(1)
 	if field == nil {
 		return 0
 	}
@@ -67,7 +67,7 @@
 }
 
 // Fixed returns the next size bytes, or nil if fewer remain.
-func (r *Reader) Fixed(size int) []byte {
+func (r *Reader) Take(size int) []byte {
 	if size > len(r.rest) {
 		r.Fail()
 		return nil
@@ -83,7 +83,7 @@
 	if size == 0 {
 		return nil
 	}
-	return r.Fixed(size)
+	return r.Take(size)
 }
 
 // String returns the next byte string as a copy.
@@ -100,7 +100,7 @@
 // End returns an error if a field was missing or invalid, or if bytes remain.
 func (r *Reader) End() error {
 	if r.failed {
-		return ErrShort
+		return ErrTruncated
 	}
 	if len(r.rest) != 0 {
 		return errors.Newf("parcel: %d bytes too many in the record", len(r.rest))
--- a/internal/parcel/parcel_test.go
+++ b/internal/parcel/parcel_test.go
@@ -40,13 +40,13 @@
 			_ = r.String()
 			r.Bytes()
 			r.Byte()
-			Expect(r.End()).To(MatchError(parcel.ErrShort))
+			Expect(r.End()).To(MatchError(parcel.ErrTruncated))
 		}
 	})
 
 	It("rejects a count larger than the remaining bytes", func() {
 		r := parcel.NewReader(parcel.AppendUint(nil, 1<<40))
 		Expect(r.Count()).To(BeZero())
-		Expect(r.End()).To(MatchError(parcel.ErrShort))
+		Expect(r.End()).To(MatchError(parcel.ErrTruncated))
 	})
 })
--- a/internal/permit/encode.go
+++ b/internal/permit/encode.go
@@ -16,17 +16,17 @@
 
 // The first byte of an encoded message is its kind.
 const (
-	kindAsk byte = iota + 1
+	kindRequest byte = iota + 1
 	kindGranted
 	kindQueued
-	kindRefused
-	kindMoved
-	kindEnded
-	kindUse
-	kindLimited
-	kindClaim
-	kindAllowed
-	kindHeld
+	kindRejected
+	kindShuttingDown
+	kindRelease
+	kindLoadReport
+	kindLimitReport
+	kindSendRequest
+	kindSendAllowed
+	kindSendDelayed
 )
 
 const (
@@ -45,33 +45,33 @@
 // Append appends the encoding of a message to buffer.
 func Append(buffer []byte, message Message) []byte {
 	switch m := message.(type) {
-	case Ask:
-		return appendAsk(buffer, m)
+	case Request:
+		return appendRequest(buffer, m)
 	case Granted:
 		buffer = appendHead(buffer, kindGranted, m.ID)
 		buffer = parcel.AppendBytes(buffer, m.Upstream)
 		buffer = parcel.AppendBytes(buffer, m.Address)
-		return appendDuration(buffer, m.Unread)
+		return appendDuration(buffer, m.PrefillBacklog)
 	case Queued:
 		return appendHead(buffer, kindQueued, m.ID)
-	case Refused:
-		return appendRefused(buffer, m)
-	case Moved:
-		return appendHead(buffer, kindMoved, m.ID)
-	case Ended:
-		buffer = appendHead(buffer, kindEnded, m.ID)
+	case Rejected:
+		return appendRejected(buffer, m)
+	case ShuttingDown:
+		return appendHead(buffer, kindShuttingDown, m.ID)
+	case Release:
+		buffer = appendHead(buffer, kindRelease, m.ID)
 		buffer = append(buffer, byte(m.Outcome))
-		buffer = appendDuration(buffer, m.First)
-		buffer = appendDuration(buffer, m.Run)
+		buffer = appendDuration(buffer, m.FirstEventTime)
+		buffer = appendDuration(buffer, m.RunTime)
 		buffer = parcel.AppendUint(buffer, uint64(m.Events))
-		return appendDuration(buffer, m.Writing)
-	case Use:
-		buffer = append(buffer, kindUse)
+		return appendDuration(buffer, m.StreamTime)
+	case LoadReport:
+		buffer = append(buffer, kindLoadReport)
 		buffer = parcel.AppendBytes(buffer, m.Upstream)
-		buffer = appendDuration(buffer, m.Reading)
-		return parcel.AppendUint(buffer, uint64(m.Open))
-	case Limited:
-		buffer = parcel.AppendBytes(append(buffer, kindLimited), m.Upstream)
+		buffer = appendDuration(buffer, m.PrefillTime)
+		return parcel.AppendUint(buffer, uint64(m.ActiveRequests))
+	case LimitReport:
+		buffer = parcel.AppendBytes(append(buffer, kindLimitReport), m.Upstream)
 		buffer = parcel.AppendUint(buffer, m.Incarnation)
 		named := byte(0)
 		if m.Named {
@@ -80,14 +80,14 @@
 		buffer = append(buffer, named)
 		buffer = appendLimit(buffer, m.Limit)
 		return appendDuration(buffer, m.Age)
-	case Claim:
-		buffer = appendHead(buffer, kindClaim, m.ID)
+	case SendRequest:
+		buffer = appendHead(buffer, kindSendRequest, m.ID)
 		buffer = parcel.AppendBytes(buffer, m.Upstream)
 		return appendLimit(buffer, m.Limit)
-	case Allowed:
-		return appendHead(buffer, kindAllowed, m.ID)
-	case Held:
-		return appendDuration(appendHead(buffer, kindHeld, m.ID), m.Wait)
+	case SendAllowed:
+		return appendHead(buffer, kindSendAllowed, m.ID)
+	case SendDelayed:
+		return appendDuration(appendHead(buffer, kindSendDelayed, m.ID), m.Wait)
 	default:
 		return buffer
 	}
@@ -106,15 +106,15 @@
 	return parcel.AppendUint(append(buffer, kind), uint64(id))
 }
 
-func appendAsk(buffer []byte, m Ask) []byte {
-	buffer = appendHead(buffer, kindAsk, m.ID)
+func appendRequest(buffer []byte, m Request) []byte {
+	buffer = appendHead(buffer, kindRequest, m.ID)
 	for _, text := range []string{m.Service, m.Model, m.Adapter} {
 		buffer = parcel.AppendBytes(buffer, text)
 	}
 	buffer = parcel.AppendUint(buffer, uint64(m.PromptTokens))
 	buffer = parcel.AppendUint(buffer, uint64(m.AnswerTokens))
 	buffer = append(buffer, m.Priority)
-	for _, d := range []time.Duration{m.Objective, m.Gap, m.Age, m.Left} {
+	for _, d := range []time.Duration{m.Objective, m.MaxEventGap, m.Age, m.Remaining} {
 		buffer = appendDuration(buffer, d)
 	}
 	buffer = parcel.AppendUint(buffer, uint64(len(m.Tried)))
@@ -124,12 +124,12 @@
 	return buffer
 }
 
-func appendRefused(buffer []byte, m Refused) []byte {
-	buffer = append(appendHead(buffer, kindRefused, m.ID), byte(m.Reason))
-	buffer = appendDuration(buffer, m.ComeBack)
-	buffer = appendDuration(buffer, m.Forecast)
+func appendRejected(buffer []byte, m Rejected) []byte {
+	buffer = append(appendHead(buffer, kindRejected, m.ID), byte(m.Reason))
+	buffer = appendDuration(buffer, m.RetryAfter)
+	buffer = appendDuration(buffer, m.EstimatedWait)
 	s := m.Survey
-	for _, count := range []int{s.Holders, s.Full, s.Paced, s.Yielding, s.Avoided} {
+	for _, count := range []int{s.Holders, s.Full, s.PrefillBusy, s.Yielding, s.Avoided} {
 		buffer = parcel.AppendUint(buffer, uint64(count))
 	}
 	return appendDuration(buffer, s.ReportAge)
@@ -160,39 +160,39 @@
 
 func (r reader) message(kind byte) Message {
 	switch kind {
-	case kindAsk:
-		return r.ask()
+	case kindRequest:
+		return r.request()
 	case kindGranted:
-		return Granted{ID: r.id(), Upstream: r.String(), Address: r.String(), Unread: r.duration()}
+		return Granted{ID: r.id(), Upstream: r.String(), Address: r.String(), PrefillBacklog: r.duration()}
 	case kindQueued:
 		return Queued{ID: r.id()}
-	case kindRefused:
-		return Refused{
-			ID: r.id(), Reason: Reason(r.Byte()), ComeBack: r.duration(), Forecast: r.duration(),
+	case kindRejected:
+		return Rejected{
+			ID: r.id(), Reason: Reason(r.Byte()), RetryAfter: r.duration(), EstimatedWait: r.duration(),
 			Survey: Survey{
-				Holders: r.count(), Full: r.count(), Paced: r.count(), Yielding: r.count(), Avoided: r.count(),
+				Holders: r.count(), Full: r.count(), PrefillBusy: r.count(), Yielding: r.count(), Avoided: r.count(),
 				ReportAge: r.duration(),
 			},
 		}
-	case kindMoved:
-		return Moved{ID: r.id()}
-	case kindEnded:
-		return Ended{
-			ID: r.id(), Outcome: Outcome(r.Byte()), First: r.duration(), Run: r.duration(), Events: r.count(),
-			Writing: r.duration(),
+	case kindShuttingDown:
+		return ShuttingDown{ID: r.id()}
+	case kindRelease:
+		return Release{
+			ID: r.id(), Outcome: Outcome(r.Byte()), FirstEventTime: r.duration(), RunTime: r.duration(), Events: r.count(),
+			StreamTime: r.duration(),
 		}
-	case kindUse:
-		return Use{Upstream: r.String(), Reading: r.duration(), Open: r.count()}
-	case kindLimited:
-		return Limited{
+	case kindLoadReport:
+		return LoadReport{Upstream: r.String(), PrefillTime: r.duration(), ActiveRequests: r.count()}
+	case kindLimitReport:
+		return LimitReport{
 			Upstream: r.String(), Incarnation: r.Uint(), Named: r.Byte() != 0, Limit: r.limit(), Age: r.duration(),
 		}
-	case kindClaim:
-		return Claim{ID: r.id(), Upstream: r.String(), Limit: r.limit()}
-	case kindAllowed:
-		return Allowed{ID: r.id()}
-	case kindHeld:
-		return Held{ID: r.id(), Wait: r.duration()}
+	case kindSendRequest:
+		return SendRequest{ID: r.id(), Upstream: r.String(), Limit: r.limit()}
+	case kindSendAllowed:
+		return SendAllowed{ID: r.id()}
+	case kindSendDelayed:
+		return SendDelayed{ID: r.id(), Wait: r.duration()}
 	default:
 		r.Fail()
 		return nil
@@ -208,11 +208,11 @@
 	return limit
 }
 
-func (r reader) ask() Ask {
-	m := Ask{
+func (r reader) request() Request {
+	m := Request{
 		ID: r.id(), Service: r.String(), Model: r.String(), Adapter: r.String(),
 		PromptTokens: r.count(), AnswerTokens: r.count(), Priority: r.Byte(),
-		Objective: r.duration(), Gap: r.duration(), Age: r.duration(), Left: r.duration(),
+		Objective: r.duration(), MaxEventGap: r.duration(), Age: r.duration(), Remaining: r.duration(),
 	}
 	tried := r.Count()
 	if tried > maxTried {
--- a/internal/permit/encode_test.go
+++ b/internal/permit/encode_test.go
@@ -14,27 +14,27 @@
 // messages returns at least one message of each kind.
 func messages() []permit.Message {
 	return []permit.Message{
-		permit.Ask{
+		permit.Request{
 			ID: 1 << 60, Service: "pool", Model: "m", Adapter: "a1", PromptTokens: 1460,
-			AnswerTokens: 80, Priority: 2, Objective: 800 * time.Millisecond, Gap: 300 * time.Millisecond,
-			Age: 3 * time.Millisecond, Left: 12 * time.Second, Tried: []string{"e1", "e2"},
+			AnswerTokens: 80, Priority: 2, Objective: 800 * time.Millisecond, MaxEventGap: 300 * time.Millisecond,
+			Age: 3 * time.Millisecond, Remaining: 12 * time.Second, Tried: []string{"e1", "e2"},
 		},
-		permit.Granted{ID: 2, Upstream: "e1", Address: "10.0.0.9:8080", Unread: 40 * time.Millisecond},
+		permit.Granted{ID: 2, Upstream: "e1", Address: "10.0.0.9:8080", PrefillBacklog: 40 * time.Millisecond},
 		permit.Queued{ID: 3},
-		permit.Refused{
-			ID: 4, Reason: permit.Crowded, ComeBack: time.Second, Forecast: 2 * time.Second,
-			Survey: permit.Survey{Holders: 5, Full: 2, Paced: 1, Yielding: 1, Avoided: 1, ReportAge: time.Second},
+		permit.Rejected{
+			ID: 4, Reason: permit.WaitTooLong, RetryAfter: time.Second, EstimatedWait: 2 * time.Second,
+			Survey: permit.Survey{Holders: 5, Full: 2, PrefillBusy: 1, Yielding: 1, Avoided: 1, ReportAge: time.Second},
 		},
-		permit.Moved{ID: 5},
-		permit.Ended{
-			ID: 6, Outcome: permit.Worked, First: time.Millisecond, Run: time.Second, Events: 22, Writing: 900 * time.Millisecond,
+		permit.ShuttingDown{ID: 5},
+		permit.Release{
+			ID: 6, Outcome: permit.Succeeded, FirstEventTime: time.Millisecond, RunTime: time.Second, Events: 22, StreamTime: 900 * time.Millisecond,
 		},
-		permit.Use{Upstream: "e1", Reading: 50 * time.Millisecond, Open: 7},
-		permit.Limited{Upstream: "e1", Incarnation: 1 << 60, Named: true, Limit: 1.1, Age: time.Second},
-		permit.Limited{Upstream: "e1"},
-		permit.Claim{ID: 7, Upstream: "e1", Limit: 0.3},
-		permit.Allowed{ID: 8},
-		permit.Held{ID: 9, Wait: 900 * time.Millisecond},
+		permit.LoadReport{Upstream: "e1", PrefillTime: 50 * time.Millisecond, ActiveRequests: 7},
+		permit.LimitReport{Upstream: "e1", Incarnation: 1 << 60, Named: true, Limit: 1.1, Age: time.Second},
+		permit.LimitReport{Upstream: "e1"},
+		permit.SendRequest{ID: 7, Upstream: "e1", Limit: 0.3},
+		permit.SendAllowed{ID: 8},
+		permit.SendDelayed{ID: 9, Wait: 900 * time.Millisecond},
 	}
 }
 
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -32,7 +32,7 @@
 
 // Ask requests a permit from the owner of a model. It may be sent again: the owner
 // repeats its decision.
-type Ask struct {
+type Request struct {
 	ID      ID
 	Service string
 	Model   string
@@ -44,12 +44,12 @@
 	Priority uint8
 	// Objective is the longest time to the first event, and Gap the longest pause between
 	// events, within which an answer is on time. 0 means that there is no such objective.
-	Objective time.Duration
-	Gap       time.Duration
+	Objective   time.Duration
+	MaxEventGap time.Duration
 	// Age is the time since the request arrived, and Left the time that its caller still
 	// waits.
-	Age  time.Duration
-	Left time.Duration
+	Age       time.Duration
+	Remaining time.Duration
 	// Tried are the names of the upstreams at which earlier attempts failed.
 	Tried []string
 }
@@ -62,7 +62,7 @@
 	Address string
 	// Unread is the time that the engine needs to prefill the prompts that it has before
 	// this one.
-	Unread time.Duration
+	PrefillBacklog time.Duration
 }
 
 // Queued replies to a permit request while no upstream has room. A grant follows when one
@@ -72,14 +72,14 @@
 }
 
 // Refused replies to a permit request that can't be served in time.
-type Refused struct {
+type Rejected struct {
 	ID     ID
 	Reason Reason
 	// ComeBack is the time after which the caller may retry, and Forecast the estimated
 	// wait of the request in the queue.
-	ComeBack time.Duration
-	Forecast time.Duration
-	Survey   Survey
+	RetryAfter    time.Duration
+	EstimatedWait time.Duration
+	Survey        Survey
 }
 
 // Survey counts the upstreams that could run a request, by the reason why they did not
@@ -90,43 +90,43 @@
 	// Full are upstreams without a free slot, Paced those with too long a prefill queue,
 	// Yielding those that other instances may use first, and Avoided those at which
 	// earlier attempts failed.
-	Full, Paced, Yielding, Avoided int
+	Full, PrefillBusy, Yielding, Avoided int
 	// ReportAge is the age of the oldest load report among the holders.
 	ReportAge time.Duration
 }
 
 // Moved replies to a permit request at an instance that is shutting down: another one
 // owns the model.
-type Moved struct {
+type ShuttingDown struct {
 	ID ID
 }
 
 // Ended releases a permit, or withdraws a permit request.
-type Ended struct {
+type Release struct {
 	ID      ID
 	Outcome Outcome
 	// First is the time to the first event without the prefill of earlier prompts, Run
 	// the time that the engine had the request, and Events the number of events after the
 	// first, which arrived over Writing. All are 0 unless the first attempt got the whole
 	// answer.
-	First   time.Duration
-	Run     time.Duration
-	Events  int
-	Writing time.Duration
+	FirstEventTime time.Duration
+	RunTime        time.Duration
+	Events         int
+	StreamTime     time.Duration
 }
 
 // Use reports a request at an engine to the owners of the engine's other models.
-type Use struct {
+type LoadReport struct {
 	Upstream string
 	// Reading is the prefill time of the prompt, and Open the number of requests that the
 	// sender has at the engine, including this one.
-	Reading time.Duration
-	Open    int
+	PrefillTime    time.Duration
+	ActiveRequests int
 }
 
 // Limited reports to all instances what an answer of an upstream says about its rate
 // limit.
-type Limited struct {
+type LimitReport struct {
 	Upstream string
 	// Incarnation is that of the upstream. The limit doesn't apply to another process of
 	// the same name.
@@ -140,7 +140,7 @@
 
 // Claim asks the owner of an upstream's rate limit for permission to send one request. It
 // may be sent again: the owner repeats its decision.
-type Claim struct {
+type SendRequest struct {
 	ID       ID
 	Upstream string
 	// Limit is the limit known to the requesting instance. The owner may not know it yet.
@@ -148,27 +148,27 @@
 }
 
 // Allowed replies to a rate limit request: one request may be sent.
-type Allowed struct {
+type SendAllowed struct {
 	ID ID
 }
 
 // Held replies to a rate limit request: no request may be sent before Wait has passed.
-type Held struct {
+type SendDelayed struct {
 	ID   ID
 	Wait time.Duration
 }
 
-func (Ask) message()     {}
-func (Granted) message() {}
-func (Queued) message()  {}
-func (Refused) message() {}
-func (Moved) message()   {}
-func (Ended) message()   {}
-func (Use) message()     {}
-func (Limited) message() {}
-func (Claim) message()   {}
-func (Allowed) message() {}
-func (Held) message()    {}
+func (Request) message()      {}
+func (Granted) message()      {}
+func (Queued) message()       {}
+func (Rejected) message()     {}
+func (ShuttingDown) message() {}
+func (Release) message()      {}
+func (LoadReport) message()   {}
+func (LimitReport) message()  {}
+func (SendRequest) message()  {}
+func (SendAllowed) message()  {}
+func (SendDelayed) message()  {}
 
 // Reason is why a permit request is refused.
 type Reason uint8
@@ -176,11 +176,11 @@
 // Reasons of a refusal.
 const (
 	// Crowded means that the request would wait too long in the queue.
-	Crowded Reason = iota + 1
+	WaitTooLong Reason = iota + 1
 	// Missing means that no upstream holds the model or will hold it in time.
-	Missing
+	ModelUnavailable
 	// Limits means that the rate limits of the upstreams are exhausted.
-	Limits
+	LimitsExhausted
 )
 
 // Outcome is the result of a request for which a permit was granted.
@@ -191,13 +191,13 @@
 	// Unused means that nothing was sent, or that the caller disconnected.
 	Unused Outcome = iota
 	// Worked means that the upstream answered properly.
-	Worked
+	Succeeded
 	// Full means that the upstream had no room.
 	Full
 	// Absent means that the upstream doesn't hold the model or the adapter.
-	Absent
+	ModelAbsent
 	// Failed means that the upstream was unreachable or didn't answer properly.
 	Failed
 	// Over means that nothing was sent, because of the rate limit of the upstream.
-	Over
+	RateLimited
 )
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -105,7 +105,7 @@
 	moves, waiting := 0, 0
 	for b.Loop() {
 		plan := c.planner.Plan(c.now, c.input)
-		moves, waiting = len(plan.Moves), len(plan.Waiting)
+		moves, waiting = len(plan.Moves), len(plan.Deferred)
 	}
 	b.ReportMetric(float64(moves), "moves")
 	b.ReportMetric(float64(waiting), "waiting")
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -47,7 +47,7 @@
 func (m *model) footprints(withAdapters bool) []footprint {
 	list := make([]footprint, 0, len(m.declared.Layouts))
 	for _, layout := range m.declared.Layouts {
-		f := footprint{layout: layout, bytes: int64(layout.Memory + m.declared.KVSpace)}
+		f := footprint{layout: layout, bytes: int64(layout.Memory + m.declared.KVCacheMemory)}
 		if withAdapters {
 			f.adapterBytes = m.adapterBytes
 		}
@@ -253,7 +253,7 @@
 func (r *topTwo) alternatives(takenScore float64) []Alternative {
 	var list []Alternative
 	for i := range r.count {
-		list = append(list, Alternative{Engine: r.names[i], Score: r.scores[i], Taken: takenScore})
+		list = append(list, Alternative{Engine: r.names[i], Score: r.scores[i], ChosenScore: takenScore})
 	}
 	return list
 }
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -49,7 +49,7 @@
 func newCluster(set declaration.Set, engines ...*fakeEngine) *cluster {
 	return &cluster{
 		now: time.Unix(1000, 0), planner: placement.New(placement.Options{}), engines: engines,
-		input:   placement.Input{Declarations: set, Preset: set.FirstPreset()},
+		input:   placement.Input{Declarations: set, Preset: set.InitialPreset()},
 		ledgers: map[string]ledger.Ledger{}, fencing: 1, random: rand.New(rand.NewPCG(1, 1)),
 		reachable: map[string]bool{},
 	}
@@ -124,12 +124,12 @@
 // send delivers the order to the engine. The order or its answer may get lost.
 func (c *cluster) send(e *fakeEngine, order upstreamapi.Order) {
 	if !e.alive || c.random.Float64() < c.orderLossRate {
-		c.ledgers[e.name] = c.ledgers[e.name].WithLost(order.ID)
+		c.ledgers[e.name] = c.ledgers[e.name].WithAnswerLost(order.ID)
 		return
 	}
 	e.receive(order)
 	if c.random.Float64() < c.answerLossRate {
-		c.ledgers[e.name] = c.ledgers[e.name].WithLost(order.ID)
+		c.ledgers[e.name] = c.ledgers[e.name].WithAnswerLost(order.ID)
 		return
 	}
 	c.ledgers[e.name] = c.ledgers[e.name].WithAnswer(e.orderAnswer(order.ID))
--- a/internal/placement/coverage.go
+++ b/internal/placement/coverage.go
@@ -54,7 +54,7 @@
 func (m *model) smallestBytes() int64 {
 	var least int64
 	for i, layout := range m.declared.Layouts {
-		size := int64(layout.Accelerators) * int64(layout.Memory+m.declared.KVSpace)
+		size := int64(layout.Accelerators) * int64(layout.Memory+m.declared.KVCacheMemory)
 		if i == 0 || size < least {
 			least = size
 		}
@@ -103,7 +103,7 @@
 			Accelerators: names, MemoryBytes: c.bytes,
 		},
 		Reason: t.reason(), Gain: gain, Cost: d.loadCost(len(names)), Weight: d.weightOfMoves,
-		Alternatives: alternatives, Waits: wait,
+		Alternatives: alternatives, WaitsFor: wait,
 	})
 	m.copies = append(m.copies, placedCopy{
 		modelCopy: modelCopy{
@@ -141,5 +141,5 @@
 	if t >= tierRedundancy {
 		text += fmt.Sprintf(", %s of it in reserve", declaration.Bytes(d.reserveBytes))
 	}
-	d.problems = append(d.problems, Problem{Model: m.declared.Name, Reason: t.reason(), Text: text})
+	d.problems = append(d.problems, Problem{Model: m.declared.Name, Reason: t.reason(), Description: text})
 }
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -144,7 +144,7 @@
 	It("is met by another engine than the one that failed", func() {
 		set := withAdapters(smallDeclarations(tolerateOneEngine, map[string]int{"a": 10}), "a", "x")
 		c := newTestCluster(set, smallEngine("e1", "d1", 20), smallEngine("e2", "d2", 11), smallEngine("e3", "d3", 11).withModel("a", 10))
-		c.input.Avoid = []placement.Avoided{{Engine: "e1", Model: "a"}, {Engine: "e3", Model: "a", Adapter: "x"}}
+		c.input.AvoidedLoads = []placement.AvoidedLoad{{Engine: "e1", Model: "a"}, {Engine: "e3", Model: "a", Adapter: "x"}}
 		Expect(c.plannedMoves()).To(ConsistOf("load-model e2 a"))
 	})
 
@@ -171,14 +171,14 @@
 
 	It("of the most urgent service is met first", func() {
 		c := newTestCluster(smallDeclarations(noRedundancy, map[string]int{"a": 8, "b": 4}, "b"), smallEngine("e1", "d1", 20))
-		c.input.WeightStore = placement.WeightStore{Concurrent: 1}
+		c.input.WeightStore = placement.WeightStore{MaxConcurrentLoads: 1}
 		Expect(c.plannedMoves()).To(Equal([]string{"load-model e1 b", "load-model e1 a waits for weight-store"}))
 	})
 
 	It("waits while the weight store allows no more concurrent loads", func() {
 		c := newTestCluster(smallDeclarations(noRedundancy, map[string]int{"a": 4, "b": 4}), smallEngine("e1", "d1", 10))
 		c.recordOpenOrder("e1", loadOrder("a", 4), false)
-		c.input.WeightStore = placement.WeightStore{Concurrent: 1}
+		c.input.WeightStore = placement.WeightStore{MaxConcurrentLoads: 1}
 		Expect(c.plannedMoves()).To(Equal([]string{"load-model e1 b waits for weight-store"}))
 	})
 
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -35,7 +35,7 @@
 	problems        []Problem
 	unmetSince      map[need]time.Time
 	// avoided is Input.Avoid as a set.
-	avoided map[Avoided]bool
+	avoided map[AvoidedLoad]bool
 }
 
 // rankedMove is a move with its urgency. Moves are ordered by tier, priority
@@ -128,9 +128,9 @@
 		modelIndex:    map[string]int{},
 		weightOfMoves: in.Preset.WeightOfMoves,
 		unmetSince:    map[need]time.Time{},
-		avoided:       make(map[Avoided]bool, len(in.Avoid)),
+		avoided:       make(map[AvoidedLoad]bool, len(in.AvoidedLoads)),
 	}
-	for _, a := range in.Avoid {
+	for _, a := range in.AvoidedLoads {
 		d.avoided[a] = true
 	}
 	if d.weightOfMoves < 0 {
@@ -315,7 +315,7 @@
 // engine on which a load always fails would be ordered to repeat it every
 // second, while another engine could do it.
 func (d *draft) isAvoided(engine int, model, adapterName string) bool {
-	return len(d.avoided) > 0 && d.avoided[Avoided{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
+	return len(d.avoided) > 0 && d.avoided[AvoidedLoad{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
 }
 
 // isDue reports whether a need has persisted long enough to be met, and records
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -198,7 +198,7 @@
 // readLoads adds the copies and adapters that open orders load.
 func (e *Engine) readLoads(l ledger.Ledger) {
 	for _, order := range l.Open() {
-		h, loads := ledger.Loads(order)
+		h, loads := ledger.LoadedBy(order)
 		if !loads {
 			continue
 		}
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -292,7 +292,7 @@
 		Order: upstreamapi.Order{
 			Kind: upstreamapi.OrderUnloadModel, Model: p.model, Version: p.version,
 		},
-		Reason: t.reason(), For: forModel, Gain: -v.lostLoad * d.options.Horizon.Seconds(),
+		Reason: t.reason(), MakesRoomFor: forModel, Gain: -v.lostLoad * d.options.Horizon.Seconds(),
 		Cost: d.loadCost(len(p.accelerators)) * unloadCostFactor, Weight: d.weightOfMoves,
 	}
 	if forModel == "" {
--- a/internal/placement/fake_engine_test.go
+++ b/internal/placement/fake_engine_test.go
@@ -185,13 +185,13 @@
 	return a
 }
 
-func (e *fakeEngine) orderAnswer(id string) upstreamapi.OrderAnswer {
+func (e *fakeEngine) orderAnswer(id string) upstreamapi.OrderResponse {
 	a := e.announcement()
 	state, known := e.orderStates[id]
 	if !known {
 		state = upstreamapi.OrderUnknown
 	}
-	return upstreamapi.OrderAnswer{
+	return upstreamapi.OrderResponse{
 		ID: id, State: state, Clock: e.clock, Incarnation: a.Incarnation, Revision: a.Revision,
 		Accelerators: a.Accelerators, Resident: a.Resident, HighestFencing: a.HighestFencing, UnderWay: a.UnderWay,
 	}
--- a/internal/placement/finish.go
+++ b/internal/placement/finish.go
@@ -23,18 +23,18 @@
 	tokens, slots := d.loadAllowance()
 	for _, ranked := range d.moves {
 		m := ranked.move
-		if m.isLoad() && m.Waits == "" {
+		if m.isLoad() && m.WaitsFor == "" {
 			if tokens < 1 || slots < 1 {
-				m.Waits = WaitWeightStore
+				m.WaitsFor = WaitWeightStore
 			} else {
 				tokens--
 				slots--
 			}
 		}
-		if m.Waits == "" {
+		if m.WaitsFor == "" {
 			plan.Moves = append(plan.Moves, m)
 		} else {
-			plan.Waiting = append(plan.Waiting, m)
+			plan.Deferred = append(plan.Deferred, m)
 		}
 	}
 	plan.Served = d.currentlyServed
@@ -58,7 +58,7 @@
 			tokens = min(last.loadTokens+rate*max(d.now.Sub(last.plannedAt).Seconds(), 0), capacity)
 		}
 	}
-	if maxConcurrent := d.input.WeightStore.Concurrent; maxConcurrent > 0 {
+	if maxConcurrent := d.input.WeightStore.MaxConcurrentLoads; maxConcurrent > 0 {
 		slots = maxConcurrent
 		for i := range d.engines {
 			if d.engines[i].status != Lost {
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -32,7 +32,7 @@
 	d.meetCoverage(tierFloor)
 	source := finding.Place{File: fmt.Sprintf("preset %q", preset.Name)}
 	for _, problem := range d.problems {
-		list.Add(source, problem.Text, "lower its floors, declare fewer models, or start more engines")
+		list.Add(source, problem.Description, "lower its floors, declare fewer models, or start more engines")
 	}
 	for i := range d.models {
 		d.checkAdapterRoom(&d.models[i], source, &list)
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -94,7 +94,7 @@
 		panic(err)
 	}
 	if answerLost {
-		l = l.WithLost(order.ID)
+		l = l.WithAnswerLost(order.ID)
 	}
 	c.ledgers[name] = l
 }
@@ -104,7 +104,7 @@
 func (c *cluster) plannedMoves() []string {
 	c.observe()
 	c.plan = c.planner.Plan(c.now, c.input)
-	return append(moveTexts(c.plan.Moves), moveTexts(c.plan.Waiting)...)
+	return append(moveTexts(c.plan.Moves), moveTexts(c.plan.Deferred)...)
 }
 
 func moveTexts(moves []placement.Move) []string {
@@ -114,8 +114,8 @@
 		if m.Order.Adapter != "" {
 			text += "/" + m.Order.Adapter
 		}
-		if m.Waits != "" {
-			text += " waits for " + string(m.Waits)
+		if m.WaitsFor != "" {
+			text += " waits for " + string(m.WaitsFor)
 		}
 		list = append(list, text)
 	}
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -103,13 +103,13 @@
 	}
 	c := newCluster(set, engines...)
 	c.planner = placement.New(options)
-	c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, Concurrent: map[string]int{"kingston": 9, "lagos": 2}[name]}
+	c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, MaxConcurrentLoads: map[string]int{"kingston": 9, "lagos": 2}[name]}
 	referencePlanner := placement.New(placement.Options{})
 	// Load all models before the demand begins.
 	c.input.Preset.WeightOfMoves = weight
 	for range 3600 {
 		c.step()
-		if c.unreachableCount() == 0 && len(c.plan.Moves)+len(c.plan.Waiting) == 0 && !c.hasOpenOrders() {
+		if c.unreachableCount() == 0 && len(c.plan.Moves)+len(c.plan.Deferred) == 0 && !c.hasOpenOrders() {
 			break
 		}
 	}
--- a/internal/placement/move.go
+++ b/internal/placement/move.go
@@ -51,7 +51,7 @@
 	Order  upstreamapi.Order
 	Reason Reason
 	// For is the model for which an unload makes room.
-	For string
+	MakesRoomFor string
 	// Gain and Cost are in request-seconds within the goals. Cost is not
 	// multiplied by Weight. Moves that the preset requires state no gain,
 	// because they are made regardless of it.
@@ -62,14 +62,14 @@
 	// Alternatives are the engines with the next best scores, at most two.
 	Alternatives []Alternative
 	// Waits is why the move is in Plan.Waiting. It is empty in Plan.Moves.
-	Waits WaitReason
+	WaitsFor WaitReason
 }
 
 // Alternative is an engine that was considered for a move and not chosen.
 type Alternative struct {
 	Engine string
 	// Score is the score of this engine, and Taken that of the chosen one.
-	Score, Taken float64
+	Score, ChosenScore float64
 }
 
 // WaitReason is what a move waits for.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -52,10 +52,10 @@
 
 // Defaults of Options.
 const (
-	DefaultPatience          = 20 * time.Second
-	DefaultHorizon           = 10 * time.Minute
-	DefaultLoadTime          = 30 * time.Second
-	DefaultTargetUtilization = 0.8
+	DefaultStabilizationWindow = 20 * time.Second
+	DefaultHorizon             = 10 * time.Minute
+	DefaultLoadTime            = 30 * time.Second
+	DefaultTargetUtilization   = 0.8
 )
 
 // WeightStore limits the loads from the weight store.
@@ -63,7 +63,7 @@
 	// LoadsPerSecond is the rate at which loads may start. 0 means no limit.
 	LoadsPerSecond float64
 	// Concurrent is how many loads may run at once. 0 means no limit.
-	Concurrent int
+	MaxConcurrentLoads int
 }
 
 // Input is the state that a plan is computed from.
@@ -83,14 +83,14 @@
 	WeightOfMoves float64
 	// Avoid lists loads that must not be planned yet because a recent one
 	// failed. The caller decides for how long.
-	Avoid []Avoided
+	AvoidedLoads []AvoidedLoad
 	// Previous is the Next of the previous plan. A leader that has not planned
 	// yet passes the zero State.
 	Previous State
 }
 
 // Avoided is a load that failed on an engine.
-type Avoided struct {
+type AvoidedLoad struct {
 	Engine string
 	Model  string
 	// Adapter is empty for the model itself.
@@ -126,7 +126,7 @@
 	// Waiting are moves that cannot be ordered yet: they need memory that is
 	// not free yet, or the weight store allows no more loads now. Later plans
 	// decide on them again.
-	Waiting []Move
+	Deferred []Move
 	// Unreachable are the models and adapters that no engine serves now,
 	// sorted.
 	Unreachable []demand.Target
@@ -149,7 +149,7 @@
 	Model  string
 	Reason Reason
 	// Text describes the shortfall with its memory figures, for operators.
-	Text string
+	Description string
 }
 
 // Planner makes plans. It is immutable and safe for concurrent use.
@@ -160,7 +160,7 @@
 // New returns a Planner with the given options.
 func New(options Options) Planner {
 	if options.StabilizationWindow == 0 {
-		options.StabilizationWindow = DefaultPatience
+		options.StabilizationWindow = DefaultStabilizationWindow
 	}
 	if options.Horizon == 0 {
 		options.Horizon = DefaultHorizon
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -137,7 +137,7 @@
 		Expect(c.loads).To(Equal(30 + 5))
 		Expect(c.unloads).To(BeZero())
 		moves := c.moves
-		c.input.Preset = set.FirstPreset()
+		c.input.Preset = set.InitialPreset()
 		runUntilIdle(c, 300)
 		Expect(c.moves).To(Equal(moves))
 		Expect(c.violation).NotTo(HaveOccurred())
@@ -160,13 +160,13 @@
 	It("starts no more loads than the weight store allows, those nobody can reach first", func() {
 		set, engines := exampleDeployment("kingston")
 		c := newCluster(set, engines...)
-		c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, Concurrent: 9}
+		c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, MaxConcurrentLoads: 9}
 		seconds, loads := 0.0, 0.0
 		for range 200 {
 			c.step()
 			seconds++
-			urgent := slices.ContainsFunc(c.plan.Waiting, func(m placement.Move) bool {
-				return m.Reason == placement.ReasonUnreachable && m.Waits == placement.WaitWeightStore
+			urgent := slices.ContainsFunc(c.plan.Deferred, func(m placement.Move) bool {
+				return m.Reason == placement.ReasonUnreachable && m.WaitsFor == placement.WaitWeightStore
 			})
 			for _, m := range c.plan.Moves {
 				loads++
@@ -189,7 +189,7 @@
 		engines = engines[:count]
 		c := newCluster(set, engines...)
 		c.random = rand.New(rand.NewPCG(seed, 1))
-		c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, Concurrent: 9}
+		c.input.WeightStore = placement.WeightStore{LoadsPerSecond: 1.6, MaxConcurrentLoads: 9}
 		for range 300 {
 			injectRandomFault(c, set)
 			c.step()
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -44,6 +44,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		quarantine.NewBulletin(quarantine.Limits{}).News(now, records)
+		quarantine.NewPublisher(quarantine.Limits{}).News(now, records)
 	}
 }
--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/bulletin.go
@@ -30,7 +30,7 @@
 }
 
 // Bulletin makes the news at one control instance. It is not safe for concurrent use.
-type Bulletin struct {
+type Publisher struct {
 	limits Limits
 	// announcedAt is when each request was first announced, as suspected or quarantined.
 	announcedAt map[Digest]time.Time
@@ -64,21 +64,21 @@
 )
 
 // NewBulletin returns a Bulletin that decides by limits.
-func NewBulletin(limits Limits) *Bulletin {
-	return &Bulletin{limits: limits, announcedAt: map[Digest]time.Time{}}
+func NewPublisher(limits Limits) *Publisher {
+	return &Publisher{limits: limits, announcedAt: map[Digest]time.Time{}}
 }
 
 // News returns the news as of now. The caller must not change it.
-func (b *Bulletin) News(now time.Time, records Records) News {
+func (b *Publisher) News(now time.Time, records Records) News {
 	fresh := now.Sub(b.computedAt) < refreshInterval && !b.computedAt.IsZero()
 	if !fresh || records.Revision() != b.current.Revision {
-		b.make(now, records)
+		b.recompute(now, records)
 	}
 	return b.current.Aged(now.Sub(b.computedAt))
 }
 
 // Changes returns the changes since the last call.
-func (b *Bulletin) Changes() []Change {
+func (b *Publisher) Changes() []Change {
 	changes := b.changes
 	b.changes = nil
 	return changes
@@ -94,7 +94,7 @@
 }
 
 // make computes the news as of now, and the changes since the previous news.
-func (b *Bulletin) make(now time.Time, records Records) {
+func (b *Publisher) recompute(now time.Time, records Records) {
 	verdicts := records.announcedVerdicts(now, b.limits)
 	maps.DeleteFunc(b.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
 	previous := b.current.Quarantined
@@ -117,7 +117,7 @@
 // announcementTime returns when a request that is new to this Bulletin was first
 // announced. If its last crash is older than propagationTime, as after a restart of the
 // control instance, the other instances have already had the time to clear it.
-func (b *Bulletin) announcementTime(now time.Time, c Case) time.Time {
+func (b *Publisher) announcementTime(now time.Time, c Case) time.Time {
 	if now.Sub(c.last()) > propagationTime {
 		return now.Add(-clearanceTime)
 	}
@@ -125,7 +125,7 @@
 }
 
 // recordChanges records the differences to the previous news.
-func (b *Bulletin) recordChanges(records Records, previous []Entry) {
+func (b *Publisher) recordChanges(records Records, previous []Entry) {
 	contains := func(list []Entry, digest Digest) bool {
 		return slices.ContainsFunc(list, func(e Entry) bool { return e.Digest == digest })
 	}
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -29,6 +29,6 @@
 		if err != nil || !bytes.Equal(again.Snapshot(), restored.Snapshot()) {
 			t.Fatalf("snapshot of the restored records can't be restored: %v", err)
 		}
-		quarantine.NewBulletin(quarantine.Limits{}).News(time.Unix(1_000_000, 0), restored)
+		quarantine.NewPublisher(quarantine.Limits{}).News(time.Unix(1_000_000, 0), restored)
 	})
 }
--- a/internal/quarantine/investigations.go
+++ b/internal/quarantine/investigations.go
@@ -7,26 +7,26 @@
 )
 
 // Place is the process of an upstream to which a request was sent, and its address.
-type Place struct {
+type Endpoint struct {
 	Lifetime
 	Address string
 }
 
 // Contact is what an instance knows about an upstream whose answers were interrupted.
-type Contact uint8
+type Status uint8
 
 // Values of Contact.
 const (
 	// ContactNone means that nothing is known: the upstream may be alive behind a broken
 	// link.
-	ContactNone Contact = iota
+	StatusUnknown Status = iota
 	// ContactRefused means that the upstream's address refuses connections.
-	ContactRefused
+	StatusRefused
 	// ContactReplaced means that another process uses the name or the address of the
 	// upstream.
-	ContactReplaced
+	StatusReplaced
 	// ContactLeaving means that the upstream has announced its shutdown.
-	ContactLeaving
+	StatusLeaving
 )
 
 const (
@@ -51,7 +51,7 @@
 
 // investigation is an upstream whose answers were interrupted and that may have crashed.
 type investigation struct {
-	endpoint Place
+	endpoint Endpoint
 	// requests are the interrupted and the abandoned ones. While crashed is false, only
 	// those within interruptionSpread of the newest are kept. The first reportedCount are
 	// reported already.
@@ -80,7 +80,7 @@
 
 // getOrOpen returns the investigation of an upstream and opens one if needed. It returns
 // nil if there are too many.
-func (i *investigations) getOrOpen(now time.Time, endpoint Place) *investigation {
+func (i *investigations) getOrOpen(now time.Time, endpoint Endpoint) *investigation {
 	if inv := i.byLifetime[endpoint.Lifetime]; inv != nil {
 		return inv
 	}
@@ -97,7 +97,7 @@
 
 // interrupted records a request whose answer was interrupted, and reports whether the
 // upstream should be probed.
-func (i *investigations) interrupted(now time.Time, endpoint Place, suspect Suspect) bool {
+func (i *investigations) interrupted(now time.Time, endpoint Endpoint, suspect Suspect) bool {
 	inv := i.getOrOpen(now, endpoint)
 	if inv == nil {
 		return false
@@ -112,7 +112,7 @@
 }
 
 // abandoned records a request that was abandoned by its caller.
-func (i *investigations) abandoned(now time.Time, endpoint Place, suspect Suspect) {
+func (i *investigations) abandoned(now time.Time, endpoint Endpoint, suspect Suspect) {
 	if inv := i.getOrOpen(now, endpoint); inv != nil && !inv.crashed {
 		inv.add(now, suspect)
 	}
@@ -139,17 +139,17 @@
 }
 
 // observe records what is known about an upstream.
-func (i *investigations) observe(lifetime Lifetime, contact Contact) {
+func (i *investigations) observe(lifetime Lifetime, contact Status) {
 	inv := i.byLifetime[lifetime]
 	if inv == nil {
 		return
 	}
 	switch contact {
-	case ContactLeaving:
+	case StatusLeaving:
 		delete(i.byLifetime, lifetime)
-	case ContactRefused, ContactReplaced:
+	case StatusRefused, StatusReplaced:
 		inv.crashed = inv.crashed || !inv.lastInterrupted.IsZero()
-	case ContactNone:
+	case StatusUnknown:
 	}
 }
 
--- a/internal/quarantine/log.go
+++ b/internal/quarantine/log.go
@@ -4,12 +4,12 @@
 // or shortened, in the field FieldDigest.
 const (
 	// LineEnded is logged for each request that an upstream had when it ended.
-	LineEnded = "the upstream ended while it had the request"
+	LogEnded = "the upstream ended while it had the request"
 	// LineEntered and LineLeft are logged when a request enters or leaves quarantine.
-	LineEntered = "request in quarantine: upstreams end that run it"
-	LineLeft    = "request out of quarantine"
+	LogEntered = "request in quarantine: upstreams end that run it"
+	LogLeft    = "request out of quarantine"
 	// LineLifted is logged when an operator allows a request to be sent again.
-	LineLifted = "quarantine lifted"
+	LogLifted = "quarantine lifted"
 
 	FieldDigest = "digest"
 )
--- a/internal/quarantine/recall.go
+++ b/internal/quarantine/recall.go
@@ -8,7 +8,7 @@
 // Recall finds upstreams that were reported as ended but are still alive, for example
 // behind a link that refuses connections. It is not safe for concurrent use. The zero
 // value is ready for use.
-type Recall struct {
+type FalseCrashDetector struct {
 	// firstSeen is when this instance first saw each crash in the records.
 	firstSeen map[Lifetime]time.Time
 	revision  uint64
@@ -25,7 +25,7 @@
 // Alive returns the upstreams that are alive although the records hold a crash of them.
 // lastHeard returns the time of the newest liveness report of a lifetime, and false if
 // there is none.
-func (r *Recall) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
+func (r *FalseCrashDetector) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
 	if records.Revision() != r.revision {
 		r.revision = records.Revision()
 		r.refresh(now, records)
@@ -43,7 +43,7 @@
 }
 
 // refresh takes the crashes from the records.
-func (r *Recall) refresh(now time.Time, records Records) {
+func (r *FalseCrashDetector) refresh(now time.Time, records Records) {
 	previous := r.firstSeen
 	r.firstSeen = map[Lifetime]time.Time{}
 	for _, c := range records.cases {
--- a/internal/quarantine/records_test.go
+++ b/internal/quarantine/records_test.go
@@ -14,11 +14,11 @@
 type cluster struct {
 	now      time.Time
 	records  quarantine.Records
-	bulletin *quarantine.Bulletin
+	bulletin *quarantine.Publisher
 }
 
 func newCluster(limits quarantine.Limits) *cluster {
-	return &cluster{now: time.Unix(1_000_000, 0).UTC(), bulletin: quarantine.NewBulletin(limits)}
+	return &cluster{now: time.Unix(1_000_000, 0).UTC(), bulletin: quarantine.NewPublisher(limits)}
 }
 
 // crash records that an upstream ended with the given requests.
@@ -245,7 +245,7 @@
 			c.crash(fmt.Sprint("e", n), suspect("bad"))
 		}
 		c.now = c.now.Add(10 * time.Second)
-		c.bulletin = quarantine.NewBulletin(quarantine.Limits{})
+		c.bulletin = quarantine.NewPublisher(quarantine.Limits{})
 		Expect(c.news().Quarantined[0].In).To(BeZero())
 	})
 
@@ -419,7 +419,7 @@
 		c := newCluster(quarantine.Limits{})
 		c.crash("e1", suspect("a"))
 		c.crash("e2", suspect("a"))
-		var recall quarantine.Recall
+		var recall quarantine.FalseCrashDetector
 		heard := map[string]time.Duration{"e1": 500 * time.Millisecond, "e2": 1500 * time.Millisecond}
 		start := c.now
 		lastHeard := func(l quarantine.Lifetime) (time.Time, bool) {
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -45,7 +45,7 @@
 	r := Records{revision: reader.Uint(), cases: map[Digest]Case{}}
 	for range reader.Count() {
 		var c Case
-		copy(c.Digest[:], reader.Fixed(len(c.Digest)))
+		copy(c.Digest[:], reader.Take(len(c.Digest)))
 		for range reader.Count() {
 			c.Crashes = append(c.Crashes, readCrash(reader))
 		}
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -47,23 +47,23 @@
 
 // Interrupted records that the answer to a request was interrupted, and reports whether
 // the upstream should be probed, because it may have ended.
-func (w *Watch) Interrupted(now time.Time, endpoint Place, suspect Suspect) bool {
+func (w *Watch) Interrupted(now time.Time, endpoint Endpoint, suspect Suspect) bool {
 	return w.investigations.interrupted(now, endpoint, suspect)
 }
 
 // Abandoned records that a caller abandoned a request while an upstream had it.
-func (w *Watch) Abandoned(now time.Time, endpoint Place, suspect Suspect) {
+func (w *Watch) Abandoned(now time.Time, endpoint Endpoint, suspect Suspect) {
 	w.investigations.abandoned(now, endpoint, suspect)
 }
 
 // Observe records what is known about an upstream.
-func (w *Watch) Observe(lifetime Lifetime, contact Contact) {
+func (w *Watch) Observe(lifetime Lifetime, contact Status) {
 	w.investigations.observe(lifetime, contact)
 }
 
 // Review calls contact for each upstream under investigation that is not known to have
 // ended, and records the result.
-func (w *Watch) Review(now time.Time, contact func(Place) Contact) {
+func (w *Watch) Review(now time.Time, contact func(Endpoint) Status) {
 	w.investigations.removeExpired(now)
 	for lifetime, inv := range w.investigations.byLifetime {
 		if !inv.crashed {
--- a/internal/quarantine/watch_test.go
+++ b/internal/quarantine/watch_test.go
@@ -23,8 +23,8 @@
 	return quarantine.Lifetime{Upstream: upstream}
 }
 
-func endpoint(upstream string) quarantine.Place {
-	return quarantine.Place{Lifetime: lifetime(upstream), Address: upstream + ":80"}
+func endpoint(upstream string) quarantine.Endpoint {
+	return quarantine.Endpoint{Lifetime: lifetime(upstream), Address: upstream + ":80"}
 }
 
 var _ = Describe("Watch", func() {
@@ -40,7 +40,7 @@
 		Expect(watch.Interrupted(now, endpoint("e1"), suspect("a"))).To(BeTrue(), "the first interruption causes a probe")
 		Expect(watch.Interrupted(now, endpoint("e1"), suspect("b"))).To(BeFalse())
 		Expect(watch.TakeDue(after(time.Second)).Reports).To(BeEmpty(), "it may be alive")
-		watch.Observe(lifetime("e1"), quarantine.ContactRefused)
+		watch.Observe(lifetime("e1"), quarantine.StatusRefused)
 		Expect(watch.IsPending()).To(BeTrue())
 		Expect(watch.TakeDue(after(time.Second)).Reports).To(Equal([]quarantine.Report{
 			{Lifetime: lifetime("e1"), Suspects: []quarantine.Suspect{suspect("a"), suspect("b")}},
@@ -55,10 +55,10 @@
 
 	It("reports an upstream that is replaced seconds later", func() {
 		watch.Interrupted(now, endpoint("e1"), suspect("a"))
-		watch.Review(after(3*time.Second), func(quarantine.Place) quarantine.Contact { return quarantine.ContactNone })
-		watch.Review(after(6*time.Second), func(e quarantine.Place) quarantine.Contact {
+		watch.Review(after(3*time.Second), func(quarantine.Endpoint) quarantine.Status { return quarantine.StatusUnknown })
+		watch.Review(after(6*time.Second), func(e quarantine.Endpoint) quarantine.Status {
 			Expect(e).To(Equal(endpoint("e1")))
-			return quarantine.ContactReplaced
+			return quarantine.StatusReplaced
 		})
 		Expect(watch.TakeDue(after(6 * time.Second)).Reports).To(HaveLen(1))
 	})
@@ -67,11 +67,11 @@
 	It("reports nothing of an upstream that lives on or is cut off", func() {
 		watch.Interrupted(now, endpoint("e1"), suspect("a"))
 		for second := range 20 {
-			watch.Review(after(time.Duration(second)*time.Second), func(quarantine.Place) quarantine.Contact {
-				return quarantine.ContactNone
+			watch.Review(after(time.Duration(second)*time.Second), func(quarantine.Endpoint) quarantine.Status {
+				return quarantine.StatusUnknown
 			})
 		}
-		watch.Observe(lifetime("e1"), quarantine.ContactRefused)
+		watch.Observe(lifetime("e1"), quarantine.StatusRefused)
 		Expect(watch.TakeDue(after(time.Minute)).Reports).To(BeEmpty())
 	})
 
@@ -81,7 +81,7 @@
 		Expect(watch.Interrupted(now, endpoint("e1"), suspect("lost"))).To(BeTrue())
 		Expect(watch.Interrupted(after(3*time.Second), endpoint("e1"), suspect("a"))).To(BeTrue(), "the upstream is probed again")
 		Expect(watch.Interrupted(after(3*time.Second+time.Millisecond), endpoint("e1"), suspect("b"))).To(BeFalse())
-		watch.Observe(lifetime("e1"), quarantine.ContactRefused)
+		watch.Observe(lifetime("e1"), quarantine.StatusRefused)
 		Expect(watch.TakeDue(after(4 * time.Second)).Reports).To(Equal([]quarantine.Report{
 			{Lifetime: lifetime("e1"), Suspects: []quarantine.Suspect{suspect("a"), suspect("b")}},
 		}))
@@ -89,8 +89,8 @@
 
 	It("reports nothing of an upstream that had said that it goes", func() {
 		watch.Interrupted(now, endpoint("e1"), suspect("a"))
-		watch.Observe(lifetime("e1"), quarantine.ContactLeaving)
-		watch.Observe(lifetime("e1"), quarantine.ContactRefused)
+		watch.Observe(lifetime("e1"), quarantine.StatusLeaving)
+		watch.Observe(lifetime("e1"), quarantine.StatusRefused)
 		Expect(watch.TakeDue(after(time.Second)).Reports).To(BeEmpty())
 	})
 
@@ -98,7 +98,7 @@
 		watch.Abandoned(after(-2*time.Second), endpoint("e1"), suspect("long before"))
 		watch.Abandoned(after(-300*time.Millisecond), endpoint("e1"), suspect("abandoned"))
 		watch.Interrupted(now, endpoint("e1"), suspect("a"))
-		watch.Observe(lifetime("e1"), quarantine.ContactRefused)
+		watch.Observe(lifetime("e1"), quarantine.StatusRefused)
 		Expect(watch.TakeDue(after(time.Second)).Reports).To(Equal([]quarantine.Report{
 			{Lifetime: lifetime("e1"), Suspects: []quarantine.Suspect{suspect("abandoned"), suspect("a")}},
 		}))
@@ -110,7 +110,7 @@
 			watch.Interrupted(now, endpoint(fmt.Sprint("e", n)), suspect("a"))
 		}
 		for n := range 1000 {
-			watch.Observe(lifetime(fmt.Sprint("e", n)), quarantine.ContactRefused)
+			watch.Observe(lifetime(fmt.Sprint("e", n)), quarantine.StatusRefused)
 		}
 		reports := watch.TakeDue(after(time.Second)).Reports
 		Expect(len(reports)).To(BeNumerically("<=", 256))
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -36,37 +36,37 @@
 )
 
 // Allowed returns the number of requests that an upstream tolerates within Window.
-func Allowed(l Limit) float64 {
+func MaxRequests(l Limit) float64 {
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
 // Said is what an answer says about the limit of its upstream: Named, Unnamed or Unclear.
-type Said interface {
+type Observation interface {
 	said()
 }
 
 // Named means that the answer names a valid limit.
-type Named struct {
+type NamedLimit struct {
 	Limit Limit
 }
 
 // Unnamed means that the answer names no limit: the upstream needs none.
-type Unnamed struct{}
+type NoLimit struct{}
 
 // Unclear means that the answer names an invalid limit. It leaves the limit in force
 // unchanged.
-type Unclear struct {
+type InvalidLimit struct {
 	// Text is the start of the invalid value.
 	Text string
 }
 
-func (Named) said()   {}
-func (Unnamed) said() {}
-func (Unclear) said() {}
+func (NamedLimit) said()   {}
+func (NoLimit) said()      {}
+func (InvalidLimit) said() {}
 
 // Known is the limit in force at an upstream, according to its answers. It is immutable;
 // the zero value has no limit in force.
-type Known struct {
+type State struct {
 	limit Limit
 	// setAt is the arrival time of the newest answer that set the limit, and zero if no
 	// limit is in force.
@@ -74,7 +74,7 @@
 }
 
 // Limit returns the limit in force, and false if there is none.
-func (k Known) Limit() (Limit, bool) {
+func (k State) Limit() (Limit, bool) {
 	return k.limit, !k.setAt.IsZero()
 }
 
@@ -82,20 +82,20 @@
 // at sent. Answers may arrive out of order, so one that raises or ends the limit counts
 // only if its request was sent after the limit was last set. A lower limit counts at
 // once.
-func (k Known) With(now, sent time.Time, said Said) Known {
+func (k State) With(now, sent time.Time, said Observation) State {
 	limit, inForce := k.Limit()
 	sentLater := sent.After(k.setAt)
 	switch s := said.(type) {
-	case Named:
+	case NamedLimit:
 		if inForce && s.Limit > limit && !sentLater {
 			return k
 		}
-		return Known{limit: s.Limit, setAt: now}
-	case Unnamed:
+		return State{limit: s.Limit, setAt: now}
+	case NoLimit:
 		if inForce && !sentLater {
 			return k
 		}
-		return Known{}
+		return State{}
 	default:
 		return k
 	}
@@ -119,15 +119,15 @@
 // Probes returns the rate in requests a second at which each sender may send whatever the
 // limit, so that it notices the end of the limit. The senders should use NewPhasedPace,
 // so that they don't send at the same time.
-func Probes(senders int) float64 {
+func ProbeRate(senders int) float64 {
 	return minRate / float64(max(senders, 1))
 }
 
 // Share returns the rate in requests a second at which each sender may send without an
 // owner. It is 0 if the upstream does not tolerate one more request from each sender at
 // once.
-func Share(l Limit, senders int) float64 {
-	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > Allowed(l) {
+func ShareRate(l Limit, senders int) float64 {
+	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > MaxRequests(l) {
 		return 0
 	}
 	return l.rate() / float64(senders)
--- a/internal/ratelimit/pace.go
+++ b/internal/ratelimit/pace.go
@@ -17,7 +17,7 @@
 )
 
 // Pace is a token bucket. It is not safe for concurrent use.
-type Pace struct {
+type TokenBucket struct {
 	// tokens are the requests that may be sent, as of filledAt. filledAt is in the future
 	// until startDelay has passed.
 	tokens   float64
@@ -25,20 +25,20 @@
 }
 
 // NewPace returns an empty Pace that starts to fill one second after now.
-func NewPace(now time.Time) *Pace {
-	return &Pace{filledAt: now.Add(startDelay)}
+func NewTokenBucket(now time.Time) *TokenBucket {
+	return &TokenBucket{filledAt: now.Add(startDelay)}
 }
 
 // NewPhasedPace returns a Pace that holds phase tokens, from 0 to 1, and starts to fill
 // one second after now. With random phases, senders that start at the same time send
 // their first requests at different times.
-func NewPhasedPace(now time.Time, phase float64) *Pace {
-	return &Pace{tokens: phase, filledAt: now.Add(startDelay)}
+func NewPhasedTokenBucket(now time.Time, phase float64) *TokenBucket {
+	return &TokenBucket{tokens: phase, filledAt: now.Add(startDelay)}
 }
 
 // Take takes a token for one request, at a rate in requests a second. If there is none,
 // Take returns false and the time until the next one.
-func (p *Pace) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
+func (p *TokenBucket) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
 	if rate <= 0 {
 		return waitForever, false
 	}
@@ -56,6 +56,6 @@
 }
 
 // TakeOwned is Take at the rate of all senders together, for the owner of the limit.
-func (p *Pace) TakeOwned(now time.Time, l Limit) (wait time.Duration, ok bool) {
+func (p *TokenBucket) TakeAtLimit(now time.Time, l Limit) (wait time.Duration, ok bool) {
 	return p.Take(now, l.rate())
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -25,23 +25,23 @@
 }
 
 var _ = Describe("Known", func() {
-	named := func(limit ratelimit.Limit) ratelimit.Said { return ratelimit.Named{Limit: limit} }
-	known := ratelimit.Known{}.With(at(2), at(1), named(1.1))
+	named := func(limit ratelimit.Limit) ratelimit.Observation { return ratelimit.NamedLimit{Limit: limit} }
+	known := ratelimit.State{}.With(at(2), at(1), named(1.1))
 
 	DescribeTable("follows what the upstream says last",
-		func(now, sent float64, said ratelimit.Said, limit float64, inForce bool) {
+		func(now, sent float64, said ratelimit.Observation, limit float64, inForce bool) {
 			got, ok := known.With(at(now), at(sent), said).Limit()
 			Expect(ok).To(Equal(inForce))
 			Expect(float64(got)).To(Equal(limit))
 		},
-		Entry("a later answer without a limit ends it", 4.0, 3.0, ratelimit.Unnamed{}, 0.0, false),
+		Entry("a later answer without a limit ends it", 4.0, 3.0, ratelimit.NoLimit{}, 0.0, false),
 		// A long answer may start before the limit and end after it. It says nothing
 		// about the present.
-		Entry("an answer to an earlier request does not end it", 4.0, 1.5, ratelimit.Unnamed{}, 1.1, true),
+		Entry("an answer to an earlier request does not end it", 4.0, 1.5, ratelimit.NoLimit{}, 1.1, true),
 		Entry("a later answer raises it", 4.0, 3.0, named(5), 5.0, true),
 		Entry("an answer to an earlier request does not raise it", 4.0, 1.5, named(5), 1.1, true),
 		Entry("any answer lowers it", 4.0, 1.5, named(0), 0.0, true),
-		Entry("an invalid limit changes nothing", 4.0, 3.0, ratelimit.Unclear{Text: "many"}, 1.1, true),
+		Entry("an invalid limit changes nothing", 4.0, 3.0, ratelimit.InvalidLimit{Text: "many"}, 1.1, true),
 	)
 
 	DescribeTable("accepts only plausible limits",
@@ -76,18 +76,18 @@
 
 	It("stay within what the upstream bears, the first moment and bursts after rests included", func() {
 		for _, limit := range limits {
-			pace := ratelimit.NewPace(start)
+			pace := ratelimit.NewTokenBucket(start)
 			var sent []time.Time
 			for ms := range 20_000 {
 				now := start.Add(time.Duration(ms) * time.Millisecond)
 				paused := ms > 6000 && ms < 9000
 				for range 3 {
-					if _, ok := pace.TakeOwned(now, limit); !paused && ok {
+					if _, ok := pace.TakeAtLimit(now, limit); !paused && ok {
 						sent = append(sent, now)
 					}
 				}
 			}
-			Expect(maxInWindow(sent)).To(BeNumerically("<=", ratelimit.Allowed(limit)), fmt.Sprint(limit))
+			Expect(maxInWindow(sent)).To(BeNumerically("<=", ratelimit.MaxRequests(limit)), fmt.Sprint(limit))
 			Expect(len(sent)).To(BeNumerically(">=", int(float64(limit)*14)), "the limit is used")
 			Expect(len(sent)).To(BeNumerically(">=", 5), "requests are sent at any limit, so that its end is noticed")
 		}
@@ -99,15 +99,15 @@
 			for _, limit := range limits {
 				var sent []time.Time
 				for range senders {
-					pace := ratelimit.NewPace(start)
+					pace := ratelimit.NewTokenBucket(start)
 					for ms := 0; ms < 12_000; ms += 20 {
 						now := start.Add(time.Duration(ms) * time.Millisecond)
-						if _, ok := pace.Take(now, ratelimit.Share(limit, senders)); ok {
+						if _, ok := pace.Take(now, ratelimit.ShareRate(limit, senders)); ok {
 							sent = append(sent, now)
 						}
 					}
 				}
-				Expect(maxInWindow(sorted(sent))).To(BeNumerically("<=", ratelimit.Allowed(limit)), fmt.Sprint(senders, limit))
+				Expect(maxInWindow(sorted(sent))).To(BeNumerically("<=", ratelimit.MaxRequests(limit)), fmt.Sprint(senders, limit))
 			}
 		}
 	})
@@ -115,33 +115,33 @@
 	// Ownership moves, and for a second two instances both act as the owner.
 	It("stay within it when the owner changes", func() {
 		for _, limit := range limits {
-			oldOwner, newOwner := ratelimit.NewPace(start), ratelimit.NewPace(at(8))
+			oldOwner, newOwner := ratelimit.NewTokenBucket(start), ratelimit.NewTokenBucket(at(8))
 			var sent []time.Time
 			for ms := range 16_000 {
 				now := start.Add(time.Duration(ms) * time.Millisecond)
 				for range 2 {
 					if ms < 9000 {
-						if _, ok := oldOwner.TakeOwned(now, limit); ok {
+						if _, ok := oldOwner.TakeAtLimit(now, limit); ok {
 							sent = append(sent, now)
 						}
 					}
 					if ms >= 8000 {
-						if _, ok := newOwner.TakeOwned(now, limit); ok {
+						if _, ok := newOwner.TakeAtLimit(now, limit); ok {
 							sent = append(sent, now)
 						}
 					}
 				}
 			}
-			Expect(maxInWindow(sent)).To(BeNumerically("<=", ratelimit.Allowed(limit)), fmt.Sprint(limit))
+			Expect(maxInWindow(sent)).To(BeNumerically("<=", ratelimit.MaxRequests(limit)), fmt.Sprint(limit))
 		}
 	})
 
 	It("get the time until the next one may be sent", func() {
-		pace := ratelimit.NewPace(start)
-		wait, ok := pace.TakeOwned(at(2), 1)
+		pace := ratelimit.NewTokenBucket(start)
+		wait, ok := pace.TakeAtLimit(at(2), 1)
 		Expect(ok).To(BeTrue())
 		Expect(wait).To(BeZero())
-		wait, ok = pace.TakeOwned(at(2.25), 1)
+		wait, ok = pace.TakeAtLimit(at(2.25), 1)
 		Expect(ok).To(BeFalse())
 		Expect(wait).To(BeNumerically("~", 750*time.Millisecond, time.Microsecond))
 		_, ok = pace.Take(at(10), 0)
--- a/internal/ratelimit/read.go
+++ b/internal/ratelimit/read.go
@@ -11,14 +11,14 @@
 // Read parses the values of the header by which upstreams name their limits. values has
 // one element for each occurrence of the header in the answer. A valid answer has one, a
 // decimal number of requests a second.
-func Read(values []string) Said {
+func ParseHeader(values []string) Observation {
 	if len(values) == 0 {
-		return Unnamed{}
+		return NoLimit{}
 	}
 	number, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
 	if limit := Limit(number); err == nil && len(values) == 1 && limit.Valid() {
-		return Named{Limit: limit}
+		return NamedLimit{Limit: limit}
 	}
 	text := strings.Join(values, ", ")
-	return Unclear{Text: text[:min(len(text), maxUnclearBytes)]}
+	return InvalidLimit{Text: text[:min(len(text), maxUnclearBytes)]}
 }
--- a/internal/registrar/client.go
+++ b/internal/registrar/client.go
@@ -78,7 +78,7 @@
 
 // InForce returns the active configuration as known to the first instance that
 // responds.
-func (c *Client) InForce(ctx context.Context) (ActiveConfig, error) {
+func (c *Client) ActiveConfig(ctx context.Context) (ActiveConfig, error) {
 	var reply activeConfigReply
 	if err := c.get(ctx, activeConfigPath, &reply); err != nil {
 		return ActiveConfig{}, err
@@ -138,13 +138,13 @@
 // If the change was certainly not accepted, Change returns a *ConflictError, a
 // *RefusedError, an *UnavailableError or ErrUnauthorized. If it may have been
 // accepted, Change returns an *UnknownError.
-func (c *Client) Change(ctx context.Context, change Change) (Answer, error) {
+func (c *Client) Change(ctx context.Context, change Change) (ChangeResult, error) {
 	body, err := json.Marshal(changeRequest{
-		ChangeID: change.ID, ExpectedRevision: &change.Expected,
+		ChangeID: change.ID, ExpectedRevision: &change.ExpectedRevision,
 		Declarations: change.Declarations, Preset: change.Preset,
 	})
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "registrar: encoding the change")
+		return ChangeResult{}, errors.Wrap(err, "registrar: encoding the change")
 	}
 	var unknown, unavailable error
 	for _, address := range c.options.Addresses {
@@ -161,9 +161,9 @@
 	// If one instance's response was lost, that instance may have accepted the
 	// change even though others did not.
 	if unknown != nil {
-		return Answer{}, &UnknownError{Cause: unknown}
+		return ChangeResult{}, &UnknownError{Cause: unknown}
 	}
-	return Answer{}, unavailable
+	return ChangeResult{}, unavailable
 }
 
 // isFinal reports whether err settles the change, so that no other instance needs
@@ -180,16 +180,16 @@
 	return !responseLost && (errors.HasType(err, (*RefusedError)(nil)) || errors.Is(err, ErrUnauthorized))
 }
 
-func (c *Client) changeAt(ctx context.Context, address netip.AddrPort, body []byte) (Answer, error) {
+func (c *Client) changeAt(ctx context.Context, address netip.AddrPort, body []byte) (ChangeResult, error) {
 	response, err := c.send(ctx, address, http.MethodPost, changesPath, body)
 	if err != nil {
-		return Answer{}, err
+		return ChangeResult{}, err
 	}
 	var reply changeReply
 	if err := response.decode(http.StatusOK, &reply); err != nil {
-		return Answer{}, err
+		return ChangeResult{}, err
 	}
-	return Answer(reply), nil
+	return ChangeResult(reply), nil
 }
 
 // get queries one instance after the other until one succeeds.
--- a/internal/registrar/enginestatus.go
+++ b/internal/registrar/enginestatus.go
@@ -38,12 +38,12 @@
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	// Why is the reason for the placement decision.
-	Why string `json:"why"`
+	PlacementReason string `json:"why"`
 	// At is the time of the placement decision.
 	At time.Time `json:"at"`
 	// State is one of recorded, running, doubtful, done, refused, withdrawn and
 	// over.
 	State string `json:"state"`
 	// Reason is the engine's reason for refusing the order.
-	Reason string `json:"reason,omitempty"`
+	RefusalReason string `json:"reason,omitempty"`
 }
--- a/internal/registrar/fakes_test.go
+++ b/internal/registrar/fakes_test.go
@@ -36,7 +36,7 @@
 type voter struct {
 	mu         sync.Mutex
 	registry   *registry.Registry
-	publisher  *gazette.Gazette
+	publisher  *gazette.Cache
 	index      jury.Index
 	lastChange registry.Change
 	// failure, if set, is returned by propose, which then applies nothing.
@@ -84,12 +84,12 @@
 }
 
 func (v *voter) configStore() *registrar.ReplicatedConfigStore {
-	return registrar.NewReplicated(registrar.ReplicatedOptions{
-		Gazette:     v.publisher,
-		Propose:     v.propose,
-		NotAccepted: func(err error) bool { return errors.Is(err, errNoQuorum) },
-		Fresh:       func(now time.Time) bool { return now.Equal(testTime) },
-		RetryAfter:  1500 * time.Millisecond,
+	return registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
+		ConfigCache:    v.publisher,
+		Propose:        v.propose,
+		NotAccepted:    func(err error) bool { return errors.Is(err, errNoQuorum) },
+		HasConfigLease: func(now time.Time) bool { return now.Equal(testTime) },
+		RetryAfter:     1500 * time.Millisecond,
 	})
 }
 
@@ -103,7 +103,7 @@
 func (f *fakeInstance) Status(time.Time) registrar.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return registrar.Status{Name: "a", Streams: 3, Fresh: f.hasLease, Draining: len(f.drainedBy) > 0}
+	return registrar.Status{Name: "a", ActiveRequests: 3, HasConfigLease: f.hasLease, Draining: len(f.drainedBy) > 0}
 }
 
 func (f *fakeInstance) Drain(operator string) {
@@ -128,9 +128,9 @@
 func fixtureFor(v *voter) *fixture {
 	f := &fixture{voter: v, instance: &fakeInstance{}, log: &bytes.Buffer{}}
 	f.handler = registrar.New(registrar.Options{
-		Register: v.configStore(),
-		House:    f.instance,
-		Holder: func(token string) (string, bool) {
+		ConfigStore: v.configStore(),
+		Instance:    f.instance,
+		OperatorByToken: func(token string) (string, bool) {
 			name, ok := map[string]string{"token of kim": "kim", "token of ada": "ada"}[token]
 			return name, ok
 		},
@@ -178,6 +178,6 @@
 func change(expected uint64, preset string) registrar.Change {
 	d := declarations(preset)
 	return registrar.Change{
-		ID: registrar.ChangeID(expected, d, preset), Expected: expected, Declarations: d, Preset: preset,
+		ID: registrar.ChangeID(expected, d, preset), ExpectedRevision: expected, Declarations: d, Preset: preset,
 	}
 }
--- a/internal/registrar/moves.go
+++ b/internal/registrar/moves.go
@@ -33,9 +33,9 @@
 	Adapter string `json:"adapter,omitempty"`
 	Reason  string `json:"reason"`
 	// For is the model that an unload frees memory for.
-	For string `json:"for,omitempty"`
+	MakesRoomFor string `json:"for,omitempty"`
 	// Waits is "memory" if the move must wait for another move to free memory.
-	Waits string `json:"waits,omitempty"`
+	WaitsFor string `json:"waits,omitempty"`
 	// Gain and Cost are in request-seconds of requests that meet their goals.
 	Gain float64 `json:"expected-gain"`
 	Cost float64 `json:"cost"`
@@ -43,7 +43,7 @@
 
 // ErrNoPlacement is returned by an instance that has no memory accounting of
 // engines, since it is not a voter.
-var ErrNoPlacement = errors.New("registrar: this instance is no voter; ask one for placement")
+var ErrNotVoter = errors.New("registrar: this instance is no voter; ask one for placement")
 
 // Preview returns the moves that declarations and a preset would cause, without
 // changing anything.
--- a/internal/registrar/moves_test.go
+++ b/internal/registrar/moves_test.go
@@ -15,12 +15,12 @@
 // clientWithPreview returns a client of an instance that serves preview.
 func clientWithPreview(preview registrar.Preview) *registrar.Client {
 	return client("", serve(registrar.New(registrar.Options{
-		Register: newVoter().configStore(),
-		House:    &fakeInstance{},
-		Preview:  preview,
-		Holder:   func(string) (string, bool) { return "kim", true },
-		Now:      func() time.Time { return testTime },
-		Log:      zerolog.Nop(),
+		ConfigStore:     newVoter().configStore(),
+		Instance:        &fakeInstance{},
+		Preview:         preview,
+		OperatorByToken: func(string) (string, bool) { return "kim", true },
+		Now:             func() time.Time { return testTime },
+		Log:             zerolog.Nop(),
 	})))
 }
 
@@ -47,7 +47,7 @@
 
 	It("are refused by an instance without memory accounting of engines", func(ctx context.Context) {
 		client := clientWithPreview(func(time.Time, declaration.Set, declaration.Preset) (registrar.Moves, error) {
-			return registrar.Moves{}, registrar.ErrNoPlacement
+			return registrar.Moves{}, registrar.ErrNotVoter
 		})
 		_, err := client.Moves(ctx, decodedDeclarations("peak"), "peak")
 		Expect(err).To(MatchError(ContainSubstring("no voter")))
--- a/internal/registrar/quarantine.go
+++ b/internal/registrar/quarantine.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	err := h.store.Lift(ctx, request.Lift)
 	for _, digest := range request.Lift {
-		h.log.Info().Err(err).Str("by", operator).Stringer(quarantine.FieldDigest, digest).Msg(quarantine.LineLifted)
+		h.log.Info().Err(err).Str("by", operator).Stringer(quarantine.FieldDigest, digest).Msg(quarantine.LogLifted)
 	}
 	if err != nil {
 		return writeFailure(c, http.StatusBadGateway, outcome.Unknown, failure{Code: codeUnknown, Message: err.Error()})
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -29,11 +29,11 @@
 
 	It("activates the declarations, byte for byte, and the preset", func() {
 		c := client("token of kim", serve(f.handler))
-		before, err := c.InForce(ctx)
+		before, err := c.ActiveConfig(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(before).To(Equal(registrar.ActiveConfig{HasConfigLease: true}))
-		Expect(c.Change(ctx, change(0, "ordinary"))).To(Equal(registrar.Answer{Revision: 1}))
-		after, err := c.InForce(ctx)
+		Expect(c.Change(ctx, change(0, "ordinary"))).To(Equal(registrar.ChangeResult{Revision: 1}))
+		after, err := c.ActiveConfig(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(after.Revision).To(Equal(uint64(1)))
 		Expect(after.Preset).To(Equal("ordinary"))
@@ -52,7 +52,7 @@
 		_, err = client("token of ada", address).Change(ctx, change(0, "peak"))
 		var conflict *registrar.ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue())
-		Expect(*conflict).To(Equal(registrar.ConflictError{Revision: 1, ChangesSince: []registry.Applied{{
+		Expect(*conflict).To(Equal(registrar.ConflictError{Revision: 1, ChangesSince: []registry.AppliedChange{{
 			Revision: 1, ID: change(0, "ordinary").ID, By: "kim", At: testTime,
 			Summary: "add model m, add preset ordinary; preset ordinary",
 		}}}))
@@ -84,11 +84,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		f.voter.restart()
 		restarted := client("token of kim", serve(fixtureFor(f.voter).handler))
-		second := registrar.Change{ID: "second", Expected: 1, Declarations: declarations("peak"), Preset: "peak"}
-		Expect(restarted.Change(ctx, second)).To(Equal(registrar.Answer{Revision: 2}))
-		Expect(restarted.Change(ctx, first)).To(Equal(registrar.Answer{Revision: 1}))
+		second := registrar.Change{ID: "second", ExpectedRevision: 1, Declarations: declarations("peak"), Preset: "peak"}
+		Expect(restarted.Change(ctx, second)).To(Equal(registrar.ChangeResult{Revision: 2}))
+		Expect(restarted.Change(ctx, first)).To(Equal(registrar.ChangeResult{Revision: 1}))
 		Expect(f.activeConfig().Preset).To(Equal("peak"))
-		_, err = restarted.Change(ctx, registrar.Change{ID: "second", Expected: 1, Preset: "peak"})
+		_, err = restarted.Change(ctx, registrar.Change{ID: "second", ExpectedRevision: 1, Preset: "peak"})
 		Expect(err).To(MatchError(ContainSubstring(`the change id "second" was used for another change`)))
 		Expect(errors.HasType(err, (*registrar.RefusedError)(nil))).To(BeTrue())
 	})
@@ -97,7 +97,7 @@
 		c := client("token of kim", serve(f.handler))
 		_, err := c.Change(ctx, change(0, "ordinary"))
 		Expect(err).NotTo(HaveOccurred())
-		_, err = c.Change(ctx, registrar.Change{ID: "x", Expected: 1, Preset: "night"})
+		_, err = c.Change(ctx, registrar.Change{ID: "x", ExpectedRevision: 1, Preset: "night"})
 		Expect(err).To(Equal(&registrar.RefusedError{Reason: `preset "night" is none of the declared ones ["ordinary"]`}))
 	})
 
@@ -174,7 +174,7 @@
 
 var _ = Describe("ReplicatedConfigStore", func() {
 	It("reports an unknown outcome if the result holds no answer to the change", func() {
-		r := registrar.NewReplicated(registrar.ReplicatedOptions{
+		r := registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
 			Propose: func(context.Context, []byte) (registry.Result, error) { return registry.Result{}, nil },
 		})
 		_, err := r.Change(ctx, change(0, "ordinary"))
@@ -251,7 +251,7 @@
 		address := serve(f.handler)
 		for _, token := range []string{"", "token of eve"} {
 			c := client(token, address)
-			_, err := c.InForce(ctx)
+			_, err := c.ActiveConfig(ctx)
 			Expect(err).To(MatchError(registrar.ErrUnauthorized))
 			_, err = c.Status(ctx)
 			Expect(err).To(MatchError(registrar.ErrUnauthorized))
--- a/internal/registrar/replicated.go
+++ b/internal/registrar/replicated.go
@@ -13,8 +13,8 @@
 )
 
 // ReplicatedOptions configures a ReplicatedConfigStore. All fields are required.
-type ReplicatedOptions struct {
-	Gazette *gazette.Gazette
+type ReplicatedConfigStoreOptions struct {
+	ConfigCache *gazette.Cache
 	// Propose replicates a command to the voters and returns the result of applying
 	// it.
 	Propose func(ctx context.Context, command []byte) (registry.Result, error)
@@ -23,7 +23,7 @@
 	// false.
 	NotAccepted func(err error) bool
 	// Fresh reports whether this instance holds its configuration lease.
-	Fresh func(now time.Time) bool
+	HasConfigLease func(now time.Time) bool
 	// RetryAfter is the delay that clients should wait before they retry a change
 	// that was not accepted.
 	RetryAfter time.Duration
@@ -32,11 +32,11 @@
 // ReplicatedConfigStore is a Register backed by the replicated state machine. It is
 // safe for concurrent use.
 type ReplicatedConfigStore struct {
-	options ReplicatedOptions
+	options ReplicatedConfigStoreOptions
 }
 
 // NewReplicated returns a ReplicatedConfigStore.
-func NewReplicated(options ReplicatedOptions) *ReplicatedConfigStore {
+func NewReplicatedConfigStore(options ReplicatedConfigStoreOptions) *ReplicatedConfigStore {
 	return &ReplicatedConfigStore{options: options}
 }
 
@@ -44,8 +44,8 @@
 func (r *ReplicatedConfigStore) ActiveConfig(now time.Time) ActiveConfig {
 	// The lease must be checked first, since a configuration read afterwards is at
 	// least as recent as the check.
-	hasLease := r.options.Fresh(now)
-	active := r.options.Gazette.Latest()
+	hasLease := r.options.HasConfigLease(now)
+	active := r.options.ConfigCache.Latest()
 	return ActiveConfig{
 		Revision:       uint64(active.Revision),
 		Preset:         active.Preset.Name,
@@ -55,20 +55,20 @@
 }
 
 // Change implements Register.
-func (r *ReplicatedConfigStore) Change(ctx context.Context, change Change) (Answer, error) {
+func (r *ReplicatedConfigStore) Change(ctx context.Context, change Change) (ChangeResult, error) {
 	command, err := encodeChange(change)
 	if err != nil {
-		return Answer{}, err
+		return ChangeResult{}, err
 	}
 	result, err := r.options.Propose(ctx, command)
 	if err != nil {
 		if r.options.NotAccepted(err) {
-			return Answer{}, &UnavailableError{Reason: err.Error(), RetryAfter: r.options.RetryAfter}
+			return ChangeResult{}, &UnavailableError{Reason: err.Error(), RetryAfter: r.options.RetryAfter}
 		}
-		return Answer{}, errors.Wrap(err, "registrar: propose")
+		return ChangeResult{}, errors.Wrap(err, "registrar: propose")
 	}
 	if result.Change == nil {
-		return Answer{}, errors.AssertionFailedf("registrar: the result of a change holds no answer to it")
+		return ChangeResult{}, errors.AssertionFailedf("registrar: the result of a change holds no answer to it")
 	}
 	return changeResult(*result.Change)
 }
@@ -78,13 +78,13 @@
 func encodeChange(change Change) ([]byte, error) {
 	prepared, err := registry.Change{
 		ID:           change.ID,
-		Expected:     registry.Revision(change.Expected),
+		Expected:     registry.Revision(change.ExpectedRevision),
 		Declarations: change.Declarations,
 		Preset:       change.Preset,
 		By:           change.Operator,
 		Summary:      change.Summary,
 		Now:          change.RequestedAt,
-	}.Prepare(declaration.Check)
+	}.Validated(declaration.Check)
 	if err != nil {
 		return nil, refusedError(err)
 	}
@@ -103,16 +103,16 @@
 	return &RefusedError{Reason: err.Error()}
 }
 
-func changeResult(answer registry.Answer) (Answer, error) {
+func changeResult(answer registry.ChangeResult) (ChangeResult, error) {
 	switch answer.Verdict {
 	case registry.VerdictApplied:
-		return Answer{Revision: uint64(answer.Revision)}, nil
+		return ChangeResult{Revision: uint64(answer.Revision)}, nil
 	case registry.VerdictConflict:
-		return Answer{}, &ConflictError{Revision: uint64(answer.Revision), ChangesSince: answer.Since}
-	case registry.VerdictRefused, registry.VerdictReused:
-		return Answer{}, &RefusedError{Reason: answer.Reason}
+		return ChangeResult{}, &ConflictError{Revision: uint64(answer.Revision), ChangesSince: answer.ChangesSince}
+	case registry.VerdictRefused, registry.VerdictIDReused:
+		return ChangeResult{}, &RefusedError{Reason: answer.Reason}
 	default:
 		// A newer leader may return verdicts that this version does not support.
-		return Answer{}, errors.Newf("registrar: verdict %d is not known to this program", answer.Verdict)
+		return ChangeResult{}, errors.Newf("registrar: verdict %d is not known to this program", answer.Verdict)
 	}
 }
--- a/internal/registrar/server.go
+++ b/internal/registrar/server.go
@@ -32,18 +32,18 @@
 
 // Options configures a Server.
 type Options struct {
-	Register Register
-	House    Instance
+	ConfigStore ConfigStore
+	Instance    Instance
 	// Metrics serves GET /metrics. Nil disables the endpoint.
 	Metrics http.Handler
 	// Preview serves plan --placement. Nil disables the endpoint.
 	Preview Preview
 	// Quarantine serves the quarantine endpoints. Nil disables them.
-	Quarantine QuarantineStore
+	QuarantineStore QuarantineStore
 	// Electorate serves the voter endpoints. Nil disables them.
-	Electorate VoterManager
+	VoterManager VoterManager
 	// Holder returns the name of the operator that a token belongs to.
-	Holder func(token string) (string, bool)
+	OperatorByToken func(token string) (string, bool)
 	// BodyBytes limits the size of a request body. 0 means DefaultBodyBytes.
 	BodyBytes int64
 	// ChangeTimeout limits how long a change waits to be accepted. 0 means
@@ -82,10 +82,10 @@
 	if options.Metrics != nil {
 		s.echo.GET(metricsPath, echo.WrapHandler(options.Metrics))
 	}
-	if options.Quarantine != nil {
-		quarantineHandlers{store: options.Quarantine, now: options.Now, log: options.Log}.register(s.echo)
+	if options.QuarantineStore != nil {
+		quarantineHandlers{store: options.QuarantineStore, now: options.Now, log: options.Log}.register(s.echo)
 	}
-	if options.Electorate != nil {
+	if options.VoterManager != nil {
 		s.echo.GET(votersPath, s.voters)
 		s.echo.POST(votersPath, s.changeVoters)
 		s.echo.POST(bootstrapPath, s.bootstrap)
@@ -104,7 +104,7 @@
 			return next(c)
 		}
 		token, _ := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
-		operator, known := s.options.Holder(token)
+		operator, known := s.options.OperatorByToken(token)
 		if !known {
 			s.options.Log.Warn().Str("from", c.Request().RemoteAddr).Msg("rejected an admin request: token is missing or wrong")
 			return writeFailure(c, http.StatusUnauthorized, outcome.NotRun, failure{
@@ -126,11 +126,11 @@
 // requests. Like health, it requires no token, since process supervisors have
 // none, and therefore discloses nothing else.
 func (s *Server) ready(c echo.Context) error {
-	status := s.options.House.Status(s.options.Now())
+	status := s.options.Instance.Status(s.options.Now())
 	switch {
 	case status.Draining:
 		return c.String(http.StatusServiceUnavailable, "draining\n")
-	case !status.Fresh:
+	case !status.HasConfigLease:
 		return c.String(http.StatusServiceUnavailable, "cannot confirm its configuration\n")
 	default:
 		return c.String(http.StatusOK, "ready\n")
@@ -148,18 +148,18 @@
 
 // activeConfig returns the active configuration at the current time.
 func (o Options) activeConfig() ActiveConfig {
-	return o.Register.ActiveConfig(o.Now())
+	return o.ConfigStore.ActiveConfig(o.Now())
 }
 
 func (s *Server) status(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.options.House.Status(s.options.Now()))
+	return c.JSON(http.StatusOK, s.options.Instance.Status(s.options.Now()))
 }
 
 func (s *Server) drain(c echo.Context) error {
 	operator, _ := c.Get(operatorContextKey).(string)
 	s.options.Log.Info().Str("by", operator).Msg("operator requested a drain")
-	s.options.House.Drain(operator)
-	return c.JSON(http.StatusAccepted, drainReply{ActiveRequests: s.options.House.Status(s.options.Now()).Streams})
+	s.options.Instance.Drain(operator)
+	return c.JSON(http.StatusAccepted, drainReply{ActiveRequests: s.options.Instance.Status(s.options.Now()).ActiveRequests})
 }
 
 func (s *Server) proposeChange(c echo.Context) error {
@@ -175,7 +175,7 @@
 	// "unknown" for a change that was never proposed.
 	ctx, cancel := context.WithTimeout(c.Request().Context(), s.options.ChangeTimeout)
 	defer cancel()
-	result, err := s.options.Register.Change(ctx, change)
+	result, err := s.options.ConfigStore.Change(ctx, change)
 	s.logChange(change, result, err)
 	if err != nil {
 		return writeChangeError(c, err)
@@ -184,12 +184,12 @@
 	return c.JSON(http.StatusOK, changeReply(result))
 }
 
-func (s *Server) logChange(change Change, result Answer, err error) {
+func (s *Server) logChange(change Change, result ChangeResult, err error) {
 	event := s.options.Log.Info()
 	if err != nil {
 		event = s.options.Log.Warn().Err(err)
 	}
-	event.Str("by", change.Operator).Str("change-id", change.ID).Uint64("expected-revision", change.Expected).
+	event.Str("by", change.Operator).Str("change-id", change.ID).Uint64("expected-revision", change.ExpectedRevision).
 		Uint64("revision", result.Revision).Str("summary", change.Summary).Msg("configuration change")
 }
 
@@ -229,7 +229,7 @@
 		return Change{}, badRequest(http.StatusBadRequest, strings.Join(problems, "; "))
 	}
 	change := Change{
-		ID: request.ChangeID, Expected: *request.ExpectedRevision,
+		ID: request.ChangeID, ExpectedRevision: *request.ExpectedRevision,
 		Declarations: request.Declarations, Preset: request.Preset,
 	}
 	return s.checkAndSummarize(change)
--- a/internal/registrar/timeout_test.go
+++ b/internal/registrar/timeout_test.go
@@ -28,14 +28,14 @@
 			Addresses: []netip.AddrPort{unresponsive, serve(f.handler)}, Token: "token of kim", Timeout: 500 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		results := make(chan registrar.Answer, 1)
+		results := make(chan registrar.ChangeResult, 1)
 		go func() {
 			defer GinkgoRecover()
 			result, err := c.Change(ctx, change(0, "ordinary"))
 			Expect(err).NotTo(HaveOccurred())
 			results <- result
 		}()
-		Eventually(results).WithTimeout(20 * time.Second).Should(Receive(Equal(registrar.Answer{Revision: 1})))
+		Eventually(results).WithTimeout(20 * time.Second).Should(Receive(Equal(registrar.ChangeResult{Revision: 1})))
 		Expect(f.activeConfig().Revision).To(Equal(uint64(1)))
 	})
 })
--- a/internal/registrar/types.go
+++ b/internal/registrar/types.go
@@ -17,7 +17,7 @@
 
 // Register reads and changes the active configuration, which the replicated state
 // machine stores. Its methods must be safe for concurrent use.
-type Register interface {
+type ConfigStore interface {
 	// ActiveConfig returns the latest configuration known to this instance.
 	ActiveConfig(now time.Time) ActiveConfig
 	// Change proposes a change and waits until it is accepted or rejected. If a
@@ -26,7 +26,7 @@
 	// Change returns a *ConflictError, a *RefusedError or an *UnavailableError if
 	// this proposal was not accepted and cannot be accepted later. After any other
 	// error, the change may have been accepted.
-	Change(ctx context.Context, change Change) (Answer, error)
+	Change(ctx context.Context, change Change) (ChangeResult, error)
 }
 
 // ActiveConfig is the active configuration as known to one instance.
@@ -48,7 +48,7 @@
 	ID string
 	// Expected is the revision that the change is based on. If another revision is
 	// active, the change fails with a *ConflictError.
-	Expected uint64
+	ExpectedRevision uint64
 	// Declarations replaces all declarations, in the canonical encoding. Nil keeps
 	// the current ones.
 	Declarations []byte
@@ -63,7 +63,7 @@
 }
 
 // Answer is the result of an accepted change.
-type Answer struct {
+type ChangeResult struct {
 	// Revision is the revision that the change created.
 	Revision uint64
 }
@@ -74,7 +74,7 @@
 	Revision uint64
 	// ChangesSince lists the changes after the expected revision, latest first, as
 	// far back as the replicated state keeps them.
-	ChangesSince []registry.Applied
+	ChangesSince []registry.AppliedChange
 }
 
 // Error lists the changes and their operators, one line for each change.
@@ -133,10 +133,10 @@
 	Preset        string `json:"preset"`
 	// Fresh reports whether the instance holds its configuration lease. Without the
 	// lease it admits no new requests.
-	Fresh    bool `json:"fresh"`
-	Draining bool `json:"draining"`
+	HasConfigLease bool `json:"fresh"`
+	Draining       bool `json:"draining"`
 	// Streams is the number of active requests.
-	Streams int `json:"streams"`
+	ActiveRequests int `json:"streams"`
 	// Leader is the instance that leads the voters, or empty if unknown.
 	Leader string `json:"leader"`
 	// Term is the leader's term, which serves as a fencing token.
@@ -150,15 +150,15 @@
 
 // InstanceStatus is the reporting instance's view of an instance.
 type InstanceStatus struct {
-	Name          string `json:"name"`
-	CallerAddress string `json:"caller-address"`
-	FailureDomain string `json:"failure-domain"`
-	Voter         bool   `json:"voter"`
-	Draining      bool   `json:"draining"`
-	Stale         bool   `json:"stale"`
-	Streams       int    `json:"streams"`
+	Name           string `json:"name"`
+	CallerAddress  string `json:"caller-address"`
+	FailureDomain  string `json:"failure-domain"`
+	Voter          bool   `json:"voter"`
+	Draining       bool   `json:"draining"`
+	Stale          bool   `json:"stale"`
+	ActiveRequests int    `json:"streams"`
 	// Silent is the time since the last contact.
-	Silent time.Duration `json:"silent-nanoseconds"`
+	SinceLastContact time.Duration `json:"silent-nanoseconds"`
 }
 
 // UpstreamStatus is the reporting instance's view of an upstream.
@@ -169,7 +169,7 @@
 	FailureDomain string `json:"failure-domain"`
 	// Holds lists the models and adapters that an engine has loaded, or the
 	// services that a plain upstream offers.
-	Holds   []string `json:"holds"`
+	Serves  []string `json:"holds"`
 	Running int      `json:"running"`
 	Waiting int      `json:"waiting"`
 	Leaving bool     `json:"leaving"`
--- a/internal/registrar/voters.go
+++ b/internal/registrar/voters.go
@@ -37,7 +37,7 @@
 	Voters []string `json:"voters"`
 	// Waiting lists the identities of live instances that are not voting members
 	// yet, because they are new or lost their disk.
-	Waiting []string `json:"waiting"`
+	NonVoting []string `json:"waiting"`
 }
 
 // Origin is the exported state of a cluster that lost its quorum, from which a new
@@ -64,7 +64,7 @@
 )
 
 func (s *Server) voters(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
+	return c.JSON(http.StatusOK, s.options.VoterManager.Voters(s.options.Now()))
 }
 
 func (s *Server) bootstrap(c echo.Context) error {
@@ -74,7 +74,7 @@
 	if err := json.NewDecoder(body).Decode(&origin); err != nil && !errors.Is(err, io.EOF) {
 		return writeFailure(c, http.StatusBadRequest, outcome.NotRun, failure{Code: codeBadRequest, Message: err.Error()})
 	}
-	err := s.options.Electorate.Bootstrap(c.Request().Context(), origin)
+	err := s.options.VoterManager.Bootstrap(c.Request().Context(), origin)
 	s.options.Log.Info().Err(err).Str("by", operator).Uint64("from-index", origin.Index).Msg("cluster bootstrap")
 	var findings *finding.Error
 	if errors.As(err, &findings) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return writeFailure(c, http.StatusConflict, outcome.Unknown, failure{Code: codeRefused, Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
+	return c.JSON(http.StatusOK, s.options.VoterManager.Voters(s.options.Now()))
 }
 
 func (s *Server) changeVoters(c echo.Context) error {
@@ -94,7 +94,7 @@
 			Code: codeBadRequest, Message: "a change of voters adds one identity or removes one",
 		})
 	}
-	err := s.options.Electorate.ChangeVoters(c.Request().Context(), change)
+	err := s.options.VoterManager.ChangeVoters(c.Request().Context(), change)
 	s.options.Log.Info().Err(err).Str("by", operator).Str("add", change.Add).Str("remove", change.Remove).Msg("voter set change")
 	var unavailable *UnavailableError
 	switch {
@@ -105,7 +105,7 @@
 	case err != nil:
 		return writeFailure(c, http.StatusBadGateway, outcome.Unknown, failure{Code: codeUnknown, Message: err.Error()})
 	}
-	return c.JSON(http.StatusOK, s.options.Electorate.Voters(s.options.Now()))
+	return c.JSON(http.StatusOK, s.options.VoterManager.Voters(s.options.Now()))
 }
 
 // Voters returns the set of voters as known to the first instance that responds.
--- a/internal/registrar/wire.go
+++ b/internal/registrar/wire.go
@@ -71,8 +71,8 @@
 }
 
 type conflictReply struct {
-	Revision     uint64             `json:"revision"`
-	ChangesSince []registry.Applied `json:"since,omitempty"`
+	Revision     uint64                   `json:"revision"`
+	ChangesSince []registry.AppliedChange `json:"since,omitempty"`
 }
 
 type findingReply struct {
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -32,7 +32,7 @@
 	}
 	defer log.Close()
 	r := registry.New()
-	first, err := declareChange("first", 0, "ordinary peak").Prepare(validateDeclarations)
+	first, err := declareChange("first", 0, "ordinary peak").Validated(validateDeclarations)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/registry/change.go
+++ b/internal/registry/change.go
@@ -61,7 +61,7 @@
 // Validation happens once, before the change is proposed. Replicas don't repeat
 // it when they apply the change: replicas that run different versions could
 // come to different results, and their states would diverge.
-func (c Change) Prepare(validate DeclarationsValidator) (Change, error) {
+func (c Change) Validated(validate DeclarationsValidator) (Change, error) {
 	switch {
 	case c.ID == "" || len(c.ID) > MaxChangeIDBytes:
 		return c, errors.Newf("registry: the change id has %d bytes, not 1 to %d", len(c.ID), MaxChangeIDBytes)
@@ -105,7 +105,7 @@
 	// reason in Answer.Reason.
 	VerdictRefused
 	// VerdictReused means that the ID belongs to a different change.
-	VerdictReused
+	VerdictIDReused
 )
 
 // String returns the verdict's name in logs.
@@ -118,7 +118,7 @@
 }
 
 // Answer is the result of a Change.
-type Answer struct {
+type ChangeResult struct {
 	Verdict Verdict `json:"verdict"`
 	// Revision is the current revision after the decision. If the change was
 	// applied, it is the revision that the change created.
@@ -127,13 +127,13 @@
 	Preset string `json:"preset"`
 	// Since lists, for VerdictConflict, up to maxConflictChanges retained changes
 	// that were applied after Change.Expected, newest first.
-	Since []Applied `json:"since,omitempty"`
+	ChangesSince []AppliedChange `json:"since,omitempty"`
 	// Reason explains in one sentence why the change was not applied.
 	Reason string `json:"reason,omitempty"`
 }
 
 // Applied is the audit record of an applied change.
-type Applied struct {
+type AppliedChange struct {
 	Revision Revision  `json:"revision"`
 	ID       string    `json:"id"`
 	By       string    `json:"by"`
@@ -142,6 +142,6 @@
 }
 
 // String formats the change in one line.
-func (a Applied) String() string {
+func (a AppliedChange) String() string {
 	return fmt.Sprintf("revision %d by %s at %s: %s", a.Revision, a.By, a.At.UTC().Format(time.RFC3339), a.Summary)
 }
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -64,7 +64,7 @@
 		if c.ID == "" || len(c.Declarations) > 0 && len(c.Presets) == 0 {
 			return nil, errors.AssertionFailedf("registry: change %q was not prepared", c.ID)
 		}
-		packed, err := Pack(c.Declarations)
+		packed, err := Compress(c.Declarations)
 		if err != nil {
 			return nil, err
 		}
@@ -85,7 +85,7 @@
 		}
 		e.Format, e.Manifest = manifestCommandFormat, encoded
 	case edition.Put:
-		packed, err := Pack(c.Content)
+		packed, err := Compress(c.Content)
 		if err != nil {
 			return nil, err
 		}
@@ -138,12 +138,12 @@
 		return nil, errors.Wrap(err, "registry: decode command")
 	}
 	if e.Change != nil {
-		if e.Change.Declarations, err = Unpack(e.Change.Declarations); err != nil {
+		if e.Change.Declarations, err = Decompress(e.Change.Declarations); err != nil {
 			return nil, err
 		}
 	}
 	if e.Edition != nil {
-		if e.Edition.Content, err = Unpack(e.Edition.Content); err != nil {
+		if e.Edition.Content, err = Decompress(e.Edition.Content); err != nil {
 			return nil, err
 		}
 	}
@@ -192,7 +192,7 @@
 
 // Result is the result of an applied command. Exactly one field is set.
 type Result struct {
-	Change   *Answer          `json:"change,omitempty"`
+	Change   *ChangeResult    `json:"change,omitempty"`
 	Docket   *docket.Answer   `json:"docket,omitempty"`
 	Manifest *manifest.Result `json:"manifest,omitempty"`
 	Edition  *edition.Result  `json:"edition,omitempty"`
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -25,7 +25,7 @@
 	presets      []string
 	declarations []byte
 	// recentChanges are the last maxConflictChanges applied changes, oldest first.
-	recentChanges []Applied
+	recentChanges []AppliedChange
 	// answers are the retained answers to changes, oldest first.
 	answers []recordedAnswer
 	// answersByID indexes answers by change ID.
@@ -36,10 +36,10 @@
 
 // recordedAnswer is the original answer to a change.
 type recordedAnswer struct {
-	ID     string    `json:"id"`
-	Digest string    `json:"digest"`
-	At     time.Time `json:"at"`
-	Answer Answer    `json:"answer"`
+	ID     string       `json:"id"`
+	Digest string       `json:"digest"`
+	At     time.Time    `json:"at"`
+	Answer ChangeResult `json:"answer"`
 }
 
 func newConfiguration() *configuration {
@@ -48,13 +48,13 @@
 
 // apply executes a change and records the answer. A retry gets the original
 // answer.
-func (c *configuration) apply(change Change) Answer {
+func (c *configuration) apply(change Change) ChangeResult {
 	digest := change.digest()
 	if previous, ok := c.answersByID[change.ID]; ok {
 		if previous.Digest == digest {
 			return previous.Answer
 		}
-		return c.answer(VerdictReused, fmt.Sprintf("the change id %q was used for another change at %s", change.ID, previous.At.UTC().Format(time.RFC3339)))
+		return c.answer(VerdictIDReused, fmt.Sprintf("the change id %q was used for another change at %s", change.ID, previous.At.UTC().Format(time.RFC3339)))
 	}
 	answer := c.decide(change)
 	if change.Now.After(c.latestTime) {
@@ -65,12 +65,12 @@
 }
 
 // decide applies a change that is not a retry, or rejects it.
-func (c *configuration) decide(change Change) Answer {
+func (c *configuration) decide(change Change) ChangeResult {
 	if change.Expected != c.revision {
 		answer := c.answer(VerdictConflict, fmt.Sprintf("revision %d is in force, not %d", c.revision, change.Expected))
 		for _, a := range slices.Backward(c.recentChanges) {
 			if a.Revision > change.Expected {
-				answer.Since = append(answer.Since, a)
+				answer.ChangesSince = append(answer.ChangesSince, a)
 			}
 		}
 		return answer
@@ -98,7 +98,7 @@
 	if len(change.Declarations) > 0 {
 		c.declarations = change.Declarations
 	}
-	c.recentChanges = append(c.recentChanges, Applied{Revision: c.revision, ID: change.ID, By: change.By, Summary: change.Summary, At: change.Now})
+	c.recentChanges = append(c.recentChanges, AppliedChange{Revision: c.revision, ID: change.ID, By: change.By, Summary: change.Summary, At: change.Now})
 	c.recentChanges = c.recentChanges[max(0, len(c.recentChanges)-maxConflictChanges):]
 	return c.answer(VerdictApplied, "")
 }
@@ -115,8 +115,8 @@
 }
 
 // answer returns an answer with the current revision and preset.
-func (c *configuration) answer(verdict Verdict, reason string) Answer {
-	return Answer{Verdict: verdict, Revision: c.revision, Preset: c.preset, Reason: reason}
+func (c *configuration) answer(verdict Verdict, reason string) ChangeResult {
+	return ChangeResult{Verdict: verdict, Revision: c.revision, Preset: c.preset, Reason: reason}
 }
 
 // keepAnswer records an answer and drops the oldest ones beyond the retention
@@ -137,7 +137,7 @@
 	Preset       string           `json:"preset"`
 	Presets      []string         `json:"presets"`
 	Declarations []byte           `json:"declarations"`
-	Applied      []Applied        `json:"applied"`
+	Applied      []AppliedChange  `json:"applied"`
 	Answers      []recordedAnswer `json:"answers"`
 	Latest       time.Time        `json:"latest"`
 }
--- a/internal/registry/configuration_test.go
+++ b/internal/registry/configuration_test.go
@@ -49,8 +49,8 @@
 }
 
 // change prepares and applies a change.
-func (r *replica) change(c registry.Change) registry.Answer {
-	prepared, err := c.Prepare(validateDeclarations)
+func (r *replica) change(c registry.Change) registry.ChangeResult {
+	prepared, err := c.Validated(validateDeclarations)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	return *r.apply(prepared).Change
 }
@@ -88,7 +88,7 @@
 
 	BeforeEach(func() {
 		r = newReplica()
-		Expect(r.change(declareChange("one", 0, "ordinary peak"))).To(Equal(registry.Answer{Verdict: registry.VerdictApplied, Revision: 1, Preset: "ordinary"}))
+		Expect(r.change(declareChange("one", 0, "ordinary peak"))).To(Equal(registry.ChangeResult{Verdict: registry.VerdictApplied, Revision: 1, Preset: "ordinary"}))
 	})
 
 	It("has exactly one preset in force, which the declarations name", func() {
@@ -104,16 +104,16 @@
 		Expect(r.View()).To(And(HaveField("Revision", registry.Revision(2)), HaveField("Preset", "peak")))
 		combined := declareChange("five", 2, "ordinary night")
 		combined.Preset = "night"
-		Expect(r.change(combined)).To(Equal(registry.Answer{Verdict: registry.VerdictApplied, Revision: 3, Preset: "night"}))
+		Expect(r.change(combined)).To(Equal(registry.ChangeResult{Verdict: registry.VerdictApplied, Revision: 3, Preset: "night"}))
 		Expect(string(r.View().Declarations)).To(Equal("ordinary night"))
 	})
 
 	It("rejects changes that can't be applied", func() {
 		Expect(r.change(newChange("two", 1))).To(HaveField("Reason", "the change changes nothing"))
 		Expect(newReplica().change(presetChange("one", 0, "peak"))).To(HaveField("Reason", ContainSubstring("no declarations yet")))
-		_, err := declareChange("two", 1, "wrong").Prepare(validateDeclarations)
+		_, err := declareChange("two", 1, "wrong").Validated(validateDeclarations)
 		Expect(err).To(MatchError(ContainSubstring("a.toml:1")))
-		_, err = presetChange("", 1, "peak").Prepare(validateDeclarations)
+		_, err = presetChange("", 1, "peak").Validated(validateDeclarations)
 		Expect(err).To(MatchError(ContainSubstring("change id")))
 		_, err = registry.Encode(declareChange("two", 1, "ordinary"))
 		Expect(err).To(MatchError(ContainSubstring("not prepared")))
@@ -133,8 +133,8 @@
 			}
 			Expect(answer.Verdict).To(Equal(registry.VerdictConflict))
 			Expect(answer.Revision).To(Equal(registry.Revision(2)))
-			Expect(answer.Since).To(Equal([]registry.Applied{{Revision: 2, ID: "two", By: "clerk", Summary: "preset peak", At: startTime}}))
-			Expect(answer.Since[0].String()).To(Equal("revision 2 by clerk at 2026-12-02T20:00:00Z: preset peak"))
+			Expect(answer.ChangesSince).To(Equal([]registry.AppliedChange{{Revision: 2, ID: "two", By: "clerk", Summary: "preset peak", At: startTime}}))
+			Expect(answer.ChangesSince[0].String()).To(Equal("revision 2 by clerk at 2026-12-02T20:00:00Z: preset peak"))
 		}
 		Expect(applied).To(Equal([]string{"two"}))
 	})
@@ -159,7 +159,7 @@
 
 	It("rejects an ID that belongs to a different change", func() {
 		Expect(r.change(presetChange("one", 1, "peak"))).To(And(
-			HaveField("Verdict", registry.VerdictReused),
+			HaveField("Verdict", registry.VerdictIDReused),
 			HaveField("Reason", ContainSubstring(`"one" was used for another change at 2026-12-02T20:00:00Z`))))
 		Expect(r.View().Preset).To(Equal("ordinary"))
 	})
--- a/internal/registry/edition_test.go
+++ b/internal/registry/edition_test.go
@@ -15,7 +15,7 @@
 		GinkgoHelper()
 		command, err := registry.Encode(put)
 		Expect(err).NotTo(HaveOccurred())
-		result, err := r.Apply(r.Applied()+1, command)
+		result, err := r.Apply(r.AppliedIndex()+1, command)
 		Expect(err).NotTo(HaveOccurred())
 		decoded, err := registry.DecodeResult(result.Encode())
 		Expect(err).NotTo(HaveOccurred())
@@ -33,7 +33,7 @@
 		restored := registry.New()
 		Expect(restored.Restore(snapshot)).To(Succeed())
 		Expect(restored.Edition()).To(Equal(r.Edition()))
-		Expect(apply(restored, edition.Put{Version: 4, Content: content}).Verdict).To(Equal(edition.Held))
+		Expect(apply(restored, edition.Put{Version: 4, Content: content}).Verdict).To(Equal(edition.AlreadyInForce))
 	})
 
 	// A voter that is not yet upgraded can't read the edition section. It must be
--- a/internal/registry/pack.go
+++ b/internal/registry/pack.go
@@ -26,7 +26,7 @@
 // budget for control traffic; compressed ones take a fraction of it. Only the
 // encodings of commands and views are compressed. Replicas store and compare the
 // uncompressed bytes, so that two versions may compress differently.
-func Pack(data []byte) ([]byte, error) {
+func Compress(data []byte) ([]byte, error) {
 	if len(data) < minPackBytes {
 		return data, nil
 	}
@@ -47,7 +47,7 @@
 
 // Unpack is the inverse of Pack. It returns an error if data is truncated or
 // corrupt, or would decompress to more than maxUnpackedBytes.
-func Unpack(data []byte) ([]byte, error) {
+func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != packedMarker {
 		return data, nil
 	}
--- a/internal/registry/pack_test.go
+++ b/internal/registry/pack_test.go
@@ -24,7 +24,7 @@
 
 var _ = Describe("large declarations", func() {
 	It("are compressed in the log and decoded unchanged", func() {
-		prepared, err := declareChange("one", 0, paddedDeclarations(50_000)).Prepare(validateDeclarations)
+		prepared, err := declareChange("one", 0, paddedDeclarations(50_000)).Validated(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := registry.Encode(prepared)
 		Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 	})
 
 	It("are rejected when truncated at any byte", func() {
-		prepared, err := declareChange("one", 0, paddedDeclarations(6_000)).Prepare(validateDeclarations)
+		prepared, err := declareChange("one", 0, paddedDeclarations(6_000)).Validated(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := registry.Encode(prepared)
 		Expect(err).NotTo(HaveOccurred())
@@ -61,19 +61,19 @@
 			_, err := registry.Decode(data[:cut])
 			Expect(err).To(HaveOccurred(), "cut at %d", cut)
 		}
-		packed, err := registry.Pack(prepared.Declarations)
+		packed, err := registry.Compress(prepared.Declarations)
 		Expect(err).NotTo(HaveOccurred())
 		for cut := 1; cut < len(packed); cut++ {
-			_, err := registry.Unpack(packed[:cut])
+			_, err := registry.Decompress(packed[:cut])
 			Expect(err).To(HaveOccurred(), "cut at %d", cut)
 		}
 	})
 
 	It("are rejected when they would decompress beyond the size limit", func() {
-		zeros, err := registry.Pack(make([]byte, registry.MaxUnpackedBytes+1))
+		zeros, err := registry.Compress(make([]byte, registry.MaxUnpackedBytes+1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(zeros)).To(BeNumerically("<", 1<<20))
-		_, err = registry.Unpack(zeros)
+		_, err = registry.Decompress(zeros)
 		Expect(err).To(MatchError(ContainSubstring("more than 33554432 bytes")))
 	})
 })
--- a/internal/registry/quarantine_test.go
+++ b/internal/registry/quarantine_test.go
@@ -32,10 +32,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		restored := registry.New()
 		Expect(restored.Restore(snapshot)).To(Succeed())
-		Expect(restored.Crashes()).To(Equal(r.Crashes()))
+		Expect(restored.CrashRecords()).To(Equal(r.CrashRecords()))
 		_, err = restored.Apply(2, command)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(restored.Crashes().Cases()).To(Equal(r.Crashes().Cases()), "the same report again")
+		Expect(restored.CrashRecords().Cases()).To(Equal(r.CrashRecords().Cases()), "the same report again")
 	})
 
 	// A voter that is not yet upgraded can't read the quarantine section.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -32,7 +32,7 @@
 	// applied is the log index of the last applied command.
 	applied       jury.Index
 	configuration *configuration
-	docket        *docket.Docket
+	docket        *docket.Store
 	manifest      *manifest.Manifest
 	// view is the view of configuration for lock-free readers.
 	view atomic.Pointer[View]
@@ -63,7 +63,7 @@
 }
 
 // Lookup returns the docket's record of a non-idempotent request.
-func (r *Registry) Lookup(key docket.Key) docket.Answer {
+func (r *Registry) LookupRequest(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.docket.Lookup(key)
@@ -71,7 +71,7 @@
 
 // Docket returns the counters of the docket, its number of records and the size
 // of its stored responses in bytes.
-func (r *Registry) Docket() (counters docket.Counters, records int, responseBytes int64) {
+func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.docket.Counters(), r.docket.Len(), r.docket.ResponseBytes()
@@ -79,7 +79,7 @@
 
 // Crashes returns the records of requests that were in flight at upstreams that
 // crashed, without locking.
-func (r *Registry) Crashes() quarantine.Records {
+func (r *Registry) CrashRecords() quarantine.Records {
 	return *r.crashRecords.Load()
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Applied returns the log index of the last applied command.
-func (r *Registry) Applied() jury.Index {
+func (r *Registry) AppliedIndex() jury.Index {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.applied
@@ -133,7 +133,7 @@
 		result := r.manifest.Apply(c)
 		return Result{Manifest: &result}, nil
 	case edition.Put:
-		next, result := r.edition.Load().With(c)
+		next, result := r.edition.Load().Apply(c)
 		r.edition.Store(&next)
 		return Result{Edition: &result}, nil
 	case lease.Take:
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -38,7 +38,7 @@
 	if random.IntN(2) == 0 {
 		c.Preset = []string{"<ordinary>", "peak", "none"}[random.IntN(3)]
 	}
-	prepared, _ := c.Prepare(validateDeclarations)
+	prepared, _ := c.Validated(validateDeclarations)
 	return prepared
 }
 
@@ -89,7 +89,7 @@
 		Expect(errors.HasType(err, (*registry.NewerVersionError)(nil))).To(Equal(newer))
 		_, err = registry.Decode([]byte(command))
 		Expect(err).To(HaveOccurred())
-		Expect(r.Applied()).To(BeZero())
+		Expect(r.AppliedIndex()).To(BeZero())
 	},
 		Entry("newer format", `{"format":6,"placement":{}}`, true),
 		Entry("newer format of a known kind", `{"format":6,"change":{"id":"one"}}`, true),
@@ -142,7 +142,7 @@
 			entry := jury.Entry{Index: r.lastIndex, Term: 1, Kind: jury.EntryCommand, Data: data}
 			Expect(log.Append(jury.HardState{Term: 1}, 0, []jury.Entry{entry})).To(Succeed())
 		}
-		first, err := declareChange("first", 0, "ordinary peak").Prepare(validateDeclarations)
+		first, err := declareChange("first", 0, "ordinary peak").Validated(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
 		appendCommand(first)
 		for i := registry.Revision(1); i < 600; i++ {
@@ -168,7 +168,7 @@
 		}
 		Expect(restarted.View()).To(Equal(r.View()))
 		Expect(restarted.View().Revision).To(Equal(registry.Revision(600)))
-		Expect(restarted.change(presetChange("change 3", 3, "peak"))).To(Equal(registry.Answer{Verdict: registry.VerdictApplied, Revision: 4, Preset: "peak"}))
+		Expect(restarted.change(presetChange("change 3", 3, "peak"))).To(Equal(registry.ChangeResult{Verdict: registry.VerdictApplied, Revision: 4, Preset: "peak"}))
 	})
 })
 
@@ -178,7 +178,7 @@
 		emptySnapshot, err := r.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(emptySnapshot)).NotTo(ContainSubstring("manifest"))
-		command, err := registry.Encode(manifest.Lead{Term: 3})
+		command, err := registry.Encode(manifest.NewLeader{Term: 3})
 		Expect(err).NotTo(HaveOccurred())
 		result, err := r.Apply(1, command)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -80,7 +80,7 @@
 // snapshotState is the decoded content of a snapshot.
 type snapshotState struct {
 	configuration *configuration
-	docket        *docket.Docket
+	docket        *docket.Store
 	manifest      *manifest.Manifest
 	edition       edition.Edition
 	leases        lease.Leases
@@ -105,7 +105,7 @@
 	case quarantineSection:
 		s.crashes, err = quarantine.Restore(data)
 	case "":
-		err = parcel.ErrShort
+		err = parcel.ErrTruncated
 	default:
 		err = &NewerVersionError{Subject: fmt.Sprintf("snapshot section %q", name)}
 	}
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -40,7 +40,7 @@
 	if encoded := v.encoded.Load(); encoded != nil {
 		return *encoded, nil
 	}
-	declarations, err := Pack(v.Declarations)
+	declarations, err := Compress(v.Declarations)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	if err := json.Unmarshal(data, &decoded); err != nil {
 		return errors.Wrap(err, "registry: decode view")
 	}
-	declarations, err := Unpack(decoded.Declarations)
+	declarations, err := Decompress(decoded.Declarations)
 	if err != nil {
 		return err
 	}
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -17,7 +17,7 @@
 }
 
 // Of returns the Budget of service, which it creates if needed.
-func (b *Budgets) Of(now time.Time, service string) *Budget {
+func (b *Budgets) Get(now time.Time, service string) *Budget {
 	budget := b.services[service]
 	if budget == nil {
 		budget = NewBudget(now, b.options)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -70,7 +70,7 @@
 	// AnswerBegun reports that part of the answer was sent to the caller.
 	AnswerBegun bool
 	// Stacked reports that the request arrived with AttemptHeader.
-	Stacked bool
+	IsRetry bool
 	// Deadline is the time from which the answer is useless. Zero means no deadline.
 	Deadline time.Time
 	// MinDuration is the shortest time in which another attempt can end.
@@ -80,7 +80,7 @@
 // Options are the settings of a Budget. The zero value is useful.
 type Options struct {
 	// Attempts is the maximum number of attempts at one request, 3 if 0.
-	Attempts int
+	MaxAttempts int
 	// Share is the number of retries that each new request adds to the budget, 0.1 if
 	// 0.
 	Share float64
@@ -118,8 +118,8 @@
 
 // NewBudget returns a Budget whose reserve is full.
 func NewBudget(now time.Time, options Options) *Budget {
-	if options.Attempts <= 0 {
-		options.Attempts = defaultAttempts
+	if options.MaxAttempts <= 0 {
+		options.MaxAttempts = defaultAttempts
 	}
 	if options.Share <= 0 {
 		options.Share = defaultShare
@@ -135,7 +135,7 @@
 
 // Fresh adds the share of one new request to the budget. It must not be called for
 // retries.
-func (b *Budget) Fresh() {
+func (b *Budget) AddRequest() {
 	b.tokens = min(b.tokens+b.options.Share, b.options.Reserve)
 }
 
@@ -145,7 +145,7 @@
 		b.tokens = min(b.tokens+elapsed.Seconds()*b.options.RefillPerSecond, b.options.Reserve)
 		b.refilledAt = now
 	}
-	if verdict := a.denial(now, b.options.Attempts); verdict != 0 {
+	if verdict := a.denial(now, b.options.MaxAttempts); verdict != 0 {
 		return verdict
 	}
 	if b.tokens < 1 {
@@ -165,7 +165,7 @@
 		return MayHaveRun
 	case a.AnswerBegun:
 		return AnswerBegun
-	case a.Stacked:
+	case a.IsRetry:
 		return AlreadyRetry
 	case a.Number >= maxAttempts:
 		return AttemptsSpent
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -38,7 +38,7 @@
 			a.Idempotent = true
 			Expect(budget.Decide(now, a)).To(Equal(verdict))
 		},
-		Entry("after a request that is itself a retry", retry.Attempt{Number: 1, Stacked: true}, retry.AlreadyRetry),
+		Entry("after a request that is itself a retry", retry.Attempt{Number: 1, IsRetry: true}, retry.AlreadyRetry),
 		Entry("after the third attempt", retry.Attempt{Number: 3}, retry.AttemptsSpent),
 		Entry("after the answer has begun", retry.Attempt{Number: 1, AnswerBegun: true}, retry.AnswerBegun),
 		Entry("that can't end by the deadline",
@@ -53,7 +53,7 @@
 		at := now
 		for range 1000 {
 			at = at.Add(10 * time.Millisecond)
-			budget.Fresh()
+			budget.AddRequest()
 			for number := 1; budget.Decide(at, retry.Attempt{Number: number, Idempotent: true}) == retry.Again; number++ {
 				retries++
 			}
@@ -65,11 +65,11 @@
 	It("is counted separately for each service", func() {
 		budgets := retry.NewBudgets(retry.Options{Reserve: 1})
 		failed := retry.Attempt{Number: 1, Idempotent: true}
-		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
-		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.BudgetSpent))
-		Expect(budgets.Of(now, "pings").Decide(now, failed)).To(Equal(retry.Again))
+		Expect(budgets.Get(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
+		Expect(budgets.Get(now, "drafts").Decide(now, failed)).To(Equal(retry.BudgetSpent))
+		Expect(budgets.Get(now, "pings").Decide(now, failed)).To(Equal(retry.Again))
 		budgets.Retain(func(service string) bool { return service == "pings" })
-		Expect(budgets.Of(now, "pings").Decide(now, failed)).To(Equal(retry.BudgetSpent))
-		Expect(budgets.Of(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
+		Expect(budgets.Get(now, "pings").Decide(now, failed)).To(Equal(retry.BudgetSpent))
+		Expect(budgets.Get(now, "drafts").Decide(now, failed)).To(Equal(retry.Again))
 	})
 })
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -30,7 +30,7 @@
 
 // Source is the state of pulling from one instance: the cursor, and the members behind its handles.
 // The zero value has pulled nothing. It is not safe for concurrent use.
-type Source struct {
+type PullState struct {
 	cursor    Cursor
 	upstreams map[uint32]memberKey
 	instances map[uint32]memberKey
@@ -44,7 +44,7 @@
 
 // Cursor returns the cursor for the next pull. If direct is true, it requests only members that
 // report to the source themselves. If direct differs from the last pull, the pull starts over.
-func (s *Source) Cursor(direct bool) Cursor {
+func (s *PullState) Cursor(direct bool) Cursor {
 	if s.cursor.Direct != direct {
 		return Cursor{Direct: direct}
 	}
@@ -53,7 +53,7 @@
 
 // advance stores the cursor of an answer. If the pull started over, it discards the handles: those
 // of a restarted source refer to other members.
-func (s *Source) advance(next Cursor) {
+func (s *PullState) advance(next Cursor) {
 	if s.upstreams == nil || next.Direct != s.cursor.Direct || next.Incarnation != s.cursor.Incarnation {
 		s.upstreams, s.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
 	}
@@ -90,7 +90,7 @@
 //
 // Ages are subtracted from the time of the request, not of the answer's arrival: otherwise an
 // answer that was delayed on its way would make a lost member look alive for as long as the delay.
-func (r *Roster) Merge(requestedAt time.Time, source *Source, changes Changes) {
+func (r *Roster) Merge(requestedAt time.Time, source *PullState, changes Changes) {
 	if !changes.UpstreamBeats.wellFormed() || !changes.InstanceBeats.wellFormed() {
 		return
 	}
@@ -124,7 +124,7 @@
 	if !allKnown {
 		// A renewal of a member that was evicted here is useless without the full record. The
 		// source would not send that again on its own, and the member would stay unknown for good.
-		*source = Source{}
+		*source = PullState{}
 	}
 }
 
--- a/internal/roster/pull_test.go
+++ b/internal/roster/pull_test.go
@@ -12,10 +12,10 @@
 )
 
 // sites returns n instances in ten failure domains; the first seven are voters.
-func sites(n int) []roster.Site {
-	all := make([]roster.Site, n)
+func sites(n int) []roster.Location {
+	all := make([]roster.Location, n)
 	for k := range all {
-		all[k] = roster.Site{
+		all[k] = roster.Location{
 			Name:          fmt.Sprintf("instance-%03d", k),
 			FailureDomain: fmt.Sprintf("domain-%d", k%10),
 			Voter:         k < 7,
@@ -24,8 +24,8 @@
 	return all
 }
 
-func without(all []roster.Site, lost ...string) []roster.Site {
-	var remaining []roster.Site
+func without(all []roster.Location, lost ...string) []roster.Location {
+	var remaining []roster.Location
 	for _, site := range all {
 		keep := true
 		for _, name := range lost {
@@ -41,21 +41,21 @@
 var _ = Describe("SourcesOf", func() {
 	It("returns all other instances of a small cluster", func() {
 		all := sites(7)
-		Expect(roster.SourcesOf(all[6], all[:6]).All).To(HaveLen(6))
+		Expect(roster.SelectSources(all[6], all[:6]).All).To(HaveLen(6))
 	})
 
 	It("returns the voters in order of preference for a non-voter of a large cluster", func() {
 		all := sites(330)
-		sources := roster.SourcesOf(all[100], without(all, all[100].Name))
+		sources := roster.SelectSources(all[100], without(all, all[100].Name))
 		Expect(sources.All).To(BeEmpty())
-		Expect(sources.FirstOf).To(HaveLen(7))
-		Expect(sources.FirstOf[0]).To(Equal("instance-000"), "the voter in its own failure domain")
+		Expect(sources.Alternatives).To(HaveLen(7))
+		Expect(sources.Alternatives[0]).To(Equal("instance-000"), "the voter in its own failure domain")
 	})
 
 	It("distributes the non-voters evenly over the voters", func() {
 		all := sites(330)
 		for _, voter := range all[:7] {
-			pulledDirectly := len(roster.SourcesOf(voter, without(all, voter.Name)).Direct)
+			pulledDirectly := len(roster.SelectSources(voter, without(all, voter.Name)).Direct)
 			Expect(pulledDirectly).To(BeNumerically(">", 50))
 			Expect(pulledDirectly).To(BeNumerically("<", 150))
 		}
@@ -67,10 +67,10 @@
 		func(lost ...string) {
 			all := without(sites(330), lost...)
 			rosters := map[string]*roster.Roster{}
-			sources := map[string]map[string]*roster.Source{}
+			sources := map[string]map[string]*roster.PullState{}
 			for _, site := range all {
 				rosters[site.Name] = newRoster(site.Name)
-				sources[site.Name] = map[string]*roster.Source{}
+				sources[site.Name] = map[string]*roster.PullState{}
 			}
 			Expect(rosters["instance-100"].Announce(at(0), announcement(1))).To(Succeed())
 			now := at(0)
@@ -90,7 +90,7 @@
 
 // pullRound makes every instance pull once. All answers reflect the state before the round.
 func pullRound(
-	now time.Time, all []roster.Site, rosters map[string]*roster.Roster, sources map[string]map[string]*roster.Source,
+	now time.Time, all []roster.Location, rosters map[string]*roster.Roster, sources map[string]map[string]*roster.PullState,
 ) {
 	type answer struct {
 		to, from string
@@ -98,15 +98,15 @@
 	}
 	var answers []answer
 	for _, site := range all {
-		targets := roster.SourcesOf(site, without(all, site.Name))
+		targets := roster.SelectSources(site, without(all, site.Name))
 		pull := func(from string, direct bool) {
 			if sources[site.Name][from] == nil {
-				sources[site.Name][from] = &roster.Source{}
+				sources[site.Name][from] = &roster.PullState{}
 			}
 			cursor := sources[site.Name][from].Cursor(direct)
 			answers = append(answers, answer{site.Name, from, rosters[from].Since(now, cursor)})
 		}
-		for _, from := range append(targets.All, targets.FirstOf[:min(1, len(targets.FirstOf))]...) {
+		for _, from := range append(targets.All, targets.Alternatives[:min(1, len(targets.Alternatives))]...) {
 			pull(from, false)
 		}
 		for _, from := range targets.Direct {
@@ -121,7 +121,7 @@
 var _ = Describe("a pull for what was heard directly", func() {
 	It("leaves out what other instances told", func() {
 		a, b, c := newRoster("a"), newRoster("b"), newRoster("c")
-		var bFromA, cFromB roster.Source
+		var bFromA, cFromB roster.PullState
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		b.Merge(at(0), &bFromA, a.Since(at(0), bFromA.Cursor(false)))
 		c.Merge(at(0), &cFromB, b.Since(at(0), cFromB.Cursor(true)))
@@ -134,7 +134,7 @@
 var _ = Describe("a renewal", func() {
 	It("carries the load as far as routing needs it", func() {
 		a, b := newRoster("a"), newRoster("b")
-		var source roster.Source
+		var source roster.PullState
 		first := announcement(1)
 		first.Load = upstreamapi.Load{KVTotalTokens: 1000, MaxRunning: 8, PrefillTokensPerSecond: 5000}
 		Expect(a.Announce(at(0), first)).To(Succeed())
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -33,7 +33,7 @@
 	// Announcement is the most recent one. Its slices must not be changed.
 	Announcement upstreamapi.Announcement
 	// Heard is the latest time at which the announcement can have been made.
-	Heard time.Time
+	LastContact time.Time
 	// Leaving is true if the upstream has announced that it is leaving.
 	Leaving bool
 }
@@ -65,7 +65,7 @@
 	Name string
 	InstanceStatic
 	InstanceBeat
-	Heard time.Time
+	LastContact time.Time
 }
 
 // upstreamStatic is an announcement without the fields that change with each renewal.
@@ -90,7 +90,7 @@
 	Lease time.Duration
 	// Restarts makes an announcement with a higher incarnation and another address count as a
 	// restart of the same upstream. Without it, the address of a live name can't change.
-	Restarts bool
+	AllowRestartElsewhere bool
 }
 
 // Roster is the membership state of one instance. It is not safe for concurrent use.
@@ -111,7 +111,7 @@
 }
 
 // Beat renews this instance's own record.
-func (r *Roster) Beat(now time.Time, beat InstanceBeat) {
+func (r *Roster) Heartbeat(now time.Time, beat InstanceBeat) {
 	r.sequence++
 	record := InstanceRecord{
 		Name:        r.options.Self,
@@ -127,7 +127,7 @@
 
 // Introduction returns this instance's own record, to be sent to an instance that may not know it.
 // It returns nil before the first Beat.
-func (r *Roster) Introduction(now time.Time) *InstanceRecord {
+func (r *Roster) SelfRecord(now time.Time) *InstanceRecord {
 	row, known := r.instances.rows[r.options.Self]
 	if !known {
 		return nil
@@ -140,7 +140,7 @@
 // have been delayed on its way, so its age can't be trusted, but it is sufficient to start pulling
 // from the sender. The record is ignored unless the sender is unknown, its lease has expired or the
 // record has a higher incarnation.
-func (r *Roster) Introduce(now time.Time, record InstanceRecord) {
+func (r *Roster) Discover(now time.Time, record InstanceRecord) {
 	row, known := r.instances.rows[record.Name]
 	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastHeard) < r.options.Lease {
 		return
@@ -150,7 +150,7 @@
 
 // Hear stores the record that another instance has just sent about itself. Unlike Introduce it
 // renews a known member: the caller guarantees that the record was not delayed for long.
-func (r *Roster) Hear(now time.Time, record InstanceRecord) {
+func (r *Roster) Renew(now time.Time, record InstanceRecord) {
 	if record.Name != r.options.Self {
 		r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 	}
@@ -175,7 +175,7 @@
 			announcement.Name, row.static.Services, announcement.Services)
 	}
 	if known && row.static.Address != "" && row.static.Address != announcement.Address {
-		restarted := r.options.Restarts && row.incarnation < announcement.Incarnation
+		restarted := r.options.AllowRestartElsewhere && row.incarnation < announcement.Incarnation
 		alive := !row.left && now.Sub(row.lastHeard) < r.options.Lease && !restarted
 		if alive || row.incarnation >= announcement.Incarnation {
 			return errors.Wrapf(ErrNameTaken, "%q is announced from %s, this announcement gives %s",
@@ -199,7 +199,7 @@
 
 // Load stores a load report that an upstream sent between two announcements. If the upstream is
 // unknown, has another incarnation or has already reported a later load, Load does nothing.
-func (r *Roster) Load(now time.Time, report upstreamapi.LoadReport) {
+func (r *Roster) ReportLoad(now time.Time, report upstreamapi.LoadReport) {
 	row, known := r.upstreams.rows[report.Name]
 	if !known {
 		return
@@ -238,7 +238,7 @@
 const maxSequence = ^uint64(0)
 
 // Sweep removes members whose leases expired long ago.
-func (r *Roster) Sweep(now time.Time) {
+func (r *Roster) EvictExpired(now time.Time) {
 	cutoff := now.Add(-retentionLeases * r.options.Lease)
 	r.upstreams.Evict(cutoff)
 	r.instances.Evict(cutoff)
@@ -294,7 +294,7 @@
 			Name:           name,
 			InstanceStatic: row.static,
 			InstanceBeat:   row.beat,
-			Heard:          row.lastHeard,
+			LastContact:    row.lastHeard,
 		})
 	}
 	return alive
@@ -305,7 +305,7 @@
 	announcement.Incarnation = row.incarnation
 	announcement.Sequence = row.sequence
 	announcement.Load = row.beat
-	return Upstream{Announcement: announcement, Heard: row.lastHeard, Leaving: row.left}
+	return Upstream{Announcement: announcement, LastContact: row.lastHeard, Leaving: row.left}
 }
 
 func staticPart(announcement upstreamapi.Announcement) upstreamStatic {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -45,7 +45,7 @@
 	// An engine crashes and restarts under the same name at another address. Callers wait for it,
 	// so the roster must not reserve the name for the crashed process until its lease expires.
 	It("takes a later incarnation at another address where names stand for one upstream", func() {
-		r := roster.New(roster.Options{Self: "a", Lease: lease, Restarts: true})
+		r := roster.New(roster.Options{Self: "a", Lease: lease, AllowRestartElsewhere: true})
 		Expect(r.Announce(at(0), announcement(9))).To(Succeed())
 		restarted := announcement(1)
 		restarted.Incarnation, restarted.Address = 2, "127.0.0.1:8002"
@@ -121,7 +121,7 @@
 	It("passes changes on to another instance, and sends only the load of an unchanged upstream", func() {
 		a, b := newRoster("a"), newRoster("b")
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
-		var source roster.Source
+		var source roster.PullState
 		first := a.Since(at(0.5), source.Cursor(false))
 		b.Merge(at(0.5), &source, first)
 		Expect(b.Upstreams(at(0.5))).To(HaveLen(1))
@@ -143,13 +143,13 @@
 		a, b := newRoster("a"), newRoster("b")
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		delayed := a.Since(at(1), roster.Cursor{})
-		b.Merge(at(1), &roster.Source{}, delayed)
+		b.Merge(at(1), &roster.PullState{}, delayed)
 		Expect(b.Upstreams(at(61))).To(BeEmpty())
 	})
 
 	It("begins anew with an instance that was restarted", func() {
 		a, b := newRoster("a"), newRoster("b")
-		var source roster.Source
+		var source roster.PullState
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
 		restarted := roster.New(roster.Options{Self: "a", Incarnation: 2, Lease: lease})
@@ -163,10 +163,10 @@
 	// instance must request everything again, or it would never route to that upstream.
 	It("asks for everything again after it forgot a member", func() {
 		a, b := newRoster("a"), newRoster("b")
-		var source roster.Source
+		var source roster.PullState
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
-		b.Sweep(at(200))
+		b.EvictExpired(at(200))
 		Expect(a.Announce(at(200), announcement(2))).To(Succeed())
 		b.Merge(at(200), &source, a.Since(at(200), source.Cursor(false)))
 		b.Merge(at(201), &source, a.Since(at(201), source.Cursor(false)))
@@ -178,7 +178,7 @@
 	// of the new process.
 	It("takes no renewal of an earlier incarnation for the present one", func() {
 		a, b := newRoster("a"), newRoster("b")
-		var source roster.Source
+		var source roster.PullState
 		Expect(a.Announce(at(0), announcement(90))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
 		restarted := announcement(1)
@@ -194,7 +194,7 @@
 
 	It("discards an answer whose columns differ in length", func() {
 		a, b := newRoster("a"), newRoster("b")
-		var source roster.Source
+		var source roster.PullState
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
 		b.Merge(at(0), &source, a.Since(at(0), source.Cursor(false)))
 		Expect(a.Announce(at(1), announcement(2))).To(Succeed())
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -7,7 +7,7 @@
 )
 
 // Site is the position of an instance in the cluster.
-type Site struct {
+type Location struct {
 	Name          string
 	FailureDomain string
 	Voter         bool
@@ -18,7 +18,7 @@
 	// All are pulled from in every round.
 	All []string
 	// FirstOf are alternatives: only the first that answers is pulled from.
-	FirstOf []string
+	Alternatives []string
 	// Direct are pulled from for the members that report to them directly.
 	Direct []string
 }
@@ -38,8 +38,8 @@
 // one voter; a voter pulls from the other voters and from the non-voters assigned to it. A change
 // then reaches every instance in three pulls, and the bytes per instance grow with the number of
 // members, not with members times instances.
-func SourcesOf(self Site, others []Site) Sources {
-	var voters, nonVoters []Site
+func SelectSources(self Location, others []Location) Sources {
+	var voters, nonVoters []Location
 	for _, other := range others {
 		if other.Voter {
 			voters = append(voters, other)
@@ -51,7 +51,7 @@
 		return Sources{All: siteNames(others)}
 	}
 	if !self.Voter {
-		return Sources{FirstOf: siteNames(rankVoters(self, voters))}
+		return Sources{Alternatives: siteNames(rankVoters(self, voters))}
 	}
 	sources := Sources{All: siteNames(voters)}
 	for _, other := range nonVoters {
@@ -66,9 +66,9 @@
 // rankVoters returns the voters in the order in which an instance prefers them: those in its own
 // failure domain first, then by rendezvous hashing, which distributes the instances evenly and
 // reassigns few of them when a voter is lost.
-func rankVoters(instance Site, voters []Site) []Site {
+func rankVoters(instance Location, voters []Location) []Location {
 	ranked := slices.Clone(voters)
-	slices.SortFunc(ranked, func(a, b Site) int {
+	slices.SortFunc(ranked, func(a, b Location) int {
 		if byDistance := cmp.Compare(distance(instance, a), distance(instance, b)); byDistance != 0 {
 			return byDistance
 		}
@@ -80,7 +80,7 @@
 	return ranked
 }
 
-func distance(a, b Site) int {
+func distance(a, b Location) int {
 	if a.FailureDomain == b.FailureDomain {
 		return 0
 	}
@@ -105,7 +105,7 @@
 	return x
 }
 
-func siteNames(sites []Site) []string {
+func siteNames(sites []Location) []string {
 	names := make([]string, 0, len(sites))
 	for _, site := range sites {
 		names = append(names, site.Name)
--- a/internal/routes/checker.go
+++ b/internal/routes/checker.go
@@ -64,7 +64,7 @@
 	if route.Kind < Idempotent || route.Kind > Stream {
 		c.findings.Add(place, "its kind is not known", "")
 	}
-	route.Attempts = max(route.Attempts, 1)
+	route.MaxAttempts = max(route.MaxAttempts, 1)
 	c.shares(place, route)
 	c.table.hosts[host] = append(c.table.hosts[host], route)
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -58,12 +58,12 @@
 	Objective time.Duration
 	// Gap is the target for the longest pause between two events of a stream. 0 means no
 	// target.
-	Gap time.Duration
+	MaxEventGap time.Duration
 	// Priority is the priority of the requests, 0 being the most urgent.
 	Priority uint8
 	// Attempts is the maximum number of upstreams that may run one request. It is at
 	// least 1.
-	Attempts int
+	MaxAttempts int
 	// Resumable reports that a stream may continue at another upstream.
 	Resumable bool
 	// Shares is not empty.
@@ -100,9 +100,9 @@
 	Adapters         int
 	// Load is the time of a load from the weight store, WarmLoad from the engine's
 	// memory and DiskLoad from its disk.
-	Load     time.Duration
-	WarmLoad time.Duration
-	DiskLoad time.Duration
+	LoadTime       time.Duration
+	MemoryLoadTime time.Duration
+	DiskLoadTime   time.Duration
 }
 
 // Engine holds the properties that all engines of a service share.
@@ -110,7 +110,7 @@
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
 	// Stride is the number of tokens in an event of a stream.
-	Stride int
+	TokensPerEvent int
 	// KVTokens is the capacity of an engine's KV cache, in tokens of prompts and
 	// answers.
 	KVTokens int
@@ -139,7 +139,7 @@
 	HealthPath string
 	// Connections is the number of connections that an upstream accepts from all
 	// callers.
-	Connections int
+	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -29,7 +29,7 @@
 	Now func() time.Time
 	// Failed is called for replaced files that cannot be used. The previous ones stay in use. It is
 	// called with a lock held and must not call methods of the Seal.
-	Failed func(err error)
+	OnError func(err error)
 }
 
 // Seal holds a certificate with its key, and optionally the CA certificates that verify the peer.
@@ -37,7 +37,7 @@
 //
 // It checks its files when a connection is made, so it needs no goroutine, and a process without
 // connections does no work.
-type Seal struct {
+type Reloader struct {
 	options Options
 
 	mu        sync.Mutex
@@ -67,11 +67,11 @@
 }
 
 // New returns a Seal that has loaded the files. If they cannot be used, New returns an error.
-func New(options Options) (*Seal, error) {
+func New(options Options) (*Reloader, error) {
 	if options.CheckInterval == 0 {
 		options.CheckInterval = DefaultCheckInterval
 	}
-	s := &Seal{options: options, lastCheck: options.Now()}
+	s := &Reloader{options: options, lastCheck: options.Now()}
 	// The versions are determined before the files are read. If the files are replaced in between,
 	// the next check finds other versions and reads them again.
 	var err error
@@ -86,7 +86,7 @@
 
 // Server returns the configuration of a listener. If there is a CA file, clients must present a
 // certificate that it verifies.
-func (s *Seal) Server() *tls.Config {
+func (s *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -98,7 +98,7 @@
 // Client returns the configuration for one connection that is made now. It does not follow later
 // replacements of the files. With a CA file, only its certificates verify the server; without one,
 // those of the system do.
-func (s *Seal) Client() *tls.Config {
+func (s *Reloader) Client() *tls.Config {
 	latest := s.latest()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -108,7 +108,7 @@
 }
 
 // latest checks the files if that is due, and returns their contents, or the last usable ones.
-func (s *Seal) latest() credentials {
+func (s *Reloader) latest() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.options.Now()
@@ -121,7 +121,7 @@
 		return s.current
 	}
 	if err != nil {
-		s.options.Failed(err)
+		s.options.OnError(err)
 		return s.current
 	}
 	// Certificate and key are two files that are replaced one after the other. In between they do
@@ -129,7 +129,7 @@
 	// again.
 	loaded, err := loadCredentials(s.options.Files)
 	if err != nil {
-		s.options.Failed(err)
+		s.options.OnError(err)
 		return s.current
 	}
 	s.versions, s.current = versions, loaded
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -71,7 +71,7 @@
 	now      time.Time
 	writes   int
 	failures []error
-	seal     *seal.Seal
+	seal     *seal.Reloader
 }
 
 func newFixture(a authority, name string) *fixture {
@@ -100,7 +100,7 @@
 func (f *fixture) open() *fixture {
 	opened, err := seal.New(seal.Options{
 		Files: f.files, Now: func() time.Time { return f.now },
-		Failed: func(err error) { f.failures = append(f.failures, err) },
+		OnError: func(err error) { f.failures = append(f.failures, err) },
 	})
 	Expect(err).NotTo(HaveOccurred())
 	f.seal = opened
--- a/internal/settings/combinations.go
+++ b/internal/settings/combinations.go
@@ -186,7 +186,7 @@
 			"it would run out before it is renewed",
 		},
 		{
-			"drain-time", "entry-time", t.DrainTime, t.EntryTime, 1,
+			"drain-time", "entry-time", t.DrainTime, t.ReferralTTL, 1,
 			"callers would still come when the instance has stopped",
 		},
 	}
@@ -212,13 +212,13 @@
 }
 
 func checkLimits(r *form.Reader, l Limits) {
-	if !r.Valid("docket-answer-size", "docket-size") || l.DocketAnswerBytes <= l.DocketBytes {
+	if !r.Valid("docket-answer-size", "docket-size") || l.IdempotencyAnswerBytes <= l.IdempotencyBytes {
 		return
 	}
 	key := "docket-answer-size"
 	if !r.Has(key) {
 		key = "docket-size"
 	}
-	r.Add(key, fmt.Sprintf("docket-answer-size %d B is above docket-size %d B", l.DocketAnswerBytes, l.DocketBytes),
+	r.Add(key, fmt.Sprintf("docket-answer-size %d B is above docket-size %d B", l.IdempotencyAnswerBytes, l.IdempotencyBytes),
 		"write docket-answer-size at most as large as docket-size")
 }
