--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -75,7 +75,7 @@
 	p.readPolicy(root.Table("policy"), &s.Policy)
 	p.readGoals(root.Table("goals"), &s.Goals)
 	p.readQuarantine(root.Table("quarantine"), &s.Quarantine)
-	root.Done()
+	root.ReportUnknownKeys()
 	p.checkInstances(root, s, instanceTables)
 	p.checkOpenListeners(root, s)
 	return s
@@ -128,7 +128,7 @@
 			FailureDomain: r.Text("failure-domain", ""),
 			Voter:         r.Bool("voter", false),
 		})
-		r.Done()
+		r.ReportUnknownKeys()
 	}
 	return instances
 }
@@ -142,11 +142,11 @@
 	t.ConfigurationLease = r.Duration("configuration-lease", t.ConfigurationLease, minDuration, maxDuration)
 	t.UpstreamRenewal = r.Duration("upstream-renewal", t.UpstreamRenewal, minDuration, maxDuration)
 	t.UpstreamLease = r.Duration("upstream-lease", t.UpstreamLease, minDuration, maxDuration)
-	t.SilenceTime = r.Duration("silence-time", t.SilenceTime, minDuration, maxDuration)
-	t.OrderFlightTime = r.Duration("order-flight-time", t.OrderFlightTime, minDuration, maxDuration)
-	t.EntryTime = r.Duration("entry-time", t.EntryTime, minDuration, maxDuration)
+	t.StatusQueryDelay = r.Duration("silence-time", t.StatusQueryDelay, minDuration, maxDuration)
+	t.OrderTimeout = r.Duration("order-flight-time", t.OrderTimeout, minDuration, maxDuration)
+	t.ReferralTTL = r.Duration("entry-time", t.ReferralTTL, minDuration, maxDuration)
 	t.DrainTime = r.Duration("drain-time", t.DrainTime, minDuration, maxDuration)
-	r.Done()
+	r.ReportUnknownKeys()
 	checkTiming(r, *t)
 }
 
@@ -158,11 +158,11 @@
 	l.BodyTime = r.Duration("body-time", l.BodyTime, minDuration, maxDuration)
 	l.QueueLength = r.Int("queue-length", l.QueueLength, 1, maxCount)
 	l.Streams = r.Int("streams", l.Streams, 1, maxCount)
-	l.DocketRecords = r.Int("docket-records", l.DocketRecords, 1, maxCount)
-	l.DocketBytes = r.Size("docket-size", l.DocketBytes, 1<<10)
-	l.DocketAnswerBytes = r.Size("docket-answer-size", l.DocketAnswerBytes, 0)
-	l.DocketRetention = r.Duration("docket-retention", l.DocketRetention, time.Second, 30*24*time.Hour)
-	r.Done()
+	l.IdempotencyRecords = r.Int("docket-records", l.IdempotencyRecords, 1, maxCount)
+	l.IdempotencyBytes = r.Size("docket-size", l.IdempotencyBytes, 1<<10)
+	l.IdempotencyAnswerBytes = r.Size("docket-answer-size", l.IdempotencyAnswerBytes, 0)
+	l.IdempotencyRetention = r.Duration("docket-retention", l.IdempotencyRetention, time.Second, 30*24*time.Hour)
+	r.ReportUnknownKeys()
 	checkLimits(r, *l)
 }
 
@@ -178,7 +178,7 @@
 		inner.Add("cert", "tls between instances checks both sides, and tls.inner has no ca",
 			`write ca = "inner-ca.pem"`)
 	}
-	r.Done()
+	r.ReportUnknownKeys()
 	return t
 }
 
@@ -188,7 +188,7 @@
 		KeyFile:  p.readPath(r, "key"),
 		CAFile:   p.readPath(r, "ca"),
 	}
-	r.Done()
+	r.ReportUnknownKeys()
 	checkKeyPair(r)
 	return k
 }
@@ -198,31 +198,31 @@
 		OperatorsFile: p.readPath(r, "operators"),
 		UpstreamsFile: p.readPath(r, "upstreams"),
 	}
-	r.Done()
+	r.ReportUnknownKeys()
 	return t
 }
 
 func (p *parser) readPlacement(r *form.Reader, placement *Placement) {
 	placement.Enabled = r.Bool("enabled", placement.Enabled)
-	r.Done()
+	r.ReportUnknownKeys()
 }
 
 func (p *parser) readWeightStore(r *form.Reader, w *WeightStore) {
 	w.LoadsPerSecond = r.Float("loads-per-second", w.LoadsPerSecond, 0.001, 10_000)
 	w.Concurrent = r.Int("concurrent", w.Concurrent, 1, 10_000)
-	r.Done()
+	r.ReportUnknownKeys()
 }
 
 func (p *parser) readPolicy(r *form.Reader, policy *Policy) {
 	policy.WeightOfMoves = r.Float("weight-of-moves", policy.WeightOfMoves, 0, 1000)
-	r.Done()
+	r.ReportUnknownKeys()
 }
 
 func (p *parser) readQuarantine(r *form.Reader, q *Quarantine) {
 	// After a single crash, any request that ran on the upstream may be the cause.
 	q.Crashes = r.Int("crashes", q.Crashes, 2, 6)
 	q.Retention = r.Duration("retention", q.Retention, time.Minute, maxDuration)
-	r.Done()
+	r.ReportUnknownKeys()
 }
 
 func (p *parser) readGoals(r *form.Reader, g *Goals) {
@@ -230,7 +230,7 @@
 	g.FirstToken = r.Duration("first-token", g.FirstToken, minDuration, maxDuration)
 	g.BetweenTokens = r.Duration("between-tokens", g.BetweenTokens, minDuration, maxDuration)
 	g.Deadline = r.Duration("deadline", g.Deadline, minDuration, maxDuration)
-	r.Done()
+	r.ReportUnknownKeys()
 	if r.Valid("deadline", "first-token") && g.Deadline <= g.FirstToken {
 		r.Add("deadline", "the deadline "+g.Deadline.String()+" is not after the first token's goal "+g.FirstToken.String(),
 			"write a longer deadline")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -103,14 +103,14 @@
 	UpstreamLease time.Duration
 	// SilenceTime is how long an idempotent request waits for an answer on a
 	// connection before the upstream is probed over a second one.
-	SilenceTime time.Duration
+	StatusQueryDelay time.Duration
 	// OrderFlightTime is the timeout of the call that sends an order to an engine.
 	// No order is in flight for longer.
-	OrderFlightTime time.Duration
+	OrderTimeout time.Duration
 	// EntryTime is how long a caller caches the instance that it has been referred
 	// to. It is shorter than DrainTime: otherwise callers would still connect to an
 	// instance that has stopped.
-	EntryTime time.Duration
+	ReferralTTL time.Duration
 	// DrainTime is the expected maximum duration of a planned stop. A stop may take
 	// longer, but after ten times DrainTime it aborts the remaining requests.
 	DrainTime time.Duration
@@ -133,13 +133,13 @@
 	Streams int
 	// DocketRecords and DocketBytes bound the number and the total size of
 	// idempotency records.
-	DocketRecords int
-	DocketBytes   int64
+	IdempotencyRecords int
+	IdempotencyBytes   int64
 	// DocketAnswerBytes bounds the answer stored in one idempotency record. It is
 	// at most DocketBytes.
-	DocketAnswerBytes int64
+	IdempotencyAnswerBytes int64
 	// DocketRetention is how long an idempotency record is kept.
-	DocketRetention time.Duration
+	IdempotencyRetention time.Duration
 }
 
 // KeyPair holds the paths of the files of a TLS certificate and its key. Either
@@ -236,22 +236,22 @@
 			ConfigurationLease:   3 * time.Second,
 			UpstreamRenewal:      time.Second,
 			UpstreamLease:        3 * time.Second,
-			SilenceTime:          time.Second,
-			OrderFlightTime:      5 * time.Second,
-			EntryTime:            5 * time.Second,
+			StatusQueryDelay:     time.Second,
+			OrderTimeout:         5 * time.Second,
+			ReferralTTL:          5 * time.Second,
 			DrainTime:            60 * time.Second,
 		},
 		Limits: Limits{
-			BodyBytes:         4 << 20,
-			HeaderBytes:       64 << 10,
-			HeaderTime:        5 * time.Second,
-			BodyTime:          30 * time.Second,
-			QueueLength:       1024,
-			Streams:           4096,
-			DocketRecords:     200_000,
-			DocketBytes:       16 << 20,
-			DocketAnswerBytes: 64 << 10,
-			DocketRetention:   96 * time.Hour,
+			BodyBytes:              4 << 20,
+			HeaderBytes:            64 << 10,
+			HeaderTime:             5 * time.Second,
+			BodyTime:               30 * time.Second,
+			QueueLength:            1024,
+			Streams:                4096,
+			IdempotencyRecords:     200_000,
+			IdempotencyBytes:       16 << 20,
+			IdempotencyAnswerBytes: 64 << 10,
+			IdempotencyRetention:   96 * time.Hour,
 		},
 		WeightStore: WeightStore{LoadsPerSecond: 1.6, Concurrent: 2},
 		Policy:      Policy{WeightOfMoves: 1},
--- a/internal/shuttle/bench_test.go
+++ b/internal/shuttle/bench_test.go
@@ -64,8 +64,8 @@
 			if err != nil {
 				return
 			}
-			shuttle.Head(w, response)
-			_ = shuttle.Stream(w, response, true)
+			shuttle.WriteHeader(w, response)
+			_ = shuttle.StreamBody(w, response, true)
 		}),
 	}
 }
--- a/internal/shuttle/header.go
+++ b/internal/shuttle/header.go
@@ -19,7 +19,7 @@
 }
 
 // Forwardable returns a copy of header without hop-by-hop headers.
-func Forwardable(header http.Header) http.Header {
+func EndToEndHeader(header http.Header) http.Header {
 	copied := header.Clone()
 	if copied == nil {
 		copied = http.Header{}
--- a/internal/shuttle/idempotent.go
+++ b/internal/shuttle/idempotent.go
@@ -25,7 +25,7 @@
 // it does not have the request, or has produced part of a response that did not arrive, the
 // connection is lost: the request is sent again on a new one. If the status query cannot reach the
 // upstream, the upstream is considered lost.
-func (s *Shuttle) sendIdempotent(ctx context.Context, address string, request Request) (*Answer, error) {
+func (s *Proxy) sendIdempotent(ctx context.Context, address string, request Request) (*Response, error) {
 	s.hedges.addRequest()
 	first := s.startAttempt(ctx, s.keepAlive, address, request)
 	for {
@@ -71,7 +71,7 @@
 // raceAttempts returns the first response of two attempts and aborts the other attempt. If the
 // second attempt cannot connect, the upstream is considered lost, and the first attempt is aborted
 // too.
-func raceAttempts(first, second *attempt) (*Answer, error) {
+func raceAttempts(first, second *attempt) (*Response, error) {
 	select {
 	case <-first.done:
 		if first.err == nil {
@@ -96,7 +96,7 @@
 // waitAsRetry returns the header of the response to a request that was sent before on a connection
 // that was lost. It replaces the outcome NotRun by Unknown, because the earlier attempt may have
 // run.
-func (a *attempt) waitAsRetry() (*Answer, error) {
+func (a *attempt) waitAsRetry() (*Response, error) {
 	response, err := a.wait()
 	var failure *Error
 	if errors.As(err, &failure) && failure.Outcome == outcome.NotRun {
@@ -124,8 +124,8 @@
 const statusQueryTimeout = 2 * time.Second
 
 // queryStatus queries the status of a request on a new connection.
-func (s *Shuttle) queryStatus(ctx context.Context, address string, request Request) requestStatus {
-	if !request.AskAfter {
+func (s *Proxy) queryStatus(ctx context.Context, address string, request Request) requestStatus {
+	if !request.SupportsStatusQuery {
 		return statusUnavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusQueryTimeout)
--- a/internal/shuttle/idempotent_test.go
+++ b/internal/shuttle/idempotent_test.go
@@ -22,7 +22,7 @@
 func idempotentRequest(id string) shuttle.Request {
 	return shuttle.Request{
 		ID: id, Method: http.MethodPost, Target: "/v1/completions", Header: http.Header{},
-		Body: []byte(`{"model":"m"}`), Idempotent: true, AskAfter: true, Remaining: time.Minute,
+		Body: []byte(`{"model":"m"}`), Idempotent: true, SupportsStatusQuery: true, Remaining: time.Minute,
 	}
 }
 
@@ -55,10 +55,10 @@
 }
 
 var _ = Describe("a kept connection that goes silent", func() {
-	var s *shuttle.Shuttle
+	var s *shuttle.Proxy
 
 	BeforeEach(func() {
-		s = shuttle.New(shuttle.Options{SilenceTime: 20 * time.Millisecond})
+		s = shuttle.New(shuttle.Options{StatusQueryDelay: 20 * time.Millisecond})
 		DeferCleanup(s.Close)
 	})
 
@@ -170,7 +170,7 @@
 		upstream := newScriptedUpstream(replyOnce(upstreamapi.RequestNeverSeen))
 		warmUp(ctx, upstream)
 		request := idempotentRequest("r")
-		request.AskAfter = false
+		request.SupportsStatusQuery = false
 		response, err := s.Send(ctx, upstream.address(), request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
@@ -200,12 +200,12 @@
 			reply(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			_, _ = io.Copy(io.Discard, in)
 		})
-		s := shuttle.New(shuttle.Options{BodySilence: 50 * time.Millisecond})
+		s := shuttle.New(shuttle.Options{BodyIdleTimeout: 50 * time.Millisecond})
 		defer s.Close()
 		response, err := s.Send(ctx, upstream.address(), nonIdempotentRequest())
 		Expect(err).NotTo(HaveOccurred())
 		err = shuttle.Prefetch(response, 100)
-		Expect(errors.Is(err, shuttle.ErrCutOff)).To(BeTrue())
+		Expect(errors.Is(err, shuttle.ErrTruncated)).To(BeTrue())
 		Expect(outcomeOf(err)).To(Equal(outcome.Ran))
 	})
 })
--- a/internal/shuttle/relay.go
+++ b/internal/shuttle/relay.go
@@ -22,19 +22,19 @@
 var finalEvent = []byte("data: [DONE]")
 
 // ErrCutOff marks the Error of a response that ended before it was complete. Use errors.Is.
-var ErrCutOff = errors.New("upstream response was truncated")
+var ErrTruncated = errors.New("upstream response was truncated")
 
 // Prefetch reads the whole body of response if it has at most limit bytes, so that nothing is sent
 // to the caller before the body is complete. A larger body is streamed to the caller. If the body
 // is truncated within limit bytes, Prefetch returns a *Error and closes the body.
-func Prefetch(response *Answer, limit int64) error {
+func Prefetch(response *Response, limit int64) error {
 	if response.Length > limit {
 		return nil
 	}
 	prefix, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
 		response.Body.Close()
-		return &Error{Outcome: outcome.Ran, cause: errors.Mark(err, ErrCutOff)}
+		return &Error{Outcome: outcome.Ran, cause: errors.Mark(err, ErrTruncated)}
 	}
 	if int64(len(prefix)) <= limit {
 		response.prefetched = prefix
@@ -53,9 +53,9 @@
 }
 
 // Head writes the status and the headers of response to w.
-func Head(w http.ResponseWriter, response *Answer) {
+func WriteHeader(w http.ResponseWriter, response *Response) {
 	header := w.Header()
-	for name, values := range Forwardable(response.Header) {
+	for name, values := range EndToEndHeader(response.Header) {
 		header[name] = values
 	}
 	w.WriteHeader(response.Status)
@@ -67,11 +67,11 @@
 //
 // If events is true, the body is an event stream. It is complete only if "data: [DONE]" is its last
 // event: a crashing engine may close its connection in the same way as one that has finished.
-func Stream(w http.ResponseWriter, response *Answer, events bool) error {
+func StreamBody(w http.ResponseWriter, response *Response, events bool) error {
 	return streamWithTimeout(w, response, events, writeTimeout)
 }
 
-func streamWithTimeout(w http.ResponseWriter, response *Answer, events bool, timeout time.Duration) error {
+func streamWithTimeout(w http.ResponseWriter, response *Response, events bool, timeout time.Duration) error {
 	defer response.Body.Close()
 	writer := newFlushingWriter(w, timeout)
 	defer writer.watchdog.stop()
@@ -89,11 +89,11 @@
 			break
 		}
 		if readErr != nil {
-			return &Error{Outcome: outcome.Ran, cause: errors.Mark(readErr, ErrCutOff)}
+			return &Error{Outcome: outcome.Ran, cause: errors.Mark(readErr, ErrTruncated)}
 		}
 	}
 	if events && !streamTail.endsWithFinalEvent() {
-		return &Error{Outcome: outcome.Ran, cause: errors.Wrap(ErrCutOff, "final event is missing")}
+		return &Error{Outcome: outcome.Ran, cause: errors.Wrap(ErrTruncated, "final event is missing")}
 	}
 	return nil
 }
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -41,18 +41,18 @@
 	Streamed bool
 	// AskAfter is true if the upstream supports status queries for requests. A plain service may
 	// mistake a status query for a regular request.
-	AskAfter bool
-	Priority int
+	SupportsStatusQuery bool
+	Priority            int
 	// Remaining is the time left until the deadline.
 	Remaining time.Duration
 }
 
 // Answer is an upstream's response with an unread body.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Limit is the rate limit that the response states.
-	Limit ratelimit.Said
+	Limit ratelimit.Observation
 	// Length is the number of bytes of Body, negative if unknown.
 	Length int64
 	Body   io.ReadCloser
@@ -61,7 +61,7 @@
 }
 
 // Whole returns the body if Prefetch has read all of it. Body still returns it as well.
-func (r *Answer) Whole() (body []byte, ok bool) {
+func (r *Response) PrefetchedBody() (body []byte, ok bool) {
 	return r.prefetched, r.prefetched != nil
 }
 
@@ -74,7 +74,7 @@
 	// RetryAfter is the delay that the upstream requested, 0 if none.
 	RetryAfter time.Duration
 	// Limit is the rate limit that the refusal states, nil if Refused is false.
-	Limit ratelimit.Said
+	Limit ratelimit.Observation
 	cause error
 }
 
@@ -89,7 +89,7 @@
 }
 
 // Shuttle sends requests to upstreams. It is safe for concurrent use.
-type Shuttle struct {
+type Proxy struct {
 	keepAlive *http.Transport
 	singleUse *http.Transport
 	// statusQueryDelay is how long an idempotent request waits for a response before its status is
@@ -109,9 +109,9 @@
 	IdleConnections int
 	// SilenceTime is how long an idempotent request waits for a response before its status is
 	// queried on another connection. 0 means 1 s.
-	SilenceTime time.Duration
+	StatusQueryDelay time.Duration
 	// BodySilence is how long a response may pause before it counts as truncated. 0 means 15 s.
-	BodySilence time.Duration
+	BodyIdleTimeout time.Duration
 }
 
 // Defaults of Options.
@@ -124,18 +124,18 @@
 )
 
 // New returns a Shuttle.
-func New(options Options) *Shuttle {
+func New(options Options) *Proxy {
 	if options.ConnectTimeout == 0 {
 		options.ConnectTimeout = defaultConnectTimeout
 	}
 	if options.IdleConnections == 0 {
 		options.IdleConnections = defaultIdleConnections
 	}
-	if options.SilenceTime == 0 {
-		options.SilenceTime = defaultStatusQueryDelay
+	if options.StatusQueryDelay == 0 {
+		options.StatusQueryDelay = defaultStatusQueryDelay
 	}
-	if options.BodySilence == 0 {
-		options.BodySilence = defaultBodyIdleTimeout
+	if options.BodyIdleTimeout == 0 {
+		options.BodyIdleTimeout = defaultBodyIdleTimeout
 	}
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -145,9 +145,9 @@
 		defer cancel()
 		return options.Dial(ctx, network, address)
 	}
-	return &Shuttle{
-		statusQueryDelay: options.SilenceTime,
-		bodyIdleTimeout:  options.BodySilence,
+	return &Proxy{
+		statusQueryDelay: options.StatusQueryDelay,
+		bodyIdleTimeout:  options.BodyIdleTimeout,
 		hedges:           newHedgeBudget(),
 		keepAlive: &http.Transport{
 			DialContext:         dial,
@@ -164,7 +164,7 @@
 }
 
 // Close closes the idle connections.
-func (s *Shuttle) Close() {
+func (s *Proxy) Close() {
 	s.keepAlive.CloseIdleConnections()
 	s.singleUse.CloseIdleConnections()
 }
@@ -176,7 +176,7 @@
 // ctx limits the whole attempt, including reading the body. A request that is not idempotent is
 // sent exactly once. An idempotent request may be sent again to the same upstream on another
 // connection if the first one has become unresponsive.
-func (s *Shuttle) Send(ctx context.Context, address string, request Request) (*Answer, error) {
+func (s *Proxy) Send(ctx context.Context, address string, request Request) (*Response, error) {
 	if request.Idempotent {
 		return s.sendIdempotent(ctx, address, request)
 	}
@@ -196,12 +196,12 @@
 	reusedConnection atomic.Bool
 	done             chan struct{}
 	// response and err are set before done is closed.
-	response *Answer
+	response *Response
 	err      error
 }
 
 // startAttempt sends request on a connection of transport.
-func (s *Shuttle) startAttempt(ctx context.Context, transport *http.Transport, address string, request Request) *attempt {
+func (s *Proxy) startAttempt(ctx context.Context, transport *http.Transport, address string, request Request) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{cancel: cancel, done: make(chan struct{})}
 	go func() {
@@ -215,7 +215,7 @@
 }
 
 // wait returns the header of the response.
-func (a *attempt) wait() (*Answer, error) {
+func (a *attempt) wait() (*Response, error) {
 	<-a.done
 	return a.response, a.err
 }
@@ -229,9 +229,9 @@
 	}
 }
 
-func (s *Shuttle) roundTrip(
+func (s *Proxy) roundTrip(
 	ctx context.Context, a *attempt, transport *http.Transport, address string, request Request,
-) (*Answer, error) {
+) (*Response, error) {
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		// From here on bytes may be sent. All earlier steps only establish the connection.
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -251,7 +251,7 @@
 		defer response.Body.Close()
 		return nil, refusalError(response)
 	}
-	return &Answer{
+	return &Response{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Limit:  rateLimitOf(response.Header),
@@ -260,12 +260,12 @@
 	}, nil
 }
 
-func (s *Shuttle) buildRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
+func (s *Proxy) buildRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
 	outgoing, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Target, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
 	}
-	outgoing.Header = Forwardable(request.Header)
+	outgoing.Header = EndToEndHeader(request.Header)
 	outgoing.Header.Set(upstreamapi.RequestIDHeader, request.ID)
 	outgoing.Header.Set(upstreamapi.PriorityHeader, strconv.Itoa(request.Priority))
 	outgoing.Header.Set(upstreamapi.DeadlineHeader, strconv.FormatInt(request.Remaining.Milliseconds(), 10))
@@ -293,8 +293,8 @@
 	}
 }
 
-func rateLimitOf(header http.Header) ratelimit.Said {
-	return ratelimit.Read(header.Values(upstreamapi.LimitHeader))
+func rateLimitOf(header http.Header) ratelimit.Observation {
+	return ratelimit.ParseHeader(header.Values(upstreamapi.LimitHeader))
 }
 
 // parseRetryAfter parses a Retry-After header in seconds. Upstreams do not use the form with a
--- a/internal/shuttle/shuttle_test.go
+++ b/internal/shuttle/shuttle_test.go
@@ -48,7 +48,7 @@
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 var _ = Describe("Send", func() {
-	var s *shuttle.Shuttle
+	var s *shuttle.Proxy
 
 	BeforeEach(func() {
 		s = shuttle.New(shuttle.Options{})
@@ -186,7 +186,7 @@
 		response, err := s.Send(ctx, upstream.address(), nonIdempotentRequest())
 		Expect(err).NotTo(HaveOccurred())
 		err = shuttle.Prefetch(response, 100)
-		Expect(errors.Is(err, shuttle.ErrCutOff)).To(BeTrue())
+		Expect(errors.Is(err, shuttle.ErrTruncated)).To(BeTrue())
 		Expect(outcomeOf(err)).To(Equal(outcome.Ran))
 	})
 
@@ -195,13 +195,13 @@
 	DescribeTable("of events is complete only with its final event",
 		func(body string, complete bool) {
 			recorder := httptest.NewRecorder()
-			response := &shuttle.Answer{Status: http.StatusOK, Body: io.NopCloser(newChunkReader(body))}
-			err := shuttle.Stream(recorder, response, true)
+			response := &shuttle.Response{Status: http.StatusOK, Body: io.NopCloser(newChunkReader(body))}
+			err := shuttle.StreamBody(recorder, response, true)
 			Expect(recorder.Body.String()).To(Equal(body), "all received bytes are relayed")
 			if complete {
 				Expect(err).NotTo(HaveOccurred())
 			} else {
-				Expect(errors.Is(err, shuttle.ErrCutOff)).To(BeTrue())
+				Expect(errors.Is(err, shuttle.ErrTruncated)).To(BeTrue())
 			}
 		},
 		Entry("present", "data: {\"a\":1}\n\ndata: [DONE]\n\n", true),
@@ -212,10 +212,10 @@
 	)
 
 	It("above the prefetch limit is streamed to the caller", func() {
-		response := &shuttle.Answer{Status: http.StatusOK, Length: -1, Body: io.NopCloser(newChunkReader("a long response"))}
+		response := &shuttle.Response{Status: http.StatusOK, Length: -1, Body: io.NopCloser(newChunkReader("a long response"))}
 		Expect(shuttle.Prefetch(response, 4)).To(Succeed())
 		recorder := httptest.NewRecorder()
-		Expect(shuttle.Stream(recorder, response, false)).To(Succeed())
+		Expect(shuttle.StreamBody(recorder, response, false)).To(Succeed())
 		Expect(recorder.Body.String()).To(Equal("a long response"))
 	})
 })
--- a/internal/shuttle/writetimeout_test.go
+++ b/internal/shuttle/writetimeout_test.go
@@ -60,7 +60,7 @@
 		func(_ SpecContext, acceptedWrites int) {
 			caller := &stalledCaller{ResponseRecorder: httptest.NewRecorder(), acceptedWrites: acceptedWrites, deadlinePassed: make(chan struct{})}
 			body := &closeRecorder{Reader: strings.NewReader(strings.Repeat("data: {}\n\n", 10_000))}
-			err := shuttle.StreamWithTimeout(caller, &shuttle.Answer{Status: http.StatusOK, Body: body}, true, 20*time.Millisecond)
+			err := shuttle.StreamWithTimeout(caller, &shuttle.Response{Status: http.StatusOK, Body: body}, true, 20*time.Millisecond)
 			Expect(err).To(MatchError(os.ErrDeadlineExceeded))
 			Expect(caller.acceptedWrites).To(BeZero())
 			Expect(body.closed).To(BeTrue())
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -55,7 +55,7 @@
 
 // Speed holds the estimates for the engines of one service. It is not safe for
 // concurrent use.
-type Speed struct {
+type Estimator struct {
 	// allModels estimates prefill over all models, and models for each model: prefill of
 	// a larger model takes three times as long.
 	allModels regression
@@ -71,9 +71,9 @@
 
 // New returns a Speed that holds the priors. tokensPerEvent is the number of tokens in
 // one event of a stream, 0 if unknown.
-func New(tokensPerEvent int) *Speed {
+func New(tokensPerEvent int) *Estimator {
 	event := time.Duration(max(tokensPerEvent, 1)) * priorDecodeStep
-	s := &Speed{
+	s := &Estimator{
 		models: map[string]*regression{}, eventSeconds: event.Seconds(), priorEventTime: event,
 		tokenSeconds: priorDecodeStep.Seconds(), requestSeconds: priorRequestTime.Seconds(),
 	}
@@ -83,7 +83,7 @@
 
 // Read records one prefill: the prompt's length in tokens, and the time from the start
 // of the prefill to the first token.
-func (s *Speed) Read(model string, promptTokens int, duration time.Duration) {
+func (s *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
 	if promptTokens <= 0 || duration <= 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // Reading returns the estimated prefill time of a prompt. It stores nothing for a model
 // without an answer so far, because callers may name any model.
-func (s *Speed) Reading(model string, promptTokens int) time.Duration {
+func (s *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
 	prefill := s.models[model]
 	if prefill == nil {
 		prefill = &s.allModels
@@ -112,7 +112,7 @@
 
 // Wrote records a complete stream: the number of answer tokens that its request declared,
 // the number of events, and the time from the first event to the last.
-func (s *Speed) Wrote(declaredTokens, events int, duration time.Duration) {
+func (s *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
 	if events < 2 || declaredTokens <= 0 || duration <= 0 {
 		return
 	}
@@ -127,23 +127,23 @@
 }
 
 // Ran records the time that a request spent at an engine.
-func (s *Speed) Ran(duration time.Duration) {
+func (s *Estimator) ObserveRequest(duration time.Duration) {
 	s.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - s.requestSeconds)
 }
 
 // RunTime returns the estimated time that a request spends at an engine.
-func (s *Speed) RunTime() time.Duration {
+func (s *Estimator) RequestTime() time.Duration {
 	return time.Duration(s.requestSeconds * float64(time.Second))
 }
 
 // EventTime returns the estimated time between two events of a stream while the engine
 // prefills few prompts.
-func (s *Speed) EventTime() time.Duration {
+func (s *Estimator) EventInterval() time.Duration {
 	return time.Duration(s.eventSeconds * float64(time.Second))
 }
 
 // Answering returns the estimated time to generate the answer to a request that declared
 // this number of answer tokens.
-func (s *Speed) Answering(declaredTokens int) time.Duration {
+func (s *Estimator) AnswerTime(declaredTokens int) time.Duration {
 	return time.Duration(float64(declaredTokens) * s.tokenSeconds * float64(time.Second))
 }
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -31,24 +31,24 @@
 
 // serve records the given number of streams in s. The share queued of them first waits
 // 400 ms in the engine's queue.
-func (e engines) serve(s *speed.Speed, streams int, queued float64) {
+func (e engines) serve(s *speed.Estimator, streams int, queued float64) {
 	for range streams {
 		prompt := 200 + 2000*e.random.Float64()
 		firstToken := prompt/e.prefillRate + e.decodeStep.Seconds() + 0.004 + 0.006*e.random.ExpFloat64()
 		if e.random.Float64() < queued {
 			firstToken += 0.4
 		}
-		s.Read("m", int(prompt), seconds(firstToken))
+		s.ObservePrefill("m", int(prompt), seconds(firstToken))
 		events := 10 + e.random.IntN(60)
 		slowdown := 1 + 0.5*e.random.ExpFloat64()
 		decodeTime := float64(events*e.tokensPerEvent) * e.decodeStep.Seconds() * slowdown
-		s.Wrote(events*e.tokensPerEvent*2, events, seconds(decodeTime))
+		s.ObserveStream(events*e.tokensPerEvent*2, events, seconds(decodeTime))
 	}
 }
 
 // prefillRate returns the estimated prompt tokens per second.
-func prefillRate(s *speed.Speed) float64 {
-	return 1e6 / s.Reading("m", 1e6).Seconds()
+func prefillRate(s *speed.Estimator) float64 {
+	return 1e6 / s.PrefillTime("m", 1e6).Seconds()
 }
 
 func seconds(s float64) time.Duration {
@@ -65,8 +65,8 @@
 			newEngines(rate, decodeStep, tokensPerEvent).serve(s, 1000, 0)
 			Expect(prefillRate(s)).To(BeNumerically("~", rate, 0.15*rate))
 			event := time.Duration(tokensPerEvent) * decodeStep
-			Expect(s.EventTime()).To(BeNumerically("~", event, event/4))
-			Expect(s.Answering(100)).To(BeNumerically("~", 50*decodeStep*3/2, 50*decodeStep/2), "answers have half the declared number of tokens")
+			Expect(s.EventInterval()).To(BeNumerically("~", event, event/4))
+			Expect(s.AnswerTime(100)).To(BeNumerically("~", 50*decodeStep*3/2, 50*decodeStep/2), "answers have half the declared number of tokens")
 		},
 		Entry("at the prior", 26_000.0, 10*time.Millisecond, 3),
 		Entry("faster", 38_400.0, 6*time.Millisecond, 6),
@@ -80,7 +80,7 @@
 		newEngines(40_000, 5*time.Millisecond, 4).serve(s, 1000, 0)
 		newEngines(10_000, 20*time.Millisecond, 4).serve(s, 1500, 0)
 		Expect(prefillRate(s)).To(BeNumerically("~", 10_000, 2_000))
-		Expect(s.EventTime()).To(BeNumerically("~", 80*time.Millisecond, 25*time.Millisecond))
+		Expect(s.EventInterval()).To(BeNumerically("~", 80*time.Millisecond, 25*time.Millisecond))
 	})
 
 	// Prefill takes three times as long for some models as for others on the same engines.
@@ -89,14 +89,14 @@
 	It("estimates each model separately, starting from the estimate over all models", func() {
 		s := speed.New(3)
 		for range 300 {
-			s.Read("large", 1000, 60*time.Millisecond)
-			s.Read("large", 500, 35*time.Millisecond)
-			s.Read("small", 1000, 25*time.Millisecond)
-			s.Read("small", 500, 17*time.Millisecond)
+			s.ObservePrefill("large", 1000, 60*time.Millisecond)
+			s.ObservePrefill("large", 500, 35*time.Millisecond)
+			s.ObservePrefill("small", 1000, 25*time.Millisecond)
+			s.ObservePrefill("small", 500, 17*time.Millisecond)
 		}
-		Expect(s.Reading("large", 1000)).To(BeNumerically("~", 50*time.Millisecond, 5*time.Millisecond))
-		Expect(s.Reading("small", 1000)).To(BeNumerically("~", 16*time.Millisecond, 3*time.Millisecond))
-		Expect(s.Reading("new", 1000)).To(BeNumerically("~", 33*time.Millisecond, 5*time.Millisecond))
+		Expect(s.PrefillTime("large", 1000)).To(BeNumerically("~", 50*time.Millisecond, 5*time.Millisecond))
+		Expect(s.PrefillTime("small", 1000)).To(BeNumerically("~", 16*time.Millisecond, 3*time.Millisecond))
+		Expect(s.PrefillTime("new", 1000)).To(BeNumerically("~", 33*time.Millisecond, 5*time.Millisecond))
 	})
 
 	It("does not take queueing at the engine for a slower prefill", func() {
@@ -108,32 +108,32 @@
 	It("keeps the priors if it gets no measurement or only invalid ones", func() {
 		s := speed.New(3)
 		before := prefillRate(s)
-		s.Read("m", 0, time.Second)
-		s.Read("m", -5, time.Second)
-		s.Read("m", 500, 0)
-		s.Wrote(0, 10, time.Second)
-		s.Wrote(100, 1, time.Second)
+		s.ObservePrefill("m", 0, time.Second)
+		s.ObservePrefill("m", -5, time.Second)
+		s.ObservePrefill("m", 500, 0)
+		s.ObserveStream(0, 10, time.Second)
+		s.ObserveStream(100, 1, time.Second)
 		Expect(prefillRate(s)).To(Equal(before))
-		Expect(s.EventTime()).To(Equal(30 * time.Millisecond))
-		Expect(s.Reading("m", 26_000)).To(BeNumerically("~", time.Second, 10*time.Millisecond))
+		Expect(s.EventInterval()).To(Equal(30 * time.Millisecond))
+		Expect(s.PrefillTime("m", 26_000)).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 	})
 
 	// Callers may name models that don't exist. An instance that stored an entry for each
 	// would grow until it runs out of memory.
 	It("stores nothing for models without an answer", func() {
 		s := speed.New(3)
-		allocations := testing.AllocsPerRun(100, func() { s.Reading("nonexistent", 1000) })
+		allocations := testing.AllocsPerRun(100, func() { s.PrefillTime("nonexistent", 1000) })
 		Expect(allocations).To(BeZero())
 	})
 
 	It("keeps the estimates within bounds for any measurement", func() {
 		s := speed.New(3)
 		for i := range 5000 {
-			s.Read("m", 1+i%7, time.Hour)
-			s.Wrote(1, 2, time.Hour)
+			s.ObservePrefill("m", 1+i%7, time.Hour)
+			s.ObserveStream(1, 2, time.Hour)
 		}
 		Expect(prefillRate(s)).To(BeNumerically(">", 1_000))
-		Expect(s.EventTime()).To(BeNumerically("<=", 240*time.Millisecond))
-		Expect(s.Answering(1)).To(BeNumerically("<=", 80*time.Millisecond))
+		Expect(s.EventInterval()).To(BeNumerically("<=", 240*time.Millisecond))
+		Expect(s.AnswerTime(1)).To(BeNumerically("<=", 80*time.Millisecond))
 	})
 })
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -138,7 +138,7 @@
 // next announcement.
 func (a *announcer) announce(ctx context.Context) time.Duration {
 	for _, instance := range a.instances() {
-		var welcome upstreamapi.Welcome
+		var welcome upstreamapi.AnnounceResponse
 		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.nextAnnouncement(), &welcome) != nil {
 			continue
 		}
@@ -165,7 +165,7 @@
 // those in its welcome, then the configured ones. The configured ones are never
 // removed, because all instances in the welcome may have been replaced when
 // they are needed.
-func (a *announcer) recordWelcome(instance string, welcome upstreamapi.Welcome) {
+func (a *announcer) recordWelcome(instance string, welcome upstreamapi.AnnounceResponse) {
 	instances := []string{instance}
 	for _, other := range slices.Concat(welcome.Instances, a.options.To) {
 		if !slices.Contains(instances, baseURL(other)) {
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -28,7 +28,7 @@
 
 // fakeInstance records the messages of an upstream.
 type fakeInstance struct {
-	welcome   upstreamapi.Welcome
+	welcome   upstreamapi.AnnounceResponse
 	announced chan upstreamapi.Announcement
 	left      chan upstreamapi.Leave
 	token     string
@@ -36,7 +36,7 @@
 
 func newFakeInstance(others ...string) *fakeInstance {
 	return &fakeInstance{
-		welcome:   upstreamapi.Welcome{RenewEvery: time.Second, Lease: 3 * time.Second, Instances: others},
+		welcome:   upstreamapi.AnnounceResponse{RenewEvery: time.Second, Lease: 3 * time.Second, Instances: others},
 		announced: make(chan upstreamapi.Announcement, 16),
 		left:      make(chan upstreamapi.Leave, 16),
 	}
@@ -99,13 +99,13 @@
 		Expect(first.Address).To(Equal("127.0.0.1:7701"))
 		Expect(first.Resident).To(Equal([]upstreamapi.Resident{{Model: "letters"}}))
 
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		clock.Advance(time.Second)
 		second := <-one.announced
 		Expect(second.Sequence).To(BeNumerically(">", first.Sequence))
 		Expect(second.Incarnation).To(Equal(first.Incarnation))
 
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		Expect(engine.Close(context.Background())).To(Succeed())
 		Expect(<-one.left).To(Equal(upstreamapi.Leave{Name: "engine-1", Incarnation: first.Incarnation}))
 		clock.Advance(time.Minute)
@@ -123,11 +123,11 @@
 			Name: "pings-1", Clock: clock, Announce: announceTo(net, "one"),
 		})
 		<-one.announced
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		net.disconnect("one")
 		clock.Advance(time.Second)
 		Expect((<-two.announced).Name).To(Equal("pings-1"))
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		Expect(service.Close(context.Background())).To(Succeed())
 		Expect(two.left).To(HaveLen(1))
 	})
@@ -140,7 +140,7 @@
 		options := announceTo(net, "one")
 		options.Token = "secret"
 		service := standin.NewService(standin.ServiceOptions{Name: "pings-1", Clock: clock, Announce: options})
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		one := newFakeInstance()
 		one.token = "secret"
 		net.mu.Lock()
@@ -148,7 +148,7 @@
 		net.mu.Unlock()
 		clock.Advance(time.Second)
 		<-one.announced
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		Expect(service.Announced()).To(BeEquivalentTo(1))
 		net.disconnect("one")
 		Expect(service.Close(context.Background())).To(MatchError(ContainSubstring("standin: leave")))
--- a/internal/standin/cache_test.go
+++ b/internal/standin/cache_test.go
@@ -102,7 +102,7 @@
 		options.Faults.LoseCacheEvent = func(number uint64) bool { return number == 2 }
 		engine := newEngine()
 		complete(engine, "r1", "p1,p2,p3")
-		clock.AwaitWaiters(2)
+		clock.AwaitTimers(2)
 		Expect(sink).To(BeEmpty())
 		clock.Advance(time.Second)
 		before, after := <-sink, <-sink
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -99,7 +99,7 @@
 		revisions[inventory.Revision] = inventory
 		memoryAccount, _ := account.Account("a0")
 		Expect(account.Contradictions()).To(BeEmpty(), "step %d", number)
-		Expect(usedBytes(engine)).To(BeNumerically("<=", memoryAccount.Worst()), "step %d", number)
+		Expect(usedBytes(engine)).To(BeNumerically("<=", memoryAccount.WorstCase()), "step %d", number)
 		Expect(engine.Overcommits()).To(BeZero(), "step %d", number)
 	}
 }
--- a/internal/standin/manualclock.go
+++ b/internal/standin/manualclock.go
@@ -67,7 +67,7 @@
 
 // AwaitWaiters blocks until at least n timers are pending. A timer whose
 // receiver has stopped waiting counts until it is due.
-func (c *ManualClock) AwaitWaiters(n int) {
+func (c *ManualClock) AwaitTimers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.timers) < n {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func (e *Engine) acceptOrder(order upstreamapi.Order) upstreamapi.OrderAnswer {
+func (e *Engine) acceptOrder(order upstreamapi.Order) upstreamapi.OrderResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known := e.orders.Find(order.ID); known != nil {
@@ -310,9 +310,9 @@
 	})
 }
 
-func (e *Engine) orderAnswer(entry *orderEntry) upstreamapi.OrderAnswer {
+func (e *Engine) orderAnswer(entry *orderEntry) upstreamapi.OrderResponse {
 	accelerators, residents := e.memory.inventory()
-	return upstreamapi.OrderAnswer{
+	return upstreamapi.OrderResponse{
 		ID:              entry.order.ID,
 		State:           entry.state,
 		Reason:          entry.reason,
--- a/internal/standin/orders_test.go
+++ b/internal/standin/orders_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-func sendOrder(handler http.Handler, order upstreamapi.Order) upstreamapi.OrderAnswer {
+func sendOrder(handler http.Handler, order upstreamapi.Order) upstreamapi.OrderResponse {
 	body, err := json.Marshal(order)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
-	var answer upstreamapi.OrderAnswer
+	var answer upstreamapi.OrderResponse
 	w := post(handler, upstreamapi.OrdersPath, "", string(body))
 	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed(), w.Body.String())
 	return answer
@@ -49,7 +49,7 @@
 
 // orderState queries the state of an order.
 func orderState(handler http.Handler, id string) upstreamapi.OrderState {
-	var answer upstreamapi.OrderAnswer
+	var answer upstreamapi.OrderResponse
 	get(handler, upstreamapi.OrdersPath+"/"+id, &answer)
 	return answer.State
 }
@@ -91,7 +91,7 @@
 
 	// finishOrder advances the clock by the delay of the only order in progress.
 	finishOrder := func() {
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		clock.Advance(time.Second)
 	}
 
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -103,7 +103,7 @@
 	// advanceTokens advances the clock by the delays of n tokens.
 	advanceTokens := func(n int) {
 		for range n {
-			clock.AwaitWaiters(1)
+			clock.AwaitTimers(1)
 			clock.Advance(time.Second)
 		}
 	}
@@ -154,7 +154,7 @@
 		first, reader := startStream()
 		readEvents(reader, 1)
 		first.Body.Close()
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		Eventually(func() upstreamapi.RequestState {
 			clock.Advance(11 * time.Second)
 			return requestState(engine, "r1").State
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -46,7 +46,7 @@
 			defer GinkgoRecover()
 			responses <- post(service, "/pings", "r1", "ping")
 		}()
-		clock.AwaitWaiters(1)
+		clock.AwaitTimers(1)
 		Expect(responses).NotTo(Receive())
 		clock.Advance(time.Second)
 		Expect((<-responses).Body.String()).To(Equal("ping"))
--- a/internal/stocking/candidate.go
+++ b/internal/stocking/candidate.go
@@ -43,19 +43,19 @@
 // evaluate returns the candidate for a copy of a model on e. It returns false if e can't
 // get one.
 func (p *planner) evaluate(m *modelState, e *engineState, load float64) (c candidate, ok bool) {
-	if e.Closed || e.Narrow || e.Coming != "" || slices.Contains(e.holds, m) {
+	if e.Unavailable || e.Throttled || e.Loading != "" || slices.Contains(e.holds, m) {
 		return c, false
 	}
-	if load > 0 && e.load > load*(1-p.options.Gain) {
+	if load > 0 && e.load > load*(1-p.options.MinGain) {
 		return c, false
 	}
 	c.engine = e
-	loadTime := m.Load
+	loadTime := m.LoadTime
 	switch {
 	case slices.Contains(e.InMemory, m.Name):
-		loadTime = m.WarmLoad
+		loadTime = m.MemoryLoadTime
 	case slices.Contains(e.OnDisk, m.Name):
-		loadTime = m.DiskLoad
+		loadTime = m.DiskLoadTime
 	default:
 		c.fetch = true
 	}
@@ -63,7 +63,7 @@
 		return c, false
 	}
 	c.costSeconds = loadTime.Seconds() + loadPenaltySeconds*e.load
-	if e.Used+m.Megabytes <= e.Megabytes {
+	if e.UsedMegabytes+m.Megabytes <= e.Megabytes {
 		return c, true
 	}
 	c.victim = p.victim(m, e)
@@ -88,7 +88,7 @@
 	var chosen, lastResort *modelState
 	lowestLoad := 0.0
 	for _, held := range e.holds {
-		if e.Used-held.Megabytes+m.Megabytes > e.Megabytes {
+		if e.UsedMegabytes-held.Megabytes+m.Megabytes > e.Megabytes {
 			continue
 		}
 		if held.loaded < 2 {
@@ -98,7 +98,7 @@
 			continue
 		}
 		loadWithout := held.Demand / float64(held.loaded-1)
-		if loadWithout > p.options.Busy/2 && loadWithout >= m.Demand/float64(len(m.copies)+1) {
+		if loadWithout > p.options.MaxLoad/2 && loadWithout >= m.Demand/float64(len(m.copies)+1) {
 			continue
 		}
 		if chosen == nil || loadWithout < lowestLoad {
@@ -112,20 +112,20 @@
 // the victim and a later one loads the copy: the room is free only once the engine
 // reports it.
 func (p *planner) addMove(c candidate, m *modelState, reason Reason, load float64) {
-	if len(p.moves) >= p.options.Orders {
+	if len(p.moves) >= p.options.MaxMoves {
 		return
 	}
-	c.engine.Closed = true
+	c.engine.Unavailable = true
 	m.copies = append(m.copies, c.engine)
 	m.planned++
 	if c.victim != nil {
 		c.victim.loaded--
 		c.victim.copies = slices.DeleteFunc(c.victim.copies, func(e *engineState) bool { return e == c.engine })
-		p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: c.victim.Name, Unload: true, For: m.Name, Reason: reason, Load: load})
+		p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: c.victim.Name, Unload: true, MakesRoomFor: m.Name, Reason: reason, Load: load})
 		return
 	}
 	if c.fetch {
 		p.fetches--
 	}
-	p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: m.Name, Fetch: c.fetch, Reason: reason, Load: load})
+	p.moves = append(p.moves, Move{Engine: c.engine.Name, Model: m.Name, FromStore: c.fetch, Reason: reason, Load: load})
 }
--- a/internal/stocking/planner.go
+++ b/internal/stocking/planner.go
@@ -42,7 +42,7 @@
 }
 
 func newPlanner(models []Model, engines []Engine, options Options) *planner {
-	p := &planner{options: options, fetches: options.Fetches}
+	p := &planner{options: options, fetches: options.MaxFetches}
 	known := make(map[string]*modelState, len(models))
 	for i := range models {
 		m := &modelState{Model: &models[i]}
@@ -59,14 +59,14 @@
 	}
 	slices.SortFunc(p.engines, func(a, b *engineState) int { return cmp.Compare(a.Name, b.Name) })
 	for _, e := range p.engines {
-		for _, name := range e.Holds {
-			if m := known[name]; m != nil && !(e.Narrow && m.Demand > 0) {
+		for _, name := range e.Loaded {
+			if m := known[name]; m != nil && !(e.Throttled && m.Demand > 0) {
 				e.holds = append(e.holds, m)
 				m.copies = append(m.copies, e)
 				m.loaded++
 			}
 		}
-		if m := known[e.Coming]; m != nil && !slices.Contains(e.Holds, e.Coming) {
+		if m := known[e.Loading]; m != nil && !slices.Contains(e.Loaded, e.Loading) {
 			m.copies = append(m.copies, e)
 		}
 	}
@@ -175,7 +175,7 @@
 	var best candidate
 	for _, e := range p.engines {
 		c, ok := p.evaluate(m, e, 0)
-		if !ok || c.fetch && p.fetches < p.options.Fetches || !p.canSpare(c.victim, expectedLoad) {
+		if !ok || c.fetch && p.fetches < p.options.MaxFetches || !p.canSpare(c.victim, expectedLoad) {
 			continue
 		}
 		if best.engine == nil || c.costSeconds < best.costSeconds {
--- a/internal/stocking/shortage.go
+++ b/internal/stocking/shortage.go
@@ -30,7 +30,7 @@
 	if len(m.copies) == 0 {
 		loss := unreachableFactor*m.Demand + waitingLoss*float64(m.Waiting)
 		if loss > 0 {
-			loss += missingLossPerSecond * m.Missing.Seconds()
+			loss += missingLossPerSecond * m.MissingFor.Seconds()
 		}
 		return shortage{model: m, reason: Unreachable, loss: loss}, loss > 0
 	}
@@ -44,8 +44,8 @@
 	}
 	// The planned copies will take their part of the load.
 	lowestLoad *= float64(len(m.copies)-m.planned) / float64(len(m.copies))
-	loss := (lowestLoad - p.options.Busy) * min(float64(len(m.copies)), m.Demand/lowestLoad)
-	return shortage{model: m, reason: Demand, load: lowestLoad, loss: loss}, lowestLoad > p.options.Busy
+	loss := (lowestLoad - p.options.MaxLoad) * min(float64(len(m.copies)), m.Demand/lowestLoad)
+	return shortage{model: m, reason: Demand, load: lowestLoad, loss: loss}, lowestLoad > p.options.MaxLoad
 }
 
 // relieveShortages orders copies for the models that need them, the one with the highest
@@ -57,7 +57,7 @@
 // delivers 0.564 of the requested value, and this one 0.603.
 func (p *planner) relieveShortages() {
 	skipped := map[*modelState]bool{}
-	for len(p.moves) < p.options.Orders {
+	for len(p.moves) < p.options.MaxMoves {
 		var worst shortage
 		for _, m := range p.models {
 			if skipped[m] {
--- a/internal/stocking/stocking.go
+++ b/internal/stocking/stocking.go
@@ -22,13 +22,13 @@
 	Demand float64
 	// Waiting is the number of requests that find no engine that holds the model.
 	// Missing is how long requests have found none.
-	Waiting int
-	Missing time.Duration
+	Waiting    int
+	MissingFor time.Duration
 	// Idle reports that the model has had no requests for a while.
 	Idle bool
 	// Load is the time of a load from the weight store, WarmLoad from the engine's
 	// memory and DiskLoad from its disk.
-	Load, WarmLoad, DiskLoad time.Duration
+	LoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 }
 
 // Engine describes an engine to the planner.
@@ -36,18 +36,18 @@
 	Name      string
 	Megabytes float64
 	// Used is the memory of weights and adapters, in megabytes.
-	Used float64
+	UsedMegabytes float64
 	// Holds lists the loaded models. Coming is the model that is being loaded, or
 	// empty.
-	Holds  []string
-	Coming string
+	Loaded  []string
+	Loading string
 	// Closed reports that the engine can take no order now.
-	Closed bool
+	Unavailable bool
 	// Leaving reports that the engine takes no more requests.
 	Leaving bool
 	// Narrow reports that the engine limits itself to few requests. Its copies count
 	// only for models without demand, and it gets no new ones.
-	Narrow bool
+	Throttled bool
 	// InMemory and OnDisk list models that the engine can load without the weight
 	// store.
 	InMemory []string
@@ -60,11 +60,11 @@
 	Model  string
 	// Unload reports that the model is unloaded to make room for For. Otherwise it is
 	// loaded.
-	Unload bool
-	For    string
+	Unload       bool
+	MakesRoomFor string
 	// Fetch reports that the load reads from the weight store.
-	Fetch  bool
-	Reason Reason
+	FromStore bool
+	Reason    Reason
 	// Load is the load of the least loaded copy before the move, in engines. It is 0
 	// unless Reason is Demand.
 	Load float64
@@ -87,14 +87,14 @@
 type Options struct {
 	// Busy is the load, as a share of an engine's capacity, above which the models of
 	// an engine get another copy.
-	Busy float64
+	MaxLoad float64
 	// Gain is the minimum relief by a copy for an overloaded model: an engine gets one
 	// only if its load is lower than that of the least loaded copy by this share.
-	Gain float64
+	MinGain float64
 	// Orders is the maximum number of moves in a plan.
-	Orders int
+	MaxMoves int
 	// Fetches is the number of loads from the weight store that may start now.
-	Fetches int
+	MaxFetches int
 }
 
 // Plan returns the moves to order now, the most urgent first.
--- a/internal/stocking/stocking_test.go
+++ b/internal/stocking/stocking_test.go
@@ -11,18 +11,18 @@
 	"github.com/lovagelift/lovagelift/internal/stocking"
 )
 
-var options = stocking.Options{Busy: 0.45, Gain: 0.3, Orders: 4, Fetches: 2}
+var options = stocking.Options{MaxLoad: 0.45, MinGain: 0.3, MaxMoves: 4, MaxFetches: 2}
 
 // model returns a model of 70 GB. An engine has 200 GB, so it can hold two.
 func model(name string, demand float64) stocking.Model {
 	return stocking.Model{
 		Name: name, Megabytes: 70_000, Demand: demand, Idle: demand == 0,
-		Load: 6 * time.Second, WarmLoad: 600 * time.Millisecond, DiskLoad: time.Second,
+		LoadTime: 6 * time.Second, MemoryLoadTime: 600 * time.Millisecond, DiskLoadTime: time.Second,
 	}
 }
 
 func engine(name string, holds ...string) stocking.Engine {
-	return stocking.Engine{Name: name, Megabytes: 200_000, Used: 70_000 * float64(len(holds)), Holds: holds}
+	return stocking.Engine{Name: name, Megabytes: 200_000, UsedMegabytes: 70_000 * float64(len(holds)), Loaded: holds}
 }
 
 var _ = Describe("Plan", func() {
@@ -38,7 +38,7 @@
 		Expect(moves[0].Engine).To(Equal("2"))
 		Expect(moves[0].Model).To(Equal("a"))
 		Expect(moves[0].Reason).To(Equal(stocking.Demand))
-		Expect(moves[0].Fetch).To(BeTrue())
+		Expect(moves[0].FromStore).To(BeTrue())
 	})
 
 	// The only engine that holds model w fails, and requests for w wait. A model with far
@@ -47,9 +47,9 @@
 	DescribeTable("restores a model that no engine holds",
 		func(demand float64, missing time.Duration, first string) {
 			waiting := model("w", 0)
-			waiting.Waiting, waiting.Missing = 3, missing
+			waiting.Waiting, waiting.MissingFor = 3, missing
 			one := options
-			one.Orders = 1
+			one.MaxMoves = 1
 			moves := stocking.Plan([]stocking.Model{model("a", demand), waiting}, []stocking.Engine{engine("1", "a"), engine("2")}, one)
 			Expect(moves).To(HaveLen(1))
 			Expect(moves[0].Model).To(Equal(first))
@@ -66,7 +66,7 @@
 	// of a model without another copy would be refused for as long as the engine is narrow.
 	It("adds a copy of a model whose only copy is on a narrow engine", func() {
 		narrow := engine("1", "a", "idle")
-		narrow.Narrow = true
+		narrow.Throttled = true
 		moves := stocking.Plan([]stocking.Model{model("a", 0.2), model("idle", 0)}, []stocking.Engine{narrow, engine("2")}, options)
 		Expect(moves).NotTo(BeEmpty())
 		Expect(moves[0].Engine).To(Equal("2"))
@@ -89,7 +89,7 @@
 			engine("6", "big"), engine("7"), engine("8"), engine("9"),
 		}
 		three := options
-		three.Orders, three.Fetches = 3, 3
+		three.MaxMoves, three.MaxFetches = 3, 3
 		var moved []string
 		for _, move := range stocking.Plan(models, engines, three) {
 			moved = append(moved, move.Model)
@@ -101,7 +101,7 @@
 	// would find no copy for 5 s.
 	It("does not unload the only loaded copy of a model while another is loading", func() {
 		coming := engine("2")
-		coming.Coming, coming.Closed = "b", true
+		coming.Loading, coming.Unavailable = "b", true
 		moves := stocking.Plan([]stocking.Model{model("a", 1.5), model("b", 0.3), model("c", 0.3)},
 			[]stocking.Engine{engine("1", "a"), coming, engine("3", "b", "c")}, options)
 		Expect(moves).NotTo(ContainElement(HaveField("Unload", true)))
@@ -113,12 +113,12 @@
 		onDisk.OnDisk, inMemory.InMemory = []string{"a"}, []string{"a"}
 		moves := stocking.Plan(models, []stocking.Engine{engine("1", "a"), onDisk, inMemory, engine("4")}, options)
 		Expect(moves[0].Engine).To(Equal("3"))
-		Expect(moves[0].Fetch).To(BeFalse())
+		Expect(moves[0].FromStore).To(BeFalse())
 	})
 
 	It("fetches from the store only within the limit", func() {
 		none := options
-		none.Fetches = 0
+		none.MaxFetches = 0
 		Expect(stocking.Plan([]stocking.Model{model("a", 2)}, []stocking.Engine{engine("1", "a"), engine("2")}, none)).To(BeEmpty())
 	})
 
@@ -137,7 +137,7 @@
 		last := stocking.Plan(models, []stocking.Engine{engine("1", "new", "quiet"), engine("2", "quiet", "idle")}, options)
 		Expect(last[0]).To(HaveField("Model", BeElementOf("quiet", "idle")))
 		only := stocking.Plan([]stocking.Model{model("new", 2), model("a", 0.05), model("b", 0.05)},
-			[]stocking.Engine{engine("1", "new"), engine("2", "a", "b")}, stocking.Options{Busy: 0.45, Orders: 4})
+			[]stocking.Engine{engine("1", "new"), engine("2", "a", "b")}, stocking.Options{MaxLoad: 0.45, MaxMoves: 4})
 		Expect(only).To(BeEmpty())
 	})
 
@@ -151,7 +151,7 @@
 
 	It("orders no move on an engine that is closed, leaving or loading", func() {
 		closed, leaving, loading := engine("2"), engine("3"), engine("4", "b")
-		closed.Closed, leaving.Leaving, loading.Coming = true, true, "b"
+		closed.Unavailable, leaving.Leaving, loading.Loading = true, true, "b"
 		Expect(stocking.Plan([]stocking.Model{model("a", 2), model("b", 0)},
 			[]stocking.Engine{engine("1", "a"), closed, leaving, loading}, options)).To(BeEmpty())
 	})
@@ -221,7 +221,7 @@
 		c.finish(&c.engines[i], elapsed)
 	}
 	set := options
-	set.Fetches = int(c.fetches)
+	set.MaxFetches = int(c.fetches)
 	for _, move := range stocking.Plan(c.models, slices.Clone(c.engines), set) {
 		c.start(move)
 	}
@@ -232,11 +232,11 @@
 
 func (c *cluster) finish(e *stocking.Engine, elapsed time.Duration) {
 	c.busyFor[e.Name] -= elapsed
-	e.Closed = c.busyFor[e.Name] > 0
-	if !e.Closed && e.Coming != "" {
-		e.Holds = append(e.Holds, e.Coming)
-		e.OnDisk = append(e.OnDisk, e.Coming)
-		e.Coming = ""
+	e.Unavailable = c.busyFor[e.Name] > 0
+	if !e.Unavailable && e.Loading != "" {
+		e.Loaded = append(e.Loaded, e.Loading)
+		e.OnDisk = append(e.OnDisk, e.Loading)
+		e.Loading = ""
 	}
 }
 
@@ -247,15 +247,15 @@
 			continue
 		}
 		if move.Unload {
-			e.Holds = slices.DeleteFunc(slices.Clone(e.Holds), func(name string) bool { return name == move.Model })
-			e.Used -= 70_000
+			e.Loaded = slices.DeleteFunc(slices.Clone(e.Loaded), func(name string) bool { return name == move.Model })
+			e.UsedMegabytes -= 70_000
 			c.busyFor[e.Name] = 500 * time.Millisecond
 			continue
 		}
-		e.Coming = move.Model
-		e.Used += 70_000
+		e.Loading = move.Model
+		e.UsedMegabytes += 70_000
 		c.busyFor[e.Name] = time.Second
-		if move.Fetch {
+		if move.FromStore {
 			c.fetches--
 			c.busyFor[e.Name] = 6 * time.Second
 		}
@@ -266,7 +266,7 @@
 func (c *cluster) loadPerCopy(name string) float64 {
 	copies := 0.0
 	for _, e := range c.engines {
-		if slices.Contains(e.Holds, name) {
+		if slices.Contains(e.Loaded, name) {
 			copies++
 		}
 	}
@@ -276,7 +276,7 @@
 func (c *cluster) checkMemory() {
 	GinkgoHelper()
 	for _, e := range c.engines {
-		Expect(e.Used).To(BeNumerically("<=", e.Megabytes))
+		Expect(e.UsedMegabytes).To(BeNumerically("<=", e.Megabytes))
 	}
 }
 
@@ -284,7 +284,7 @@
 func (c *cluster) heldModels() int {
 	held := map[string]bool{}
 	for _, e := range c.engines {
-		for _, name := range e.Holds {
+		for _, name := range e.Loaded {
 			held[name] = true
 		}
 	}
--- a/internal/upstreamapi/announcement.go
+++ b/internal/upstreamapi/announcement.go
@@ -150,7 +150,7 @@
 }
 
 // Welcome is the response to an Announcement.
-type Welcome struct {
+type AnnounceResponse struct {
 	// RenewEvery is the interval between announcements, in nanoseconds.
 	RenewEvery time.Duration `json:"renew-every"`
 	// Lease is how long the announcement is valid without a renewal, in
--- a/internal/upstreamapi/check_test.go
+++ b/internal/upstreamapi/check_test.go
@@ -188,9 +188,9 @@
 	})
 
 	It("identifies final order states and request states that prove a request did not run", func() {
-		Expect(upstreamapi.OrderRunning.Final()).To(BeFalse())
-		Expect(upstreamapi.OrderUnknown.Final()).To(BeFalse())
-		Expect(upstreamapi.OrderRefusedExpired.Final()).To(BeTrue())
+		Expect(upstreamapi.OrderRunning.Terminal()).To(BeFalse())
+		Expect(upstreamapi.OrderUnknown.Terminal()).To(BeFalse())
+		Expect(upstreamapi.OrderRefusedExpired.Terminal()).To(BeTrue())
 		Expect(upstreamapi.RequestNeverSeen.NotRun()).To(BeFalse())
 		Expect(upstreamapi.RequestBarred.NotRun()).To(BeTrue())
 	})
--- a/internal/upstreamapi/order.go
+++ b/internal/upstreamapi/order.go
@@ -85,13 +85,13 @@
 )
 
 // Final reports whether the order will make no further changes.
-func (s OrderState) Final() bool {
+func (s OrderState) Terminal() bool {
 	return s != OrderRunning && s != OrderUnknown
 }
 
 // OrderAnswer is the state of an order with the engine's inventory at that
 // time.
-type OrderAnswer struct {
+type OrderResponse struct {
 	ID    string     `json:"id"`
 	State OrderState `json:"state"`
 	// Reason is a human-readable explanation. It is empty if State is
@@ -111,7 +111,7 @@
 }
 
 // Inventory returns the engine's inventory as of the answer.
-func (a OrderAnswer) Inventory() Inventory {
+func (a OrderResponse) Inventory() Inventory {
 	return Inventory{
 		Incarnation:     a.Incarnation,
 		Revision:        a.Revision,
