--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -51,17 +51,17 @@
 	return int(max(l.value, minLimit))
 }
 
-// Float returns the exact limit. Value is its integer part.
+// Exact returns the exact limit. Value is its integer part.
 func (l Limit) Exact() float64 {
 	return max(l.value, minLimit)
 }
 
-// Calm reports whether the last decrease of the limit is longer ago than since.
+// StableFor reports whether the last decrease of the limit is longer ago than since.
 func (l Limit) StableFor(now time.Time, since time.Duration) bool {
 	return now.Sub(l.decreasedAt) > since
 }
 
-// Room reports whether a request of the given priority may be added to inFlight open ones.
+// Allows reports whether a request of the given priority may be added to inFlight open ones.
 // Requests of priority 0 may exceed the limit by a tenth, at least by one. All others stay
 // a tenth under it, so that a burst of them can't occupy the whole limit when an urgent
 // request comes. An upstream without open requests has room for any priority.
@@ -100,7 +100,7 @@
 	return l
 }
 
-// WithCut returns the Limit after a request, sent at sentAt, that the upstream answered
+// WithDecrease returns the Limit after a request, sent at sentAt, that the upstream answered
 // too late or refused because it had no room.
 func (l Limit) WithDecrease(now, sentAt time.Time) Limit {
 	if sentAt.Before(l.decreasedAt) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -50,7 +50,7 @@
 	skips int
 }
 
-// New returns an empty Queue.
+// NewQueue returns an empty Queue.
 func NewQueue(options Options) *Queue {
 	if options.MaxWaiting <= 0 {
 		options.MaxWaiting = defaultMaxWaiting
@@ -67,7 +67,7 @@
 	return q.size
 }
 
-// Waiting returns the number of waiting tickets of pool that have the given priority or a
+// Ahead returns the number of waiting tickets of pool that have the given priority or a
 // higher one. If it is not 0, a request of that priority must be offered to the queue even
 // if an upstream has room, or it would overtake them.
 func (q *Queue) Ahead(pool string, priority uint8) int {
@@ -168,7 +168,7 @@
 	return t
 }
 
-// Return queues a ticket again that Take has just returned, because its request could not
+// Requeue queues a ticket again that Take has just returned, because its request could not
 // be sent. Its service gets the cost of the ticket back.
 func (q *Queue) Requeue(now time.Time, t Ticket) {
 	p := q.pool(t.Pool)
--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -6,18 +6,18 @@
 
 import "time"
 
-// Options configures Ages. All fields must be above 0.
+// Options configures a Tracker. All fields must be above 0.
 type Options struct {
-	// After is the time without service after which a requested key starves.
+	// StarvedAfter is the time without service after which a requested key starves.
 	StarvedAfter time.Duration
-	// Forget is the time without a request after which a key is forgotten. It must be
-	// longer than After.
+	// ForgetAfter is the time without a request after which a key is forgotten. It must be
+	// longer than StarvedAfter.
 	ForgetAfter time.Duration
-	// Keys is the largest number of keys that are tracked. Further keys are ignored.
+	// MaxKeys is the largest number of keys that are tracked. Further keys are ignored.
 	MaxKeys int
 }
 
-// Ages tracks how long each key has been requested without being served. It is not safe
+// Tracker tracks how long each key has been requested without being served. It is not safe
 // for concurrent use.
 type Tracker[K comparable] struct {
 	options Options
@@ -32,12 +32,12 @@
 	first, last time.Time
 }
 
-// New returns Ages that track no keys.
+// New returns a Tracker that tracks no keys.
 func New[K comparable](options Options) *Tracker[K] {
 	return &Tracker[K]{options: options, unserved: map[K]requestTimes{}}
 }
 
-// Asked records a request for a key.
+// Requested records a request for a key.
 func (a *Tracker[K]) Requested(now time.Time, key K) {
 	times, found := a.unserved[key]
 	switch {
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -37,11 +37,11 @@
 
 // Loaded is the state that Open read from the data folder.
 type Loaded struct {
-	// Fresh reports whether Open created the identity file. If so, nothing is
+	// NewFolder reports whether Open created the identity file. If so, nothing is
 	// known about votes and acknowledgements that this instance may have sent
 	// before.
 	NewFolder bool
-	// Number is a random number that identifies the data folder. It is generated
+	// FolderNumber is a random number that identifies the data folder. It is generated
 	// with the identity file.
 	FolderNumber uint64
 	// ClusterID is empty until RecordCluster is called.
@@ -51,7 +51,7 @@
 	Snapshot jury.Snapshot
 	// Entries are the log entries after Snapshot.Index, without gaps.
 	Entries []jury.Entry
-	// Cut is the torn tail that Open removed from the log. Its Bytes is 0 if
+	// TornTail is the torn tail that Open removed from the log. Its Bytes is 0 if
 	// there was none.
 	TornTail TornTail
 }
--- a/internal/archive/open.go
+++ b/internal/archive/open.go
@@ -14,7 +14,7 @@
 //
 // If another process has the folder open, the error wraps ErrLocked. If a file is
 // damaged, Open returns a *CorruptionError and changes nothing. Open removes a
-// torn tail of the last segment and reports it in Loaded.Cut.
+// torn tail of the last segment and reports it in Loaded.TornTail.
 func Open(o Options) (*Archive, Loaded, error) {
 	if o.FS == nil {
 		o.FS = Disk{}
--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -29,20 +29,20 @@
 	ReportLoad(now time.Time, report upstreamapi.LoadReport)
 	// Leave processes the leave message of an upstream that is going away.
 	Leave(now time.Time, leave upstreamapi.Leave)
-	// Cached processes events of an engine's prefix cache.
+	// ApplyCacheEvents processes events of an engine's prefix cache.
 	ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents)
 }
 
 // Options configures the handler.
 type Options struct {
 	Instance Instance
-	// Holder returns the name of the upstream that holds a token.
+	// UpstreamByToken returns the name of the upstream that holds a token.
 	UpstreamByToken func(token string) (string, bool)
 	Now             func() time.Time
 	Log             zerolog.Logger
 }
 
-// Arrivals is the HTTP handler for messages of upstreams. It is safe for concurrent use.
+// Handler is the HTTP handler for messages of upstreams. It is safe for concurrent use.
 type Handler struct {
 	options Options
 	echo    *echo.Echo
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -18,7 +18,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Backoffice is one control plane instance. It is safe for concurrent use.
+// Instance is one control plane instance. It is safe for concurrent use.
 type Instance struct {
 	options     Options
 	voter       *chamber.Voter
@@ -223,7 +223,7 @@
 // maxIncarnation is higher than the incarnation of any process.
 const maxIncarnation = math.MaxUint64
 
-// Put proposes a new version of the routes. If it returns an error, the version may
+// PutRoutes proposes a new version of the routes. If it returns an error, the version may
 // still come into force.
 func (b *Instance) PutRoutes(ctx context.Context, put edition.Put) (edition.Result, error) {
 	result, err := b.voter.Propose(ctx, put)
@@ -233,20 +233,20 @@
 	return *result.Edition, nil
 }
 
-// Edition returns the routes in force, confirmed by the voters after the call began. If
-// they can't be confirmed before ctx ends, Edition returns false.
+// Routes returns the routes in force, confirmed by the voters after the call began. If
+// they can't be confirmed before ctx ends, Routes returns false.
 func (b *Instance) Routes(ctx context.Context) (edition.Edition, bool) {
 	return b.voter.ConfirmedEdition(ctx)
 }
 
-// InTouch reports whether the instance knows a leader, so that announcements made to it
+// KnowsLeader reports whether the instance knows a leader, so that announcements made to it
 // reach the other instances.
 func (b *Instance) KnowsLeader() bool {
 	leader, _ := b.voter.Leader()
 	return leader != ""
 }
 
-// Seed replaces the addresses of the seed control plane instances.
+// SetSeeds replaces the addresses of the seed control plane instances.
 func (b *Instance) SetSeeds(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -264,13 +264,13 @@
 	}
 }
 
-// Entry is an entry instance that is open to callers.
+// EntryInstance is an entry instance that is open to callers.
 type EntryInstance struct {
 	Address       string
 	FailureDomain string
 }
 
-// Entries returns the entry instances that accept requests at now.
+// EntryInstances returns the entry instances that accept requests at now.
 func (b *Instance) EntryInstances(now time.Time) []EntryInstance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -131,7 +131,7 @@
 // exclusionTime is how long this instance sends no orders to an engine after it has
 // seen another instance take the lease. The other instance may send an order up to
 // leaseValidity later, which may arrive up to orderTimeout and retransmitTime after
-// that. OrderGap must then pass before the next order.
+// that. MinOrderGap must then pass before the next order.
 func (l *leaseBatcher) exclusionTime() time.Duration {
 	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.MinOrderGap
 }
--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -16,7 +16,7 @@
 	"github.com/lovagelift/lovagelift/internal/routes"
 )
 
-// Options configures a Backoffice.
+// Options configures an Instance.
 type Options struct {
 	// Address is where other instances reach this one. It also serves as the instance's
 	// name, so that an identity implies an address.
@@ -25,26 +25,26 @@
 	// Seeds are the addresses of the initial control plane instances. They may include
 	// this instance.
 	Seeds []string
-	// Founder is set at the very first start of the whole system, on the instances listed
+	// Bootstrap is set at the very first start of the whole system, on the instances listed
 	// in Seeds. They become the first voters.
 	Bootstrap bool
-	// Voters is the minimum number of voters.
+	// MinVoters is the minimum number of voters.
 	MinVoters int
-	// Folder is the data folder.
+	// DataDir is the data folder.
 	DataDir string
-	// Inner listens on Address. The Backoffice closes it.
+	// InnerListener listens on Address. The Instance closes it.
 	InnerListener net.Listener
 	// Dial connects to another instance.
 	Dial courier.Dial
 	// UpstreamLease is how long an upstream receives work after it was last heard from.
 	UpstreamLease time.Duration
-	// OrderGap is the minimum time between orders of two instances to the same engine.
+	// MinOrderGap is the minimum time between orders of two instances to the same engine.
 	MinOrderGap time.Duration
 	// Quarantine determines when requests that crash upstreams are quarantined.
 	Quarantine quarantine.Limits
-	// Table parses routes as sent by an operator.
+	// ParseRoutes parses routes as sent by an operator.
 	ParseRoutes func(content []byte) (*routes.Table, error)
-	// Engines is the client for reports and orders of engines.
+	// EngineClient is the client for reports and orders of engines.
 	Engines EngineClient
 	Now     func() time.Time
 	Log     zerolog.Logger
@@ -52,7 +52,7 @@
 	Metrics tally.Scope
 }
 
-// Engines is a client for engines. Its methods must be safe for concurrent use.
+// EngineClient is a client for engines. Its methods must be safe for concurrent use.
 type EngineClient interface {
 	// Report asks an engine for the models that it holds and its load.
 	Report(ctx context.Context, engine EngineAddress) (Report, error)
@@ -83,7 +83,7 @@
 	Running int
 	Queued  int
 	KVUsed  int
-	// Coming are adapters that are being loaded. They already occupy slots.
+	// LoadingAdapters are adapters that are being loaded. They already occupy slots.
 	LoadingAdapters []Adapter
 	// InMemory and OnDisk are models whose weights the engine has cached, so that a load
 	// does not fetch them from the weight store.
@@ -112,11 +112,11 @@
 	Model string
 	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// Expected is the engine's Sequence at which the order is valid. Without it, an order
+	// ExpectedSequence is the engine's Sequence at which the order is valid. Without it, an order
 	// that is carried out late, after another one, could take memory that is no longer
 	// free.
 	ExpectedSequence uint64
-	// Holder is the instance that sends the order, and Fence its fencing token.
+	// Holder is the instance that sends the order, and FencingToken its fencing token.
 	Holder       string
 	FencingToken uint64
 }
@@ -132,7 +132,7 @@
 	AlreadyDone
 	// Refused means that the engine does not carry out the order, now or later.
 	Refused
-	// Gone means that the order was refused by another process that now has the engine's
+	// RefusedByOtherProcess means that the order was refused by another process that now has the engine's
 	// address.
 	RefusedByOtherProcess
 )
--- a/internal/backoffice/voters.go
+++ b/internal/backoffice/voters.go
@@ -114,7 +114,7 @@
 		Str("reason", string(change.Reason)).Msg("change of voters requested")
 }
 
-// Votes reports whether this instance is a voter.
+// IsVoter reports whether this instance is a voter.
 func (b *Instance) IsVoter() bool {
 	return b.voter.Status().Voter
 }
--- a/internal/badge/badge.go
+++ b/internal/badge/badge.go
@@ -14,7 +14,7 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-// Book is the list of token holders. It is immutable and safe for concurrent use. The zero value
+// Tokens is the list of token holders. It is immutable and safe for concurrent use. The zero value
 // has no holders.
 type Tokens struct {
 	holders []holder
@@ -23,13 +23,13 @@
 // tokenKey is the key of the TOML tables that list tokens.
 const tokenKey = "token"
 
-// holder is a user or program with a token. Names and hashes are unique within a Book.
+// holder is a user or program with a token. Names and hashes are unique within Tokens.
 type holder struct {
 	name string
 	hash [sha256.Size]byte
 }
 
-// Load reads the Book in the TOML file path.
+// Load reads Tokens from the TOML file path.
 func Load(path string) (Tokens, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return Parse(path, data)
 }
 
-// Parse returns the Book in data, which is TOML: for each token a table [[token]] with the name of
+// Parse returns the Tokens of data, which is TOML: for each token a table [[token]] with the name of
 // its holder and sha256, the hash in hexadecimal. If data is invalid, Parse returns a
 // *finding.Error with every finding, whose places name file.
 //
@@ -68,7 +68,7 @@
 	return book, nil
 }
 
-// IsBook reports whether data is TOML that lists tokens, even if the list is invalid.
+// IsTokenFile reports whether data is TOML that lists tokens, even if the list is invalid.
 func IsTokenFile(data []byte) bool {
 	var ignored finding.List
 	root, ok := form.Open("", data, &ignored)
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -18,7 +18,7 @@
 
 // Options configures a Caller.
 type Options struct {
-	// Known are seed addresses of instances (IP address and port), used to fetch the
+	// Seeds are seed addresses of instances (IP address and port), used to fetch the
 	// entries when no cached instance answers.
 	Seeds []string
 	// Client sends the requests. Nil means a new client that uses TLS as set below.
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -17,7 +17,7 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// Question is a request for a chat completion.
+// Request is a request for a chat completion.
 type Request struct {
 	// Service is the service that the request belongs to. It may be empty.
 	Service string
@@ -25,7 +25,7 @@
 	Prompt  string
 }
 
-// Answer is a complete response.
+// Response is a complete response.
 type Response struct {
 	// Entry is the instance that answered.
 	Entry Entry
@@ -39,10 +39,10 @@
 // serviceHeader names the service that a request belongs to.
 const serviceHeader = "Lovagelift-Service"
 
-// Ask sends a chat completion request and calls onChunk with each chunk of text as it
-// arrives. A completion has no side effects, so Ask retries on the next instance if an
+// Complete sends a chat completion request and calls onChunk with each chunk of text as it
+// arrives. A completion has no side effects, so Complete retries on the next instance if an
 // attempt fails before the first chunk, unless the response has a 4xx status. Once all
-// entries have failed, it first waits for the retry delay of the last response. If Ask
+// entries have failed, it first waits for the retry delay of the last response. If Complete
 // receives no complete response, it returns an *Error.
 func (c *Caller) Complete(ctx context.Context, question Request, onChunk func(string)) (Response, error) {
 	var lastErr error
--- a/internal/chamber/chamber.go
+++ b/internal/chamber/chamber.go
@@ -19,13 +19,13 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Chamber is the control plane of an instance, a *Voter or a *Follower. Its methods are safe for
+// ControlPlane is the control plane of an instance, a *Voter or a *Follower. Its methods are safe for
 // concurrent use.
 type ControlPlane interface {
-	// Gazette returns the publisher of the configuration in force.
+	// ConfigCache returns the cache of the configuration in force.
 	ConfigCache() *gazette.Cache
-	// Fresh reports whether the instance holds its configuration lease at now: whether the latest
-	// published configuration was still in force less than Options.Lease ago.
+	// HasConfigLease reports whether the instance holds its configuration lease at now: whether the latest
+	// published configuration was still in force less than Options.ConfigLease ago.
 	HasConfigLease(now time.Time) bool
 	// Propose replicates and applies command. If the command was not applied and never will be, the
 	// error matches ErrNotAccepted. After any other error, the outcome is unknown.
@@ -64,14 +64,14 @@
 	Self string
 	// Voters are the other voters in the settings.
 	Voters []VoterAddress
-	// Address returns the inner address of an instance that joined later and is therefore not in
+	// ResolveAddress returns the inner address of an instance that joined later and is therefore not in
 	// Voters. It may be nil.
 	ResolveAddress func(instance string) (string, bool)
 	// Calls carries proposals, lookups and configuration requests.
 	Calls *courier.Pool
-	// RenewEvery is the interval at which the configuration is confirmed.
+	// RenewInterval is the interval at which the configuration is confirmed.
 	RenewInterval time.Duration
-	// Lease is how long a configuration remains valid after it was confirmed.
+	// ConfigLease is how long a configuration remains valid after it was confirmed.
 	ConfigLease time.Duration
 	Now         func() time.Time
 	Log         zerolog.Logger
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -46,7 +46,7 @@
 	return f
 }
 
-// Gazette returns the publisher of the configuration in force.
+// ConfigCache returns the cache of the configuration in force.
 func (f *Follower) ConfigCache() *gazette.Cache {
 	return f.gazette
 }
@@ -62,7 +62,7 @@
 	return "", 0
 }
 
-// Fresh reports whether the follower holds its configuration lease.
+// HasConfigLease reports whether the follower holds its configuration lease.
 func (f *Follower) HasConfigLease(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -69,7 +69,7 @@
 	return v.registry.Leases()
 }
 
-// Leads reports whether this voter is the leader and has applied everything that earlier leaders
+// IsLeader reports whether this voter is the leader and has applied everything that earlier leaders
 // committed. term is its fencing number.
 func (v *Voter) IsLeader(now time.Time) (term jury.Term, ok bool) {
 	status := v.replica.Status()
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -30,11 +30,11 @@
 	Options
 	// Folder is the path of the data folder.
 	Folder string
-	// Heartbeats carries messages that must not wait behind entries and snapshots, and Entries
+	// HeartbeatPool carries messages that must not wait behind entries and snapshots, and EntryPool
 	// carries the others. Each has its own connections.
 	HeartbeatPool *courier.Pool
 	EntryPool     *courier.Pool
-	// Heartbeat, ElectionTimeout, ClockDrift and OrderFlight are those of jury.Options.
+	// Heartbeat, ElectionTimeout, ClockDrift and OrderTimeout are those of jury.Options.
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
 	ClockDrift      float64
@@ -62,7 +62,7 @@
 
 	quarantineMutex     sync.Mutex
 	quarantinePublisher *quarantine.Publisher
-	// falseCrashDetector is used only by RecallCrashes.
+	// falseCrashDetector is used only by RetractFalseCrashes.
 	falseCrashDetector quarantine.FalseCrashDetector
 
 	cancel     context.CancelFunc
@@ -182,7 +182,7 @@
 	}
 }
 
-// Gazette returns the publisher of the configuration in force.
+// ConfigCache returns the cache of the configuration in force.
 func (v *Voter) ConfigCache() *gazette.Cache {
 	return v.gazette
 }
@@ -212,7 +212,7 @@
 	return v.registry.Manifest()
 }
 
-// Fresh reports whether the voter holds its configuration lease.
+// HasConfigLease reports whether the voter holds its configuration lease.
 func (v *Voter) HasConfigLease(now time.Time) bool {
 	// Read the freshness before the view: the view then includes everything that the freshness
 	// covers.
@@ -226,7 +226,7 @@
 	return v.registry.Edition()
 }
 
-// Reading returns the operator-versioned document according to this replica, and how current it is
+// EditionWithAge returns the operator-versioned document according to this replica, and how current it is
 // known to be.
 func (v *Voter) EditionWithAge() (edition.Edition, edition.Reading) {
 	// Read the freshness before the document: the document then includes everything that the
@@ -246,7 +246,7 @@
 	return max(0, v.options.Now().Sub(asOf)), true
 }
 
-// FreshEdition returns the operator-versioned document as of the time of the call or later. It
+// ConfirmedEdition returns the operator-versioned document as of the time of the call or later. It
 // returns false if the voter can't confirm before ctx ends that its state is up to date.
 func (v *Voter) ConfirmedEdition(ctx context.Context) (edition.Edition, bool) {
 	if !v.awaitFresh(ctx, v.options.Now()) {
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -19,14 +19,14 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// Options configures a Coroner.
+// Options configures a CrashDetector.
 type Options struct {
-	// Contact returns what the instance currently knows about an upstream.
+	// Status returns what the instance currently knows about an upstream.
 	Status func(endpoint quarantine.Endpoint) quarantine.Status
 	// Report records an update, and reports whether it is certain that the update is
 	// recorded. Recording it more than once is safe.
 	Report func(ctx context.Context, update quarantine.Update) bool
-	// Line starts a log line of a kind. It returns nil if there were too many of that
+	// NewLogEvent starts a log line of a kind. It returns nil if there were too many of that
 	// kind.
 	NewLogEvent func(kind string) *zerolog.Event
 	// Dial connects to an upstream. If nil, TCP is used.
@@ -36,8 +36,8 @@
 	Metrics tally.Scope
 }
 
-// Coroner detects the upstreams that ended while they had requests, and reports them. It
-// is safe for concurrent use. It calls Contact and Report without holding its lock.
+// CrashDetector detects the upstreams that ended while they had requests, and reports them. It
+// is safe for concurrent use. It calls Status and Report without holding its lock.
 type CrashDetector struct {
 	options Options
 	crashes tally.Counter
@@ -69,7 +69,7 @@
 	maxUnsent = 256
 )
 
-// New returns a Coroner and starts its goroutines.
+// New returns a CrashDetector and starts its goroutines.
 func New(options Options) *CrashDetector {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -97,7 +97,7 @@
 	c.goroutines.Wait()
 }
 
-// Holds reports whether a request is in quarantine and must not be sent.
+// IsQuarantined reports whether a request is in quarantine and must not be sent.
 func (c *CrashDetector) IsQuarantined(digest quarantine.Digest) bool {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -105,7 +105,7 @@
 	return c.watch.IsQuarantined(now, digest)
 }
 
-// Held returns the number of requests in quarantine and the number of suspected requests.
+// Counts returns the number of requests in quarantine and the number of suspected requests.
 func (c *CrashDetector) Counts() (quarantined, suspected int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +119,7 @@
 	return c.watch.Mark()
 }
 
-// Follow applies news of the quarantine.
+// ApplyNews applies news of the quarantine.
 func (c *CrashDetector) ApplyNews(news quarantine.News) {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -129,7 +129,7 @@
 }
 
 // Review calls contact for each upstream whose answers were interrupted, and records the
-// result. contact is like Options.Contact, and is called with the lock of the Coroner
+// result. contact is like Options.Status, and is called with the lock of the CrashDetector
 // held.
 func (c *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
 	now := c.options.Now()
@@ -152,7 +152,7 @@
 	c.wakeReporter()
 }
 
-// Left records that a caller abandoned a request while an upstream had it.
+// Abandoned records that a caller abandoned a request while an upstream had it.
 func (c *CrashDetector) Abandoned(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -160,7 +160,7 @@
 	c.watch.Abandoned(now, endpoint, suspect)
 }
 
-// Broke records that the answer of an upstream to a request was interrupted, or did not
+// Interrupted records that the answer of an upstream to a request was interrupted, or did not
 // arrive.
 func (c *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
 	now := c.options.Now()
@@ -177,7 +177,7 @@
 	c.wakeReporter()
 }
 
-// Failed records why a connection to an upstream failed. Only a refused connection
+// ConnectionFailed records why a connection to an upstream failed. Only a refused connection
 // counts.
 func (c *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
--- a/internal/coroner/coroner_test.go
+++ b/internal/coroner/coroner_test.go
@@ -20,7 +20,7 @@
 // specTimeout bounds each spec. All specs take less than a tenth of it.
 const specTimeout = 20 * time.Second
 
-// fakeInstance implements the options of a Coroner.
+// fakeInstance implements the options of a CrashDetector.
 type fakeInstance struct {
 	mu sync.Mutex
 	// contact is what is known about all upstreams, and dialErr the error of connecting
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -20,7 +20,7 @@
 	"github.com/lovagelift/lovagelift/internal/speed"
 )
 
-// Counter is the proxy of one entry instance. It is safe for concurrent use.
+// Proxy is the proxy of one entry instance. It is safe for concurrent use.
 type Proxy struct {
 	options Options
 	// keepAlive serves idempotent requests over reused connections. singleUse serves all others and
@@ -80,7 +80,7 @@
 // maxIdleConnsPerUpstream is the number of idle connections kept to each upstream.
 const maxIdleConnsPerUpstream = 8
 
-// New returns a Counter that has started to sync with control instances.
+// New returns a Proxy that has started to sync with control instances.
 func New(options Options) *Proxy {
 	options.MaxRouteUpdateDelay = cmp.Or(options.MaxRouteUpdateDelay, defaultRoutesMaxDelay)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,14 +149,14 @@
 // maxSends bounds how often one request is sent, including attempts that an upstream refused.
 const maxSends = 4
 
-// Serves reports whether the instance accepts requests: it has routes and is not draining.
+// Ready reports whether the instance accepts requests: it has routes and is not draining.
 func (c *Proxy) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.draining && c.routes.Load() != nil
 }
 
-// Open returns the number of requests in flight.
+// ActiveRequests returns the number of requests in flight.
 func (c *Proxy) ActiveRequests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +187,7 @@
 	return c.draining
 }
 
-// Seed replaces the control instances to fall back on.
+// SetSeeds replaces the control instances to fall back on.
 func (c *Proxy) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -331,7 +331,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// testProxy is a Counter behind a listener.
+// testProxy is a Proxy behind a listener.
 type testProxy struct {
 	upstreams []*upstream
 	control   *fakeControl
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -22,7 +22,7 @@
 	2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 25 * time.Second,
 }
 
-// metrics holds the metrics of an entry instance. Its methods are called with the Counter's mutex
+// metrics holds the metrics of an entry instance. Its methods are called with the Proxy's mutex
 // held.
 type metrics struct {
 	scope        tally.Scope
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -19,9 +19,9 @@
 	"github.com/lovagelift/lovagelift/internal/routes"
 )
 
-// Options configures a Counter.
+// Options configures a Proxy.
 type Options struct {
-	// Name is the address at which other instances reach this one, over Peers as well.
+	// Name is the address at which other instances reach this one, over PeerConn as well.
 	// CallerAddress is the address at which callers reach it.
 	Name          string
 	CallerAddress string
@@ -29,7 +29,7 @@
 	// Seeds are the inner addresses of the first control instances to contact.
 	Seeds []string
 	Dial  courier.Dial
-	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
+	// PeerConn carries the messages that entry instances exchange to share engines. The Proxy closes
 	// it. If it is nil, this instance places all its requests itself.
 	PeerConn net.PacketConn
 	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
@@ -37,9 +37,9 @@
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
-	// Table parses the routes that an operator submitted.
+	// ParseRoutes parses the routes that an operator submitted.
 	ParseRoutes func(content []byte) (*routes.Table, error)
-	// RoutesWithin is the longest time between the acknowledgement of a route change to the
+	// MaxRouteUpdateDelay is the longest time between the acknowledgement of a route change to the
 	// operator and its effect at an instance that can reach a control instance. Default 2 s.
 	MaxRouteUpdateDelay time.Duration
 	// Dialect is the protocol spoken with upstreams.
@@ -53,9 +53,9 @@
 // RetryLimits limits the retries that all entry instances together send to the upstreams of one
 // service.
 type RetryLimits struct {
-	// Share is the number of retries allowed for each new request.
+	// Ratio is the number of retries allowed for each new request.
 	Ratio float64
-	// Slack is the number of additional retries allowed within Window.
+	// Burst is the number of additional retries allowed within Window.
 	Burst  float64
 	Window time.Duration
 }
@@ -64,9 +64,9 @@
 type Dialect interface {
 	// Prepare completes the header of a request to an upstream.
 	Prepare(header http.Header, attempt Attempt)
-	// Judge classifies a response by its status and header.
+	// Classify classifies a response by its status and header.
 	Classify(response *http.Response, requestID string) ResponseClass
-	// Limit parses the rate limit that a response header states: the requests per second that the
+	// ParseLimit parses the rate limit that a response header states: the requests per second that the
 	// upstream accepts from all senders together.
 	ParseLimit(header http.Header) ratelimit.Observation
 }
@@ -83,7 +83,7 @@
 	Priority uint8
 }
 
-// Judgement classifies an upstream's response.
+// ResponseClass classifies an upstream's response.
 type ResponseClass uint8
 
 const (
@@ -103,7 +103,7 @@
 	ID string
 	// Caller identifies the sender. It is empty if the headers do not name one.
 	Caller string
-	// Patience is how long the caller waits, 0 if the headers do not state it.
+	// Timeout is how long the caller waits, 0 if the headers do not state it.
 	Timeout time.Duration
 	Model   string
 	// Adapter is empty for the base model.
--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// defaultRoutesMaxDelay is the default of Options.RoutesWithin.
+	// defaultRoutesMaxDelay is the default of Options.MaxRouteUpdateDelay.
 	defaultRoutesMaxDelay = 2 * time.Second
-	// denyProofShare is the maximum age of the routes' proof, as a share of RoutesWithin, at which
-	// a request without a route is refused for good. The rest of RoutesWithin is left for the
+	// denyProofShare is the maximum age of the routes' proof, as a share of MaxRouteUpdateDelay, at which
+	// a request without a route is refused for good. The rest of MaxRouteUpdateDelay is left for the
 	// propagation of updates.
 	denyProofShare = 0.5
-	// sendProofFactor is the maximum age of the routes' proof, in multiples of RoutesWithin, at
+	// sendProofFactor is the maximum age of the routes' proof, in multiples of MaxRouteUpdateDelay, at
 	// which requests are sent. With a smaller value, all callers would wait during each leader
 	// election.
 	sendProofFactor = 2
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -43,7 +43,7 @@
 	lastError error
 }
 
-// Serve handles one request of a caller.
+// ServeRequest handles one request of a caller.
 func (c *Proxy) ServeRequest(w http.ResponseWriter, r *http.Request, call Call) {
 	arrived := c.options.Now()
 	if c.waitForRoutes(r.Context(), call) == nil {
--- a/internal/courier/control.go
+++ b/internal/courier/control.go
@@ -28,7 +28,7 @@
 type Control interface {
 	// Deliver handles a message of another replica.
 	Deliver(message jury.Message)
-	// ProposeHere executes command if this voter is the leader.
+	// ProposeLocally executes command if this voter is the leader.
 	ProposeLocally(ctx context.Context, command []byte) Proposed
 	// Propose executes command, forwarding it to the leader if necessary.
 	Propose(ctx context.Context, command []byte) Proposed
@@ -39,13 +39,13 @@
 	Lookup(ctx context.Context, key docket.Key) Recorded
 	// ChangeVoters adds or removes an identity if this voter is the leader.
 	ChangeVoters(ctx context.Context, change VotersChange) Proposed
-	// Founding returns the state of this voter that a bootstrap needs.
+	// BootstrapState returns the state of this voter that a bootstrap needs.
 	BootstrapState() Founding
 	// Bootstrap makes this blank voter a member of a new cluster.
 	Bootstrap(ctx context.Context, charter Charter) error
 }
 
-// Fate is the outcome of a proposed command.
+// ProposalOutcome is the outcome of a proposed command.
 type ProposalOutcome uint8
 
 // Outcomes of a proposed command. With the zero value, the command may or may not have been
@@ -60,7 +60,7 @@
 type Proposed struct {
 	Fate   ProposalOutcome
 	Result []byte
-	// Leader is the replica to ask instead if Fate is FateNotAccepted. It may be empty.
+	// Leader is the replica to ask instead if Fate is ProposalRejected. It may be empty.
 	Leader jury.Identity
 	// Passing is true if the rejection is temporary: the next leader may accept the command.
 	Passing bool
@@ -223,7 +223,7 @@
 
 // Propose asks the voter at address to execute command. If here is true, the voter executes it only
 // as the leader and does not forward it. If the command certainly did not reach the voter, the
-// outcome is FateNotAccepted; if the voter's answer was lost, it is FateUnknown.
+// outcome is ProposalRejected; if the voter's answer was lost, it is ProposalUnknown.
 func (p *Pool) Propose(ctx context.Context, address string, command []byte, here bool) Proposed {
 	args := ProposeArgs{Command: command, Timeout: p.remaining(ctx), Here: here}
 	return p.propose(ctx, address, "Control.Propose", args)
@@ -260,7 +260,7 @@
 	return callForReply[Recorded](ctx, p, address, "Control.Lookup", LookupArgs{Key: key, Timeout: p.remaining(ctx)})
 }
 
-// Founding requests the state of the voter at address that a bootstrap needs.
+// BootstrapState requests the state of the voter at address that a bootstrap needs.
 func (p *Pool) BootstrapState(ctx context.Context, address string) (Founding, error) {
 	return callForReply[Founding](ctx, p, address, "Control.Founding", Empty{})
 }
--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -67,7 +67,7 @@
 	// KB, and each of them calls several times a second.
 	Members *Members
 	// Edition is nil if the caller has the newest routes that the callee knows. Its content is
-	// packed (registry.Pack).
+	// packed (registry.Compress).
 	Edition *edition.Edition
 	// Reading tells how recent the callee's routes are known to be. It is determined before
 	// Edition.
@@ -75,7 +75,7 @@
 	Changes roster.Changes
 	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
-	// Holdings is an encoded Holdings. It is empty if the caller already has this revision. It was
+	// Holdings is an encoded EngineStates. It is empty if the caller already has this revision. It was
 	// encoded HoldingsAge ago, once for all callers: the holdings of 140 engines take 50 us to
 	// encode, and 86 callers get 344 replies a second. Encoding them for each reply would take a
 	// seventh of the processor time that a leader is granted.
@@ -108,7 +108,7 @@
 
 // GatherReply is the answer to GatherArgs.
 type GatherReply struct {
-	// Holdings and Age are as in SyncReply. Revision is that of Holdings, or 0 if there are none.
+	// Holdings and Age are as in SyncReply. Revision is that of EngineStates, or 0 if there are none.
 	Holdings []byte
 	Revision uint64
 	Age      time.Duration
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// Note reports an update of the request quarantine to the control instance at address.
+// UpdateQuarantine reports an update of the request quarantine to the control instance at address.
 func (p *Pool) UpdateQuarantine(ctx context.Context, address string, args NoteArgs) (NoteReply, error) {
 	return callForReply[NoteReply](ctx, p, address, "Feed.Note", args)
 }
@@ -210,12 +210,12 @@
 	return callForReply[SyncReply](ctx, p, address, "Feed.Sync", args)
 }
 
-// Want requests a model or an adapter from the control instance at address.
+// RequestModel requests a model or an adapter from the control instance at address.
 func (p *Pool) RequestModel(ctx context.Context, address string, args WantArgs) (WantReply, error) {
 	return callForReply[WantReply](ctx, p, address, "Feed.Want", args)
 }
 
-// Gather reports the demand of entry instances to the leader at address and requests the holdings
+// ReportDemand reports the demand of entry instances to the leader at address and requests the holdings
 // of the engines.
 func (p *Pool) ReportDemand(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
 	return callForReply[GatherReply](ctx, p, address, "Feed.Gather", args)
--- a/internal/courier/holdings.go
+++ b/internal/courier/holdings.go
@@ -8,7 +8,7 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// Holdings are the models and the load of the engines, as known to the instance that sends commands
+// EngineStates are the models and the load of the engines, as known to the instance that sends commands
 // to them.
 type EngineStates struct {
 	// Revision increases with each change. Each new leader starts from a number above all previous
@@ -17,13 +17,13 @@
 	Engines  []EngineState
 }
 
-// Holding is the state of one engine.
+// EngineState is the state of one engine.
 type EngineState struct {
 	Name string
 	// Incarnation identifies the process that holds Models. After a restart of the engine, they are
 	// no longer loaded.
 	Incarnation uint64
-	// Age is the age of the engine's report when the Holdings were made.
+	// Age is the age of the engine's report when the EngineStates were made.
 	Age time.Duration
 	// Running and Queued are numbers of requests at the engine, KVUsed is the number of tokens that
 	// they occupy in its memory.
@@ -31,13 +31,13 @@
 	Queued  int
 	KVUsed  int
 	Models  []LoadedModel
-	// Coming is the model that the engine is expected to hold next, and ComingIn the time until
-	// then, counted from when the Holdings were made. Coming is empty if there is none.
+	// NextModel is the model that the engine is expected to hold next, and NextModelIn the time until
+	// then, counted from when the EngineStates were made. NextModel is empty if there is none.
 	NextModel   string
 	NextModelIn time.Duration
 }
 
-// HeldModel is a model that an engine can run now.
+// LoadedModel is a model that an engine can run now.
 type LoadedModel struct {
 	Name     string
 	Adapters []string
@@ -66,7 +66,7 @@
 	return buffer
 }
 
-// DecodeHoldings decodes the result of Holdings.Encode. If data is damaged, it returns an error.
+// DecodeEngineStates decodes the result of EngineStates.Encode. If data is damaged, it returns an error.
 func DecodeEngineStates(data []byte) (EngineStates, error) {
 	reader := parcel.NewReader(data)
 	holdings := EngineStates{Revision: reader.Uint()}
--- a/internal/courier/holdings_fuzz_test.go
+++ b/internal/courier/holdings_fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// FuzzDecodeHoldings searches for data that makes DecodeHoldings panic, or that changes when it is
+// FuzzDecodeHoldings searches for data that makes DecodeEngineStates panic, or that changes when it is
 // decoded and encoded again.
 func FuzzDecodeHoldings(f *testing.F) {
 	f.Add(courier.EngineStates{Revision: 7, Engines: []courier.EngineState{{
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Change is one difference between two Sets: Added, Removed or Altered. No
+// Change is one difference between two Sets: Added, Removed or Modified. No
 // other type implements it.
 type Change interface {
 	// String returns the change as one line, without its fields.
@@ -38,7 +38,7 @@
 // Removed is an item that only the earlier Set has.
 type Removed struct{ Item Item }
 
-// Altered is an item that both Sets have with different fields.
+// Modified is an item that both Sets have with different fields.
 type Modified struct {
 	Before Item
 	After  Item
--- a/internal/declaration/set.go
+++ b/internal/declaration/set.go
@@ -102,7 +102,7 @@
 	return lookup(s.content.Services, s.serviceIndex, name)
 }
 
-// ServiceOf returns the first service, by name, that uses the model or adapter
+// FirstServiceUsing returns the first service, by name, that uses the model or adapter
 // called target, if there is one.
 func (s Set) FirstServiceUsing(target string) (Service, bool) {
 	return lookup(s.content.Services, s.targetServiceIndex, target)
@@ -124,7 +124,7 @@
 	return lookup(s.content.Presets, s.presetIndex, name)
 }
 
-// FirstPreset returns the preset that is in force until an operator selects one.
+// InitialPreset returns the preset that is in force until an operator selects one.
 // It is empty only for the zero Set.
 func (s Set) InitialPreset() Preset {
 	for _, preset := range s.content.Presets {
@@ -135,7 +135,7 @@
 	return Preset{}
 }
 
-// PresetNames returns the name of FirstPreset, followed by the sorted names of
+// PresetNames returns the name of InitialPreset, followed by the sorted names of
 // the other presets.
 func (s Set) PresetNames() []string {
 	names := make([]string, 0, len(s.content.Presets))
--- a/internal/declaration/types.go
+++ b/internal/declaration/types.go
@@ -196,7 +196,7 @@
 	// Layouts are the ways to lay out a copy, at least one, with different
 	// numbers of accelerators.
 	Layouts []Layout `json:"layouts"`
-	// KVSpace is the memory that the KV cache of a copy needs on each of its
+	// KVCacheMemory is the memory that the KV cache of a copy needs on each of its
 	// accelerators.
 	KVCacheMemory Bytes `json:"kv-space-bytes"`
 	// Versions has at least one version. Their names are unique.
@@ -239,7 +239,7 @@
 // Preset is an operating mode of the whole system. Exactly one is in force.
 type Preset struct {
 	Name string `json:"name"`
-	// First marks the preset that is in force until an operator selects one.
+	// Initial marks the preset that is in force until an operator selects one.
 	// Exactly one preset of a Set has it.
 	Initial bool `json:"first"`
 	// Copies is the minimum of copies, at least 1, of models without an entry in
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -27,19 +27,19 @@
 // Instance gives the server access to the state of its instance. Its methods are called
 // concurrently.
 type Instance interface {
-	// Admits returns nil if the instance accepts new requests. It returns a refusal while the
+	// CheckAdmission returns nil if the instance accepts new requests. It returns a refusal while the
 	// instance is draining or cannot confirm its configuration.
 	CheckAdmission(now time.Time) *RefusalError
 	// Entries returns the addresses that the named caller may connect to, the preferred one
 	// first.
 	Entries(now time.Time, caller string) Entries
-	// Issue returns the configuration in force. Each request reads it once and uses no other.
+	// Configuration returns the configuration in force. Each request reads it once and uses no other.
 	Configuration() *gazette.Configuration
-	// Propose and Lookup behave like the methods of chamber.Chamber.
+	// Propose and Lookup behave like the methods of chamber.ControlPlane.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
 	Lookup(ctx context.Context, key docket.Key) (docket.Answer, error)
 	// Upstreams returns the upstreams that may receive new requests, by name. Routing does not
-	// use it; it uses the states passed to Update.
+	// use it; it uses the states passed to UpdateUpstreams.
 	Upstreams(now time.Time) []roster.Upstream
 	// Upstream returns the latest known state of an upstream, or false if the upstream is
 	// unknown.
@@ -49,7 +49,7 @@
 // Entries is a list of addresses for a caller.
 type Entries struct {
 	Instances []Entry
-	// Keep is how long a caller may use List before it must request a new one.
+	// TTL is how long a caller may use Instances before it must request a new one.
 	TTL time.Duration
 }
 
@@ -62,20 +62,20 @@
 
 // Limits bounds requests and the resources that each of them may use.
 type Limits struct {
-	// BodyBytes is the maximum size of a request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 	// MaxPrefetchBytes is the maximum size of a response that is read in full before any of it
 	// is sent to the caller. Larger responses and event streams are relayed as they arrive.
 	MaxPrefetchBytes int64
-	// Deadline is the time limit of a request whose service sets none.
+	// DefaultDeadline is the time limit of a request whose service sets none.
 	DefaultDeadline time.Duration
-	// Goal is the latency goal of completions whose service sets none. It does not apply to
+	// DefaultGoal is the latency goal of completions whose service sets none. It does not apply to
 	// calls of plain services, as the first byte of their responses is not a token; they have a
 	// goal only if their service declares one.
 	DefaultGoal declaration.Goal
-	// Streams is the maximum number of concurrent requests. 0 means no limit.
+	// MaxActiveRequests is the maximum number of concurrent requests. 0 means no limit.
 	MaxActiveRequests int
-	// QueueLength is the maximum number of requests in the queue of one model or service. 0
+	// MaxQueueLength is the maximum number of requests in the queue of one model or service. 0
 	// means the default of package admission.
 	MaxQueueLength int
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
@@ -83,7 +83,7 @@
 	// InProgressWait is how long a request waits for another one with the same idempotency key
 	// that is in progress.
 	InProgressWait time.Duration
-	// RecordedBytes is the maximum size of a response body in an idempotency record. A larger
+	// MaxRecordedBytes is the maximum size of a response body in an idempotency record. A larger
 	// body would be replicated through the log of every voter, only for the docket to discard
 	// it.
 	MaxRecordedBytes int64
@@ -99,14 +99,14 @@
 	MaxRecordedBytes: int64(docket.DefaultLimits().MaxBodyBytes),
 }
 
-// Options configures a Desk.
+// Options configures a Server.
 type Options struct {
 	Instance Instance
 	// Name and Incarnation identify the instance.
 	Name        string
 	Incarnation uint64
 	Proxy       *shuttle.Proxy
-	// Coroner attributes crashes of upstreams to requests.
+	// CrashDetector attributes crashes of upstreams to requests.
 	CrashDetector *coroner.CrashDetector
 	// FailureDomain is the failure domain of the instance. RemoteDelay is the one-way network
 	// delay to another failure domain.
@@ -124,7 +124,7 @@
 	Metrics tally.Scope
 }
 
-// Desk is the HTTP handler for callers. It is safe for concurrent use.
+// Server is the HTTP handler for callers. It is safe for concurrent use.
 type Server struct {
 	options        Options
 	echo           *echo.Echo
@@ -137,7 +137,7 @@
 	router         *router
 }
 
-// New returns a Desk.
+// New returns a Server.
 func New(options Options) *Server {
 	options.Limits = withDefaults(options.Limits)
 	s := &Server{
@@ -166,12 +166,12 @@
 	s.echo.ServeHTTP(w, r)
 }
 
-// Update applies changed upstream states.
+// UpdateUpstreams applies changed upstream states.
 func (s *Server) UpdateUpstreams(upstreams []roster.Upstream) {
 	s.router.update(upstreams)
 }
 
-// Cached applies events of an engine's prefix cache.
+// ApplyCacheEvents applies events of an engine's prefix cache.
 func (s *Server) ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents) {
 	s.router.applyCacheEvents(now, events)
 }
@@ -182,7 +182,7 @@
 	s.pendingRecords.Wait()
 }
 
-// Streams returns the number of requests in progress.
+// ActiveRequests returns the number of requests in progress.
 func (s *Server) ActiveRequests() int {
 	return int(s.activeRequests.Load())
 }
--- a/internal/desk/fakes_test.go
+++ b/internal/desk/fakes_test.go
@@ -94,7 +94,7 @@
 	cluster *fakeVoters
 	gazette *gazette.Cache
 
-	// configurationReads counts calls of Issue.
+	// configurationReads counts calls of Configuration.
 	configurationReads atomic.Int32
 
 	mu        sync.Mutex
--- a/internal/desk/refusal.go
+++ b/internal/desk/refusal.go
@@ -53,7 +53,7 @@
 	Outcome outcome.Outcome
 	// RetryAfter is when the caller may retry, or 0 if a retry would not help.
 	RetryAfter time.Duration
-	// Others are the addresses of other instances that the caller may use now.
+	// OtherAddresses are the addresses of other instances that the caller may use now.
 	OtherAddresses []string
 }
 
--- a/internal/dispatch/cacheevents.go
+++ b/internal/dispatch/cacheevents.go
@@ -14,7 +14,7 @@
 	return strconv.FormatUint(hash, blockNameBase)
 }
 
-// Cached applies a batch of cache events of an engine and reports whether it did. It
+// ApplyCacheEvents applies a batch of cache events of an engine and reports whether it did. It
 // ignores a batch of another incarnation, and one that overlaps the previous batch. After
 // a gap, the known contents of the cache count for less until the cache has turned over,
 // because the lost events may have evicted any of them.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -157,7 +157,7 @@
 	d.recomputeTotals()
 }
 
-// Sweep removes the upstreams whose lease expired before the given time.
+// RemoveExpired removes the upstreams whose lease expired before the given time.
 func (d *Dispatcher) RemoveExpired(before time.Time) {
 	for name, u := range d.upstreams {
 		if u.view.LeaseUntil.Before(before) {
@@ -184,7 +184,7 @@
 	return perSecond
 }
 
-// Serves reports whether any upstream serves target, even one that accepts no new
+// HasTarget reports whether any upstream serves target, even one that accepts no new
 // requests.
 func (d *Dispatcher) HasTarget(target Target) bool {
 	return d.pools[target] != nil
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -20,7 +20,7 @@
 	budgetSlackShare = 0.2
 )
 
-// Flight is one open request of this instance at an upstream. The caller reports its
+// Attempt is one open request of this instance at an upstream. The caller reports its
 // progress to the Dispatcher: FirstByte at most once, then either Finished or Failed once.
 type Attempt struct {
 	upstream     *upstream
@@ -122,9 +122,9 @@
 
 // The kinds of failure.
 const (
-	// FailureRefused means that the upstream rejected the request because it was full.
+	// FailureOverloaded means that the upstream rejected the request because it was full.
 	FailureOverloaded Failure = iota + 1
-	// FailureBroken means that the upstream was unreachable, closed the connection early,
+	// FailureError means that the upstream was unreachable, closed the connection early,
 	// timed out or answered with an error.
 	FailureError
 	// FailureCanceled means that the caller disconnected. It doesn't affect the health of
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -10,7 +10,7 @@
 // time to the first token. Predictions are off by about as much.
 const predictionMargin = 0.25
 
-// maxSkipped is the maximum number of waiting requests that a call of Freed skips because
+// maxSkipped is the maximum number of waiting requests that a call of StartWaiting skips because
 // they can't use the free slot.
 const maxSkipped = 8
 
@@ -39,14 +39,14 @@
 	Attempt  Attempt
 }
 
-// Answer is the result of Gate.Arrive. If Start, Queued and Refusal are all unset, no
+// ArriveResult is the result of Gate.Arrive. If Start, Queued and Refusal are all unset, no
 // upstream can run the request, for the given Reason.
 type ArriveResult struct {
 	// Start is set, with a non-nil Arrival, if the request is to be sent now.
 	Start Start
 	// Reason is the reason of the decision.
 	Reason Reason
-	// Queued is set if the request waits. Freed returns it later, or Expired does so by
+	// Queued is set if the request waits. StartWaiting returns it later, or RemoveExpired does so by
 	// StartBy.
 	Queued  bool
 	StartBy time.Time
@@ -104,7 +104,7 @@
 	}
 }
 
-// Freed starts waiting requests for which the named upstream may have room, and appends
+// StartWaiting starts waiting requests for which the named upstream may have room, and appends
 // them to dst. Call it after each Finished, Failed and Update of the upstream.
 func (g *Gate) StartWaiting(now time.Time, name string, dst []Start) []Start {
 	u := g.dispatcher.upstreams[name]
@@ -142,7 +142,7 @@
 	return dst
 }
 
-// Expired removes the waiting requests that can no longer start in time, and appends their
+// RemoveExpired removes the waiting requests that can no longer start in time, and appends their
 // refusals to dst. The caller answers each of them immediately.
 func (g *Gate) RemoveExpired(now time.Time, dst []admission.Refusal) []admission.Refusal {
 	if g.queue.Size() == 0 {
@@ -166,7 +166,7 @@
 	return g.queue.Cancel(a.Target.String(), a.ID)
 }
 
-// NextExpiry returns the time at which to call Expired next. If no request waits, it
+// NextExpiry returns the time at which to call RemoveExpired next. If no request waits, it
 // returns false.
 func (g *Gate) NextExpiry() (time.Time, bool) {
 	return g.queue.NextExpiry()
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -32,7 +32,7 @@
 	Leaving bool
 }
 
-// FromAnnouncement returns the View for an announcement received at now, with a lease that
+// ViewFromAnnouncement returns the View for an announcement received at now, with a lease that
 // starts then.
 func ViewFromAnnouncement(now time.Time, a upstreamapi.Announcement, lease time.Duration) View {
 	return View{
--- a/internal/docket/answer.go
+++ b/internal/docket/answer.go
@@ -62,7 +62,7 @@
 	// owns the claim, or that the command contradicts the recorded state. Nothing
 	// was changed.
 	VerdictStale
-	// VerdictNone means that the key has no record.
+	// VerdictNotFound means that the key has no record.
 	VerdictNotFound
 )
 
--- a/internal/docket/command.go
+++ b/internal/docket/command.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Command changes a Docket. It is a Claim, Record, Expire or Abandon.
+// Command changes a Store. It is a Claim, Record, Expire or Abandon.
 type Command interface {
 	isCommand()
 }
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Docket is a set of idempotency records by key. It is not safe for concurrent
+// Store is a set of idempotency records by key. It is not safe for concurrent
 // use.
 type Store struct {
 	limits  Limits
@@ -39,7 +39,7 @@
 type Counters struct {
 	// Granted counts the claims granted.
 	Granted uint64 `json:"granted"`
-	// Refused counts the claims refused because of Limits.MaxRecords.
+	// RefusedFull counts the claims refused because of Limits.MaxRecords.
 	RefusedFull uint64 `json:"refused"`
 	// Expired counts the records removed at the end of their retention. A later
 	// request with the same key counts as a new one.
@@ -93,7 +93,7 @@
 	}
 }
 
-// Lookup returns the state of the record for key. The verdict is VerdictNone,
+// Lookup returns the state of the record for key. The verdict is VerdictNotFound,
 // VerdictInProgress, VerdictCompleted, VerdictUnknown, or VerdictRecorded if the
 // request was not run.
 func (d *Store) Lookup(key Key) Answer {
--- a/internal/docket/limits.go
+++ b/internal/docket/limits.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Limits are the limits of a Docket.
+// Limits are the limits of a Store.
 type Limits struct {
 	// Retention is the time that a record is kept after its last change. It must
 	// exceed the longest time after which a caller may resend a request, because
 	// a key without a record counts as a new request.
 	Retention time.Duration `json:"retention"`
-	// Grace is added to the timeout of a claim. The claim counts as unknown after
+	// TimeoutGrace is added to the timeout of a claim. The claim counts as unknown after
 	// both.
 	TimeoutGrace time.Duration `json:"grace"`
 	// MaxTimeout is the maximum timeout of a claim. Longer ones are shortened.
@@ -30,7 +30,7 @@
 const maxDuration = 20 * 365 * 24 * time.Hour
 
 // Valid reports whether the limits for responses are not negative, all others are
-// positive, and no duration exceeds 20 years. A Docket ignores invalid limits in
+// positive, and no duration exceeds 20 years. A Store ignores invalid limits in
 // an Expire. With a retention of 0, all records would expire at once and every
 // resent request would run again.
 func (l Limits) Valid() bool {
--- a/internal/edition/edition.go
+++ b/internal/edition/edition.go
@@ -29,7 +29,7 @@
 const (
 	// Stored means that the document is now in force.
 	Stored Verdict = iota + 1
-	// Held means that the same document is already in force.
+	// AlreadyInForce means that the same document is already in force.
 	AlreadyInForce
 	// Superseded means that a higher version is in force. An operator who got no answer
 	// to a change may send it again after a later one has taken effect.
@@ -69,7 +69,7 @@
 	Content []byte
 }
 
-// With returns the document in force after put, and the result of put.
+// Apply returns the document in force after put, and the result of put.
 func (e Edition) Apply(put Put) (Edition, Result) {
 	switch {
 	case put.Version > e.Version || e.Content == nil:
--- a/internal/electorate/electorate.go
+++ b/internal/electorate/electorate.go
@@ -14,12 +14,12 @@
 
 // Options configures Decide.
 type Options struct {
-	// Least is the minimum number of voters. With more replicas there are more voters:
+	// MinVoters is the minimum number of voters. With more replicas there are more voters:
 	// the largest odd number that is not above the number of replicas. Any majority of
 	// the replicas then holds a majority of the voters, so that it keeps working when
 	// the rest is cut off.
 	MinVoters int
-	// Patience is how long a voter must be silent before another replica takes its
+	// SilenceTimeout is how long a voter must be silent before another replica takes its
 	// place. It must be above the election timeout, or every lost packet would cause a
 	// change.
 	SilenceTimeout time.Duration
@@ -48,7 +48,7 @@
 
 // Decide returns the next change that the leader self should propose, given the current
 // voters and its peers. leaderSince is the start of its leadership: silence before that
-// time does not count, so a new leader takes no voter for silent until Patience has passed.
+// time does not count, so a new leader takes no voter for silent until SilenceTimeout has passed.
 func Decide(
 	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, leaderSince time.Time, options Options,
 ) Change {
@@ -77,7 +77,7 @@
 type group struct {
 	// diskLost is a voter whose instance answers under another identity.
 	diskLost jury.Identity
-	// silent is a voter that has not answered for Patience.
+	// silent is a voter that has not answered for SilenceTimeout.
 	silent jury.Identity
 	// learner is a replica that does not vote, answers and has caught up.
 	learner jury.Identity
--- a/internal/entries/entries.go
+++ b/internal/entries/entries.go
@@ -28,15 +28,15 @@
 	// Leaving reports that the instance drains or can't confirm its configuration. It
 	// is never chosen.
 	Leaving bool
-	// Open is the number of open requests.
+	// ActiveRequests is the number of open requests.
 	ActiveRequests int
 }
 
-// Options are the settings of Choose. Keep must be set.
+// Options are the settings of Choose. MaxTTL must be set.
 type Options struct {
 	// MaxInstances is the maximum number of instances in an answer, 3 if 0.
 	MaxInstances int
-	// Keep is the longest time for which a caller keeps an answer. A draining instance
+	// MaxTTL is the longest time for which a caller keeps an answer. A draining instance
 	// keeps serving for that long.
 	MaxTTL time.Duration
 }
@@ -45,7 +45,7 @@
 // fallbacks in case it can't be reached.
 type Answer struct {
 	Instances []Instance
-	// Keep is the time for which the caller keeps the answer: Options.Keep, shortened by
+	// Keep is the time for which the caller keeps the answer: Options.MaxTTL, shortened by
 	// a random share of up to three tenths. Without it, callers that asked at the same
 	// moment, because an instance was lost or came back, would forever ask again at the
 	// same moment.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -31,18 +31,18 @@
 	Fields map[string]any
 }
 
-// Story is the history of a request according to the logs.
+// History is the history of a request according to the logs.
 type History struct {
-	// Lines are the lines of the request itself. Around are lines without a request
+	// Lines are the lines of the request itself. RelatedLines are lines without a request
 	// from about the same time that concern the same instances, upstreams or model, or
 	// a change of leader. Both are sorted by time.
 	Lines        []Line
 	RelatedLines []Line
-	// Quarantine are the lines that explain the quarantine of the request: lines about
+	// QuarantineLines are the lines that explain the quarantine of the request: lines about
 	// upstreams that terminated while they processed another request with the same
 	// digest, and lines about the quarantine itself. They are sorted by time.
 	QuarantineLines []Line
-	// Read is the number of nonempty lines, and Bad the number of those that could not
+	// LineCount is the number of nonempty lines, and UnparsedCount the number of those that could not
 	// be parsed.
 	LineCount     int
 	UnparsedCount int
@@ -113,7 +113,7 @@
 	return line, true
 }
 
-// Story returns the history of the request with the given id.
+// History returns the history of the request with the given id.
 func (l *Log) History(id string) History {
 	history := History{LineCount: l.lineCount, UnparsedCount: l.unparsedCount}
 	related := map[string]bool{}
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -215,7 +215,7 @@
 	return result, err
 }
 
-// newForeman returns a Foreman at the replica that leads in the given term.
+// newForeman returns a Controller at the replica that leads in the given term.
 func (c *testCluster) newForeman(term uint64) *foreman.Controller {
 	return foreman.NewWithoutLoop(foreman.Options{
 		State:         replica{c, term},
@@ -238,7 +238,7 @@
 	c.orderTerm = term
 }
 
-// run reconciles each Foreman every 250 ms. After each round it checks the invariants.
+// run reconciles each Controller every 250 ms. After each round it checks the invariants.
 func (c *testCluster) run(d time.Duration, foremen ...*foreman.Controller) {
 	for range d / (250 * time.Millisecond) {
 		for _, f := range foremen {
--- a/internal/foreman/export_test.go
+++ b/internal/foreman/export_test.go
@@ -8,7 +8,7 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// NewWithoutLoop returns a Foreman without its control loop: it acts only in Reconcile.
+// NewWithoutLoop returns a Controller without its control loop: it acts only in Reconcile.
 func NewWithoutLoop(options Options) *Controller {
 	return newForeman(options)
 }
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -44,7 +44,7 @@
 	Configuration() *gazette.Configuration
 }
 
-// Options configures a Foreman.
+// Options configures a Controller.
 type Options struct {
 	State   ReplicatedState
 	Cluster Cluster
@@ -57,12 +57,12 @@
 	WeightOfMoves float64
 	// Client calls engines. It must not follow redirects.
 	Client *http.Client
-	// OrderFlight is the longest time that an order can be in flight.
+	// OrderTimeout is the longest time that an order can be in flight.
 	OrderTimeout time.Duration
 	// UpstreamLease is the duration of the announcement lease. A new leader does not plan before it
 	// has passed: engines that have not yet announced themselves to it would count as lost.
 	UpstreamLease time.Duration
-	// Every is the interval of the control loop. 0 means DefaultInterval.
+	// Interval is the interval of the control loop. 0 means DefaultInterval.
 	Interval time.Duration
 	Now      func() time.Time
 	Log      zerolog.Logger
@@ -95,7 +95,7 @@
 	maxOrdersPerPlan = 32
 )
 
-// Foreman issues orders while its instance holds the order right. It is safe for concurrent use.
+// Controller issues orders while its instance holds the order right. It is safe for concurrent use.
 type Controller struct {
 	options Options
 	engines engineClient
@@ -124,7 +124,7 @@
 	plan      placement.Plan
 }
 
-// New starts a Foreman.
+// New starts a Controller.
 func New(options Options) *Controller {
 	f := newForeman(options)
 	f.loop.Go(f.run)
--- a/internal/form/reader.go
+++ b/internal/form/reader.go
@@ -11,7 +11,7 @@
 )
 
 // Reader decodes the keys of one table. Each method that returns the value of a key
-// marks the key as known. Done adds findings for the unknown keys of the table.
+// marks the key as known. ReportUnknownKeys adds findings for the unknown keys of the table.
 //
 // A Reader is not safe for concurrent use.
 type Reader struct {
@@ -120,7 +120,7 @@
 	return readers
 }
 
-// Done adds a finding for each unknown key of the table. The advice is the most
+// ReportUnknownKeys adds a finding for each unknown key of the table. The advice is the most
 // similar known key or, if none is similar, a list of the known keys.
 func (r *Reader) ReportUnknownKeys() {
 	unknown := make([]string, 0)
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -26,7 +26,7 @@
 	ReplacementCharacter: prometheus.DefaultSanitizerOpts.ReplacementCharacter,
 }
 
-// Gauges are the metrics of one instance. They are safe for concurrent use.
+// Metrics are the metrics of one instance. They are safe for concurrent use.
 type Metrics struct {
 	scope   tally.Scope
 	handler http.Handler
--- a/internal/gazette/gazette.go
+++ b/internal/gazette/gazette.go
@@ -13,9 +13,9 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Issue is the configuration at one revision. It is immutable and safe for concurrent use.
+// Configuration is the configuration at one revision. It is immutable and safe for concurrent use.
 //
-// A request keeps the Issue that is the latest at its admission, so that it never sees a
+// A request keeps the Configuration that is the latest at its admission, so that it never sees a
 // mixture of two presets.
 type Configuration struct {
 	// Revision is 0 before the first change, when nothing is declared.
@@ -25,33 +25,33 @@
 	Declarations declaration.Set
 }
 
-// Gazette holds the latest Issue. It is safe for concurrent use.
+// Cache holds the latest Configuration. It is safe for concurrent use.
 type Cache struct {
 	latest atomic.Pointer[Configuration]
 	// publishMu serializes calls of Publish, so that a slow one can't replace a newer
-	// Issue by an older one. It guards encoded.
+	// Configuration by an older one. It guards encoded.
 	publishMu sync.Mutex
 	// encoded is the encoding of the declarations of latest.
 	encoded []byte
 }
 
-// New returns a Gazette with the Issue of revision 0.
+// New returns a Cache with the Configuration of revision 0.
 func New() *Cache {
 	g := &Cache{}
 	g.latest.Store(&Configuration{})
 	return g
 }
 
-// Latest returns the latest Issue. It takes no lock.
+// Latest returns the latest Configuration. It takes no lock.
 func (g *Cache) Latest() *Configuration {
 	return g.latest.Load()
 }
 
-// Publish makes the configuration of view the latest Issue. If its revision is not above
+// Publish makes the configuration of view the latest Configuration. If its revision is not above
 // the latest, Publish does nothing: a delayed older view never replaces a newer one.
 //
 // If the declarations of view can't be decoded or don't declare its preset, Publish returns
-// an error and keeps the latest Issue. The instance must then admit no new work, as after
+// an error and keeps the latest Configuration. The instance must then admit no new work, as after
 // the end of its configuration lease. Most likely it must be upgraded.
 func (g *Cache) Publish(view *registry.View) error {
 	g.publishMu.Lock()
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// decode decodes declarations. It reuses those of the latest Issue if the encoding is the
+// decode decodes declarations. It reuses those of the latest Configuration if the encoding is the
 // same: a replay of hundreds of changes of the preset alone then decodes them only once.
 func (g *Cache) decode(encoded []byte) (declaration.Set, error) {
 	if latest := g.latest.Load(); latest.Revision > 0 && bytes.Equal(encoded, g.encoded) {
--- a/internal/gazette/gazette_test.go
+++ b/internal/gazette/gazette_test.go
@@ -57,7 +57,7 @@
 	})
 
 	It("shows each reader whole issues in rising order", func() {
-		// Two goroutines publish views in any order while others read. Each Issue must
+		// Two goroutines publish views in any order while others read. Each Configuration must
 		// have the preset of its own revision, and no reader may see a lower revision
 		// than before.
 		const revisions = 50
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -89,12 +89,12 @@
 	return i.controlPlane.ConfigCache().Latest()
 }
 
-// Propose replicates and applies command, see chamber.Chamber.
+// Propose replicates and applies command, see chamber.ControlPlane.
 func (i *Instance) Propose(ctx context.Context, command registry.Command) (registry.Result, error) {
 	return i.controlPlane.Propose(ctx, command)
 }
 
-// Lookup returns the idempotency record of a request, see chamber.Chamber.
+// Lookup returns the idempotency record of a request, see chamber.ControlPlane.
 func (i *Instance) Lookup(ctx context.Context, key docket.Key) (docket.Answer, error) {
 	return i.controlPlane.Lookup(ctx, key)
 }
--- a/internal/jury/action.go
+++ b/internal/jury/action.go
@@ -63,7 +63,7 @@
 // Answer is the response to an event or proposal that carries an ID.
 type Answer struct {
 	ID uint64
-	// Refusal is nil if the event was accepted. Otherwise the event had no
+	// Err is nil if the event was accepted. Otherwise the event had no
 	// effect and never will.
 	Err error
 	// Index and Term are those of the entry that was appended for the event, or
@@ -98,7 +98,7 @@
 	return e.Cause
 }
 
-// The values of Answer.Refusal, besides FailedError and the errors for a voter
+// The values of Answer.Err, besides FailedError and the errors for a voter
 // change that is not permitted.
 var (
 	// ErrNotLeader means that the member is not the leader.
--- a/internal/jury/event.go
+++ b/internal/jury/event.go
@@ -35,7 +35,7 @@
 
 // Compact reports that the replicated state machine has applied all entries up
 // to Index and that Data is its encoded state. The member persists a snapshot
-// and drops entries that it covers, except the last Options.Kept, from memory.
+// and drops entries that it covers, except the last Options.KeptEntries, from memory.
 // The event has no effect if Index is not committed or not above the index of
 // the member's snapshot.
 type Compact struct {
--- a/internal/jury/member_test.go
+++ b/internal/jury/member_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// refusalIn returns the Refusal of the first Answer among actions.
+// refusalIn returns the Err of the first Answer among actions.
 func refusalIn(actions []jury.Action) error {
 	GinkgoHelper()
 	answer, found := firstAction[jury.Answer](actions)
--- a/internal/jury/options.go
+++ b/internal/jury/options.go
@@ -42,7 +42,7 @@
 	// one second of true time, a clock advances by at least 1-ClockDrift and at
 	// most 1+ClockDrift seconds.
 	ClockDrift float64
-	// OrderFlight is the maximum time from a leader's OrderRight check until
+	// OrderTimeout is the maximum time from a leader's OrderRight check until
 	// the order has reached its upstream or has been lost. It includes the
 	// longest pause of the process between check and send.
 	OrderTimeout time.Duration
@@ -57,7 +57,7 @@
 	// MaxUncommittedBytes limits the data in the uncommitted entries of a
 	// leader's term. A single larger entry is still accepted.
 	MaxUncommittedBytes int
-	// Kept is how many of the entries that a snapshot covers stay in memory, for
+	// KeptEntries is how many of the entries that a snapshot covers stay in memory, for
 	// members that are slightly behind.
 	KeptEntries int
 }
--- a/internal/jury/status.go
+++ b/internal/jury/status.go
@@ -29,8 +29,8 @@
 // PeerStatus is the state of another member as seen by the leader.
 type PeerStatus struct {
 	ID Identity
-	// Answers reports whether the peer has answered a message that the leader
-	// sent within the last election timeout. Heard is when the leader sent the
+	// Active reports whether the peer has answered a message that the leader
+	// sent within the last election timeout. LastContact is when the leader sent the
 	// latest message that the peer answered, or zero if there is none.
 	Active      bool
 	LastContact time.Time
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -6,7 +6,7 @@
 // orders to these only: holding back all orders stopped every model move for 4 s
 // after each loss of a leader.
 //
-// Leases is replicated and deterministic. Sightings holds the times at which one
+// Leases is replicated and deterministic. Observations holds the times at which one
 // replica saw leases being taken, by its own clock.
 package lease
 
--- a/internal/lease/sightings.go
+++ b/internal/lease/sightings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Sightings holds the times at which a replica last saw other instances take
+// Observations holds the times at which a replica last saw other instances take
 // leases, by its own clock. A replica sees a lease only after it was taken, so a
 // wait that starts at the sighting is never too short. It is not safe for
 // concurrent use.
@@ -12,12 +12,12 @@
 	seenAt map[string]time.Time
 }
 
-// NewSightings returns empty Sightings for the replica of the instance self.
+// NewObservations returns empty Observations for the replica of the instance self.
 func NewObservations(self string) *Observations {
 	return &Observations{self: self, seenAt: map[string]time.Time{}}
 }
 
-// Saw records that this replica applied take at now.
+// Record records that this replica applied take at now.
 func (s *Observations) Record(now time.Time, take Take) {
 	for _, upstream := range take.Forget {
 		delete(s.seenAt, upstream)
@@ -30,7 +30,7 @@
 	}
 }
 
-// SawAll replaces the sightings after leases were restored from a snapshot. The
+// Reset replaces the sightings after leases were restored from a snapshot. The
 // snapshot does not say when each lease was taken, so each is treated as taken at
 // now.
 func (s *Observations) Reset(now time.Time, leases Leases) {
--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -22,7 +22,7 @@
 	Possible int64
 }
 
-// Worst returns the maximum memory that may be in use.
+// WorstCase returns the maximum memory that may be in use.
 func (a Account) WorstCase() int64 {
 	return saturatingAdd(a.Resident, saturatingAdd(a.Reserved, a.Possible))
 }
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -60,7 +60,7 @@
 	return mayRemove(order, artifact{Model: h.Model, Version: h.Version, Adapter: h.Adapter})
 }
 
-// Loads returns the holding that the order loads, or false if it loads none.
+// LoadedBy returns the holding that the order loads, or false if it loads none.
 func LoadedBy(order upstreamapi.Order) (Holding, bool) {
 	loaded, loads := loadedArtifact(order)
 	return Holding{
--- a/internal/ledger/orders.go
+++ b/internal/ledger/orders.go
@@ -100,8 +100,8 @@
 	return next, nil
 }
 
-// WithLost records that the answer to an order was lost. The order becomes
-// doubtful, and its memory counts as possible. If the order is not open, WithLost
+// WithAnswerLost records that the answer to an order was lost. The order becomes
+// doubtful, and its memory counts as possible. If the order is not open, WithAnswerLost
 // changes nothing.
 func (l Ledger) WithAnswerLost(id string) Ledger {
 	i := l.openIndex(id)
--- a/internal/manifest/command.go
+++ b/internal/manifest/command.go
@@ -10,15 +10,15 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Command is a state machine command of a Manifest: a Lead, Reports, Record, Resend,
-// Answer, Lost, Withdraw or Forget. Every command may be proposed again while it is
+// Command is a state machine command of a Manifest: a NewLeader, Reports, Record, Resend,
+// Answer, AnswerLost, Withdraw or RemoveEngine. Every command may be proposed again while it is
 // unknown whether it was committed. If it was, applying it again changes nothing and
 // either returns the same result or is rejected.
 type Command interface {
 	command()
 }
 
-// Lead records that the leader with the fencing number Term issues orders from now
+// NewLeader records that the leader with the fencing number Term issues orders from now
 // on. The open orders of earlier leaders become doubtful.
 type NewLeader struct {
 	Term uint64 `json:"term"`
@@ -33,7 +33,7 @@
 type Record struct {
 	Engine string            `json:"engine"`
 	Order  upstreamapi.Order `json:"order"`
-	// Why is the reason for the order, for display only.
+	// Reason is the reason for the order, for display only.
 	Reason string `json:"why"`
 	// At is the time of recording on the leader's clock, for display only.
 	At time.Time `json:"at"`
@@ -53,7 +53,7 @@
 	Answer upstreamapi.OrderResponse `json:"answer"`
 }
 
-// Lost records that the answer to an order was lost.
+// AnswerLost records that the answer to an order was lost.
 type AnswerLost struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id"`
@@ -67,7 +67,7 @@
 	Term   uint64 `json:"term"`
 }
 
-// Forget removes an engine that has left. It is rejected while an order to the
+// RemoveEngine removes an engine that has left. It is rejected while an order to the
 // engine is open: the engine may return with the same incarnation and execute the
 // order.
 type RemoveEngine struct {
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -10,7 +10,7 @@
 
 // Engine is the recorded state of one engine. It is an immutable value.
 type Engine struct {
-	// Announced is the last recorded announcement without the inventory, which is in
+	// Announcement is the last recorded announcement without the inventory, which is in
 	// Ledger, and without the load, which is in the roster, except Load.MaxRunning.
 	Announcement upstreamapi.Announcement `json:"announced"`
 	// Ledger is the account of the engine's memory, including the open orders.
@@ -27,11 +27,11 @@
 	Model   string                `json:"model,omitempty"`
 	Version string                `json:"version,omitempty"`
 	Adapter string                `json:"adapter,omitempty"`
-	// Why and At are copied from Record.
+	// Reason and At are copied from Record.
 	Why   string    `json:"why"`
 	At    time.Time `json:"at"`
 	State State     `json:"state"`
-	// Reason is the engine's reason for a refused order, truncated to MaxWhyBytes.
+	// Reason is the engine's reason for a refused order, truncated to MaxReasonBytes.
 	Reason string `json:"reason,omitempty"`
 }
 
@@ -67,7 +67,7 @@
 // maxClosedOrders limits the number of closed orders kept for each engine.
 const maxClosedOrders = 16
 
-// Learns reports whether the announcement changes the recorded state of the engine,
+// ChangedByAnnouncement reports whether the announcement changes the recorded state of the engine,
 // so that a Reports command should be proposed.
 //
 // Most announcements contain nothing new and are dismissed by their revision alone:
@@ -172,7 +172,7 @@
 	}
 }
 
-// LearnsFrom reports whether the answer changes the recorded state of the engine in
+// ChangedByAnswer reports whether the answer changes the recorded state of the engine in
 // more than its clock, so that an Answer command should be proposed.
 func (e Engine) ChangedByAnswer(answer upstreamapi.OrderResponse) bool {
 	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == answer.ID })
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -35,13 +35,13 @@
 	MaxEngines = 4096
 	// MaxOpenOrders limits the number of open orders to one engine.
 	MaxOpenOrders = 64
-	// MaxWhyBytes limits Record.Why and OrderEntry.Reason.
+	// MaxReasonBytes limits Record.Reason and OrderEntry.Reason.
 	MaxReasonBytes = 256
 )
 
 // Manifest is one replica of the state. It is not safe for concurrent use.
 type Manifest struct {
-	// leaderTerm is the highest fencing number of any applied Lead.
+	// leaderTerm is the highest fencing number of any applied NewLeader.
 	leaderTerm uint64
 	// highestNumber is the highest number of any recorded order to any engine.
 	highestNumber uint64
@@ -59,7 +59,7 @@
 type View struct {
 	// Term is the fencing number of the current leader.
 	Term uint64
-	// Number is the highest recorded order number. Numbers are never reused, not even
+	// HighestNumber is the highest recorded order number. Numbers are never reused, not even
 	// those of orders to removed engines.
 	HighestNumber uint64
 	// Engines are sorted by name. They must not be modified.
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -84,7 +84,7 @@
 	})
 
 	// A replaced leader's proposal to record an order is committed late, after the new
-	// leader's Lead. The new leader would not recognize the order as its own.
+	// leader's NewLeader. The new leader would not recognize the order as its own.
 	It("rejects an order of an earlier leader, and marks its recorded ones as doubtful", func() {
 		m := newManifestWithEngine()
 		m.Apply(recordOrder("e1", loadOrder(1, 1, 1, "letters", 30)))
--- a/internal/parcel/parcel.go
+++ b/internal/parcel/parcel.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrShort is returned for a record that ends before its last field or has an invalid field.
+// ErrTruncated is returned for a record that ends before its last field or has an invalid field.
 var ErrTruncated = errors.New("parcel: the record ends too early")
 
 // AppendUint appends an unsigned integer, which takes 1 to 10 bytes.
@@ -66,7 +66,7 @@
 	return field[0]
 }
 
-// Fixed returns the next size bytes, or nil if fewer remain.
+// Take returns the next size bytes, or nil if fewer remain.
 func (r *Reader) Take(size int) []byte {
 	if size > len(r.rest) {
 		r.Fail()
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -30,7 +30,7 @@
 	message()
 }
 
-// Ask requests a permit from the owner of a model. It may be sent again: the owner
+// Request requests a permit from the owner of a model. It may be sent again: the owner
 // repeats its decision.
 type Request struct {
 	ID      ID
@@ -42,11 +42,11 @@
 	AnswerTokens int
 	// Priority is that of the route; 0 is the most urgent.
 	Priority uint8
-	// Objective is the longest time to the first event, and Gap the longest pause between
+	// Objective is the longest time to the first event, and MaxEventGap the longest pause between
 	// events, within which an answer is on time. 0 means that there is no such objective.
 	Objective   time.Duration
 	MaxEventGap time.Duration
-	// Age is the time since the request arrived, and Left the time that its caller still
+	// Age is the time since the request arrived, and Remaining the time that its caller still
 	// waits.
 	Age       time.Duration
 	Remaining time.Duration
@@ -60,7 +60,7 @@
 	Upstream string
 	// Address is included because the requesting instance may not know the upstream yet.
 	Address string
-	// Unread is the time that the engine needs to prefill the prompts that it has before
+	// PrefillBacklog is the time that the engine needs to prefill the prompts that it has before
 	// this one.
 	PrefillBacklog time.Duration
 }
@@ -71,11 +71,11 @@
 	ID ID
 }
 
-// Refused replies to a permit request that can't be served in time.
+// Rejected replies to a permit request that can't be served in time.
 type Rejected struct {
 	ID     ID
 	Reason Reason
-	// ComeBack is the time after which the caller may retry, and Forecast the estimated
+	// RetryAfter is the time after which the caller may retry, and EstimatedWait the estimated
 	// wait of the request in the queue.
 	RetryAfter    time.Duration
 	EstimatedWait time.Duration
@@ -87,7 +87,7 @@
 type Survey struct {
 	// Holders is the number of live upstreams that hold the model and the adapter.
 	Holders int
-	// Full are upstreams without a free slot, Paced those with too long a prefill queue,
+	// Full are upstreams without a free slot, PrefillBusy those with too long a prefill queue,
 	// Yielding those that other instances may use first, and Avoided those at which
 	// earlier attempts failed.
 	Full, PrefillBusy, Yielding, Avoided int
@@ -95,19 +95,19 @@
 	ReportAge time.Duration
 }
 
-// Moved replies to a permit request at an instance that is shutting down: another one
+// ShuttingDown replies to a permit request at an instance that is shutting down: another one
 // owns the model.
 type ShuttingDown struct {
 	ID ID
 }
 
-// Ended releases a permit, or withdraws a permit request.
+// Release releases a permit, or withdraws a permit request.
 type Release struct {
 	ID      ID
 	Outcome Outcome
-	// First is the time to the first event without the prefill of earlier prompts, Run
+	// FirstEventTime is the time to the first event without the prefill of earlier prompts, RunTime
 	// the time that the engine had the request, and Events the number of events after the
-	// first, which arrived over Writing. All are 0 unless the first attempt got the whole
+	// first, which arrived over StreamTime. All are 0 unless the first attempt got the whole
 	// answer.
 	FirstEventTime time.Duration
 	RunTime        time.Duration
@@ -115,16 +115,16 @@
 	StreamTime     time.Duration
 }
 
-// Use reports a request at an engine to the owners of the engine's other models.
+// LoadReport reports a request at an engine to the owners of the engine's other models.
 type LoadReport struct {
 	Upstream string
-	// Reading is the prefill time of the prompt, and Open the number of requests that the
+	// PrefillTime is the prefill time of the prompt, and ActiveRequests the number of requests that the
 	// sender has at the engine, including this one.
 	PrefillTime    time.Duration
 	ActiveRequests int
 }
 
-// Limited reports to all instances what an answer of an upstream says about its rate
+// LimitReport reports to all instances what an answer of an upstream says about its rate
 // limit.
 type LimitReport struct {
 	Upstream string
@@ -138,7 +138,7 @@
 	Age time.Duration
 }
 
-// Claim asks the owner of an upstream's rate limit for permission to send one request. It
+// SendRequest asks the owner of an upstream's rate limit for permission to send one request. It
 // may be sent again: the owner repeats its decision.
 type SendRequest struct {
 	ID       ID
@@ -147,12 +147,12 @@
 	Limit ratelimit.Limit
 }
 
-// Allowed replies to a rate limit request: one request may be sent.
+// SendAllowed replies to a rate limit request: one request may be sent.
 type SendAllowed struct {
 	ID ID
 }
 
-// Held replies to a rate limit request: no request may be sent before Wait has passed.
+// SendDelayed replies to a rate limit request: no request may be sent before Wait has passed.
 type SendDelayed struct {
 	ID   ID
 	Wait time.Duration
@@ -175,11 +175,11 @@
 
 // Reasons of a refusal.
 const (
-	// Crowded means that the request would wait too long in the queue.
+	// WaitTooLong means that the request would wait too long in the queue.
 	WaitTooLong Reason = iota + 1
-	// Missing means that no upstream holds the model or will hold it in time.
+	// ModelUnavailable means that no upstream holds the model or will hold it in time.
 	ModelUnavailable
-	// Limits means that the rate limits of the upstreams are exhausted.
+	// LimitsExhausted means that the rate limits of the upstreams are exhausted.
 	LimitsExhausted
 )
 
@@ -190,14 +190,14 @@
 const (
 	// Unused means that nothing was sent, or that the caller disconnected.
 	Unused Outcome = iota
-	// Worked means that the upstream answered properly.
+	// Succeeded means that the upstream answered properly.
 	Succeeded
 	// Full means that the upstream had no room.
 	Full
-	// Absent means that the upstream doesn't hold the model or the adapter.
+	// ModelAbsent means that the upstream doesn't hold the model or the adapter.
 	ModelAbsent
 	// Failed means that the upstream was unreachable or didn't answer properly.
 	Failed
-	// Over means that nothing was sent, because of the rate limit of the upstream.
+	// RateLimited means that nothing was sent, because of the rate limit of the upstream.
 	RateLimited
 )
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -34,7 +34,7 @@
 	currentlyServed float64
 	problems        []Problem
 	unmetSince      map[need]time.Time
-	// avoided is Input.Avoid as a set.
+	// avoided is Input.AvoidedLoads as a set.
 	avoided map[AvoidedLoad]bool
 }
 
@@ -311,7 +311,7 @@
 	return indexes
 }
 
-// isAvoided reports whether Input.Avoid lists the load. Without that list, an
+// isAvoided reports whether Input.AvoidedLoads lists the load. Without that list, an
 // engine on which a load always fails would be ordered to repeat it every
 // second, while another engine could do it.
 func (d *draft) isAvoided(engine int, model, adapterName string) bool {
--- a/internal/placement/move.go
+++ b/internal/placement/move.go
@@ -50,7 +50,7 @@
 	// MemoryBytes set.
 	Order  upstreamapi.Order
 	Reason Reason
-	// For is the model for which an unload makes room.
+	// MakesRoomFor is the model for which an unload makes room.
 	MakesRoomFor string
 	// Gain and Cost are in request-seconds within the goals. Cost is not
 	// multiplied by Weight. Moves that the preset requires state no gain,
@@ -61,14 +61,14 @@
 	Weight float64
 	// Alternatives are the engines with the next best scores, at most two.
 	Alternatives []Alternative
-	// Waits is why the move is in Plan.Waiting. It is empty in Plan.Moves.
+	// WaitsFor is why the move is in Plan.Deferred. It is empty in Plan.Moves.
 	WaitsFor WaitReason
 }
 
 // Alternative is an engine that was considered for a move and not chosen.
 type Alternative struct {
 	Engine string
-	// Score is the score of this engine, and Taken that of the chosen one.
+	// Score is the score of this engine, and ChosenScore that of the chosen one.
 	Score, ChosenScore float64
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -62,7 +62,7 @@
 type WeightStore struct {
 	// LoadsPerSecond is the rate at which loads may start. 0 means no limit.
 	LoadsPerSecond float64
-	// Concurrent is how many loads may run at once. 0 means no limit.
+	// MaxConcurrentLoads is how many loads may run at once. 0 means no limit.
 	MaxConcurrentLoads int
 }
 
@@ -81,7 +81,7 @@
 	WeightStore WeightStore
 	// WeightOfMoves is used if Preset does not set it.
 	WeightOfMoves float64
-	// Avoid lists loads that must not be planned yet because a recent one
+	// AvoidedLoads lists loads that must not be planned yet because a recent one
 	// failed. The caller decides for how long.
 	AvoidedLoads []AvoidedLoad
 	// Previous is the Next of the previous plan. A leader that has not planned
@@ -89,7 +89,7 @@
 	Previous State
 }
 
-// Avoided is a load that failed on an engine.
+// AvoidedLoad is a load that failed on an engine.
 type AvoidedLoad struct {
 	Engine string
 	Model  string
@@ -123,7 +123,7 @@
 	// Moves can be ordered now, the most urgent first. Each is valid whatever
 	// becomes of the others and of the orders that are already open.
 	Moves []Move
-	// Waiting are moves that cannot be ordered yet: they need memory that is
+	// Deferred are moves that cannot be ordered yet: they need memory that is
 	// not free yet, or the weight store allows no more loads now. Later plans
 	// decide on them again.
 	Deferred []Move
@@ -148,7 +148,7 @@
 type Problem struct {
 	Model  string
 	Reason Reason
-	// Text describes the shortfall with its memory figures, for operators.
+	// Description describes the shortfall with its memory figures, for operators.
 	Description string
 }
 
--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/bulletin.go
@@ -29,7 +29,7 @@
 	In time.Duration
 }
 
-// Bulletin makes the news at one control instance. It is not safe for concurrent use.
+// Publisher makes the news at one control instance. It is not safe for concurrent use.
 type Publisher struct {
 	limits Limits
 	// announcedAt is when each request was first announced, as suspected or quarantined.
@@ -63,7 +63,7 @@
 	refreshInterval = time.Second
 )
 
-// NewBulletin returns a Bulletin that decides by limits.
+// NewPublisher returns a Publisher that decides by limits.
 func NewPublisher(limits Limits) *Publisher {
 	return &Publisher{limits: limits, announcedAt: map[Digest]time.Time{}}
 }
@@ -114,7 +114,7 @@
 	b.recordChanges(records, previous)
 }
 
-// announcementTime returns when a request that is new to this Bulletin was first
+// announcementTime returns when a request that is new to this Publisher was first
 // announced. If its last crash is older than propagationTime, as after a restart of the
 // control instance, the other instances have already had the time to clear it.
 func (b *Publisher) announcementTime(now time.Time, c Case) time.Time {
--- a/internal/quarantine/investigations.go
+++ b/internal/quarantine/investigations.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Place is the process of an upstream to which a request was sent, and its address.
+// Endpoint is the process of an upstream to which a request was sent, and its address.
 type Endpoint struct {
 	Lifetime
 	Address string
 }
 
-// Contact is what an instance knows about an upstream whose answers were interrupted.
+// Status is what an instance knows about an upstream whose answers were interrupted.
 type Status uint8
 
-// Values of Contact.
+// Values of Status.
 const (
-	// ContactNone means that nothing is known: the upstream may be alive behind a broken
+	// StatusUnknown means that nothing is known: the upstream may be alive behind a broken
 	// link.
 	StatusUnknown Status = iota
-	// ContactRefused means that the upstream's address refuses connections.
+	// StatusRefused means that the upstream's address refuses connections.
 	StatusRefused
-	// ContactReplaced means that another process uses the name or the address of the
+	// StatusReplaced means that another process uses the name or the address of the
 	// upstream.
 	StatusReplaced
-	// ContactLeaving means that the upstream has announced its shutdown.
+	// StatusLeaving means that the upstream has announced its shutdown.
 	StatusLeaving
 )
 
--- a/internal/quarantine/log.go
+++ b/internal/quarantine/log.go
@@ -3,12 +3,12 @@
 // Log messages on the quarantine of a request. Each has the digest of the request, whole
 // or shortened, in the field FieldDigest.
 const (
-	// LineEnded is logged for each request that an upstream had when it ended.
+	// LogEnded is logged for each request that an upstream had when it ended.
 	LogEnded = "the upstream ended while it had the request"
-	// LineEntered and LineLeft are logged when a request enters or leaves quarantine.
+	// LogEntered and LogLeft are logged when a request enters or leaves quarantine.
 	LogEntered = "request in quarantine: upstreams end that run it"
 	LogLeft    = "request out of quarantine"
-	// LineLifted is logged when an operator allows a request to be sent again.
+	// LogLifted is logged when an operator allows a request to be sent again.
 	LogLifted = "quarantine lifted"
 
 	FieldDigest = "digest"
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -5,7 +5,7 @@
 // instance keeps a Watch, which records the requests that an upstream had when it ended,
 // and those that ended with a whole answer. The reports of all instances are collected in
 // Records, a replicated state machine, so that crashes are counted across all instances
-// and the counts survive restarts. A Bulletin turns the records into the news that
+// and the counts survive restarts. A Publisher turns the records into the news that
 // informs the instances of the decisions.
 //
 // An upstream that ends interrupts all of its requests. A crash counts against a request
--- a/internal/quarantine/recall.go
+++ b/internal/quarantine/recall.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Recall finds upstreams that were reported as ended but are still alive, for example
+// FalseCrashDetector finds upstreams that were reported as ended but are still alive, for example
 // behind a link that refuses connections. It is not safe for concurrent use. The zero
 // value is ready for use.
 type FalseCrashDetector struct {
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -2,10 +2,10 @@
 // names a limit in its answers: a number of requests a second from all senders together,
 // in force until the upstream changes or ends it.
 //
-// One sender owns the limit and paces the requests of all (Pace); the others ask it for
+// One sender owns the limit and paces the requests of all (TokenBucket); the others ask it for
 // each request. A sender that can't reach the owner sends a share that keeps to the limit
-// even if all others do the same (Share). Answers may arrive out of order, so the limit
-// in force depends on when their requests were sent and when the answers arrived (Known).
+// even if all others do the same (ShareRate). Answers may arrive out of order, so the limit
+// in force depends on when their requests were sent and when the answers arrived (State).
 //
 // The package is pure: it takes the present time as an argument and does no I/O.
 package ratelimit
@@ -35,25 +35,25 @@
 	Slack     = 5
 )
 
-// Allowed returns the number of requests that an upstream tolerates within Window.
+// MaxRequests returns the number of requests that an upstream tolerates within Window.
 func MaxRequests(l Limit) float64 {
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
-// Said is what an answer says about the limit of its upstream: Named, Unnamed or Unclear.
+// Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or InvalidLimit.
 type Observation interface {
 	said()
 }
 
-// Named means that the answer names a valid limit.
+// NamedLimit means that the answer names a valid limit.
 type NamedLimit struct {
 	Limit Limit
 }
 
-// Unnamed means that the answer names no limit: the upstream needs none.
+// NoLimit means that the answer names no limit: the upstream needs none.
 type NoLimit struct{}
 
-// Unclear means that the answer names an invalid limit. It leaves the limit in force
+// InvalidLimit means that the answer names an invalid limit. It leaves the limit in force
 // unchanged.
 type InvalidLimit struct {
 	// Text is the start of the invalid value.
@@ -64,7 +64,7 @@
 func (NoLimit) said()      {}
 func (InvalidLimit) said() {}
 
-// Known is the limit in force at an upstream, according to its answers. It is immutable;
+// State is the limit in force at an upstream, according to its answers. It is immutable;
 // the zero value has no limit in force.
 type State struct {
 	limit Limit
@@ -116,14 +116,14 @@
 	return time.Duration(math.Ceil(float64(time.Second) / l.rate()))
 }
 
-// Probes returns the rate in requests a second at which each sender may send whatever the
-// limit, so that it notices the end of the limit. The senders should use NewPhasedPace,
+// ProbeRate returns the rate in requests a second at which each sender may send whatever the
+// limit, so that it notices the end of the limit. The senders should use NewPhasedTokenBucket,
 // so that they don't send at the same time.
 func ProbeRate(senders int) float64 {
 	return minRate / float64(max(senders, 1))
 }
 
-// Share returns the rate in requests a second at which each sender may send without an
+// ShareRate returns the rate in requests a second at which each sender may send without an
 // owner. It is 0 if the upstream does not tolerate one more request from each sender at
 // once.
 func ShareRate(l Limit, senders int) float64 {
--- a/internal/ratelimit/pace.go
+++ b/internal/ratelimit/pace.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// startDelay is the time for which a new Pace allows no request, because the previous
+	// startDelay is the time for which a new TokenBucket allows no request, because the previous
 	// owner may have sent requests until the change of owner.
 	startDelay = time.Second
 	// burstDuration bounds the requests that may be sent at once after a pause to those of
@@ -16,7 +16,7 @@
 	waitForever = time.Duration(math.MaxInt64)
 )
 
-// Pace is a token bucket. It is not safe for concurrent use.
+// TokenBucket is a token bucket. It is not safe for concurrent use.
 type TokenBucket struct {
 	// tokens are the requests that may be sent, as of filledAt. filledAt is in the future
 	// until startDelay has passed.
@@ -24,12 +24,12 @@
 	filledAt time.Time
 }
 
-// NewPace returns an empty Pace that starts to fill one second after now.
+// NewTokenBucket returns an empty TokenBucket that starts to fill one second after now.
 func NewTokenBucket(now time.Time) *TokenBucket {
 	return &TokenBucket{filledAt: now.Add(startDelay)}
 }
 
-// NewPhasedPace returns a Pace that holds phase tokens, from 0 to 1, and starts to fill
+// NewPhasedTokenBucket returns a TokenBucket that holds phase tokens, from 0 to 1, and starts to fill
 // one second after now. With random phases, senders that start at the same time send
 // their first requests at different times.
 func NewPhasedTokenBucket(now time.Time, phase float64) *TokenBucket {
@@ -55,7 +55,7 @@
 	return max(p.filledAt.Sub(now), 0) + missing, false
 }
 
-// TakeOwned is Take at the rate of all senders together, for the owner of the limit.
+// TakeAtLimit is Take at the rate of all senders together, for the owner of the limit.
 func (p *TokenBucket) TakeAtLimit(now time.Time, l Limit) (wait time.Duration, ok bool) {
 	return p.Take(now, l.rate())
 }
--- a/internal/ratelimit/read.go
+++ b/internal/ratelimit/read.go
@@ -8,7 +8,7 @@
 // maxUnclearBytes is the largest number of bytes kept of an invalid value.
 const maxUnclearBytes = 64
 
-// Read parses the values of the header by which upstreams name their limits. values has
+// ParseHeader parses the values of the header by which upstreams name their limits. values has
 // one element for each occurrence of the header in the answer. A valid answer has one, a
 // decimal number of requests a second.
 func ParseHeader(values []string) Observation {
--- a/internal/registrar/client.go
+++ b/internal/registrar/client.go
@@ -76,7 +76,7 @@
 	}}, nil
 }
 
-// InForce returns the active configuration as known to the first instance that
+// ActiveConfig returns the active configuration as known to the first instance that
 // responds.
 func (c *Client) ActiveConfig(ctx context.Context) (ActiveConfig, error) {
 	var reply activeConfigReply
@@ -133,7 +133,7 @@
 }
 
 // Change proposes a change to one instance after the other until one reports
-// whether it was accepted. Only ID, Expected, Declarations and Preset are sent.
+// whether it was accepted. Only ID, ExpectedRevision, Declarations and Preset are sent.
 //
 // If the change was certainly not accepted, Change returns a *ConflictError, a
 // *RefusedError, an *UnavailableError or ErrUnauthorized. If it may have been
--- a/internal/registrar/enginestatus.go
+++ b/internal/registrar/enginestatus.go
@@ -37,13 +37,13 @@
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
-	// Why is the reason for the placement decision.
+	// PlacementReason is the reason for the placement decision.
 	PlacementReason string `json:"why"`
 	// At is the time of the placement decision.
 	At time.Time `json:"at"`
 	// State is one of recorded, running, doubtful, done, refused, withdrawn and
 	// over.
 	State string `json:"state"`
-	// Reason is the engine's reason for refusing the order.
+	// RefusalReason is the engine's reason for refusing the order.
 	RefusalReason string `json:"reason,omitempty"`
 }
--- a/internal/registrar/moves.go
+++ b/internal/registrar/moves.go
@@ -32,16 +32,16 @@
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Reason  string `json:"reason"`
-	// For is the model that an unload frees memory for.
+	// MakesRoomFor is the model that an unload frees memory for.
 	MakesRoomFor string `json:"for,omitempty"`
-	// Waits is "memory" if the move must wait for another move to free memory.
+	// WaitsFor is "memory" if the move must wait for another move to free memory.
 	WaitsFor string `json:"waits,omitempty"`
 	// Gain and Cost are in request-seconds of requests that meet their goals.
 	Gain float64 `json:"expected-gain"`
 	Cost float64 `json:"cost"`
 }
 
-// ErrNoPlacement is returned by an instance that has no memory accounting of
+// ErrNotVoter is returned by an instance that has no memory accounting of
 // engines, since it is not a voter.
 var ErrNotVoter = errors.New("registrar: this instance is no voter; ask one for placement")
 
--- a/internal/registrar/replicated.go
+++ b/internal/registrar/replicated.go
@@ -12,7 +12,7 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// ReplicatedOptions configures a ReplicatedConfigStore. All fields are required.
+// ReplicatedConfigStoreOptions configures a ReplicatedConfigStore. All fields are required.
 type ReplicatedConfigStoreOptions struct {
 	ConfigCache *gazette.Cache
 	// Propose replicates a command to the voters and returns the result of applying
@@ -22,25 +22,25 @@
 	// not accepted and cannot be accepted later. If this is uncertain, it returns
 	// false.
 	NotAccepted func(err error) bool
-	// Fresh reports whether this instance holds its configuration lease.
+	// HasConfigLease reports whether this instance holds its configuration lease.
 	HasConfigLease func(now time.Time) bool
 	// RetryAfter is the delay that clients should wait before they retry a change
 	// that was not accepted.
 	RetryAfter time.Duration
 }
 
-// ReplicatedConfigStore is a Register backed by the replicated state machine. It is
+// ReplicatedConfigStore is a ConfigStore backed by the replicated state machine. It is
 // safe for concurrent use.
 type ReplicatedConfigStore struct {
 	options ReplicatedConfigStoreOptions
 }
 
-// NewReplicated returns a ReplicatedConfigStore.
+// NewReplicatedConfigStore returns a ReplicatedConfigStore.
 func NewReplicatedConfigStore(options ReplicatedConfigStoreOptions) *ReplicatedConfigStore {
 	return &ReplicatedConfigStore{options: options}
 }
 
-// ActiveConfig implements Register.
+// ActiveConfig implements ConfigStore.
 func (r *ReplicatedConfigStore) ActiveConfig(now time.Time) ActiveConfig {
 	// The lease must be checked first, since a configuration read afterwards is at
 	// least as recent as the check.
@@ -54,7 +54,7 @@
 	}
 }
 
-// Change implements Register.
+// Change implements ConfigStore.
 func (r *ReplicatedConfigStore) Change(ctx context.Context, change Change) (ChangeResult, error) {
 	command, err := encodeChange(change)
 	if err != nil {
--- a/internal/registrar/server.go
+++ b/internal/registrar/server.go
@@ -38,11 +38,11 @@
 	Metrics http.Handler
 	// Preview serves plan --placement. Nil disables the endpoint.
 	Preview Preview
-	// Quarantine serves the quarantine endpoints. Nil disables them.
+	// QuarantineStore serves the quarantine endpoints. Nil disables them.
 	QuarantineStore QuarantineStore
-	// Electorate serves the voter endpoints. Nil disables them.
+	// VoterManager serves the voter endpoints. Nil disables them.
 	VoterManager VoterManager
-	// Holder returns the name of the operator that a token belongs to.
+	// OperatorByToken returns the name of the operator that a token belongs to.
 	OperatorByToken func(token string) (string, bool)
 	// BodyBytes limits the size of a request body. 0 means DefaultBodyBytes.
 	BodyBytes int64
@@ -170,7 +170,7 @@
 	operator, _ := c.Get(operatorContextKey).(string)
 	change.Operator = operator
 	change.RequestedAt = s.options.Now()
-	// Without a quorum of voters, Register.Change retries until its context ends.
+	// Without a quorum of voters, ConfigStore.Change retries until its context ends.
 	// If only the client's own timeout ended it, the operator would get the outcome
 	// "unknown" for a change that was never proposed.
 	ctx, cancel := context.WithTimeout(c.Request().Context(), s.options.ChangeTimeout)
--- a/internal/registrar/types.go
+++ b/internal/registrar/types.go
@@ -15,7 +15,7 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// Register reads and changes the active configuration, which the replicated state
+// ConfigStore reads and changes the active configuration, which the replicated state
 // machine stores. Its methods must be safe for concurrent use.
 type ConfigStore interface {
 	// ActiveConfig returns the latest configuration known to this instance.
@@ -46,7 +46,7 @@
 	// ID is the idempotency key. A change that is proposed again under the same ID
 	// is applied only once.
 	ID string
-	// Expected is the revision that the change is based on. If another revision is
+	// ExpectedRevision is the revision that the change is based on. If another revision is
 	// active, the change fails with a *ConflictError.
 	ExpectedRevision uint64
 	// Declarations replaces all declarations, in the canonical encoding. Nil keeps
@@ -62,7 +62,7 @@
 	RequestedAt time.Time
 }
 
-// Answer is the result of an accepted change.
+// ChangeResult is the result of an accepted change.
 type ChangeResult struct {
 	// Revision is the revision that the change created.
 	Revision uint64
@@ -131,11 +131,11 @@
 	Version       string `json:"version"`
 	Revision      uint64 `json:"revision"`
 	Preset        string `json:"preset"`
-	// Fresh reports whether the instance holds its configuration lease. Without the
+	// HasConfigLease reports whether the instance holds its configuration lease. Without the
 	// lease it admits no new requests.
 	HasConfigLease bool `json:"fresh"`
 	Draining       bool `json:"draining"`
-	// Streams is the number of active requests.
+	// ActiveRequests is the number of active requests.
 	ActiveRequests int `json:"streams"`
 	// Leader is the instance that leads the voters, or empty if unknown.
 	Leader string `json:"leader"`
@@ -157,7 +157,7 @@
 	Draining       bool   `json:"draining"`
 	Stale          bool   `json:"stale"`
 	ActiveRequests int    `json:"streams"`
-	// Silent is the time since the last contact.
+	// SinceLastContact is the time since the last contact.
 	SinceLastContact time.Duration `json:"silent-nanoseconds"`
 }
 
@@ -167,7 +167,7 @@
 	Kind          string `json:"kind"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure-domain"`
-	// Holds lists the models and adapters that an engine has loaded, or the
+	// Serves lists the models and adapters that an engine has loaded, or the
 	// services that a plain upstream offers.
 	Serves  []string `json:"holds"`
 	Running int      `json:"running"`
--- a/internal/registrar/voters.go
+++ b/internal/registrar/voters.go
@@ -35,7 +35,7 @@
 	Term    uint64 `json:"term"`
 	// Voters lists the identities of the voting members.
 	Voters []string `json:"voters"`
-	// Waiting lists the identities of live instances that are not voting members
+	// NonVoting lists the identities of live instances that are not voting members
 	// yet, because they are new or lost their disk.
 	NonVoting []string `json:"waiting"`
 }
--- a/internal/registry/change.go
+++ b/internal/registry/change.go
@@ -35,7 +35,7 @@
 	// current ones remain.
 	Declarations []byte `json:"declarations,omitempty"`
 	// Presets are the names of the presets in Declarations, the default first.
-	// Prepare sets them.
+	// Validated sets them.
 	Presets []string `json:"presets,omitempty"`
 	// Preset is the preset to activate. If empty, the active preset remains, or
 	// the default one becomes active if there is none.
@@ -54,7 +54,7 @@
 // lists every problem. It must be a pure function.
 type DeclarationsValidator func(declarations []byte) (presets []string, err error)
 
-// Prepare validates c and returns it ready to be encoded and proposed. It
+// Validated validates c and returns it ready to be encoded and proposed. It
 // returns an error if the declarations are invalid, the ID is missing, or the
 // ID or the operator's name is too long. A Summary that is too long is truncated.
 //
@@ -99,12 +99,12 @@
 	// VerdictApplied means that the change was applied.
 	VerdictApplied Verdict = iota + 1
 	// VerdictConflict means that Change.Expected is not the current revision.
-	// Answer.Since lists the changes applied since.
+	// ChangeResult.ChangesSince lists the changes applied since.
 	VerdictConflict
 	// VerdictRefused means that the change is invalid in the current state, for the
-	// reason in Answer.Reason.
+	// reason in ChangeResult.Reason.
 	VerdictRefused
-	// VerdictReused means that the ID belongs to a different change.
+	// VerdictIDReused means that the ID belongs to a different change.
 	VerdictIDReused
 )
 
@@ -117,7 +117,7 @@
 	return names[v]
 }
 
-// Answer is the result of a Change.
+// ChangeResult is the result of a Change.
 type ChangeResult struct {
 	Verdict Verdict `json:"verdict"`
 	// Revision is the current revision after the decision. If the change was
@@ -125,14 +125,14 @@
 	Revision Revision `json:"revision"`
 	// Preset is the active preset after the decision.
 	Preset string `json:"preset"`
-	// Since lists, for VerdictConflict, up to maxConflictChanges retained changes
+	// ChangesSince lists, for VerdictConflict, up to maxConflictChanges retained changes
 	// that were applied after Change.Expected, newest first.
 	ChangesSince []AppliedChange `json:"since,omitempty"`
 	// Reason explains in one sentence why the change was not applied.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Applied is the audit record of an applied change.
+// AppliedChange is the audit record of an applied change.
 type AppliedChange struct {
 	Revision Revision  `json:"revision"`
 	ID       string    `json:"id"`
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -48,7 +48,7 @@
 	Abandon *docket.Abandon `json:"abandon,omitempty"`
 	// Manifest is an encoded manifest.Command, since format 2.
 	Manifest json.RawMessage `json:"manifest,omitempty"`
-	// Edition is present since format 3. Its content is compressed by Pack.
+	// Edition is present since format 3. Its content is compressed by Compress.
 	Edition *edition.Put `json:"edition,omitempty"`
 	// Lease is present since format 4.
 	Lease *lease.Take `json:"lease,omitempty"`
--- a/internal/registry/pack.go
+++ b/internal/registry/pack.go
@@ -12,14 +12,14 @@
 	// packedMarker is the first byte of compressed data. The canonical encoding of
 	// declarations, which is JSON, never begins with this byte.
 	packedMarker = 0x01
-	// minPackBytes is the minimum size of data that Pack compresses.
+	// minPackBytes is the minimum size of data that Compress compresses.
 	minPackBytes = 4 << 10
 	// maxUnpackedBytes limits the size of decompressed data. The declarations of
 	// 1,700 models with five adapters each take 2 MB.
 	maxUnpackedBytes = 32 << 20
 )
 
-// Pack returns data compressed, or unchanged if it is smaller than minPackBytes.
+// Compress returns data compressed, or unchanged if it is smaller than minPackBytes.
 //
 // Declarations repeat the same keys many times. With 1,700 models and 1,000
 // changes a day, uncompressed declarations alone would use up a node's network
@@ -45,7 +45,7 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack is the inverse of Pack. It returns an error if data is truncated or
+// Decompress is the inverse of Compress. It returns an error if data is truncated or
 // corrupt, or would decompress to more than maxUnpackedBytes.
 func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != packedMarker {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -62,14 +62,14 @@
 	return r.view.Load()
 }
 
-// Lookup returns the docket's record of a non-idempotent request.
+// LookupRequest returns the docket's record of a non-idempotent request.
 func (r *Registry) LookupRequest(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.docket.Lookup(key)
 }
 
-// Docket returns the counters of the docket, its number of records and the size
+// DocketStats returns the counters of the docket, its number of records and the size
 // of its stored responses in bytes.
 func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
@@ -77,7 +77,7 @@
 	return r.docket.Counters(), r.docket.Len(), r.docket.ResponseBytes()
 }
 
-// Crashes returns the records of requests that were in flight at upstreams that
+// CrashRecords returns the records of requests that were in flight at upstreams that
 // crashed, without locking.
 func (r *Registry) CrashRecords() quarantine.Records {
 	return *r.crashRecords.Load()
@@ -97,7 +97,7 @@
 	return r.manifest.View()
 }
 
-// Applied returns the log index of the last applied command.
+// AppliedIndex returns the log index of the last applied command.
 func (r *Registry) AppliedIndex() jury.Index {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -16,7 +16,7 @@
 	return &Budgets{options: options, services: map[string]*Budget{}}
 }
 
-// Of returns the Budget of service, which it creates if needed.
+// Get returns the Budget of service, which it creates if needed.
 func (b *Budgets) Get(now time.Time, service string) *Budget {
 	budget := b.services[service]
 	if budget == nil {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -69,7 +69,7 @@
 	Idempotent bool
 	// AnswerBegun reports that part of the answer was sent to the caller.
 	AnswerBegun bool
-	// Stacked reports that the request arrived with AttemptHeader.
+	// IsRetry reports that the request arrived with AttemptHeader.
 	IsRetry bool
 	// Deadline is the time from which the answer is useless. Zero means no deadline.
 	Deadline time.Time
@@ -79,7 +79,7 @@
 
 // Options are the settings of a Budget. The zero value is useful.
 type Options struct {
-	// Attempts is the maximum number of attempts at one request, 3 if 0.
+	// MaxAttempts is the maximum number of attempts at one request, 3 if 0.
 	MaxAttempts int
 	// Share is the number of retries that each new request adds to the budget, 0.1 if
 	// 0.
@@ -133,7 +133,7 @@
 	return &Budget{options: options, tokens: options.Reserve, refilledAt: now}
 }
 
-// Fresh adds the share of one new request to the budget. It must not be called for
+// AddRequest adds the share of one new request to the budget. It must not be called for
 // retries.
 func (b *Budget) AddRequest() {
 	b.tokens = min(b.tokens+b.options.Share, b.options.Reserve)
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -28,7 +28,7 @@
 	Next          Cursor
 }
 
-// Source is the state of pulling from one instance: the cursor, and the members behind its handles.
+// PullState is the state of pulling from one instance: the cursor, and the members behind its handles.
 // The zero value has pulled nothing. It is not safe for concurrent use.
 type PullState struct {
 	cursor    Cursor
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -32,7 +32,7 @@
 type Upstream struct {
 	// Announcement is the most recent one. Its slices must not be changed.
 	Announcement upstreamapi.Announcement
-	// Heard is the latest time at which the announcement can have been made.
+	// LastContact is the latest time at which the announcement can have been made.
 	LastContact time.Time
 	// Leaving is true if the upstream has announced that it is leaving.
 	Leaving bool
@@ -88,7 +88,7 @@
 	Static InstanceStatic
 	// Lease is how long a member counts as alive after it was last heard from.
 	Lease time.Duration
-	// Restarts makes an announcement with a higher incarnation and another address count as a
+	// AllowRestartElsewhere makes an announcement with a higher incarnation and another address count as a
 	// restart of the same upstream. Without it, the address of a live name can't change.
 	AllowRestartElsewhere bool
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// Beat renews this instance's own record.
+// Heartbeat renews this instance's own record.
 func (r *Roster) Heartbeat(now time.Time, beat InstanceBeat) {
 	r.sequence++
 	record := InstanceRecord{
@@ -125,8 +125,8 @@
 	r.instances.Put(record, Provenance{At: now, Direct: true})
 }
 
-// Introduction returns this instance's own record, to be sent to an instance that may not know it.
-// It returns nil before the first Beat.
+// SelfRecord returns this instance's own record, to be sent to an instance that may not know it.
+// It returns nil before the first Heartbeat.
 func (r *Roster) SelfRecord(now time.Time) *InstanceRecord {
 	row, known := r.instances.rows[r.options.Self]
 	if !known {
@@ -136,7 +136,7 @@
 	return &record
 }
 
-// Introduce stores the record that another instance sent about itself with a pull. The record may
+// Discover stores the record that another instance sent about itself with a pull. The record may
 // have been delayed on its way, so its age can't be trusted, but it is sufficient to start pulling
 // from the sender. The record is ignored unless the sender is unknown, its lease has expired or the
 // record has a higher incarnation.
@@ -148,7 +148,7 @@
 	r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 }
 
-// Hear stores the record that another instance has just sent about itself. Unlike Introduce it
+// Renew stores the record that another instance has just sent about itself. Unlike Discover it
 // renews a known member: the caller guarantees that the record was not delayed for long.
 func (r *Roster) Renew(now time.Time, record InstanceRecord) {
 	if record.Name != r.options.Self {
@@ -161,7 +161,7 @@
 //
 // If the name is taken by an upstream at another address, Announce returns an error that wraps
 // ErrNameTaken and changes nothing. A name is taken while its upstream is alive, unless
-// Options.Restarts is set and the new incarnation is higher. After the upstream has left or
+// Options.AllowRestartElsewhere is set and the new incarnation is higher. After the upstream has left or
 // expired, an announcement still needs a higher incarnation to take over the name. If only the
 // leave of an upstream is known, its address is unknown and its name is free.
 //
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// Load stores a load report that an upstream sent between two announcements. If the upstream is
-// unknown, has another incarnation or has already reported a later load, Load does nothing.
+// ReportLoad stores a load report that an upstream sent between two announcements. If the upstream is
+// unknown, has another incarnation or has already reported a later load, ReportLoad does nothing.
 func (r *Roster) ReportLoad(now time.Time, report upstreamapi.LoadReport) {
 	row, known := r.upstreams.rows[report.Name]
 	if !known {
@@ -237,7 +237,7 @@
 // maxSequence is higher than the sequence of any renewal.
 const maxSequence = ^uint64(0)
 
-// Sweep removes members whose leases expired long ago.
+// EvictExpired removes members whose leases expired long ago.
 func (r *Roster) EvictExpired(now time.Time) {
 	cutoff := now.Add(-retentionLeases * r.options.Lease)
 	r.upstreams.Evict(cutoff)
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Site is the position of an instance in the cluster.
+// Location is the position of an instance in the cluster.
 type Location struct {
 	Name          string
 	FailureDomain string
@@ -17,7 +17,7 @@
 type Sources struct {
 	// All are pulled from in every round.
 	All []string
-	// FirstOf are alternatives: only the first that answers is pulled from.
+	// Alternatives are the instances of which only the first that answers is pulled from.
 	Alternatives []string
 	// Direct are pulled from for the members that report to them directly.
 	Direct []string
@@ -32,7 +32,7 @@
 	pullersPerInstance = 2
 )
 
-// SourcesOf returns the instances that self pulls from. others are the other live instances.
+// SelectSources returns the instances that self pulls from. others are the other live instances.
 //
 // In a small cluster, all instances pull from each other. In a large one, a non-voter pulls from
 // one voter; a voter pulls from the other voters and from the non-voters assigned to it. A change
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -56,12 +56,12 @@
 	// Objective is the target time for an answer, or for the first event of a stream. 0
 	// means no target.
 	Objective time.Duration
-	// Gap is the target for the longest pause between two events of a stream. 0 means no
+	// MaxEventGap is the target for the longest pause between two events of a stream. 0 means no
 	// target.
 	MaxEventGap time.Duration
 	// Priority is the priority of the requests, 0 being the most urgent.
 	Priority uint8
-	// Attempts is the maximum number of upstreams that may run one request. It is at
+	// MaxAttempts is the maximum number of upstreams that may run one request. It is at
 	// least 1.
 	MaxAttempts int
 	// Resumable reports that a stream may continue at another upstream.
@@ -98,8 +98,8 @@
 	Megabytes        float64
 	AdapterMegabytes float64
 	Adapters         int
-	// Load is the time of a load from the weight store, WarmLoad from the engine's
-	// memory and DiskLoad from its disk.
+	// LoadTime is the time of a load from the weight store, MemoryLoadTime from the engine's
+	// memory and DiskLoadTime from its disk.
 	LoadTime       time.Duration
 	MemoryLoadTime time.Duration
 	DiskLoadTime   time.Duration
@@ -109,7 +109,7 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// Stride is the number of tokens in an event of a stream.
+	// TokensPerEvent is the number of tokens in an event of a stream.
 	TokensPerEvent int
 	// KVTokens is the capacity of an engine's KV cache, in tokens of prompts and
 	// answers.
@@ -137,7 +137,7 @@
 	Name string
 	// HealthPath is the path that shows whether an upstream accepts work.
 	HealthPath string
-	// Connections is the number of connections that an upstream accepts from all
+	// MaxConnections is the number of connections that an upstream accepts from all
 	// callers.
 	MaxConnections int
 	// Engine is nil for a plain service.
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -18,7 +18,7 @@
 // replaced days before they expire, so a delay of seconds is harmless.
 const DefaultCheckInterval = 10 * time.Second
 
-// Options configures a Seal.
+// Options configures a Reloader.
 type Options struct {
 	// Files must be set, see settings.KeyPair.IsSet.
 	Files settings.KeyPair
@@ -27,12 +27,12 @@
 	CheckInterval time.Duration
 	// Now returns the current time.
 	Now func() time.Time
-	// Failed is called for replaced files that cannot be used. The previous ones stay in use. It is
-	// called with a lock held and must not call methods of the Seal.
+	// OnError is called for replaced files that cannot be used. The previous ones stay in use. It is
+	// called with a lock held and must not call methods of the Reloader.
 	OnError func(err error)
 }
 
-// Seal holds a certificate with its key, and optionally the CA certificates that verify the peer.
+// Reloader holds a certificate with its key, and optionally the CA certificates that verify the peer.
 // It is safe for concurrent use.
 //
 // It checks its files when a connection is made, so it needs no goroutine, and a process without
@@ -66,7 +66,7 @@
 	size     int64
 }
 
-// New returns a Seal that has loaded the files. If they cannot be used, New returns an error.
+// New returns a Reloader that has loaded the files. If they cannot be used, New returns an error.
 func New(options Options) (*Reloader, error) {
 	if options.CheckInterval == 0 {
 		options.CheckInterval = DefaultCheckInterval
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -65,7 +65,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
 }
 
-// fixture holds the files of one peer and the Seal that uses them.
+// fixture holds the files of one peer and the Reloader that uses them.
 type fixture struct {
 	files    settings.KeyPair
 	now      time.Time
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,13 +101,13 @@
 	// UpstreamLease is how long an upstream receives new work after an
 	// announcement.
 	UpstreamLease time.Duration
-	// SilenceTime is how long an idempotent request waits for an answer on a
+	// StatusQueryDelay is how long an idempotent request waits for an answer on a
 	// connection before the upstream is probed over a second one.
 	StatusQueryDelay time.Duration
-	// OrderFlightTime is the timeout of the call that sends an order to an engine.
+	// OrderTimeout is the timeout of the call that sends an order to an engine.
 	// No order is in flight for longer.
 	OrderTimeout time.Duration
-	// EntryTime is how long a caller caches the instance that it has been referred
+	// ReferralTTL is how long a caller caches the instance that it has been referred
 	// to. It is shorter than DrainTime: otherwise callers would still connect to an
 	// instance that has stopped.
 	ReferralTTL time.Duration
@@ -131,14 +131,14 @@
 	QueueLength int
 	// Streams bounds the requests in progress.
 	Streams int
-	// DocketRecords and DocketBytes bound the number and the total size of
+	// IdempotencyRecords and IdempotencyBytes bound the number and the total size of
 	// idempotency records.
 	IdempotencyRecords int
 	IdempotencyBytes   int64
-	// DocketAnswerBytes bounds the answer stored in one idempotency record. It is
-	// at most DocketBytes.
+	// IdempotencyAnswerBytes bounds the answer stored in one idempotency record. It is
+	// at most IdempotencyBytes.
 	IdempotencyAnswerBytes int64
-	// DocketRetention is how long an idempotency record is kept.
+	// IdempotencyRetention is how long an idempotency record is kept.
 	IdempotencyRetention time.Duration
 }
 
--- a/internal/shuttle/bench_test.go
+++ b/internal/shuttle/bench_test.go
@@ -43,7 +43,7 @@
 }
 
 // proxyHandlers returns the proxies to the upstream at address, by name: the reverse proxy of the
-// standard library, and a Shuttle.
+// standard library, and a Proxy.
 func proxyHandlers(address string) map[string]http.Handler {
 	target := &url.URL{Scheme: "http", Host: address}
 	baseline := httputil.NewSingleHostReverseProxy(target)
--- a/internal/shuttle/export_test.go
+++ b/internal/shuttle/export_test.go
@@ -1,4 +1,4 @@
 package shuttle
 
-// StreamWithTimeout is Stream with a configurable write timeout.
+// StreamWithTimeout is StreamBody with a configurable write timeout.
 var StreamWithTimeout = streamWithTimeout
--- a/internal/shuttle/header.go
+++ b/internal/shuttle/header.go
@@ -18,7 +18,7 @@
 	"Upgrade",
 }
 
-// Forwardable returns a copy of header without hop-by-hop headers.
+// EndToEndHeader returns a copy of header without hop-by-hop headers.
 func EndToEndHeader(header http.Header) http.Header {
 	copied := header.Clone()
 	if copied == nil {
--- a/internal/shuttle/relay.go
+++ b/internal/shuttle/relay.go
@@ -21,7 +21,7 @@
 // finalEvent is the last event of a complete stream in the OpenAI API.
 var finalEvent = []byte("data: [DONE]")
 
-// ErrCutOff marks the Error of a response that ended before it was complete. Use errors.Is.
+// ErrTruncated marks the Error of a response that ended before it was complete. Use errors.Is.
 var ErrTruncated = errors.New("upstream response was truncated")
 
 // Prefetch reads the whole body of response if it has at most limit bytes, so that nothing is sent
@@ -52,7 +52,7 @@
 	io.Closer
 }
 
-// Head writes the status and the headers of response to w.
+// WriteHeader writes the status and the headers of response to w.
 func WriteHeader(w http.ResponseWriter, response *Response) {
 	header := w.Header()
 	for name, values := range EndToEndHeader(response.Header) {
@@ -61,9 +61,9 @@
 	w.WriteHeader(response.Status)
 }
 
-// Stream relays the body of response to w, and flushes after each read. If the upstream's body ends
-// before it is complete, Stream returns a *Error marked as ErrCutOff. If a write to the caller
-// fails, Stream returns its error.
+// StreamBody relays the body of response to w, and flushes after each read. If the upstream's body ends
+// before it is complete, StreamBody returns a *Error marked as ErrTruncated. If a write to the caller
+// fails, StreamBody returns its error.
 //
 // If events is true, the body is an event stream. It is complete only if "data: [DONE]" is its last
 // event: a crashing engine may close its connection in the same way as one that has finished.
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -39,7 +39,7 @@
 	// Streamed is true if the response is an event stream, whose header is sent with the first
 	// event.
 	Streamed bool
-	// AskAfter is true if the upstream supports status queries for requests. A plain service may
+	// SupportsStatusQuery is true if the upstream supports status queries for requests. A plain service may
 	// mistake a status query for a regular request.
 	SupportsStatusQuery bool
 	Priority            int
@@ -47,7 +47,7 @@
 	Remaining time.Duration
 }
 
-// Answer is an upstream's response with an unread body.
+// Response is an upstream's response with an unread body.
 type Response struct {
 	Status int
 	Header http.Header
@@ -60,7 +60,7 @@
 	prefetched []byte
 }
 
-// Whole returns the body if Prefetch has read all of it. Body still returns it as well.
+// PrefetchedBody returns the body if Prefetch has read all of it. Body still returns it as well.
 func (r *Response) PrefetchedBody() (body []byte, ok bool) {
 	return r.prefetched, r.prefetched != nil
 }
@@ -88,7 +88,7 @@
 	return e.cause
 }
 
-// Shuttle sends requests to upstreams. It is safe for concurrent use.
+// Proxy sends requests to upstreams. It is safe for concurrent use.
 type Proxy struct {
 	keepAlive *http.Transport
 	singleUse *http.Transport
@@ -99,7 +99,7 @@
 	hedges           *hedgeBudget
 }
 
-// Options configures a Shuttle. The zero value uses TCP and the defaults.
+// Options configures a Proxy. The zero value uses TCP and the defaults.
 type Options struct {
 	// Dial connects to an upstream. Nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -107,10 +107,10 @@
 	ConnectTimeout time.Duration
 	// IdleConnections is the maximum number of idle connections to each upstream. 0 means 64.
 	IdleConnections int
-	// SilenceTime is how long an idempotent request waits for a response before its status is
+	// StatusQueryDelay is how long an idempotent request waits for a response before its status is
 	// queried on another connection. 0 means 1 s.
 	StatusQueryDelay time.Duration
-	// BodySilence is how long a response may pause before it counts as truncated. 0 means 15 s.
+	// BodyIdleTimeout is how long a response may pause before it counts as truncated. 0 means 15 s.
 	BodyIdleTimeout time.Duration
 }
 
@@ -123,7 +123,7 @@
 	idleConnectionTimeout   = 30 * time.Second
 )
 
-// New returns a Shuttle.
+// New returns a Proxy.
 func New(options Options) *Proxy {
 	if options.ConnectTimeout == 0 {
 		options.ConnectTimeout = defaultConnectTimeout
@@ -171,7 +171,7 @@
 
 // Send sends request to the upstream at address and waits for the header of the response. If there
 // is none, or the upstream refused the request before running it, Send returns a *Error. The body
-// of the Answer must be closed.
+// of the Response must be closed.
 //
 // ctx limits the whole attempt, including reading the body. A request that is not idempotent is
 // sent exactly once. An idempotent request may be sent again to the same upstream on another
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -53,7 +53,7 @@
 	meanWeight = 0.02
 )
 
-// Speed holds the estimates for the engines of one service. It is not safe for
+// Estimator holds the estimates for the engines of one service. It is not safe for
 // concurrent use.
 type Estimator struct {
 	// allModels estimates prefill over all models, and models for each model: prefill of
@@ -69,7 +69,7 @@
 	requestSeconds float64
 }
 
-// New returns a Speed that holds the priors. tokensPerEvent is the number of tokens in
+// New returns an Estimator that holds the priors. tokensPerEvent is the number of tokens in
 // one event of a stream, 0 if unknown.
 func New(tokensPerEvent int) *Estimator {
 	event := time.Duration(max(tokensPerEvent, 1)) * priorDecodeStep
@@ -81,7 +81,7 @@
 	return s
 }
 
-// Read records one prefill: the prompt's length in tokens, and the time from the start
+// ObservePrefill records one prefill: the prompt's length in tokens, and the time from the start
 // of the prefill to the first token.
 func (s *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
 	if promptTokens <= 0 || duration <= 0 {
@@ -99,7 +99,7 @@
 	prefill.observe(float64(promptTokens), duration.Seconds())
 }
 
-// Reading returns the estimated prefill time of a prompt. It stores nothing for a model
+// PrefillTime returns the estimated prefill time of a prompt. It stores nothing for a model
 // without an answer so far, because callers may name any model.
 func (s *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
 	prefill := s.models[model]
@@ -110,7 +110,7 @@
 	return time.Duration(float64(promptTokens) * slope * float64(time.Second))
 }
 
-// Wrote records a complete stream: the number of answer tokens that its request declared,
+// ObserveStream records a complete stream: the number of answer tokens that its request declared,
 // the number of events, and the time from the first event to the last.
 func (s *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
 	if events < 2 || declaredTokens <= 0 || duration <= 0 {
@@ -126,23 +126,23 @@
 	s.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - s.tokenSeconds)
 }
 
-// Ran records the time that a request spent at an engine.
+// ObserveRequest records the time that a request spent at an engine.
 func (s *Estimator) ObserveRequest(duration time.Duration) {
 	s.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - s.requestSeconds)
 }
 
-// RunTime returns the estimated time that a request spends at an engine.
+// RequestTime returns the estimated time that a request spends at an engine.
 func (s *Estimator) RequestTime() time.Duration {
 	return time.Duration(s.requestSeconds * float64(time.Second))
 }
 
-// EventTime returns the estimated time between two events of a stream while the engine
+// EventInterval returns the estimated time between two events of a stream while the engine
 // prefills few prompts.
 func (s *Estimator) EventInterval() time.Duration {
 	return time.Duration(s.eventSeconds * float64(time.Second))
 }
 
-// Answering returns the estimated time to generate the answer to a request that declared
+// AnswerTime returns the estimated time to generate the answer to a request that declared
 // this number of answer tokens.
 func (s *Estimator) AnswerTime(declaredTokens int) time.Duration {
 	return time.Duration(float64(declaredTokens) * s.tokenSeconds * float64(time.Second))
--- a/internal/standin/manualclock.go
+++ b/internal/standin/manualclock.go
@@ -65,7 +65,7 @@
 	c.timers = pending
 }
 
-// AwaitWaiters blocks until at least n timers are pending. A timer whose
+// AwaitTimers blocks until at least n timers are pending. A timer whose
 // receiver has stopped waiting counts until it is due.
 func (c *ManualClock) AwaitTimers(n int) {
 	c.mu.Lock()
--- a/internal/stocking/candidate.go
+++ b/internal/stocking/candidate.go
@@ -79,7 +79,7 @@
 
 // victim returns the model to unload from e to make room for m: the one with the lowest
 // demand for each remaining copy. A model is kept if its remaining copies would be loaded
-// by more than half of Busy and at least as much as those of m.
+// by more than half of MaxLoad and at least as much as those of m.
 //
 // The last copy of a model is unloaded only if the model is idle and m has demand. On its
 // next request, the model comes back from the engine's memory or disk within a second or
--- a/internal/stocking/planner.go
+++ b/internal/stocking/planner.go
@@ -34,7 +34,7 @@
 // engineState is an engine that takes requests.
 type engineState struct {
 	*Engine
-	// holds lists the models of Holds that the planner knows. On a narrow engine these
+	// holds lists the models of Loaded that the planner knows. On a narrow engine these
 	// are only models without demand.
 	holds []*modelState
 	// load is the engine's part of the demand, in engines.
--- a/internal/stocking/stocking.go
+++ b/internal/stocking/stocking.go
@@ -21,13 +21,13 @@
 	// Demand is the requested work, in engines: 1 keeps one engine busy.
 	Demand float64
 	// Waiting is the number of requests that find no engine that holds the model.
-	// Missing is how long requests have found none.
+	// MissingFor is how long requests have found none.
 	Waiting    int
 	MissingFor time.Duration
 	// Idle reports that the model has had no requests for a while.
 	Idle bool
-	// Load is the time of a load from the weight store, WarmLoad from the engine's
-	// memory and DiskLoad from its disk.
+	// LoadTime is the time of a load from the weight store, MemoryLoadTime from the engine's
+	// memory and DiskLoadTime from its disk.
 	LoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 }
 
@@ -35,17 +35,17 @@
 type Engine struct {
 	Name      string
 	Megabytes float64
-	// Used is the memory of weights and adapters, in megabytes.
+	// UsedMegabytes is the memory of weights and adapters, in megabytes.
 	UsedMegabytes float64
-	// Holds lists the loaded models. Coming is the model that is being loaded, or
+	// Loaded lists the loaded models. Loading is the model that is being loaded, or
 	// empty.
 	Loaded  []string
 	Loading string
-	// Closed reports that the engine can take no order now.
+	// Unavailable reports that the engine can take no order now.
 	Unavailable bool
 	// Leaving reports that the engine takes no more requests.
 	Leaving bool
-	// Narrow reports that the engine limits itself to few requests. Its copies count
+	// Throttled reports that the engine limits itself to few requests. Its copies count
 	// only for models without demand, and it gets no new ones.
 	Throttled bool
 	// InMemory and OnDisk list models that the engine can load without the weight
@@ -58,11 +58,11 @@
 type Move struct {
 	Engine string
 	Model  string
-	// Unload reports that the model is unloaded to make room for For. Otherwise it is
+	// Unload reports that the model is unloaded to make room for MakesRoomFor. Otherwise it is
 	// loaded.
 	Unload       bool
 	MakesRoomFor string
-	// Fetch reports that the load reads from the weight store.
+	// FromStore reports that the load reads from the weight store.
 	FromStore bool
 	Reason    Reason
 	// Load is the load of the least loaded copy before the move, in engines. It is 0
@@ -85,15 +85,15 @@
 
 // Options configures a plan.
 type Options struct {
-	// Busy is the load, as a share of an engine's capacity, above which the models of
+	// MaxLoad is the load, as a share of an engine's capacity, above which the models of
 	// an engine get another copy.
 	MaxLoad float64
-	// Gain is the minimum relief by a copy for an overloaded model: an engine gets one
+	// MinGain is the minimum relief by a copy for an overloaded model: an engine gets one
 	// only if its load is lower than that of the least loaded copy by this share.
 	MinGain float64
-	// Orders is the maximum number of moves in a plan.
+	// MaxMoves is the maximum number of moves in a plan.
 	MaxMoves int
-	// Fetches is the number of loads from the weight store that may start now.
+	// MaxFetches is the number of loads from the weight store that may start now.
 	MaxFetches int
 }
 
--- a/internal/upstreamapi/announcement.go
+++ b/internal/upstreamapi/announcement.go
@@ -149,7 +149,7 @@
 	MemoryBytes int64 `json:"memory-bytes,omitempty"`
 }
 
-// Welcome is the response to an Announcement.
+// AnnounceResponse is the response to an Announcement.
 type AnnounceResponse struct {
 	// RenewEvery is the interval between announcements, in nanoseconds.
 	RenewEvery time.Duration `json:"renew-every"`
--- a/internal/upstreamapi/order.go
+++ b/internal/upstreamapi/order.go
@@ -84,12 +84,12 @@
 	OrderUnknown OrderState = "unknown-order"
 )
 
-// Final reports whether the order will make no further changes.
+// Terminal reports whether the order will make no further changes.
 func (s OrderState) Terminal() bool {
 	return s != OrderRunning && s != OrderUnknown
 }
 
-// OrderAnswer is the state of an order with the engine's inventory at that
+// OrderResponse is the state of an order with the engine's inventory at that
 // time.
 type OrderResponse struct {
 	ID    string     `json:"id"`
--- a/internal/upstreamapi/paths.go
+++ b/internal/upstreamapi/paths.go
@@ -2,7 +2,7 @@
 
 // Paths that an instance serves to upstreams.
 const (
-	// AnnouncePath accepts a POST of an Announcement and returns a Welcome.
+	// AnnouncePath accepts a POST of an Announcement and returns an AnnounceResponse.
 	AnnouncePath = "/upstream/v1/announce"
 	// LeavePath accepts a POST of a Leave and returns 204.
 	LeavePath = "/upstream/v1/leave"
@@ -15,7 +15,7 @@
 // Paths that an upstream serves to instances.
 const (
 	// OrdersPath accepts a POST of an Order. OrdersPath followed by a slash and
-	// the escaped id of an order accepts a GET. Both return an OrderAnswer.
+	// the escaped id of an order accepts a GET. Both return an OrderResponse.
 	OrdersPath = "/upstream/v1/orders"
 	// RequestsPath followed by a slash and the escaped id of a request accepts
 	// a GET, which queries its status, and a DELETE, which cancels it. Both
