--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -38,44 +38,44 @@
 }
 
 // Requested records a request for a key.
-func (a *Tracker[K]) Requested(now time.Time, key K) {
-	times, found := a.unserved[key]
+func (t *Tracker[K]) Requested(now time.Time, key K) {
+	times, found := t.unserved[key]
 	switch {
-	case found && now.Sub(times.last) <= a.options.ForgetAfter:
+	case found && now.Sub(times.last) <= t.options.ForgetAfter:
 		times.last = now
-	case !found && len(a.unserved) >= a.options.MaxKeys && !a.removeExpired(now):
+	case !found && len(t.unserved) >= t.options.MaxKeys && !t.removeExpired(now):
 		return
 	default:
 		times = requestTimes{first: now, last: now}
 	}
-	a.unserved[key] = times
+	t.unserved[key] = times
 }
 
 // removeExpired forgets the keys that are no longer requested, and reports whether there
 // were any.
-func (a *Tracker[K]) removeExpired(now time.Time) bool {
-	count := len(a.unserved)
-	for key, times := range a.unserved {
-		if now.Sub(times.last) > a.options.ForgetAfter {
-			delete(a.unserved, key)
+func (t *Tracker[K]) removeExpired(now time.Time) bool {
+	count := len(t.unserved)
+	for key, times := range t.unserved {
+		if now.Sub(times.last) > t.options.ForgetAfter {
+			delete(t.unserved, key)
 		}
 	}
-	return len(a.unserved) < count
+	return len(t.unserved) < count
 }
 
 // Served records that a key was served.
-func (a *Tracker[K]) Served(key K) {
-	delete(a.unserved, key)
+func (t *Tracker[K]) Served(key K) {
+	delete(t.unserved, key)
 }
 
 // Starved returns the time for which a key has been requested without being served, and
 // whether that is long enough for starvation. A key that is no longer requested doesn't
 // starve.
-func (a *Tracker[K]) Starved(now time.Time, key K) (time.Duration, bool) {
-	times, found := a.unserved[key]
-	if !found || now.Sub(times.last) > a.options.ForgetAfter {
+func (t *Tracker[K]) Starved(now time.Time, key K) (time.Duration, bool) {
+	times, found := t.unserved[key]
+	if !found || now.Sub(times.last) > t.options.ForgetAfter {
 		return 0, false
 	}
 	unservedFor := now.Sub(times.first)
-	return unservedFor, unservedFor >= a.options.StarvedAfter
+	return unservedFor, unservedFor >= t.options.StarvedAfter
 }
--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -60,81 +60,81 @@
 }
 
 // ServeHTTP responds to one message of an upstream.
-func (a *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.echo.ServeHTTP(w, r)
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.echo.ServeHTTP(w, r)
 }
 
-func (a *Handler) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
+func (h *Handler) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if _, ok := a.options.UpstreamByToken(token); !ok {
-			return a.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
+		if _, ok := h.options.UpstreamByToken(token); !ok {
+			return h.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
 		}
 		return next(c)
 	}
 }
 
-func (a *Handler) announce(c echo.Context) error {
+func (h *Handler) announce(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	announcement, findings := upstreamapi.DecodeAnnouncement(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, announcement.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, announcement.Name, findingTexts(findings)...)
 	}
-	welcome, err := a.options.Instance.Announce(a.options.Now(), announcement)
+	response, err := h.options.Instance.Announce(h.options.Now(), announcement)
 	switch {
 	case errors.Is(err, roster.ErrNameTaken):
-		return a.reject(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
+		return h.reject(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
 	case err != nil:
-		return a.reject(c, http.StatusBadRequest, announcement.Name, err.Error())
+		return h.reject(c, http.StatusBadRequest, announcement.Name, err.Error())
 	}
-	return c.JSON(http.StatusOK, welcome)
+	return c.JSON(http.StatusOK, response)
 }
 
-func (a *Handler) load(c echo.Context) error {
+func (h *Handler) load(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	report, findings := upstreamapi.DecodeLoadReport(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.ReportLoad(a.options.Now(), report)
+	h.options.Instance.ReportLoad(h.options.Now(), report)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Handler) leave(c echo.Context) error {
+func (h *Handler) leave(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	leave, findings := upstreamapi.DecodeLeave(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, leave.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, leave.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Leave(a.options.Now(), leave)
+	h.options.Instance.Leave(h.options.Now(), leave)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Handler) cacheEvents(c echo.Context) error {
+func (h *Handler) cacheEvents(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	events, findings := upstreamapi.DecodeCacheEvents(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.ApplyCacheEvents(a.options.Now(), events)
+	h.options.Instance.ApplyCacheEvents(h.options.Now(), events)
 	return c.NoContent(http.StatusNoContent)
 }
 
 // reject responds with all findings about a message, and logs them.
-func (a *Handler) reject(c echo.Context, status int, upstream string, findings ...string) error {
-	a.options.Log.Warn().
+func (h *Handler) reject(c echo.Context, status int, upstream string, findings ...string) error {
+	h.options.Log.Warn().
 		Str("upstream", upstream).
 		Str("path", c.Path()).
 		Str("remote", c.Request().RemoteAddr).
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -95,18 +95,18 @@
 }
 
 // start starts the replica, the roster and the inner listener.
-func (b *Instance) start() error {
-	voter, err := chamber.NewVoter(b.voterOptions())
+func (i *Instance) start() error {
+	voter, err := chamber.NewVoter(i.voterOptions())
 	if err != nil {
 		return err
 	}
-	b.voter = voter
-	b.startRoster()
-	b.innerServer, err = courier.NewServer(b.options.InnerListener, courier.Services{
-		Roster: courier.NewRosterService(b.handlePull),
+	i.voter = voter
+	i.startRoster()
+	i.innerServer, err = courier.NewServer(i.options.InnerListener, courier.Services{
+		Roster: courier.NewRosterService(i.handlePull),
 		Others: map[string]any{
 			"Control": courier.NewControlService(voter.Control()),
-			"Feed":    courier.NewFeedService(feedServer{b}),
+			"Feed":    courier.NewFeedService(feedServer{i}),
 		},
 	})
 	return errors.Wrap(err, "backoffice: inner listener")
@@ -114,38 +114,38 @@
 
 // startRoster creates the roster, which needs the replica's identity. The replica
 // already runs at this point and may call peerIdentities concurrently.
-func (b *Instance) startRoster() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.roster = roster.New(roster.Options{
-		Self:        b.options.Address,
-		Incarnation: uint64(b.options.Now().UnixNano()),
+func (i *Instance) startRoster() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.roster = roster.New(roster.Options{
+		Self:        i.options.Address,
+		Incarnation: uint64(i.options.Now().UnixNano()),
 		Static: roster.InstanceStatic{
-			InnerAddress:  b.options.Address,
-			FailureDomain: b.options.FailureDomain,
+			InnerAddress:  i.options.Address,
+			FailureDomain: i.options.FailureDomain,
 			Voter:         true,
-			Identity:      string(b.voter.Identity()),
+			Identity:      string(i.voter.Identity()),
 		},
-		Lease:                 b.options.UpstreamLease,
+		Lease:                 i.options.UpstreamLease,
 		AllowRestartElsewhere: true,
 	})
-	b.roster.Heartbeat(b.options.Now(), roster.InstanceBeat{})
+	i.roster.Heartbeat(i.options.Now(), roster.InstanceBeat{})
 }
 
-func (b *Instance) voterOptions() chamber.VoterOptions {
+func (i *Instance) voterOptions() chamber.VoterOptions {
 	options := chamber.Options{
-		Self:  b.options.Address,
-		Calls: b.callPool,
+		Self:  i.options.Address,
+		Calls: i.callPool,
 		// An instance's name is its address.
 		ResolveAddress: func(instance string) (string, bool) { return instance, true },
 		RenewInterval:  electionTimeout,
 		ConfigLease:    electionTimeout,
-		Now:            b.options.Now,
-		Log:            b.options.Log,
-		Metrics:        b.options.Metrics,
+		Now:            i.options.Now,
+		Log:            i.options.Log,
+		Metrics:        i.options.Metrics,
 	}
-	for _, seed := range b.options.Seeds {
-		if seed != b.options.Address {
+	for _, seed := range i.options.Seeds {
+		if seed != i.options.Address {
 			options.Voters = append(options.Voters, chamber.VoterAddress{Name: seed, InnerAddress: seed})
 		}
 	}
@@ -154,15 +154,15 @@
 	limits.MaxStep = docketAgingInterval
 	return chamber.VoterOptions{
 		Options:         options,
-		Folder:          b.options.DataDir,
-		HeartbeatPool:   b.heartbeatPool,
-		EntryPool:       b.logEntryPool,
+		Folder:          i.options.DataDir,
+		HeartbeatPool:   i.heartbeatPool,
+		EntryPool:       i.logEntryPool,
 		Heartbeat:       heartbeatInterval,
 		ElectionTimeout: electionTimeout,
 		ClockDrift:      maxClockDrift,
-		Identities:      b.peerIdentities,
+		Identities:      i.peerIdentities,
 		Docket:          limits,
-		Quarantine:      b.options.Quarantine,
+		Quarantine:      i.options.Quarantine,
 	}
 }
 
@@ -171,15 +171,15 @@
 const docketAgingInterval = 24 * time.Hour
 
 // peerIdentities returns the known identities of the other replicas.
-func (b *Instance) peerIdentities() []jury.Identity {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.roster == nil {
+func (i *Instance) peerIdentities() []jury.Identity {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.roster == nil {
 		return nil
 	}
 	var identities []jury.Identity
-	for _, instance := range b.roster.Instances(b.options.Now()) {
-		if instance.Identity != "" && instance.Name != b.options.Address {
+	for _, instance := range i.roster.Instances(i.options.Now()) {
+		if instance.Identity != "" && instance.Name != i.options.Address {
 			identities = append(identities, jury.Identity(instance.Identity))
 		}
 	}
@@ -187,15 +187,15 @@
 }
 
 // Announce records an announcement that an upstream sent to this instance.
-func (b *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, found := b.roster.Upstream(announcement.Name)
-	if err := b.roster.Announce(now, announcement); err != nil {
+func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) error {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	known, found := i.roster.Upstream(announcement.Name)
+	if err := i.roster.Announce(now, announcement); err != nil {
 		return err
 	}
 	if !found || known.Announcement.Incarnation != announcement.Incarnation {
-		b.options.Log.Info().Str("upstream", announcement.Name).Strs("services", announcement.Services).
+		i.options.Log.Info().Str("upstream", announcement.Name).Strs("services", announcement.Services).
 			Str("address", announcement.Address).Int("models", len(announcement.Resident)).Msg("upstream announced")
 	}
 	return nil
@@ -205,19 +205,19 @@
 // that this instance does not know yet: another control plane instance may know it
 // already, and the upstream would still receive work after its leave was acknowledged.
 // Incarnation 0 matches any incarnation.
-func (b *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	placeholder := upstreamapi.Announcement{Name: leave.Name, Incarnation: leave.Incarnation}
 	if leave.Incarnation == 0 {
 		// An upstream that restarts after a crash has sent no leave, so this does not hide
 		// a restarted upstream.
 		placeholder.Incarnation = maxIncarnation
 	}
-	if err := b.roster.Announce(now, placeholder); err != nil && !errors.Is(err, roster.ErrNameTaken) {
-		b.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("announcement of an unknown leaving upstream rejected")
+	if err := i.roster.Announce(now, placeholder); err != nil && !errors.Is(err, roster.ErrNameTaken) {
+		i.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("announcement of an unknown leaving upstream rejected")
 	}
-	b.roster.Leave(now, leave)
+	i.roster.Leave(now, leave)
 }
 
 // maxIncarnation is higher than the incarnation of any process.
@@ -225,8 +225,8 @@
 
 // PutRoutes proposes a new version of the routes. If it returns an error, the version may
 // still come into force.
-func (b *Instance) PutRoutes(ctx context.Context, put edition.Put) (edition.Result, error) {
-	result, err := b.voter.Propose(ctx, put)
+func (i *Instance) PutRoutes(ctx context.Context, put edition.Put) (edition.Result, error) {
+	result, err := i.voter.Propose(ctx, put)
 	if err != nil {
 		return edition.Result{}, err
 	}
@@ -235,32 +235,32 @@
 
 // Routes returns the routes in force, confirmed by the voters after the call began. If
 // they can't be confirmed before ctx ends, Routes returns false.
-func (b *Instance) Routes(ctx context.Context) (edition.Edition, bool) {
-	return b.voter.ConfirmedEdition(ctx)
+func (i *Instance) Routes(ctx context.Context) (edition.Edition, bool) {
+	return i.voter.ConfirmedEdition(ctx)
 }
 
 // KnowsLeader reports whether the instance knows a leader, so that announcements made to it
 // reach the other instances.
-func (b *Instance) KnowsLeader() bool {
-	leader, _ := b.voter.Leader()
+func (i *Instance) KnowsLeader() bool {
+	leader, _ := i.voter.Leader()
 	return leader != ""
 }
 
 // SetSeeds replaces the addresses of the seed control plane instances.
-func (b *Instance) SetSeeds(seeds []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, p := range b.peers {
+func (i *Instance) SetSeeds(seeds []string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, p := range i.peers {
 		p.seed = false
 	}
 	for _, seed := range seeds {
-		if seed == b.options.Address {
+		if seed == i.options.Address {
 			continue
 		}
-		if b.peers[seed] == nil {
-			b.peers[seed] = &peer{address: seed}
+		if i.peers[seed] == nil {
+			i.peers[seed] = &peer{address: seed}
 		}
-		b.peers[seed].seed = true
+		i.peers[seed].seed = true
 	}
 }
 
@@ -271,11 +271,11 @@
 }
 
 // EntryInstances returns the entry instances that accept requests at now.
-func (b *Instance) EntryInstances(now time.Time) []EntryInstance {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) EntryInstances(now time.Time) []EntryInstance {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	var entries []EntryInstance
-	for _, instance := range b.roster.Instances(now) {
+	for _, instance := range i.roster.Instances(now) {
 		if instance.CallerAddress != "" && !instance.Draining && !instance.Stale {
 			entries = append(entries, EntryInstance{Address: instance.CallerAddress, FailureDomain: instance.FailureDomain})
 		}
@@ -285,22 +285,22 @@
 
 // Failed returns a channel that is closed when the replica has stopped for good after a
 // disk failure. The process must then be restarted.
-func (b *Instance) Failed() <-chan struct{} {
-	return b.failed
+func (i *Instance) Failed() <-chan struct{} {
+	return i.failed
 }
 
 // Close stops the instance. If it leads, it hands over the leadership, for which it has
 // until ctx ends.
-func (b *Instance) Close(ctx context.Context) {
-	b.stop()
-	b.voter.Close(ctx)
-	b.innerServer.Close()
-	b.closePools()
-	b.done.Wait()
+func (i *Instance) Close(ctx context.Context) {
+	i.stop()
+	i.voter.Close(ctx)
+	i.innerServer.Close()
+	i.closePools()
+	i.done.Wait()
 }
 
-func (b *Instance) closePools() {
-	for _, pool := range []*courier.Pool{b.callPool, b.heartbeatPool, b.logEntryPool} {
+func (i *Instance) closePools() {
+	for _, pool := range []*courier.Pool{i.callPool, i.heartbeatPool, i.logEntryPool} {
 		pool.Close()
 	}
 }
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -104,32 +104,32 @@
 }
 
 // Quarantined returns the quarantined and the suspected requests.
-func (b *Instance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
-	return b.voter.Quarantined(now)
+func (i *Instance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
+	return i.voter.Quarantined(now)
 }
 
 // Lift releases requests from quarantine. If it returns an error, they may still be
 // released.
-func (b *Instance) Lift(ctx context.Context, digests []quarantine.Digest) error {
-	return b.voter.Lift(ctx, digests)
+func (i *Instance) Lift(ctx context.Context, digests []quarantine.Digest) error {
+	return i.voter.Lift(ctx, digests)
 }
 
 // lastHeardFrom returns the time when an incarnation of an upstream was last heard from.
 // It returns false if the roster does not hold this incarnation.
-func (b *Instance) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, found := b.roster.Upstream(lifetime.Upstream)
+func (i *Instance) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	known, found := i.roster.Upstream(lifetime.Upstream)
 	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
 
 // withoutLeavingUpstreams returns update without the reports of upstreams that had
 // announced their leave before they ended.
-func (b *Instance) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	update.Reports = slices.DeleteFunc(slices.Clone(update.Reports), func(report quarantine.Report) bool {
-		known, found := b.roster.Upstream(report.Upstream)
+		known, found := i.roster.Upstream(report.Upstream)
 		// A leave without an incarnation is stored with maxIncarnation.
 		return found && known.Leaving && known.Announcement.Incarnation >= report.Incarnation
 	})
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -72,19 +72,19 @@
 // packEdition returns held with its content packed, and packs each version once for all
 // callers. The content of 1,400 routes takes 0.4 MB: unpacked, it often does not
 // reach 86 entry instances through the leader's link before their calls time out.
-func (b *Instance) packEdition(held edition.Edition) *edition.Edition {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.packedEdition != nil && b.packedEdition.Version == held.Version {
-		return b.packedEdition
+func (i *Instance) packEdition(held edition.Edition) *edition.Edition {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.packedEdition != nil && i.packedEdition.Version == held.Version {
+		return i.packedEdition
 	}
 	content, err := registry.Compress(held.Content)
 	if err != nil {
-		b.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
+		i.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
 		return &held
 	}
-	b.packedEdition = &edition.Edition{Version: held.Version, Content: content}
-	return b.packedEdition
+	i.packedEdition = &edition.Edition{Version: held.Version, Content: content}
+	return i.packedEdition
 }
 
 // membershipTTL is how long the membership is cached. Entry instances ask for it
@@ -121,25 +121,25 @@
 }
 
 // membership returns the instances that are alive. b.mu is held.
-func (b *Instance) membership(now time.Time) membership {
-	if now.Sub(b.cachedMembership.computedAt) < membershipTTL {
-		return b.cachedMembership
+func (i *Instance) membership(now time.Time) membership {
+	if now.Sub(i.cachedMembership.computedAt) < membershipTTL {
+		return i.cachedMembership
 	}
-	b.cachedMembership = membership{computedAt: now, controlsByDomain: map[string][]string{}}
-	for _, instance := range b.roster.Instances(now) {
+	i.cachedMembership = membership{computedAt: now, controlsByDomain: map[string][]string{}}
+	for _, instance := range i.roster.Instances(now) {
 		if instance.CallerAddress != "" {
-			b.cachedMembership.entries = append(b.cachedMembership.entries, instance.InnerAddress)
+			i.cachedMembership.entries = append(i.cachedMembership.entries, instance.InnerAddress)
 		}
 		if instance.Identity != "" {
-			b.cachedMembership.controls = append(b.cachedMembership.controls, instance.InnerAddress)
+			i.cachedMembership.controls = append(i.cachedMembership.controls, instance.InnerAddress)
 			domain := instance.FailureDomain
-			b.cachedMembership.controlsByDomain[domain] = append(b.cachedMembership.controlsByDomain[domain], instance.InnerAddress)
+			i.cachedMembership.controlsByDomain[domain] = append(i.cachedMembership.controlsByDomain[domain], instance.InnerAddress)
 		}
 	}
-	slices.Sort(b.cachedMembership.entries)
-	slices.Sort(b.cachedMembership.controls)
-	b.cachedMembership.revision = b.cachedMembership.hash()
-	return b.cachedMembership
+	slices.Sort(i.cachedMembership.entries)
+	slices.Sort(i.cachedMembership.controls)
+	i.cachedMembership.revision = i.cachedMembership.hash()
+	return i.cachedMembership
 }
 
 // Want returns an engine that holds a model or an adapter, if necessary after it was
--- a/internal/backoffice/pulls.go
+++ b/internal/backoffice/pulls.go
@@ -22,12 +22,12 @@
 
 // runPulls pulls the roster changes of the other control plane instances until ctx
 // ends.
-func (b *Instance) runPulls(ctx context.Context) {
+func (i *Instance) runPulls(ctx context.Context) {
 	ticker := time.NewTicker(rosterPullInterval)
 	defer ticker.Stop()
 	for {
-		for _, p := range b.beginPulls(b.options.Now()) {
-			b.done.Go(func() { b.pullFrom(ctx, p) })
+		for _, p := range i.beginPulls(i.options.Now()) {
+			i.done.Go(func() { i.pullFrom(ctx, p) })
 		}
 		select {
 		case <-ctx.Done():
@@ -39,25 +39,25 @@
 
 // beginPulls renews this instance's record and returns the peers to pull from, with
 // pulling set.
-func (b *Instance) beginPulls(now time.Time) []*peer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.roster.Heartbeat(now, roster.InstanceBeat{})
-	b.roster.EvictExpired(now)
+func (i *Instance) beginPulls(now time.Time) []*peer {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.roster.Heartbeat(now, roster.InstanceBeat{})
+	i.roster.EvictExpired(now)
 	alive := map[string]bool{}
-	for _, instance := range b.roster.Instances(now) {
-		if instance.Identity == "" || instance.Name == b.options.Address {
+	for _, instance := range i.roster.Instances(now) {
+		if instance.Identity == "" || instance.Name == i.options.Address {
 			continue
 		}
 		alive[instance.Name] = true
-		if b.peers[instance.Name] == nil {
-			b.peers[instance.Name] = &peer{address: instance.InnerAddress}
+		if i.peers[instance.Name] == nil {
+			i.peers[instance.Name] = &peer{address: instance.InnerAddress}
 		}
 	}
 	var started []*peer
-	for name, p := range b.peers {
+	for name, p := range i.peers {
 		if !p.seed && !alive[name] {
-			delete(b.peers, name)
+			delete(i.peers, name)
 			continue
 		}
 		if !p.pulling {
@@ -68,33 +68,33 @@
 	return started
 }
 
-func (b *Instance) pullFrom(ctx context.Context, p *peer) {
-	b.mu.Lock()
+func (i *Instance) pullFrom(ctx context.Context, p *peer) {
+	i.mu.Lock()
 	cursor := p.source.Cursor(true)
-	introduction := b.roster.SelfRecord(b.options.Now())
-	b.mu.Unlock()
-	sentAt := b.options.Now()
-	changes, err := b.callPool.PullRoster(ctx, p.address, cursor, introduction)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	introduction := i.roster.SelfRecord(i.options.Now())
+	i.mu.Unlock()
+	sentAt := i.options.Now()
+	changes, err := i.callPool.PullRoster(ctx, p.address, cursor, introduction)
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	p.pulling = false
 	if failed := err != nil; failed != p.unreachable && ctx.Err() == nil {
 		p.unreachable = failed
-		b.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", failed).Msg("reachability of a control plane instance changed")
+		i.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", failed).Msg("reachability of a control plane instance changed")
 	}
 	if err == nil {
-		b.roster.Merge(sentAt, &p.source, changes)
+		i.roster.Merge(sentAt, &p.source, changes)
 	}
 }
 
 // handlePull answers the pull of another control plane instance, which includes the
 // caller's own record.
-func (b *Instance) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
-	now := b.options.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
+	now := i.options.Now()
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	if from != nil {
-		b.roster.Discover(now, *from)
+		i.roster.Discover(now, *from)
 	}
-	return b.roster.Since(now, cursor)
+	return i.roster.Since(now, cursor)
 }
--- a/internal/backoffice/voters.go
+++ b/internal/backoffice/voters.go
@@ -17,40 +17,40 @@
 
 // bootstrap founds the cluster at the very first start. All founders try it: the same
 // identities result in the same cluster.
-func (b *Instance) bootstrap(ctx context.Context) {
-	if !b.options.Bootstrap {
+func (i *Instance) bootstrap(ctx context.Context) {
+	if !i.options.Bootstrap {
 		return
 	}
-	for b.voter.Status().Cluster == "" {
-		if err := b.voter.Bootstrap(ctx); err != nil {
-			b.options.Log.Debug().Err(err).Msg("bootstrap failed; retrying")
+	for i.voter.Status().Cluster == "" {
+		if err := i.voter.Bootstrap(ctx); err != nil {
+			i.options.Log.Debug().Err(err).Msg("bootstrap failed; retrying")
 		}
 		if !pause.For(ctx, bootstrapRetryInterval) {
 			return
 		}
 	}
-	b.options.Log.Info().Str("cluster", b.voter.Status().Cluster).Msg("cluster bootstrapped")
+	i.options.Log.Info().Str("cluster", i.voter.Status().Cluster).Msg("cluster bootstrapped")
 }
 
 // maintainVoters updates metrics, detects a failed replica, and adjusts the set of
 // voters while this instance leads.
-func (b *Instance) maintainVoters(ctx context.Context) {
+func (i *Instance) maintainVoters(ctx context.Context) {
 	for pause.For(ctx, voterCheckInterval) {
-		status := b.voter.Status()
-		b.updateMetrics(status)
+		status := i.voter.Status()
+		i.updateMetrics(status)
 		if status.Failure != nil {
-			close(b.failed)
+			close(i.failed)
 			return
 		}
-		if b.trackLeadership(b.options.Now()) {
-			b.changeVoters(ctx)
+		if i.trackLeadership(i.options.Now()) {
+			i.changeVoters(ctx)
 		}
 	}
 }
 
 // updateMetrics exports the state of the replica.
-func (b *Instance) updateMetrics(status jury.Status) {
-	scope := b.options.Metrics.SubScope("backoffice")
+func (i *Instance) updateMetrics(status jury.Status) {
+	scope := i.options.Metrics.SubScope("backoffice")
 	leads := 0.0
 	if status.Role == jury.Leader {
 		leads = 1
@@ -58,63 +58,63 @@
 	scope.Gauge("leads").Update(leads)
 	scope.Gauge("term").Update(float64(status.Term))
 	scope.Gauge("voters").Update(float64(len(status.Voters)))
-	scope.Gauge("learners").Update(float64(len(b.voter.Peers()) + 1 - len(status.Voters)))
-	_, reading := b.voter.EditionWithAge()
+	scope.Gauge("learners").Update(float64(len(i.voter.Peers()) + 1 - len(status.Voters)))
+	_, reading := i.voter.EditionWithAge()
 	scope.Gauge("routes_version").Update(float64(reading.Version))
 	if reading.Confirmed {
 		scope.Gauge("routes_age_seconds").Update(reading.Age.Seconds())
 	}
-	b.logCaughtUp(reading)
+	i.logCaughtUp(reading)
 }
 
 // logCaughtUp logs once when the replica has applied all committed log entries after
 // its start.
-func (b *Instance) logCaughtUp(reading edition.Reading) {
-	b.mu.Lock()
-	first := reading.Confirmed && !b.caughtUp
-	b.caughtUp = b.caughtUp || reading.Confirmed
-	b.mu.Unlock()
+func (i *Instance) logCaughtUp(reading edition.Reading) {
+	i.mu.Lock()
+	first := reading.Confirmed && !i.caughtUp
+	i.caughtUp = i.caughtUp || reading.Confirmed
+	i.mu.Unlock()
 	if first {
-		b.options.Log.Info().Uint64("version", reading.Version).Dur("age", reading.Age).Msg("caught up with the other voters")
+		i.options.Log.Info().Uint64("version", reading.Version).Dur("age", reading.Age).Msg("caught up with the other voters")
 	}
 }
 
 // trackLeadership reports whether this instance leads, and records the time since which
 // it does.
-func (b *Instance) trackLeadership(now time.Time) bool {
-	leader, _ := b.voter.Leader()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) trackLeadership(now time.Time) bool {
+	leader, _ := i.voter.Leader()
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	switch {
-	case leader != b.voter.Identity():
-		b.leaderSince = time.Time{}
+	case leader != i.voter.Identity():
+		i.leaderSince = time.Time{}
 		return false
-	case b.leaderSince.IsZero():
-		b.leaderSince = now
+	case i.leaderSince.IsZero():
+		i.leaderSince = now
 	}
 	return true
 }
 
 // changeVoters requests the next change of the voters, if one is due.
-func (b *Instance) changeVoters(ctx context.Context) {
-	b.mu.Lock()
-	since := b.leaderSince
-	b.mu.Unlock()
+func (i *Instance) changeVoters(ctx context.Context) {
+	i.mu.Lock()
+	since := i.leaderSince
+	i.mu.Unlock()
 	change := electorate.Decide(
-		b.options.Now(), b.voter.Identity(), b.voter.Status().Voters, b.voter.Peers(), since,
-		electorate.Options{MinVoters: b.options.MinVoters, SilenceTimeout: voterSilenceTimeout},
+		i.options.Now(), i.voter.Identity(), i.voter.Status().Voters, i.voter.Peers(), since,
+		electorate.Options{MinVoters: i.options.MinVoters, SilenceTimeout: voterSilenceTimeout},
 	)
 	if change == (electorate.Change{}) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := b.voter.ChangeVoters(ctx, courier.VotersChange{Add: change.Add, Remove: change.Remove})
-	b.options.Log.Info().Err(err).Str("add", string(change.Add)).Str("remove", string(change.Remove)).
+	err := i.voter.ChangeVoters(ctx, courier.VotersChange{Add: change.Add, Remove: change.Remove})
+	i.options.Log.Info().Err(err).Str("add", string(change.Add)).Str("remove", string(change.Remove)).
 		Str("reason", string(change.Reason)).Msg("change of voters requested")
 }
 
 // IsVoter reports whether this instance is a voter.
-func (b *Instance) IsVoter() bool {
-	return b.voter.Status().Voter
+func (i *Instance) IsVoter() bool {
+	return i.voter.Status().Voter
 }
--- a/internal/badge/badge.go
+++ b/internal/badge/badge.go
@@ -50,22 +50,22 @@
 	if !ok {
 		return Tokens{}, findings.Err()
 	}
-	var book Tokens
+	var tokens Tokens
 	namePlaces := map[string]finding.Place{}
 	hashPlaces := map[[sha256.Size]byte]finding.Place{}
 	for _, table := range root.Tables(tokenKey) {
 		parsed := readHolder(table, namePlaces, hashPlaces)
-		book.holders = append(book.holders, parsed)
+		tokens.holders = append(tokens.holders, parsed)
 	}
 	root.ReportUnknownKeys()
-	if len(book.holders) == 0 {
+	if len(tokens.holders) == 0 {
 		findings.Add(finding.Place{File: file}, "no token is listed, so nobody could act",
 			`write [[token]] with name = "..." and sha256 = "..."`)
 	}
 	if err := findings.Err(); err != nil {
 		return Tokens{}, err
 	}
-	return book, nil
+	return tokens, nil
 }
 
 // IsTokenFile reports whether data is TOML that lists tokens, even if the list is invalid.
@@ -103,15 +103,15 @@
 
 // Holder returns the name of the holder of token, or false if there is none. Its running time does
 // not depend on the tokens.
-func (b Tokens) Holder(token string) (string, bool) {
+func (t Tokens) Holder(token string) (string, bool) {
 	hash := sha256.Sum256([]byte(token))
 	index := -1
-	for i := range b.holders {
-		match := subtle.ConstantTimeCompare(hash[:], b.holders[i].hash[:])
+	for i := range t.holders {
+		match := subtle.ConstantTimeCompare(hash[:], t.holders[i].hash[:])
 		index = subtle.ConstantTimeSelect(match, i, index)
 	}
 	if index < 0 {
 		return "", false
 	}
-	return b.holders[index].name, true
+	return t.holders[index].name, true
 }
--- a/internal/badge/badge_test.go
+++ b/internal/badge/badge_test.go
@@ -17,13 +17,13 @@
 
 var _ = Describe("Book", func() {
 	It("returns the holder of each token, and none for other tokens", func() {
-		book, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
+		tokens, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
 		Expect(err).NotTo(HaveOccurred())
 		for token, want := range map[string]string{
 			"first token": "kim", "second token": "ada", "": "", "First token": "", "first token\n": "",
 			fmt.Sprintf("%x", sha256.Sum256([]byte("first token"))): "",
 		} {
-			name, ok := book.Holder(token)
+			name, ok := tokens.Holder(token)
 			Expect(name).To(Equal(want), token)
 			Expect(ok).To(Equal(want != ""), token)
 		}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -111,11 +111,11 @@
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	var reply entriesResponse
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(address, "/v1/entries"), nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(address, "/v1/entries"), nil)
 	if err != nil {
 		return reply, errors.Wrap(err, "caller: entries")
 	}
-	response, err := c.options.Client.Do(request)
+	response, err := c.options.Client.Do(httpRequest)
 	if err != nil {
 		return reply, errors.Wrap(err, "caller: entries")
 	}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -65,7 +65,7 @@
 	fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"in\"}}]}\n\n")
 }
 
-var question = caller.Request{Model: "m", Prompt: "when"}
+var request = caller.Request{Model: "m", Prompt: "when"}
 
 func discardText(string) {}
 
@@ -74,7 +74,7 @@
 		instance := newFakeInstance(respondComplete)
 		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
 		for range 3 {
-			answer, err := client.Complete(ctx, question, discardText)
+			answer, err := client.Complete(ctx, request, discardText)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.Text).To(Equal("in ten minutes"))
 		}
@@ -99,7 +99,7 @@
 		serving := newFakeInstance(respondComplete)
 		draining := newFakeInstance(respondDraining, serving)
 		client := caller.New(caller.Options{Seeds: []string{draining.address()}})
-		answer, err := client.Complete(ctx, question, discardText)
+		answer, err := client.Complete(ctx, request, discardText)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Entry.Address).To(Equal(serving.address()))
 		Expect(answer.Attempts).To(Equal(2))
@@ -111,7 +111,7 @@
 		instance := newFakeInstance(respondPartial)
 		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
 		received := ""
-		_, err := client.Complete(ctx, question, func(chunk string) { received += chunk })
+		_, err := client.Complete(ctx, request, func(chunk string) { received += chunk })
 		var callErr *caller.Error
 		Expect(errors.As(err, &callErr)).To(BeTrue())
 		Expect(callErr.Outcome).To(Equal(outcome.Ran))
@@ -122,7 +122,7 @@
 	It("gives up with the reason when nobody takes the question", func(ctx SpecContext) {
 		instance := newFakeInstance(respondDraining)
 		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
-		_, err := client.Complete(ctx, question, discardText)
+		_, err := client.Complete(ctx, request, discardText)
 		var callErr *caller.Error
 		Expect(errors.As(err, &callErr)).To(BeTrue())
 		Expect(callErr.Outcome).To(Equal(outcome.NotRun))
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -44,7 +44,7 @@
 // attempt fails before the first chunk, unless the response has a 4xx status. Once all
 // entries have failed, it first waits for the retry delay of the last response. If Complete
 // receives no complete response, it returns an *Error.
-func (c *Caller) Complete(ctx context.Context, question Request, onChunk func(string)) (Response, error) {
+func (c *Caller) Complete(ctx context.Context, request Request, onChunk func(string)) (Response, error) {
 	var lastErr error
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		entries, err := c.Entries(ctx)
@@ -53,7 +53,7 @@
 		}
 		entry := c.pick(entries)
 		started := false
-		text, err := c.stream(ctx, entry, question, func(chunk string) {
+		text, err := c.stream(ctx, entry, request, func(chunk string) {
 			started = true
 			onChunk(chunk)
 		})
@@ -107,26 +107,26 @@
 }
 
 func (c *Caller) stream(
-	ctx context.Context, entry Entry, question Request, onChunk func(string),
+	ctx context.Context, entry Entry, request Request, onChunk func(string),
 ) (string, error) {
 	body, err := json.Marshal(chatRequest{
-		Model:    question.Model,
-		Messages: []chatMessage{{Role: "user", Content: question.Prompt}},
+		Model:    request.Model,
+		Messages: []chatMessage{{Role: "user", Content: request.Prompt}},
 		Stream:   true,
 	})
 	if err != nil {
 		return "", errors.Wrap(err, "caller: question")
 	}
 	url := c.url(entry.Address, "/v1/chat/completions")
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return "", errors.Wrap(err, "caller: question")
 	}
-	request.Header.Set("Content-Type", "application/json")
-	if question.Service != "" {
-		request.Header.Set(serviceHeader, question.Service)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	if request.Service != "" {
+		httpRequest.Header.Set(serviceHeader, request.Service)
 	}
-	response, err := c.options.Client.Do(request)
+	response, err := c.options.Client.Do(httpRequest)
 	if err != nil {
 		return "", &Error{Outcome: outcome.Unknown, Message: err.Error()}
 	}
--- a/internal/caller/silence_test.go
+++ b/internal/caller/silence_test.go
@@ -23,7 +23,7 @@
 		})
 		serving := newFakeInstance(respondComplete)
 		client := caller.New(caller.Options{Seeds: []string{unresponsive.Listener.Addr().String(), serving.address()}})
-		answer, err := client.Complete(ctx, question, discardText)
+		answer, err := client.Complete(ctx, request, discardText)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Text).To(Equal("in ten minutes"))
 		Expect(answer.Entry.Address).To(Equal(serving.address()))
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -23,17 +23,17 @@
 // Founding returns the state of this voter that a bootstrap needs to know.
 func (c controlServer) BootstrapState() courier.Founding {
 	status := c.voter.replica.Status()
-	founding := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
+	state := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
 	// A voter in operation can be in this state too, when its snapshot covers the whole log.
 	// Bootstrapping it again with the charter of its own cluster has no effect.
 	if status.Cluster != "" && status.Last == status.SnapshotIndex {
-		founding.Charter = courier.Charter{
+		state.Charter = courier.Charter{
 			Cluster: status.Cluster,
 			Voters:  status.Voters,
 			Index:   status.SnapshotIndex,
 		}
 	}
-	return founding
+	return state
 }
 
 // firstIndex is the log index of the initial state of a new cluster.
@@ -73,11 +73,11 @@
 // a new ID: voters of the old cluster that come back are ignored, and instances that followed the
 // old cluster must be restarted.
 func (v *Voter) BootstrapFrom(ctx context.Context, origin InitialState) error {
-	foundings, err := v.collectFoundings(ctx)
+	states, err := v.collectBootstrapStates(ctx)
 	if err != nil {
 		return err
 	}
-	charter, err := newCharter(foundings, origin)
+	charter, err := newCharter(states, origin)
 	if err != nil {
 		return err
 	}
@@ -101,44 +101,44 @@
 }
 
 // collectFoundings collects the Founding of every voter, including this one.
-func (v *Voter) collectFoundings(ctx context.Context) ([]courier.Founding, error) {
+func (v *Voter) collectBootstrapStates(ctx context.Context) ([]courier.Founding, error) {
 	var findings finding.List
-	foundings := []courier.Founding{v.Control().BootstrapState()}
+	states := []courier.Founding{v.Control().BootstrapState()}
 	for _, voter := range v.options.Voters {
-		founding, err := v.options.Calls.BootstrapState(ctx, voter.InnerAddress)
+		state, err := v.options.Calls.BootstrapState(ctx, voter.InnerAddress)
 		if err != nil {
 			findings.Add(finding.Place{File: voter.Name}, err.Error(), "start this voter before the bootstrap")
 			continue
 		}
-		foundings = append(foundings, founding)
+		states = append(states, state)
 	}
-	return foundings, findings.Err()
+	return states, findings.Err()
 }
 
 // newCharter returns the charter for the voters that reported foundings. If one of them prevents the
 // bootstrap, newCharter returns a *finding.Error.
-func newCharter(foundings []courier.Founding, origin InitialState) (courier.Charter, error) {
+func newCharter(states []courier.Founding, origin InitialState) (courier.Charter, error) {
 	var findings finding.List
 	charter := courier.Charter{}
-	identities := make([]jury.Identity, 0, len(foundings))
-	for _, founding := range foundings {
-		identities = append(identities, founding.Identity)
-		if founding.Cluster == "" {
+	identities := make([]jury.Identity, 0, len(states))
+	for _, state := range states {
+		identities = append(identities, state.Identity)
+		if state.Cluster == "" {
 			continue
 		}
-		place := finding.Place{File: founding.Identity.Instance()}
+		place := finding.Place{File: state.Identity.Instance()}
 		switch {
-		case founding.Charter.Cluster == "":
-			findings.Add(place, "this voter is at work in cluster "+founding.Cluster,
+		case state.Charter.Cluster == "":
+			findings.Add(place, "this voter is at work in cluster "+state.Cluster,
 				"to bring back a voter that lost its disk, replace it; do not bootstrap")
-		case founding.Charter.Index != max(origin.Index, firstIndex):
-			findings.Add(place, fmt.Sprintf("this voter was founded from the state at index %d", founding.Charter.Index),
+		case state.Charter.Index != max(origin.Index, firstIndex):
+			findings.Add(place, fmt.Sprintf("this voter was founded from the state at index %d", state.Charter.Index),
 				"run the bootstrap with the state that was given first")
-		case charter.Cluster != "" && charter.Cluster != founding.Cluster:
-			findings.Add(place, "this voter was founded in another cluster, "+founding.Cluster,
+		case charter.Cluster != "" && charter.Cluster != state.Cluster:
+			findings.Add(place, "this voter was founded in another cluster, "+state.Cluster,
 				"stop it and remove its data folder, unless the others are the wrong ones")
 		default:
-			charter = founding.Charter
+			charter = state.Charter
 		}
 	}
 	slices.Sort(identities)
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -19,8 +19,8 @@
 // Follower is the control plane of an instance that is not a voter. It stores nothing on disk, so
 // it admits work only once a voter has confirmed the configuration.
 type Follower struct {
-	options Options
-	gazette *gazette.Cache
+	options     Options
+	configCache *gazette.Cache
 
 	mu sync.Mutex
 	// freshAsOf is the latest time for which the gazette is known to hold the configuration that
@@ -41,14 +41,14 @@
 // NewFollower starts a Follower.
 func NewFollower(options Options) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{options: options, gazette: gazette.New(), cancel: cancel}
+	f := &Follower{options: options, configCache: gazette.New(), cancel: cancel}
 	f.goroutines.Go(func() { f.run(ctx) })
 	return f
 }
 
 // ConfigCache returns the cache of the configuration in force.
 func (f *Follower) ConfigCache() *gazette.Cache {
-	return f.gazette
+	return f.configCache
 }
 
 // Identity returns "", since a follower is not a voter.
@@ -93,7 +93,7 @@
 	for range f.options.Voters {
 		voter := f.currentVoter()
 		requestedAt := f.options.Now()
-		configuration, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.gazette.Latest().Revision, f.quarantineMark())
+		configuration, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.configCache.Latest().Revision, f.quarantineMark())
 		if err == nil {
 			err = f.applyConfiguration(requestedAt, configuration)
 		}
@@ -118,7 +118,7 @@
 		return err
 	}
 	if configuration.View != nil {
-		if err := f.gazette.Publish(configuration.View); err != nil {
+		if err := f.configCache.Publish(configuration.View); err != nil {
 			return err
 		}
 	}
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -14,14 +14,14 @@
 func (v *Voter) recordLease(take lease.Take) {
 	v.leaseMutex.Lock()
 	defer v.leaseMutex.Unlock()
-	v.leaseSightings.Record(v.options.Now(), take)
+	v.leaseObservations.Record(v.options.Now(), take)
 }
 
 // recordLeases records the leases of a restored snapshot, which does not say when they were taken.
 func (v *Voter) recordLeases() {
 	v.leaseMutex.Lock()
 	defer v.leaseMutex.Unlock()
-	v.leaseSightings.Reset(v.options.Now(), v.registry.Leases())
+	v.leaseObservations.Reset(v.options.Now(), v.registry.Leases())
 }
 
 // LeaseFree reports whether this replica has seen no other instance take the lease of upstream
@@ -29,7 +29,7 @@
 func (v *Voter) LeaseFree(now time.Time, upstream string, wait time.Duration) bool {
 	v.leaseMutex.Lock()
 	defer v.leaseMutex.Unlock()
-	return v.leaseSightings.Free(now, upstream, wait)
+	return v.leaseObservations.Free(now, upstream, wait)
 }
 
 // TakeLeases takes the leases of upstreams for this instance. It returns the upstreams whose leases
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -49,16 +49,16 @@
 
 // Voter is the control plane of an instance that is a voter. It runs a replica of the log.
 type Voter struct {
-	options  VoterOptions
-	identity jury.Identity
-	gazette  *gazette.Cache
-	registry *registry.Registry
-	archive  *archive.Archive
-	replica  *clerk.Replica
-	ticker   *time.Ticker
+	options     VoterOptions
+	identity    jury.Identity
+	configCache *gazette.Cache
+	registry    *registry.Registry
+	archive     *archive.Archive
+	replica     *clerk.Replica
+	ticker      *time.Ticker
 
-	leaseMutex     sync.Mutex
-	leaseSightings *lease.Observations
+	leaseMutex        sync.Mutex
+	leaseObservations *lease.Observations
 
 	quarantineMutex     sync.Mutex
 	quarantinePublisher *quarantine.Publisher
@@ -86,9 +86,9 @@
 	v := &Voter{
 		options:             options,
 		identity:            jury.Identity(fmt.Sprintf("%s/%016x", options.Self, loaded.FolderNumber)),
-		gazette:             gazette.New(),
+		configCache:         gazette.New(),
 		registry:            registry.New(),
-		leaseSightings:      lease.NewObservations(options.Self),
+		leaseObservations:   lease.NewObservations(options.Self),
 		quarantinePublisher: quarantine.NewPublisher(options.Quarantine),
 		archive:             store,
 		ticker:              time.NewTicker(options.Heartbeat / ticksPerHeartbeat),
@@ -177,14 +177,14 @@
 // voting. Otherwise a change accepted by one upgraded instance could stop all voters, and no change
 // that repairs this could be accepted.
 func (v *Voter) publishConfiguration() {
-	if err := v.gazette.Publish(v.registry.View()); err != nil {
+	if err := v.configCache.Publish(v.registry.View()); err != nil {
 		v.options.Log.Error().Err(err).Msg("cannot decode the configuration in force; upgrade this instance")
 	}
 }
 
 // ConfigCache returns the cache of the configuration in force.
 func (v *Voter) ConfigCache() *gazette.Cache {
-	return v.gazette
+	return v.configCache
 }
 
 // Identity returns the voter's identity.
@@ -217,7 +217,7 @@
 	// Read the freshness before the view: the view then includes everything that the freshness
 	// covers.
 	asOf, ok := v.replica.Freshness()
-	published := v.gazette.Latest().Revision >= v.registry.View().Revision
+	published := v.configCache.Latest().Revision >= v.registry.View().Revision
 	return ok && published && now.Sub(asOf) < v.options.ConfigLease
 }
 
--- a/internal/command/ask.go
+++ b/internal/command/ask.go
@@ -22,7 +22,7 @@
 	entryAddresses []string
 	caFile         string
 	asJSON         bool
-	question       caller.Request
+	request        caller.Request
 }
 
 func newAsk() command {
@@ -30,11 +30,11 @@
 	flags := newSubcommand("ask", "asks a model and prints the answer as it comes",
 		"lovagelift ask --model example-model \"Where is the shuttle?\"")
 	flags.StringSlice(&askOptions.entryAddresses, "e", "entry", "IP:port of an instance; repeatable; "+defaultEntryAddress+" if none is given")
-	flags.String(&askOptions.question.Model, "m", "model", "model or adapter to ask")
-	flags.String(&askOptions.question.Service, "s", "service", "service that the question belongs to")
+	flags.String(&askOptions.request.Model, "m", "model", "model or adapter to ask")
+	flags.String(&askOptions.request.Service, "s", "service", "service that the question belongs to")
 	flags.String(&askOptions.caFile, "", "ca", "file with the certificates that verify the instances; turns TLS on")
 	flags.Bool(&askOptions.asJSON, "", "json", "write the whole answer as JSON once it is there")
-	flags.AddPositionalValue(&askOptions.question.Prompt, "text", 1, true, "what to ask")
+	flags.AddPositionalValue(&askOptions.request.Prompt, "text", 1, true, "what to ask")
 	run := func(ctx context.Context, streams Streams) int {
 		return ask(ctx, askOptions, streams)
 	}
@@ -56,7 +56,7 @@
 func ask(ctx context.Context, flags askFlags, streams Streams) int {
 	var findings finding.List
 	options := caller.Options{Seeds: flags.entryAddresses, TLS: readCA(flags.caFile, &findings)}
-	if flags.question.Model == "" {
+	if flags.request.Model == "" {
 		findings.Add(flagPlace("model"), "no model is named", "give one that GET /v1/models lists")
 	}
 	if err := findings.Err(); err != nil {
@@ -69,7 +69,7 @@
 	defer cancel()
 	start := time.Now()
 	var output askOutput
-	answer, err := caller.New(options).Complete(ctx, flags.question, func(piece string) {
+	answer, err := caller.New(options).Complete(ctx, flags.request, func(piece string) {
 		if output.FirstTokenMilliseconds == 0 {
 			output.FirstTokenMilliseconds = time.Since(start).Milliseconds()
 		}
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -92,147 +92,147 @@
 }
 
 // Close stops all probes and reports, and waits until they have stopped.
-func (c *CrashDetector) Close() {
-	c.stop()
-	c.goroutines.Wait()
+func (d *CrashDetector) Close() {
+	d.stop()
+	d.goroutines.Wait()
 }
 
 // IsQuarantined reports whether a request is in quarantine and must not be sent.
-func (c *CrashDetector) IsQuarantined(digest quarantine.Digest) bool {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.IsQuarantined(now, digest)
+func (d *CrashDetector) IsQuarantined(digest quarantine.Digest) bool {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.IsQuarantined(now, digest)
 }
 
 // Counts returns the number of requests in quarantine and the number of suspected requests.
-func (c *CrashDetector) Counts() (quarantined, suspected int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.Counts()
+func (d *CrashDetector) Counts() (quarantined, suspected int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.Counts()
 }
 
 // Mark returns the mark of the latest news, and 0 if there is none.
-func (c *CrashDetector) Mark() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.Mark()
+func (d *CrashDetector) Mark() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.Mark()
 }
 
 // ApplyNews applies news of the quarantine.
-func (c *CrashDetector) ApplyNews(news quarantine.News) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.ApplyNews(now, news)
-	c.wakeReporter()
+func (d *CrashDetector) ApplyNews(news quarantine.News) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.ApplyNews(now, news)
+	d.wakeReporter()
 }
 
 // Review calls contact for each upstream whose answers were interrupted, and records the
 // result. contact is like Options.Status, and is called with the lock of the CrashDetector
 // held.
-func (c *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Review(now, contact)
-	c.wakeReporter()
+func (d *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Review(now, contact)
+	d.wakeReporter()
 }
 
 // Succeeded records that an upstream gave a whole answer to a request. It ignores answers
 // with an error status.
-func (c *CrashDetector) Succeeded(digest quarantine.Digest, status int) {
+func (d *CrashDetector) Succeeded(digest quarantine.Digest, status int) {
 	if status >= http.StatusBadRequest {
 		return
 	}
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Succeeded(now, digest)
-	c.wakeReporter()
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Succeeded(now, digest)
+	d.wakeReporter()
 }
 
 // Abandoned records that a caller abandoned a request while an upstream had it.
-func (c *CrashDetector) Abandoned(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Abandoned(now, endpoint, suspect)
+func (d *CrashDetector) Abandoned(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Abandoned(now, endpoint, suspect)
 }
 
 // Interrupted records that the answer of an upstream to a request was interrupted, or did not
 // arrive.
-func (c *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.watch.Interrupted(now, endpoint, suspect) {
+func (d *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.watch.Interrupted(now, endpoint, suspect) {
 		select {
-		case c.probes <- endpoint:
+		case d.probes <- endpoint:
 		default:
 			// The queue of probes is full. A later observation may still show that the
 			// upstream has ended.
 		}
 	}
-	c.wakeReporter()
+	d.wakeReporter()
 }
 
 // ConnectionFailed records why a connection to an upstream failed. Only a refused connection
 // counts.
-func (c *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
+func (d *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := c.options.Status(endpoint)
+	contact := d.options.Status(endpoint)
 	if contact != quarantine.StatusLeaving {
 		contact = quarantine.StatusRefused
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Observe(endpoint.Lifetime, contact)
-	c.wakeReporter()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Observe(endpoint.Lifetime, contact)
+	d.wakeReporter()
 }
 
 // wakeReporter signals the reporter if there is something to report. c.mu must be held.
-func (c *CrashDetector) wakeReporter() {
-	if !c.watch.IsPending() {
+func (d *CrashDetector) wakeReporter() {
+	if !d.watch.IsPending() {
 		return
 	}
 	select {
-	case c.reportSignal <- struct{}{}:
+	case d.reportSignal <- struct{}{}:
 	default:
 	}
 }
 
 // runProbes starts a probe for each upstream in the queue, until ctx ends.
-func (c *CrashDetector) runProbes(ctx context.Context) {
+func (d *CrashDetector) runProbes(ctx context.Context) {
 	for {
 		select {
-		case endpoint := <-c.probes:
-			c.goroutines.Go(func() { c.probe(ctx, endpoint) })
+		case endpoint := <-d.probes:
+			d.goroutines.Go(func() { d.probe(ctx, endpoint) })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *CrashDetector) probe(ctx context.Context, endpoint quarantine.Endpoint) {
+func (d *CrashDetector) probe(ctx context.Context, endpoint quarantine.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := c.options.Dial(ctx, "tcp", endpoint.Address)
+	conn, err := d.options.Dial(ctx, "tcp", endpoint.Address)
 	if err == nil {
 		conn.Close()
 		return
 	}
-	c.ConnectionFailed(endpoint, err)
+	d.ConnectionFailed(endpoint, err)
 }
 
 // runReporter reports what is pending after each signal, until ctx ends.
-func (c *CrashDetector) runReporter(ctx context.Context) {
+func (d *CrashDetector) runReporter(ctx context.Context) {
 	for {
 		select {
-		case <-c.reportSignal:
-			c.reportPending(ctx)
+		case <-d.reportSignal:
+			d.reportPending(ctx)
 		case <-ctx.Done():
 			return
 		}
@@ -240,13 +240,13 @@
 }
 
 // reportPending reports until nothing is left to report, or ctx ends.
-func (c *CrashDetector) reportPending(ctx context.Context) {
+func (d *CrashDetector) reportPending(ctx context.Context) {
 	var unsent quarantine.Update
 	for pause.For(ctx, reportInterval) {
-		update, more := c.takeDue()
-		c.logReports(update)
+		update, more := d.takeDue()
+		d.logReports(update)
 		unsent = unsent.With(update).Newest(maxUnsent)
-		if unsent.Empty() || c.send(ctx, unsent) {
+		if unsent.Empty() || d.send(ctx, unsent) {
 			unsent = quarantine.Update{}
 		}
 		if !more && unsent.Empty() {
@@ -256,26 +256,26 @@
 }
 
 // takeDue returns what is to be reported now, and whether there will be more soon.
-func (c *CrashDetector) takeDue() (update quarantine.Update, more bool) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	update = c.watch.TakeDue(now)
-	return update, c.watch.IsPending()
+func (d *CrashDetector) takeDue() (update quarantine.Update, more bool) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	update = d.watch.TakeDue(now)
+	return update, d.watch.IsPending()
 }
 
-func (c *CrashDetector) send(ctx context.Context, update quarantine.Update) bool {
+func (d *CrashDetector) send(ctx context.Context, update quarantine.Update) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return c.options.Report(ctx, update)
+	return d.options.Report(ctx, update)
 }
 
 // logReports logs each request that an upstream had when it ended.
-func (c *CrashDetector) logReports(update quarantine.Update) {
+func (d *CrashDetector) logReports(update quarantine.Update) {
 	for _, report := range update.Reports {
-		c.crashes.Inc(1)
+		d.crashes.Inc(1)
 		for _, suspect := range report.Suspects {
-			event := c.options.NewLogEvent("upstream ended")
+			event := d.options.NewLogEvent("upstream ended")
 			if event == nil {
 				continue
 			}
--- a/internal/counter/acquire.go
+++ b/internal/counter/acquire.go
@@ -62,16 +62,16 @@
 
 // enqueueLocal adds a request of this instance to the queue. It returns the reason if the request
 // is rejected immediately.
-func (c *Proxy) enqueueLocal(w *waiter, local localRequest) *rejection {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w.placingInstances = c.placingInstances(now, &w.requirements)
-	c.enqueue(now, w)
+func (p *Proxy) enqueueLocal(w *waiter, local localRequest) *rejection {
+	now := p.options.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	w.placingInstances = p.placingInstances(now, &w.requirements)
+	p.enqueue(now, w)
 	if len(local.grants) > 0 {
 		return nil
 	}
-	return c.rejectOrWait(now, w)
+	return p.rejectOrWait(now, w)
 }
 
 // refuseNoUpstream answers a request for which no upstream was available in time.
@@ -93,10 +93,10 @@
 }
 
 // surveyUpstreams counts the states of the upstreams that could have run the request.
-func (c *Proxy) surveyUpstreams(now time.Time, t *transaction) *survey {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.pool.survey(now, t.query())
+func (p *Proxy) surveyUpstreams(now time.Time, t *transaction) *survey {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.pool.survey(now, t.query())
 	return &s
 }
 
--- a/internal/counter/attempt.go
+++ b/internal/counter/attempt.go
@@ -31,13 +31,13 @@
 		return t.handleFailure(ctx, w, a, err)
 	}
 	defer response.Body.Close()
-	judgement := c.options.Dialect.Classify(response, t.call.ID)
-	if judgement == Answered || judgement == NotRun {
+	class := c.options.Dialect.Classify(response, t.call.ID)
+	if class == Answered || class == NotRun {
 		c.observeLimit(t, a, response.Header)
 	}
-	switch judgement {
+	switch class {
 	case NotRun, Misdirected:
-		return t.handleNotRun(w, a, response, judgement)
+		return t.handleNotRun(w, a, response, class)
 	case Mismatched:
 		t.possibleRuns++
 		return t.handleFailure(ctx, w, a, errors.New("counter: response belongs to another request"))
@@ -47,11 +47,11 @@
 }
 
 // handleNotRun handles an upstream that did not run the request.
-func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, judgement ResponseClass) bool {
+func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, class ResponseClass) bool {
 	c := t.counter
 	now := c.options.Now()
 	a.outcome = permit.Full
-	if judgement == Misdirected && t.model != "" {
+	if class == Misdirected && t.model != "" {
 		a.outcome = permit.ModelAbsent
 	}
 	c.mu.Lock()
@@ -60,7 +60,7 @@
 	})
 	c.mu.Unlock()
 	c.logAttempt(t, a, "refused", response.StatusCode, verdict.String())
-	if judgement != Misdirected || t.call.Model == "" {
+	if class != Misdirected || t.call.Model == "" {
 		t.tried = append(t.tried, a.upstream.name)
 	}
 	if verdict == retry.Again {
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -17,56 +17,56 @@
 // limitOwner returns the other instance that paces the requests to an upstream. It returns false if
 // this instance does. An owner that does not answer is not replaced, because two pacing instances
 // would allow twice the limit. c.mu is held.
-func (c *Proxy) limitOwner(u *upstream) (netip.AddrPort, bool) {
-	if c.peers.conn == nil {
+func (p *Proxy) limitOwner(u *upstream) (netip.AddrPort, bool) {
+	if p.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
 	anyone := func(netip.AddrPort) bool { return true }
-	owner, known := c.owners.assignment.Of(limitOwnerService, u.name, anyone)
-	return owner, known && owner != c.owners.self
+	owner, known := p.owners.assignment.Of(limitOwnerService, u.name, anyone)
+	return owner, known && owner != p.owners.self
 }
 
 // allowByLimit reports whether the rate limit of an upstream allows a request now. If not, it
 // returns the time until the next one.
-func (c *Proxy) allowByLimit(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
-	now := c.options.Now()
-	c.mu.Lock()
+func (p *Proxy) allowByLimit(ctx context.Context, u *upstream) (wait time.Duration, ok bool) {
+	now := p.options.Now()
+	p.mu.Lock()
 	limit, hasLimit := u.limit.Limit()
 	if !hasLimit {
-		c.mu.Unlock()
+		p.mu.Unlock()
 		return 0, true
 	}
-	owner, remote := c.limitOwner(u)
+	owner, remote := p.limitOwner(u)
 	switch {
 	case !remote:
-		wait, ok = u.limit.paceForAll(now).TakeAtLimit(now, limit)
-		c.mu.Unlock()
+		wait, ok = u.limit.bucketForAll(now).TakeAtLimit(now, limit)
+		p.mu.Unlock()
 		return wait, ok
-	case now.Before(c.owners.avoided[owner]):
-		wait, ok = u.limit.takeOwnShare(now, limit, c.control.entryInstances)
-		c.mu.Unlock()
+	case now.Before(p.owners.avoided[owner]):
+		wait, ok = u.limit.takeOwnShare(now, limit, p.control.entryInstances)
+		p.mu.Unlock()
 		return wait, ok
 	}
-	id, pending := c.expectReply(owner)
-	c.mu.Unlock()
-	defer c.dropReply(id)
-	answer := c.claimFromOwner(ctx, owner, permit.SendRequest{ID: id, Upstream: u.name, Limit: limit}, pending)
+	id, pending := p.expectReply(owner)
+	p.mu.Unlock()
+	defer p.dropReply(id)
+	answer := p.claimFromOwner(ctx, owner, permit.SendRequest{ID: id, Upstream: u.name, Limit: limit}, pending)
 	switch m := answer.(type) {
 	case permit.SendAllowed:
 		return 0, true
 	case permit.SendDelayed:
 		return m.Wait, false
 	}
-	c.avoidOwner(owner, unresponsiveAvoidance)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return u.limit.takeOwnShare(now, limit, c.control.entryInstances)
+	p.avoidOwner(owner, unresponsiveAvoidance)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return u.limit.takeOwnShare(now, limit, p.control.entryInstances)
 }
 
 // claimFromOwner sends a claim to the owner of a limit. The answer is nil if none arrives in time.
-func (c *Proxy) claimFromOwner(ctx context.Context, owner netip.AddrPort, claim permit.SendRequest, pending *pendingReply) permit.Message {
+func (p *Proxy) claimFromOwner(ctx context.Context, owner netip.AddrPort, claim permit.SendRequest, pending *pendingReply) permit.Message {
 	for range ownerAttempts {
-		c.peers.send(owner, claim)
+		p.peers.send(owner, claim)
 		timer := time.NewTimer(ownerTimeout)
 		select {
 		case answer := <-pending.answers:
@@ -92,18 +92,18 @@
 }
 
 // handleClaim decides a peer's claim, or repeats the earlier answer. c.mu is held.
-func (c *Proxy) handleClaim(now time.Time, from netip.AddrPort, m permit.SendRequest) {
+func (p *Proxy) handleClaim(now time.Time, from netip.AddrPort, m permit.SendRequest) {
 	requester := peerRequest{from, m.ID}
-	stored, found := c.claimAnswers[requester]
+	stored, found := p.claimAnswers[requester]
 	if !found {
-		stored = claimAnswer{answer: c.decideClaim(now, m), expires: now.Add(claimAnswerTTL)}
-		c.claimAnswers[requester] = stored
+		stored = claimAnswer{answer: p.decideClaim(now, m), expires: now.Add(claimAnswerTTL)}
+		p.claimAnswers[requester] = stored
 	}
-	c.peers.send(from, stored.answer)
+	p.peers.send(from, stored.answer)
 }
 
-func (c *Proxy) decideClaim(now time.Time, m permit.SendRequest) permit.Message {
-	u := c.pool.byName[m.Upstream]
+func (p *Proxy) decideClaim(now time.Time, m permit.SendRequest) permit.Message {
+	u := p.pool.byName[m.Upstream]
 	if u == nil {
 		return permit.SendDelayed{ID: m.ID, Wait: m.Limit.Period()}
 	}
@@ -111,7 +111,7 @@
 	if !hasLimit {
 		limit = m.Limit
 	}
-	wait, ok := u.limit.paceForAll(now).TakeAtLimit(now, limit)
+	wait, ok := u.limit.bucketForAll(now).TakeAtLimit(now, limit)
 	if !ok {
 		return permit.SendDelayed{ID: m.ID, Wait: wait}
 	}
@@ -119,10 +119,10 @@
 }
 
 // expireClaims removes the answers whose claims are over. c.mu is held.
-func (c *Proxy) expireClaims(now time.Time) {
-	for requester, stored := range c.claimAnswers {
+func (p *Proxy) expireClaims(now time.Time) {
+	for requester, stored := range p.claimAnswers {
 		if now.After(stored.expires) {
-			delete(c.claimAnswers, requester)
+			delete(p.claimAnswers, requester)
 		}
 	}
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -36,9 +36,9 @@
 	seeds   []string
 	demand  *demand
 	// speeds holds the estimated engine speed of each service.
-	speeds  map[string]*speed.Estimator
-	budgets *retry.Budgets
-	metrics *metrics
+	estimators map[string]*speed.Estimator
+	budgets    *retry.Budgets
+	metrics    *metrics
 	// logQuotas limits the log lines of each kind.
 	logQuotas map[string]*logQuota
 	// pendingLoads are the load calls for models and adapters that are waiting or in flight.
@@ -105,9 +105,9 @@
 			},
 			Lease: options.UpstreamLease,
 		}),
-		pool:   newUpstreamPool(options.FailureDomain, options.UpstreamLease),
-		demand: newDemand(),
-		speeds: map[string]*speed.Estimator{},
+		pool:       newUpstreamPool(options.FailureDomain, options.UpstreamLease),
+		demand:     newDemand(),
+		estimators: map[string]*speed.Estimator{},
 		budgets: retry.NewBudgets(retry.Options{
 			MaxAttempts: maxSends, Share: options.Retries.Ratio, Reserve: minReserve,
 		}),
@@ -150,60 +150,60 @@
 const maxSends = 4
 
 // Ready reports whether the instance accepts requests: it has routes and is not draining.
-func (c *Proxy) Ready() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.draining && c.routes.Load() != nil
+func (p *Proxy) Ready() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.draining && p.routes.Load() != nil
 }
 
 // ActiveRequests returns the number of requests in flight.
-func (c *Proxy) ActiveRequests() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.active
+func (p *Proxy) ActiveRequests() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.active
 }
 
 // Drain begins a planned shutdown. Callers are directed to other instances; requests that still
 // arrive are served.
-func (c *Proxy) Drain() {
-	c.mu.Lock()
-	c.draining = true
-	c.mu.Unlock()
-	c.syncSoon()
+func (p *Proxy) Drain() {
+	p.mu.Lock()
+	p.draining = true
+	p.mu.Unlock()
+	p.syncSoon()
 }
 
 // syncSoon triggers the next sync immediately.
-func (c *Proxy) syncSoon() {
+func (p *Proxy) syncSoon() {
 	select {
-	case c.syncNow <- struct{}{}:
+	case p.syncNow <- struct{}{}:
 	default:
 	}
 }
 
 // Draining reports whether a planned shutdown has begun.
-func (c *Proxy) Draining() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.draining
+func (p *Proxy) Draining() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.draining
 }
 
 // SetSeeds replaces the control instances to fall back on.
-func (c *Proxy) SetSeeds(seeds []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.seeds = seeds
-	c.control.known = union(c.control.known, seeds)
+func (p *Proxy) SetSeeds(seeds []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.seeds = seeds
+	p.control.known = union(p.control.known, seeds)
 }
 
 // Close stops synchronizing and closes all connections.
-func (c *Proxy) Close() {
-	c.cancel()
-	c.control.syncCalls.Close()
-	c.control.loadCalls.Close()
-	c.crashes.Close()
-	c.control.reportCalls.Close()
-	c.peers.close()
-	c.background.Wait()
-	c.keepAlive.CloseIdleConnections()
-	c.singleUse.CloseIdleConnections()
+func (p *Proxy) Close() {
+	p.cancel()
+	p.control.syncCalls.Close()
+	p.control.loadCalls.Close()
+	p.crashes.Close()
+	p.control.reportCalls.Close()
+	p.peers.close()
+	p.background.Wait()
+	p.keepAlive.CloseIdleConnections()
+	p.singleUse.CloseIdleConnections()
 }
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -13,29 +13,29 @@
 )
 
 // newCrashDetector returns the detector of upstreams that crash while running requests.
-func (c *Proxy) newCrashDetector() *coroner.CrashDetector {
+func (p *Proxy) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
 		Status: func(place quarantine.Endpoint) quarantine.Status {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			return c.pool.contact(place)
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			return p.pool.contact(place)
 		},
-		Report:      c.reportCrashes,
-		NewLogEvent: func(kind string) *zerolog.Event { return c.logLine(c.options.Now(), kind) },
-		Now:         c.options.Now,
-		Metrics:     c.metrics.scope,
+		Report:      p.reportCrashes,
+		NewLogEvent: func(kind string) *zerolog.Event { return p.logLine(p.options.Now(), kind) },
+		Now:         p.options.Now,
+		Metrics:     p.metrics.scope,
 	})
 }
 
 // reportCrashes sends a quarantine update to a control instance and reports whether it was
 // recorded.
-func (c *Proxy) reportCrashes(ctx context.Context, update quarantine.Update) bool {
-	c.mu.Lock()
-	address := c.control.current
-	c.mu.Unlock()
-	reply, err := c.control.reportCalls.UpdateQuarantine(ctx, address, courier.NoteArgs{Update: update})
+func (p *Proxy) reportCrashes(ctx context.Context, update quarantine.Update) bool {
+	p.mu.Lock()
+	address := p.control.current
+	p.mu.Unlock()
+	reply, err := p.control.reportCalls.UpdateQuarantine(ctx, address, courier.NoteArgs{Update: update})
 	if err != nil {
-		c.options.Log.Debug().Err(err).Str("control", address).Msg("cannot send crash reports to the control instance")
+		p.options.Log.Debug().Err(err).Str("control", address).Msg("cannot send crash reports to the control instance")
 	}
 	return err == nil && reply.Recorded
 }
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -249,10 +249,10 @@
 }
 
 // Permits returns the number of peers' requests that the instance places.
-func (c *Proxy) Permits() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.permits)
+func (p *Proxy) Permits() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.permits)
 }
 
 func (i Instance) takeSent() []SentMessage {
@@ -262,10 +262,10 @@
 }
 
 // Instances returns the number of entry instances by the latest sync.
-func (c *Proxy) Instances() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.control.entryInstances
+func (p *Proxy) Instances() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.control.entryInstances
 }
 
 // LoadLimiter gives specs access to the limiter of load calls.
@@ -289,10 +289,10 @@
 }
 
 // Upstreams returns the number of upstreams that the instance knows.
-func (c *Proxy) Upstreams() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.pool.byName)
+func (p *Proxy) Upstreams() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.pool.byName)
 }
 
 // ChosenControl returns the control instance that an entry instance calls.
@@ -349,11 +349,11 @@
 }
 
 // LimitOf returns a function that returns the known rate limit of an upstream.
-func (c *Proxy) LimitOf(name string) func() string {
+func (p *Proxy) LimitOf(name string) func() string {
 	return func() string {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		u := c.pool.byName[name]
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		u := p.pool.byName[name]
 		if u == nil {
 			return "unknown"
 		}
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -65,18 +65,18 @@
 
 // rejectionFor decides whether a request that was just enqueued is rejected. It returns nil if the
 // request may wait. c.mu is held.
-func (c *Proxy) rejectionFor(now time.Time, w *waiter) *rejection {
+func (p *Proxy) rejectionFor(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
-	if rejected := c.rejectRateLimited(now, w); rejected != nil {
+	if rejected := p.rejectRateLimited(now, w); rejected != nil {
 		return rejected
 	}
-	if forecast := c.forecastWait(now, w); forecast > req.maxForecast(now) && !c.queue.isOnlyStarved(now, w) {
+	if forecast := p.forecastWait(now, w); forecast > req.maxForecast(now) && !p.queue.isOnlyStarved(now, w) {
 		return &rejection{reason: permit.WaitTooLong, retryAfter: req.retryAfterWait(now, forecast), forecastWait: forecast}
 	}
 	if req.model == "" || w.missing != missingModel {
 		return nil
 	}
-	loadTime, loading := c.pool.loadTime(now, req.service, req.model)
+	loadTime, loading := p.pool.loadTime(now, req.service, req.model)
 	if loading && loadTime <= req.maxForecast(now) {
 		return nil
 	}
@@ -85,18 +85,18 @@
 
 // rejectOrWait removes a request that was just enqueued from the queue if it is rejected, and
 // returns the reason. It returns nil if the request may wait. c.mu is held.
-func (c *Proxy) rejectOrWait(now time.Time, w *waiter) *rejection {
-	rejected := c.rejectionFor(now, w)
+func (p *Proxy) rejectOrWait(now time.Time, w *waiter) *rejection {
+	rejected := p.rejectionFor(now, w)
 	if rejected == nil {
-		c.requestLoad(w)
+		p.requestLoad(w)
 		return nil
 	}
 	if rejected.reason == permit.ModelUnavailable {
 		// The caller will retry, so the leader must learn that the model is wanted.
-		c.requestLoad(w)
+		p.requestLoad(w)
 	}
-	rejected.survey = c.pool.survey(now, w.requirements.query())
-	c.dequeue(w)
+	rejected.survey = p.pool.survey(now, w.requirements.query())
+	p.dequeue(w)
 	return rejected
 }
 
@@ -104,20 +104,20 @@
 // longest time that a request before it has been waiting, or the time to serve those before it at
 // the recent grant rate, whichever is longer. This holds for any number of instances that share the
 // engines.
-func (c *Proxy) forecastWait(now time.Time, w *waiter) time.Duration {
+func (p *Proxy) forecastWait(now time.Time, w *waiter) time.Duration {
 	req := &w.requirements
 	wait := time.Duration(0)
 	if req.model == "" || w.missing != missingCapacity {
 		return wait
 	}
 	ahead := 0
-	for _, other := range c.queue.waiters {
+	for _, other := range p.queue.waiters {
 		if other != w && other.requirements.model == req.model && other.requirements.compare(now, req) <= 0 {
 			wait = max(wait, now.Sub(other.requirements.arrived))
 			ahead++
 		}
 	}
-	rate := max(c.queue.grantRate(now, req.modelKey()), minCapacityShare*c.capacity(now, w))
+	rate := max(p.queue.grantRate(now, req.modelKey()), minCapacityShare*p.capacity(now, w))
 	if rate > 0 {
 		wait = max(wait, time.Duration(float64(ahead)/rate*float64(time.Second)))
 	}
@@ -127,11 +127,11 @@
 // capacity returns how many requests per second the engines that have loaded the requested model
 // and adapter could run for this instance, assuming an equal share for each placing instance. c.mu
 // is held.
-func (c *Proxy) capacity(now time.Time, w *waiter) float64 {
+func (p *Proxy) capacity(now time.Time, w *waiter) float64 {
 	req := &w.requirements
 	slots := 0
-	for _, u := range c.pool.upstreamsWith(req.service, req.model) {
-		if c.pool.isAvailable(now, u) && u.canRun(req.model, req.adapter) {
+	for _, u := range p.pool.upstreamsWith(req.service, req.model) {
+		if p.pool.isAvailable(now, u) && u.canRun(req.model, req.adapter) {
 			slots += u.slots
 		}
 	}
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -15,27 +15,27 @@
 	// sharedPace paces the requests of all instances, if this one owns the limit. ownPace paces the
 	// requests of this instance alone while the owner does not answer. They are nil before the
 	// first request.
-	sharedPace *ratelimit.TokenBucket
-	ownPace    *ratelimit.TokenBucket
+	sharedBucket *ratelimit.TokenBucket
+	ownBucket    *ratelimit.TokenBucket
 	// pausedUntil is the time until which nothing is sent to the upstream.
 	pausedUntil time.Time
 }
 
 // paceForAll returns the pace of all instances.
-func (l *upstreamLimit) paceForAll(now time.Time) *ratelimit.TokenBucket {
-	if l.sharedPace == nil {
-		l.sharedPace = ratelimit.NewTokenBucket(now)
+func (l *upstreamLimit) bucketForAll(now time.Time) *ratelimit.TokenBucket {
+	if l.sharedBucket == nil {
+		l.sharedBucket = ratelimit.NewTokenBucket(now)
 	}
-	return l.sharedPace
+	return l.sharedBucket
 }
 
 // takeOwnShare takes one request from this instance's share of the limit, which is divided evenly
 // among instances.
 func (l *upstreamLimit) takeOwnShare(now time.Time, limit ratelimit.Limit, instances int) (wait time.Duration, ok bool) {
-	if l.ownPace == nil {
-		l.ownPace = ratelimit.NewTokenBucket(now)
+	if l.ownBucket == nil {
+		l.ownBucket = ratelimit.NewTokenBucket(now)
 	}
-	return l.ownPace.Take(now, ratelimit.ShareRate(limit, instances))
+	return l.ownBucket.Take(now, ratelimit.ShareRate(limit, instances))
 }
 
 // pause stops requests to the upstream for a while.
@@ -47,25 +47,25 @@
 const maxPause = 2 * time.Second
 
 // observeLimit processes the rate limit stated in an upstream's response and broadcasts changes.
-func (c *Proxy) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
-	stated := c.options.Dialect.ParseLimit(header)
-	now := c.options.Now()
+func (p *Proxy) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
+	stated := p.options.Dialect.ParseLimit(header)
+	now := p.options.Now()
 	if unclear, ok := stated.(ratelimit.InvalidLimit); ok {
-		c.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
+		p.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
 			Msg("cannot parse the rate limit that an upstream states")
 		return
 	}
-	c.mu.Lock()
+	p.mu.Lock()
 	u := a.upstream
-	if known := c.pool.byName[u.name]; known != nil && known.address == u.address {
+	if known := p.pool.byName[u.name]; known != nil && known.address == u.address {
 		u = known
 	}
 	changed := u.applyLimit(now, t.timing.sent, stated)
 	if changed != limitUnchanged {
-		c.broadcastLimit(now, u, t.timing.sent, stated)
+		p.broadcastLimit(now, u, t.timing.sent, stated)
 	}
-	c.mu.Unlock()
-	c.logLimit(now, u.name, u.service, changed, stated)
+	p.mu.Unlock()
+	p.logLimit(now, u.name, u.service, changed, stated)
 }
 
 // limitChange is the effect of a response on an upstream's rate limit.
@@ -112,21 +112,21 @@
 }
 
 // broadcastLimit sends the limit stated in a response to all other instances. c.mu is held.
-func (c *Proxy) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Observation) {
+func (p *Proxy) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Observation) {
 	message := permit.LimitReport{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
 	if named, ok := stated.(ratelimit.NamedLimit); ok {
 		message.Named, message.Limit = true, named.Limit
 	}
-	for _, instance := range c.owners.assignment.All() {
-		if instance != c.owners.self {
-			c.peers.send(instance, message)
+	for _, instance := range p.owners.assignment.All() {
+		if instance != p.owners.self {
+			p.peers.send(instance, message)
 		}
 	}
 }
 
 // receiveLimit applies a limit stated in a response to another instance. c.mu is held.
-func (c *Proxy) receiveLimit(now time.Time, m permit.LimitReport) {
-	u := c.pool.byName[m.Upstream]
+func (p *Proxy) receiveLimit(now time.Time, m permit.LimitReport) {
+	u := p.pool.byName[m.Upstream]
 	if u == nil || u.incarnation != m.Incarnation {
 		return
 	}
@@ -138,13 +138,13 @@
 }
 
 // logLimit logs a changed limit.
-func (c *Proxy) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Observation) {
+func (p *Proxy) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Observation) {
 	if changed == limitUnchanged {
 		return
 	}
 	named, _ := stated.(ratelimit.NamedLimit)
 	text := changed.String()
-	c.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
+	p.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
 }
 
 // handleRateLimit pauses an upstream whose rate limit allows no request for a while. It reports
@@ -204,13 +204,13 @@
 
 // rejectRateLimited rejects a request that cannot be sent in time because of rate limits. It
 // returns nil if the request may wait. c.mu is held.
-func (c *Proxy) rejectRateLimited(now time.Time, w *waiter) *rejection {
+func (p *Proxy) rejectRateLimited(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
-	wait, perSecond, limited := c.pool.limitedFor(now, req.query())
+	wait, perSecond, limited := p.pool.limitedFor(now, req.query())
 	if !limited {
 		return nil
 	}
-	for _, other := range c.queue.waiters {
+	for _, other := range p.queue.waiters {
 		if other != w && other.requirements.target == req.target {
 			wait += time.Duration(float64(time.Second) / perSecond)
 		}
@@ -233,12 +233,12 @@
 }
 
 // updateLimitGauges sets the number of rate-limited upstreams of each service. c.mu is held.
-func (c *Proxy) updateLimitGauges() {
+func (p *Proxy) updateLimitGauges() {
 	counts := map[string]int{}
-	for _, upstream := range c.pool.limitedUpstreams() {
-		counts[c.pool.byName[upstream.Name].service]++
+	for _, upstream := range p.pool.limitedUpstreams() {
+		counts[p.pool.byName[upstream.Name].service]++
 	}
-	for service := range c.pool.byService {
-		c.metrics.scope.Tagged(map[string]string{"service": service}).Gauge("limited_upstreams").Update(float64(counts[service]))
+	for service := range p.pool.byService {
+		p.metrics.scope.Tagged(map[string]string{"service": service}).Gauge("limited_upstreams").Update(float64(counts[service]))
 	}
 }
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -103,46 +103,46 @@
 
 // requestLoad calls the leader to load the model or adapter that a waiting request is missing, if
 // that is what it needs. Requests with the same target share one call. c.mu is held.
-func (c *Proxy) requestLoad(w *waiter) {
+func (p *Proxy) requestLoad(w *waiter) {
 	if w.requirements.model == "" || w.missing != missingAdapter && w.missing != missingModel {
 		return
 	}
 	args := w.requirements.loadArgs(w.missing)
-	if c.pendingLoads[args] {
+	if p.pendingLoads[args] {
 		return
 	}
-	c.pendingLoads[args] = true
-	go c.runLoadCall(args)
+	p.pendingLoads[args] = true
+	go p.runLoadCall(args)
 }
 
-func (c *Proxy) runLoadCall(args courier.WantArgs) {
+func (p *Proxy) runLoadCall(args courier.WantArgs) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadCallTimeout)
 	defer cancel()
 	var reply courier.WantReply
-	if leader := c.waitForLoadCall(ctx, args); leader != "" {
-		reply = c.callLeader(ctx, leader, args)
+	if leader := p.waitForLoadCall(ctx, args); leader != "" {
+		reply = p.callLeader(ctx, leader, args)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.pendingLoads, args)
-	if u := c.pool.byName[reply.Engine]; u != nil {
-		c.pool.addModel(u, args.Model, args.Adapter)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pendingLoads, args)
+	if u := p.pool.byName[reply.Engine]; u != nil {
+		p.pool.addModel(u, args.Model, args.Adapter)
 	}
-	c.dispatch(c.options.Now())
+	p.dispatch(p.options.Now())
 }
 
 // waitForLoadCall waits until a call may be made and returns the leader to call, empty if no
 // request needs the load any more or the time has run out.
-func (c *Proxy) waitForLoadCall(ctx context.Context, args courier.WantArgs) (leader string) {
+func (p *Proxy) waitForLoadCall(ctx context.Context, args courier.WantArgs) (leader string) {
 	for first := true; ; first = false {
-		c.mu.Lock()
-		leader = c.control.leader
+		p.mu.Lock()
+		leader = p.control.leader
 		wait := minLoadBackoff
-		wanted := first || c.isStillWanted(args)
+		wanted := first || p.isStillWanted(args)
 		if wanted && leader != "" {
-			wait = c.loadLimiter.delay(c.options.Now(), args, len(c.pendingLoads), c.control.loadShare())
+			wait = p.loadLimiter.delay(p.options.Now(), args, len(p.pendingLoads), p.control.loadShare())
 		}
-		c.mu.Unlock()
+		p.mu.Unlock()
 		switch {
 		case !wanted:
 			return ""
@@ -155,8 +155,8 @@
 }
 
 // isStillWanted reports whether a waiting request needs the load. c.mu is held.
-func (c *Proxy) isStillWanted(args courier.WantArgs) bool {
-	for _, w := range c.queue.waiters {
+func (p *Proxy) isStillWanted(args courier.WantArgs) bool {
+	for _, w := range p.queue.waiters {
 		needsLoad := w.missing == missingModel || w.missing == missingAdapter
 		if needsLoad && w.requirements.loadArgs(w.missing) == args {
 			return true
@@ -167,18 +167,18 @@
 
 // callLeader makes one load call. If the callee is not the leader or does not answer, no further
 // calls are made until the next sync names a leader.
-func (c *Proxy) callLeader(ctx context.Context, leader string, args courier.WantArgs) courier.WantReply {
-	reply, err := c.control.loadCalls.RequestModel(ctx, leader, args)
-	now := c.options.Now()
+func (p *Proxy) callLeader(ctx context.Context, leader string, args courier.WantArgs) courier.WantReply {
+	reply, err := p.control.loadCalls.RequestModel(ctx, leader, args)
+	now := p.options.Now()
 	if reply.Engine == "" {
-		c.logLine(now, "not loaded").Err(err).Str("model", args.Model).Str("adapter", args.Adapter).Str("reason", reply.Reason).
+		p.logLine(now, "not loaded").Err(err).Str("model", args.Model).Str("adapter", args.Adapter).Str("reason", reply.Reason).
 			Str("leader", leader).Msg("not loaded")
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.loadLimiter.recordResult(now, args, reply.Engine != "")
-	if (err != nil || reply.NotLeader) && c.control.leader == leader {
-		c.control.leader = ""
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.loadLimiter.recordResult(now, args, reply.Engine != "")
+	if (err != nil || reply.NotLeader) && p.control.leader == leader {
+		p.control.leader = ""
 	}
 	return reply
 }
--- a/internal/counter/logquota.go
+++ b/internal/counter/logquota.go
@@ -35,19 +35,19 @@
 
 // logLine returns a log event of a kind, or nil if its quota is used up. zerolog ignores calls on a
 // nil event.
-func (c *Proxy) logLine(now time.Time, kind string) *zerolog.Event {
-	c.mu.Lock()
-	quota := c.logQuotas[kind]
+func (p *Proxy) logLine(now time.Time, kind string) *zerolog.Event {
+	p.mu.Lock()
+	quota := p.logQuotas[kind]
 	if quota == nil {
 		quota = &logQuota{}
-		c.logQuotas[kind] = quota
+		p.logQuotas[kind] = quota
 	}
 	suppressed, ok := quota.allow(now)
-	c.mu.Unlock()
+	p.mu.Unlock()
 	if !ok {
 		return nil
 	}
-	event := c.options.Log.Info()
+	event := p.options.Log.Info()
 	if suppressed > 0 {
 		event = event.Int("left-out", suppressed)
 	}
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -128,18 +128,18 @@
 }
 
 // updateGauges sets the gauges of the instance's state.
-func (c *Proxy) updateGauges(now time.Time) {
-	scope := c.metrics.scope
-	scope.Gauge("open").Update(float64(c.active))
-	scope.Gauge("waiting").Update(float64(len(c.queue.waiters)))
-	scope.Gauge("permits").Update(float64(len(c.permits)))
-	quarantined, suspected := c.crashes.Counts()
+func (p *Proxy) updateGauges(now time.Time) {
+	scope := p.metrics.scope
+	scope.Gauge("open").Update(float64(p.active))
+	scope.Gauge("waiting").Update(float64(len(p.queue.waiters)))
+	scope.Gauge("permits").Update(float64(len(p.permits)))
+	quarantined, suspected := p.crashes.Counts()
 	scope.Gauge("quarantined").Update(float64(quarantined))
 	scope.Gauge("suspected").Update(float64(suspected))
-	scope.Gauge("upstreams").Update(float64(len(c.pool.byName)))
-	c.updateLimitGauges()
-	scope.Gauge("news_age_seconds").Update(now.Sub(c.control.lastSyncSent).Seconds())
-	if table := c.routes.Load(); table != nil {
+	scope.Gauge("upstreams").Update(float64(len(p.pool.byName)))
+	p.updateLimitGauges()
+	scope.Gauge("news_age_seconds").Update(now.Sub(p.control.lastSyncSent).Seconds())
+	if table := p.routes.Load(); table != nil {
 		scope.Gauge("routes_version").Update(float64(table.Version))
 	}
 }
--- a/internal/counter/ownerclient.go
+++ b/internal/counter/ownerclient.go
@@ -116,7 +116,7 @@
 }
 
 // countOwnerAnswer counts the owner's answer by kind, or its absence.
-func (c *Proxy) countOwnerAnswer(ctx context.Context, answer permit.Message) {
+func (p *Proxy) countOwnerAnswer(ctx context.Context, answer permit.Message) {
 	name := "none"
 	switch answer.(type) {
 	case permit.Granted:
@@ -130,9 +130,9 @@
 			name = "waited in vain"
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.metrics.countOwnerAnswer(name)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.metrics.countOwnerAnswer(name)
 }
 
 // askMessage returns the permit request to send now.
@@ -146,38 +146,38 @@
 }
 
 // startPermitRequest registers a permit request and counts the caller's request as waiting.
-func (c *Proxy) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.addWaiting(&t.requirements, 1)
-	return c.expectReply(owner)
+func (p *Proxy) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addWaiting(&t.requirements, 1)
+	return p.expectReply(owner)
 }
 
 // expectReply registers a message to another instance that expects a reply. c.mu is held.
-func (c *Proxy) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
-	c.lastMessageID++
+func (p *Proxy) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
+	p.lastMessageID++
 	pending := &pendingReply{owner: owner, answers: make(chan permit.Message, ownerAttempts+1)}
-	c.pendingReplies[c.lastMessageID] = pending
-	return c.lastMessageID, pending
+	p.pendingReplies[p.lastMessageID] = pending
+	return p.lastMessageID, pending
 }
 
-func (c *Proxy) dropReply(id permit.ID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.pendingReplies, id)
+func (p *Proxy) dropReply(id permit.ID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pendingReplies, id)
 }
 
-func (c *Proxy) finishPermitRequest(t *transaction, id permit.ID) {
-	c.dropReply(id)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.addWaiting(&t.requirements, -1)
+func (p *Proxy) finishPermitRequest(t *transaction, id permit.ID) {
+	p.dropReply(id)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addWaiting(&t.requirements, -1)
 }
 
-func (c *Proxy) avoidOwner(owner netip.AddrPort, duration time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.owners.avoid(c.options.Now(), owner, duration)
+func (p *Proxy) avoidOwner(owner netip.AddrPort, duration time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.owners.avoid(p.options.Now(), owner, duration)
 }
 
 // grantFrom returns the grant that an owner has issued.
@@ -185,12 +185,12 @@
 // An owner that is cut off from the control instances does not learn that an upstream is leaving,
 // and keeps granting it until it is gone. So a grant for an upstream that is known here to be
 // leaving is returned, and grantFrom returns errDecideLocally.
-func (c *Proxy) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	u := c.pool.byName[m.Upstream]
+func (p *Proxy) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	u := p.pool.byName[m.Upstream]
 	if u != nil && u.Leaving {
-		c.peers.send(owner, permit.Release{ID: m.ID, Outcome: permit.ModelAbsent})
+		p.peers.send(owner, permit.Release{ID: m.ID, Outcome: permit.ModelAbsent})
 		return grant{}, errDecideLocally
 	}
 	if u == nil || u.address != m.Address {
@@ -201,8 +201,8 @@
 }
 
 // deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
-func (c *Proxy) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
-	pending := c.pendingReplies[id]
+func (p *Proxy) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
+	pending := p.pendingReplies[id]
 	if pending != nil && pending.owner == from {
 		select {
 		case pending.answers <- answer:
@@ -212,6 +212,6 @@
 	}
 	if _, granted := answer.(permit.Granted); granted {
 		// The request no longer waits, so the permit is returned.
-		c.peers.send(from, permit.Release{ID: id})
+		p.peers.send(from, permit.Release{ID: id})
 	}
 }
--- a/internal/counter/owners.go
+++ b/internal/counter/owners.go
@@ -96,37 +96,37 @@
 
 // remoteOwner returns the other instance that places a request. It returns false if this instance
 // does. c.mu is held.
-func (c *Proxy) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
-	if req.model == "" || c.peers.conn == nil {
+func (p *Proxy) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
+	if req.model == "" || p.peers.conn == nil {
 		return netip.AddrPort{}, false
 	}
-	owner, known := c.owners.ownerOf(now, req.service, req.model)
-	return owner, known && owner != c.owners.self
+	owner, known := p.owners.ownerOf(now, req.service, req.model)
+	return owner, known && owner != p.owners.self
 }
 
 // placingInstances returns how many instances place requests for the model of a request that is
 // placed here: one if this instance owns the model, otherwise all of them. c.mu is held.
-func (c *Proxy) placingInstances(now time.Time, req *requirements) int {
-	if owner, known := c.owners.ownerOf(now, req.service, req.model); known && owner == c.owners.self {
+func (p *Proxy) placingInstances(now time.Time, req *requirements) int {
+	if owner, known := p.owners.ownerOf(now, req.service, req.model); known && owner == p.owners.self {
 		return 1
 	}
-	return c.control.entryInstances
+	return p.control.entryInstances
 }
 
 // notifyUse notifies the owners of the engine's other models of a request that is sent there. The
 // engine's reports arrive half a second later, and until then the owners would send to an engine
 // that only appears idle. c.mu is held.
-func (c *Proxy) notifyUse(now time.Time, u *upstream, req *requirements) {
+func (p *Proxy) notifyUse(now time.Time, u *upstream, req *requirements) {
 	if req.model == "" {
 		return
 	}
 	var notified []netip.AddrPort
 	for model := range u.models {
-		owner, known := c.owners.ownerOf(now, u.service, model)
-		if !known || owner == c.owners.self || slices.Contains(notified, owner) {
+		owner, known := p.owners.ownerOf(now, u.service, model)
+		if !known || owner == p.owners.self || slices.Contains(notified, owner) {
 			continue
 		}
 		notified = append(notified, owner)
-		c.peers.send(owner, permit.LoadReport{Upstream: u.name, PrefillTime: req.prefillTime, ActiveRequests: u.active})
+		p.peers.send(owner, permit.LoadReport{Upstream: u.name, PrefillTime: req.prefillTime, ActiveRequests: u.active})
 	}
 }
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -30,132 +30,132 @@
 )
 
 // receive handles a message of a peer.
-func (c *Proxy) receive(now time.Time, from netip.AddrPort, message permit.Message) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (p *Proxy) receive(now time.Time, from netip.AddrPort, message permit.Message) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch m := message.(type) {
 	case permit.Request:
-		c.handleAsk(now, from, m)
+		p.handleAsk(now, from, m)
 	case permit.Release:
-		c.handleEnded(now, peerRequest{from, m.ID}, m)
+		p.handleEnded(now, peerRequest{from, m.ID}, m)
 	case permit.LoadReport:
-		if u := c.pool.byName[m.Upstream]; u != nil {
+		if u := p.pool.byName[m.Upstream]; u != nil {
 			u.recordPeerUse(now, peerUse{prefill: m.PrefillTime, active: m.ActiveRequests, peer: hashAddress(from)})
 		}
 	case permit.LimitReport:
-		c.receiveLimit(now, m)
+		p.receiveLimit(now, m)
 	case permit.SendRequest:
-		c.handleClaim(now, from, m)
+		p.handleClaim(now, from, m)
 	case permit.SendAllowed:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	case permit.SendDelayed:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	case permit.Granted:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	case permit.Queued:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	case permit.Rejected:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	case permit.ShuttingDown:
-		c.deliverAnswer(from, m.ID, m)
+		p.deliverAnswer(from, m.ID, m)
 	}
 }
 
 // handleAsk decides a peer's permit request, or repeats the earlier decision. c.mu is held.
-func (c *Proxy) handleAsk(now time.Time, from netip.AddrPort, m permit.Request) {
+func (p *Proxy) handleAsk(now time.Time, from netip.AddrPort, m permit.Request) {
 	requester := peerRequest{from, m.ID}
-	if record := c.permits[requester]; record != nil {
-		c.sendDecision(requester, record)
+	if record := p.permits[requester]; record != nil {
+		p.sendDecision(requester, record)
 		return
 	}
-	if c.draining {
-		c.metrics.countDecision("moved")
-		c.peers.send(from, permit.ShuttingDown{ID: m.ID})
+	if p.draining {
+		p.metrics.countDecision("moved")
+		p.peers.send(from, permit.ShuttingDown{ID: m.ID})
 		return
 	}
-	w := &waiter{requirements: c.requirementsOf(now, m), requester: requester, placingInstances: 1}
+	w := &waiter{requirements: p.requirementsOf(now, m), requester: requester, placingInstances: 1}
 	record := &permitRecord{waiter: w, expires: w.requirements.arrived.Add(w.requirements.maxWait() + requesterGrace)}
-	c.permits[requester] = record
-	c.enqueue(now, w)
+	p.permits[requester] = record
+	p.enqueue(now, w)
 	if record.grant.upstream != nil {
 		return
 	}
-	if rejected := c.rejectOrWait(now, w); rejected != nil {
-		delete(c.permits, requester)
-		c.metrics.countDecision("refused")
-		c.peers.send(from, permit.Rejected{
+	if rejected := p.rejectOrWait(now, w); rejected != nil {
+		delete(p.permits, requester)
+		p.metrics.countDecision("refused")
+		p.peers.send(from, permit.Rejected{
 			ID: m.ID, Reason: rejected.reason, RetryAfter: rejected.retryAfter, EstimatedWait: rejected.forecastWait,
 			Survey: permit.Survey(rejected.survey),
 		})
 		return
 	}
-	c.metrics.countDecision("queued")
-	c.sendDecision(requester, record)
+	p.metrics.countDecision("queued")
+	p.sendDecision(requester, record)
 }
 
 // requirementsOf returns the requirements of a peer's request.
-func (c *Proxy) requirementsOf(now time.Time, m permit.Request) requirements {
+func (p *Proxy) requirementsOf(now time.Time, m permit.Request) requirements {
 	req := requirements{
 		target:       target{service: m.Service, model: m.Model, adapter: m.Adapter},
 		promptTokens: m.PromptTokens, outputTokens: m.AnswerTokens, priority: m.Priority, objective: m.Objective,
 		maxGap: m.MaxEventGap, arrived: now.Add(-m.Age), deadline: now.Add(m.Remaining), tried: m.Tried,
 	}
-	c.estimateCost(&req)
+	p.estimateCost(&req)
 	return req
 }
 
 // issuePermit grants an upstream to a peer's request. c.mu is held.
-func (c *Proxy) issuePermit(now time.Time, requester peerRequest, granted grant) {
-	record := c.permits[requester]
+func (p *Proxy) issuePermit(now time.Time, requester peerRequest, granted grant) {
+	record := p.permits[requester]
 	record.grant = granted
-	c.metrics.countDecision("granted")
+	p.metrics.countDecision("granted")
 	req := &record.waiter.requirements
 	record.expires = now.Add(min(req.deadline.Sub(now), max(maxPermitServiceTimes*req.pacing.serviceTime, minPermitTime)))
-	c.sendDecision(requester, record)
+	p.sendDecision(requester, record)
 }
 
 // sendDecision sends the state of a request to its requester.
-func (c *Proxy) sendDecision(requester peerRequest, record *permitRecord) {
+func (p *Proxy) sendDecision(requester peerRequest, record *permitRecord) {
 	u := record.grant.upstream
 	if u == nil {
-		c.peers.send(requester.address, permit.Queued{ID: requester.id})
+		p.peers.send(requester.address, permit.Queued{ID: requester.id})
 		return
 	}
-	c.peers.send(requester.address, permit.Granted{
+	p.peers.send(requester.address, permit.Granted{
 		ID: requester.id, Upstream: u.name, Address: u.address, PrefillBacklog: record.grant.prefillAhead,
 	})
 }
 
 // handleEnded processes the outcome of a peer's request. c.mu is held.
-func (c *Proxy) handleEnded(now time.Time, requester peerRequest, m permit.Release) {
-	record := c.permits[requester]
+func (p *Proxy) handleEnded(now time.Time, requester peerRequest, m permit.Release) {
+	record := p.permits[requester]
 	if record == nil {
 		return
 	}
-	c.removePermit(requester, record)
+	p.removePermit(requester, record)
 	if u := record.grant.upstream; u != nil {
 		u.recordOutcome(now, record.waiter.requirements.target, m.Outcome)
-		c.recordSpeed(&record.waiter.requirements, speedSample{firstEvent: m.FirstEventTime, serviceTime: m.RunTime, events: m.Events, streaming: m.StreamTime})
+		p.recordSpeed(&record.waiter.requirements, speedSample{firstEvent: m.FirstEventTime, serviceTime: m.RunTime, events: m.Events, streaming: m.StreamTime})
 	}
 }
 
-func (c *Proxy) removePermit(requester peerRequest, record *permitRecord) {
-	delete(c.permits, requester)
+func (p *Proxy) removePermit(requester peerRequest, record *permitRecord) {
+	delete(p.permits, requester)
 	if u := record.grant.upstream; u != nil {
 		u.release()
 		return
 	}
-	c.dequeue(record.waiter)
+	p.dequeue(record.waiter)
 }
 
 // expirePermits removes permits and claim answers whose time has run out.
-func (c *Proxy) expirePermits(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.expireClaims(now)
-	for requester, record := range c.permits {
+func (p *Proxy) expirePermits(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.expireClaims(now)
+	for requester, record := range p.permits {
 		if now.After(record.expires) {
-			c.removePermit(requester, record)
+			p.removePermit(requester, record)
 		}
 	}
 }
--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -34,14 +34,14 @@
 }
 
 // recordProof records up to which time the routes in force here are confirmed. c.mu is held.
-func (c *Proxy) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
-	l := &c.control
+func (p *Proxy) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
+	l := &p.control
 	if age, ok := l.proof.Age(now); ok {
-		c.metrics.proofAge.RecordDuration(age)
+		p.metrics.proofAge.RecordDuration(age)
 	}
 	l.proof = l.proof.With(askedAt, address, version, reading)
 	switch {
-	case l.proof.Covers(now.Add(-sendProofFactor * c.options.MaxRouteUpdateDelay)):
+	case l.proof.Covers(now.Add(-sendProofFactor * p.options.MaxRouteUpdateDelay)):
 		l.unprovenSince = time.Time{}
 	case l.unprovenSince.IsZero():
 		l.unprovenSince = now
@@ -59,32 +59,32 @@
 }
 
 // hasUsableRoutes reports whether requests may be sent by the routes in force.
-func (c *Proxy) hasUsableRoutes() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.control.needsProof(c.options.Now(), c.options.MaxRouteUpdateDelay)
+func (p *Proxy) hasUsableRoutes() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.control.needsProof(p.options.Now(), p.options.MaxRouteUpdateDelay)
 }
 
 // routesProvenAt reports whether the routes in force here are confirmed to include all changes
 // committed at a given time.
-func (c *Proxy) routesProvenAt(at time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.control.proof.Covers(at)
+func (p *Proxy) routesProvenAt(at time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.control.proof.Covers(at)
 }
 
 // waitForProof waits until done returns true, or until the maximum wait for a proof of the routes,
 // and returns the last result of done.
-func (c *Proxy) waitForProof(ctx context.Context, call Call, done func() bool) bool {
+func (p *Proxy) waitForProof(ctx context.Context, call Call, done func() bool) bool {
 	if done() {
 		return true
 	}
-	c.mu.Lock()
-	c.metrics.proofWaits.Inc(1)
-	c.mu.Unlock()
+	p.mu.Lock()
+	p.metrics.proofWaits.Inc(1)
+	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout/routesWaitDivisor, maxProofWait))
 	defer cancel()
-	c.syncSoon()
+	p.syncSoon()
 	for pause.For(ctx, proofPollInterval) {
 		if done() {
 			return true
@@ -95,22 +95,22 @@
 
 // matchRoute returns the route of a request and the routing table that contains it. If there is
 // none, it answers the caller and returns a nil route.
-func (c *Proxy) matchRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
-	table, route := c.lookUpRoute(r)
-	if route != nil && !c.hasUsableRoutes() {
+func (p *Proxy) matchRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+	table, route := p.lookUpRoute(r)
+	if route != nil && !p.hasUsableRoutes() {
 		// The route may have been removed or changed.
-		c.waitForProof(r.Context(), call, c.hasUsableRoutes)
-		table, route = c.lookUpRoute(r)
+		p.waitForProof(r.Context(), call, p.hasUsableRoutes)
+		table, route = p.lookUpRoute(r)
 	}
 	if route != nil {
 		return table, route
 	}
-	return c.matchProvenRoute(w, r, call)
+	return p.matchProvenRoute(w, r, call)
 }
 
 // lookUpRoute returns the routes in force and the route of a request, which may be nil.
-func (c *Proxy) lookUpRoute(r *http.Request) (*routes.Table, *routes.Route) {
-	table := c.routes.Load()
+func (p *Proxy) lookUpRoute(r *http.Request) (*routes.Table, *routes.Route) {
+	table := p.routes.Load()
 	return table, table.Match(hostOf(r), r.URL.EscapedPath())
 }
 
@@ -118,16 +118,16 @@
 // the route may have been added since, and a caller that receives 404 does not retry. So the
 // request waits for a proof. If none arrives in time, the caller is asked to retry; if the routes
 // are proven and there is still no match, it receives 404.
-func (c *Proxy) matchProvenRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
-	asOf := c.options.Now().Add(-c.options.denyProofMaxAge())
-	proven := c.waitForProof(r.Context(), call, func() bool { return c.routesProvenAt(asOf) })
-	table, route := c.lookUpRoute(r)
+func (p *Proxy) matchProvenRoute(w http.ResponseWriter, r *http.Request, call Call) (*routes.Table, *routes.Route) {
+	asOf := p.options.Now().Add(-p.options.denyProofMaxAge())
+	proven := p.waitForProof(r.Context(), call, func() bool { return p.routesProvenAt(asOf) })
+	table, route := p.lookUpRoute(r)
 	switch {
 	case route != nil:
 	case proven:
-		c.refuse(w, call, nil, refusal{status: http.StatusNotFound, text: "no route"})
+		p.refuse(w, call, nil, refusal{status: http.StatusNotFound, text: "no route"})
 	default:
-		c.refuse(w, call, nil, refusal{
+		p.refuse(w, call, nil, refusal{
 			status: http.StatusServiceUnavailable, text: "the routes may be old", retryAfter: noRoutesRetryAfter,
 		})
 	}
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -84,24 +84,24 @@
 const dispatchInterval = 4 * time.Millisecond
 
 // enqueue adds a request and dispatches the queue. c.mu is held.
-func (c *Proxy) enqueue(now time.Time, w *waiter) {
-	c.queue.waiters = append(c.queue.waiters, w)
+func (p *Proxy) enqueue(now time.Time, w *waiter) {
+	p.queue.waiters = append(p.queue.waiters, w)
 	if w.requirements.model != "" {
-		c.queue.starvation.Requested(now, w.requirements.target)
+		p.queue.starvation.Requested(now, w.requirements.target)
 	}
-	c.updateWaiting(w, true)
-	c.dispatch(now)
+	p.updateWaiting(w, true)
+	p.dispatch(now)
 }
 
 // dequeue removes a request from the queue. c.mu is held.
-func (c *Proxy) dequeue(w *waiter) {
-	c.queue.waiters = slices.DeleteFunc(c.queue.waiters, func(other *waiter) bool { return other == w })
-	c.updateWaiting(w, false)
+func (p *Proxy) dequeue(w *waiter) {
+	p.queue.waiters = slices.DeleteFunc(p.queue.waiters, func(other *waiter) bool { return other == w })
+	p.updateWaiting(w, false)
 }
 
 // updateWaiting updates the demand when a local request starts or stops waiting for an engine. c.mu
 // is held.
-func (c *Proxy) updateWaiting(w *waiter, waiting bool) {
+func (p *Proxy) updateWaiting(w *waiter, waiting bool) {
 	if _, local := w.requester.(localRequest); !local || w.countedWaiting == waiting {
 		return
 	}
@@ -110,13 +110,13 @@
 	if waiting {
 		change = 1
 	}
-	c.addWaiting(&w.requirements, change)
+	p.addWaiting(&w.requirements, change)
 }
 
 // addWaiting adds change to the number of requests that wait for the target of req. c.mu is held.
-func (c *Proxy) addWaiting(req *requirements, change int) {
+func (p *Proxy) addWaiting(req *requirements, change int) {
 	if req.model != "" {
-		c.demand.addWaiting(req.target, change)
+		p.demand.addWaiting(req.target, change)
 	}
 }
 
@@ -134,9 +134,9 @@
 //
 // A failed selection applies to all later requests with the same key: hundreds of requests may wait
 // for a model whose load rises, and the engines are examined once for all of them.
-func (c *Proxy) dispatch(now time.Time) {
-	waiters := c.queue.waiters
-	c.queue.boostStarved(now)
+func (p *Proxy) dispatch(now time.Time) {
+	waiters := p.queue.waiters
+	p.queue.boostStarved(now)
 	if len(waiters) > 1 {
 		slices.SortStableFunc(waiters, func(a, b *waiter) int {
 			if a.boosted != b.boosted {
@@ -155,7 +155,7 @@
 		if !known || !cacheable {
 			query := w.requirements.query()
 			query.boosted = w.boosted
-			chosen, missing = c.pool.choose(now, query, rand.Float64())
+			chosen, missing = p.pool.choose(now, query, rand.Float64())
 		}
 		w.missing = missing
 		if chosen == nil {
@@ -165,52 +165,52 @@
 			remaining = append(remaining, w)
 			continue
 		}
-		c.issueGrant(now, w, chosen)
+		p.issueGrant(now, w, chosen)
 	}
 	clear(waiters[len(remaining):])
-	c.queue.waiters = remaining
-	c.setTimer()
+	p.queue.waiters = remaining
+	p.setTimer()
 }
 
 // issueGrant grants chosen to a waiting request. c.mu is held.
-func (c *Proxy) issueGrant(now time.Time, w *waiter, chosen *upstream) {
+func (p *Proxy) issueGrant(now time.Time, w *waiter, chosen *upstream) {
 	granted := grant{upstream: chosen, prefillAhead: chosen.backlog.remaining(now)}
 	chosen.recordSend(now, w.requirements.prefillTime, w.requirements.pacing)
-	c.notifyUse(now, chosen, &w.requirements)
-	c.queue.recordGrant(now, &w.requirements)
-	c.queue.recordBoost(w)
-	c.updateWaiting(w, false)
+	p.notifyUse(now, chosen, &w.requirements)
+	p.queue.recordGrant(now, &w.requirements)
+	p.queue.recordBoost(w)
+	p.updateWaiting(w, false)
 	switch to := w.requester.(type) {
 	case localRequest:
 		to.grants <- granted
 	case peerRequest:
-		c.issuePermit(now, to, granted)
+		p.issuePermit(now, to, granted)
 	}
 }
 
 // setTimer schedules the next dispatch if requests are waiting.
-func (c *Proxy) setTimer() {
-	if len(c.queue.waiters) == 0 || c.queue.timerSet {
+func (p *Proxy) setTimer() {
+	if len(p.queue.waiters) == 0 || p.queue.timerSet {
 		return
 	}
-	c.queue.timerSet = true
+	p.queue.timerSet = true
 	wake := func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.queue.timerSet = false
-		c.dispatch(c.options.Now())
-		c.requestMissingLoads()
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.queue.timerSet = false
+		p.dispatch(p.options.Now())
+		p.requestMissingLoads()
 	}
-	if c.queue.timer == nil {
-		c.queue.timer = time.AfterFunc(dispatchInterval, wake)
+	if p.queue.timer == nil {
+		p.queue.timer = time.AfterFunc(dispatchInterval, wake)
 		return
 	}
-	c.queue.timer.Reset(dispatchInterval)
+	p.queue.timer.Reset(dispatchInterval)
 }
 
 // requestMissingLoads requests the loads that waiting requests need. c.mu is held.
-func (c *Proxy) requestMissingLoads() {
-	for _, w := range c.queue.waiters {
-		c.requestLoad(w)
+func (p *Proxy) requestMissingLoads() {
+	for _, w := range p.queue.waiters {
+		p.requestLoad(w)
 	}
 }
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -126,16 +126,16 @@
 }
 
 // logAttempt logs and counts the result of an attempt.
-func (c *Proxy) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
-	now := c.options.Now()
-	c.mu.Lock()
+func (p *Proxy) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
+	now := p.options.Now()
+	p.mu.Lock()
 	if status != 0 {
-		c.metrics.countAnswer(now, t, status)
+		p.metrics.countAnswer(now, t, status)
 	} else {
-		c.metrics.countFailedSend(verdict)
+		p.metrics.countFailedSend(verdict)
 	}
-	c.mu.Unlock()
-	line := c.logLine(now, event)
+	p.mu.Unlock()
+	line := p.logLine(now, event)
 	if line == nil {
 		return
 	}
@@ -162,8 +162,8 @@
 }
 
 // logOutcome logs the end of a request that was sent to no upstream.
-func (c *Proxy) logOutcome(t *transaction, event, reason string) {
-	now := c.options.Now()
-	c.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
+func (p *Proxy) logOutcome(t *transaction, event, reason string) {
+	now := p.options.Now()
+	p.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
 		Dur("took", now.Sub(t.arrived)).Str("reason", reason).Msg(event)
 }
--- a/internal/counter/send.go
+++ b/internal/counter/send.go
@@ -28,17 +28,17 @@
 
 // finishAttempt records that the upstream no longer has the request, and returns the permit to the
 // instance that issued it.
-func (c *Proxy) finishAttempt(t *transaction, a *upstreamAttempt) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (p *Proxy) finishAttempt(t *transaction, a *upstreamAttempt) {
+	now := p.options.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	a.upstream.recordOutcome(now, t.target, a.outcome)
-	c.recordSpeed(&t.requirements, a.speed)
+	p.recordSpeed(&t.requirements, a.speed)
 	if !a.owner.IsValid() {
 		a.upstream.release()
 		return
 	}
-	c.peers.send(a.owner, permit.Release{
+	p.peers.send(a.owner, permit.Release{
 		ID: a.id, Outcome: a.outcome, FirstEventTime: a.speed.firstEvent, RunTime: a.speed.serviceTime, Events: a.speed.events,
 		StreamTime: a.speed.streaming,
 	})
--- a/internal/counter/speeds.go
+++ b/internal/counter/speeds.go
@@ -8,18 +8,18 @@
 )
 
 // speedOf returns the speed estimate of a service's engines. c.mu is held.
-func (c *Proxy) speedOf(service *routes.Service) *speed.Estimator {
-	known := c.speeds[service.Name]
+func (p *Proxy) speedOf(service *routes.Service) *speed.Estimator {
+	known := p.estimators[service.Name]
 	if known == nil {
 		known = speed.New(service.Engine.TokensPerEvent)
-		c.speeds[service.Name] = known
+		p.estimators[service.Name] = known
 	}
 	return known
 }
 
 // estimateCost sets the pacing and the expected engine time of a request. c.mu is held.
-func (c *Proxy) estimateCost(req *requirements) {
-	engineSpeed := c.speedByName(req.service)
+func (p *Proxy) estimateCost(req *requirements) {
+	engineSpeed := p.speedByName(req.service)
 	req.pacing = pacingFor(req.maxGap, engineSpeed)
 	req.prefillTime = engineSpeed.PrefillTime(req.model, req.promptTokens)
 	req.decodeTime = engineSpeed.AnswerTime(req.outputTokens)
@@ -27,10 +27,10 @@
 
 // speedByName returns the speed estimate of a service by name, or the default estimate if no route
 // in force uses the service.
-func (c *Proxy) speedByName(service string) *speed.Estimator {
-	if table := c.routes.Load(); table != nil {
+func (p *Proxy) speedByName(service string) *speed.Estimator {
+	if table := p.routes.Load(); table != nil {
 		if known := table.Service(service); known != nil && known.Engine != nil {
-			return c.speedOf(known)
+			return p.speedOf(known)
 		}
 	}
 	return speed.New(0)
@@ -61,8 +61,8 @@
 }
 
 // recordSpeed updates the speed estimate of a service with a measurement. c.mu is held.
-func (c *Proxy) recordSpeed(req *requirements, s speedSample) {
-	engineSpeed := c.speeds[req.service]
+func (p *Proxy) recordSpeed(req *requirements, s speedSample) {
+	engineSpeed := p.estimators[req.service]
 	if engineSpeed == nil || s.serviceTime <= 0 {
 		return
 	}
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -59,13 +59,13 @@
 }
 
 // syncLoop syncs repeatedly until ctx ends.
-func (c *Proxy) syncLoop(ctx context.Context) {
+func (p *Proxy) syncLoop(ctx context.Context) {
 	for {
-		c.sync(ctx)
-		c.expirePermits(c.options.Now())
+		p.sync(ctx)
+		p.expirePermits(p.options.Now())
 		select {
-		case <-c.syncNow:
-		case <-time.After(c.nextSyncDelay()):
+		case <-p.syncNow:
+		case <-time.After(p.nextSyncDelay()):
 		case <-ctx.Done():
 			return
 		}
@@ -74,47 +74,47 @@
 
 // sync fetches updates from one control instance. If it does not answer, the next call tries
 // another.
-func (c *Proxy) sync(ctx context.Context) {
-	now := c.options.Now()
-	c.mu.Lock()
-	address := c.control.current
-	c.roster.Heartbeat(now, roster.InstanceBeat{Draining: c.draining, Stale: c.routes.Load() == nil, Streams: c.active})
+func (p *Proxy) sync(ctx context.Context) {
+	now := p.options.Now()
+	p.mu.Lock()
+	address := p.control.current
+	p.roster.Heartbeat(now, roster.InstanceBeat{Draining: p.draining, Stale: p.routes.Load() == nil, Streams: p.active})
 	args := courier.SyncArgs{
-		FailureDomain: c.options.FailureDomain,
-		Cursor:        c.control.source.Cursor(false),
-		Members:       c.control.membersRevision,
-		Holdings:      c.control.holdingsRevision,
-		Quarantine:    c.crashes.Mark(),
-		Demand:        c.demand.flush(),
-		Limited:       c.pool.limitedUpstreams(),
-	}
-	if own := c.roster.SelfRecord(now); own != nil {
+		FailureDomain: p.options.FailureDomain,
+		Cursor:        p.control.source.Cursor(false),
+		Members:       p.control.membersRevision,
+		Holdings:      p.control.holdingsRevision,
+		Quarantine:    p.crashes.Mark(),
+		Demand:        p.demand.flush(),
+		Limited:       p.pool.limitedUpstreams(),
+	}
+	if own := p.roster.SelfRecord(now); own != nil {
 		args.From = *own
 	}
-	c.mu.Unlock()
-	if table := c.routes.Load(); table != nil {
+	p.mu.Unlock()
+	if table := p.routes.Load(); table != nil {
 		args.Edition = table.Version
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
-	reply, err := c.control.syncCalls.Sync(ctx, address, args)
+	reply, err := p.control.syncCalls.Sync(ctx, address, args)
 	cancel()
 	if err == nil && reply.Leader == "" {
 		// It may be partitioned from the others and serve outdated state.
 		err = errNoLeader
 	}
 	if err != nil {
-		c.switchControl(now, address, err)
+		p.switchControl(now, address, err)
 		return
 	}
 	// The quarantine is applied before the routes, so that no new route serves a quarantined
 	// request.
 	if reply.Quarantine != nil {
-		c.crashes.ApplyNews(*reply.Quarantine)
+		p.crashes.ApplyNews(*reply.Quarantine)
 	}
 	if reply.Edition != nil {
-		c.applyRoutes(*reply.Edition)
+		p.applyRoutes(*reply.Edition)
 	}
-	c.applyReply(now, address, reply)
+	p.applyReply(now, address, reply)
 }
 
 // errNoLeader is why a control instance's reply is ignored.
@@ -125,87 +125,87 @@
 const failedControlAvoidance = 2 * time.Second
 
 // switchControl selects another control instance for the next sync.
-func (c *Proxy) switchControl(now time.Time, address string, cause error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.control.lastFailed, c.control.failedAt = address, now
-	c.control.lastSyncFailed = true
-	c.control.current = c.control.nextControl()
-	c.control.source = roster.PullState{}
-	if !c.control.disconnected {
-		c.control.disconnected = true
-		c.options.Log.Warn().Err(cause).Str("control", address).Str("next", c.control.current).
+func (p *Proxy) switchControl(now time.Time, address string, cause error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.control.lastFailed, p.control.failedAt = address, now
+	p.control.lastSyncFailed = true
+	p.control.current = p.control.nextControl()
+	p.control.source = roster.PullState{}
+	if !p.control.disconnected {
+		p.control.disconnected = true
+		p.options.Log.Warn().Err(cause).Str("control", address).Str("next", p.control.current).
 			Msg("control instance does not answer; going on with what is known")
 	}
 }
 
 // applyReply applies the updates of a sync reply.
-func (c *Proxy) applyReply(askedAt time.Time, address string, reply courier.SyncReply) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.control.lastSyncSent = askedAt
-	c.control.lastSyncFailed = false
-	c.updateGauges(now)
-	if c.control.disconnected {
-		c.control.disconnected = false
-		c.options.Log.Info().Str("control", address).Msg("control instance answers again")
-	}
-	c.roster.Merge(askedAt, &c.control.source, reply.Changes)
+func (p *Proxy) applyReply(askedAt time.Time, address string, reply courier.SyncReply) {
+	now := p.options.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.control.lastSyncSent = askedAt
+	p.control.lastSyncFailed = false
+	p.updateGauges(now)
+	if p.control.disconnected {
+		p.control.disconnected = false
+		p.options.Log.Info().Str("control", address).Msg("control instance answers again")
+	}
+	p.roster.Merge(askedAt, &p.control.source, reply.Changes)
 	if reply.Members != nil {
-		c.applyMembers(now, *reply.Members)
+		p.applyMembers(now, *reply.Members)
 	}
 	var changed []roster.Upstream
-	changed, c.rosterRevision = c.roster.UpstreamsSince(c.rosterRevision)
-	if table := c.routes.Load(); table != nil {
-		c.pool.routedServices = table.Services()
-		c.recordProof(now, askedAt, address, table.Version, reply.Reading)
-	}
-	c.pool.apply(now, changed)
-	c.crashes.Review(c.pool.contact)
-	c.applyHoldings(now, reply)
-	c.control.leader = reply.Leader
-	if next := c.control.afterReply(now, c.options.Name, reply.Reading, c.options.denyProofMaxAge()); next != c.control.current {
-		c.control.current = next
-		c.control.source = roster.PullState{}
-	}
-	c.control.interval = c.control.syncDelay()
-	c.dispatch(now)
+	changed, p.rosterRevision = p.roster.UpstreamsSince(p.rosterRevision)
+	if table := p.routes.Load(); table != nil {
+		p.pool.routedServices = table.Services()
+		p.recordProof(now, askedAt, address, table.Version, reply.Reading)
+	}
+	p.pool.apply(now, changed)
+	p.crashes.Review(p.pool.contact)
+	p.applyHoldings(now, reply)
+	p.control.leader = reply.Leader
+	if next := p.control.afterReply(now, p.options.Name, reply.Reading, p.options.denyProofMaxAge()); next != p.control.current {
+		p.control.current = next
+		p.control.source = roster.PullState{}
+	}
+	p.control.interval = p.control.syncDelay()
+	p.dispatch(now)
 }
 
 // applyMembers applies the list of live instances. c.mu is held.
-func (c *Proxy) applyMembers(now time.Time, members courier.Members) {
-	c.control.membersRevision = members.Revision
-	c.control.entryInstances = len(members.Entries)
-	c.owners.setInstances(now, members.Entries)
-	c.budgets.Resize(c.options.Retries.perInstance(len(members.Entries)))
-	c.control.alive, c.control.nearby = members.Controls, members.Near
-	c.control.known = union(members.Controls, c.seeds)
+func (p *Proxy) applyMembers(now time.Time, members courier.Members) {
+	p.control.membersRevision = members.Revision
+	p.control.entryInstances = len(members.Entries)
+	p.owners.setInstances(now, members.Entries)
+	p.budgets.Resize(p.options.Retries.perInstance(len(members.Entries)))
+	p.control.alive, p.control.nearby = members.Controls, members.Near
+	p.control.known = union(members.Controls, p.seeds)
 }
 
 // applyHoldings applies the engine states of a reply, if it has any. c.mu is held.
-func (c *Proxy) applyHoldings(now time.Time, reply courier.SyncReply) {
+func (p *Proxy) applyHoldings(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
 	}
 	holdings, err := courier.DecodeEngineStates(reply.Holdings)
 	if err != nil {
-		c.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
+		p.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
 	}
-	c.pool.applyHoldings(now.Add(-reply.HoldingsAge), &holdings)
-	c.control.holdingsRevision = holdings.Revision
+	p.pool.applyHoldings(now.Add(-reply.HoldingsAge), &holdings)
+	p.control.holdingsRevision = holdings.Revision
 }
 
 // nextSyncDelay returns the time until the next sync.
-func (c *Proxy) nextSyncDelay() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.control.lastSyncFailed {
+func (p *Proxy) nextSyncDelay() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.control.lastSyncFailed {
 		// The updates are overdue.
 		return minSyncInterval
 	}
-	return max(c.control.interval, minSyncInterval)
+	return max(p.control.interval, minSyncInterval)
 }
 
 // union returns the elements of both lists without duplicates.
@@ -224,19 +224,19 @@
 }
 
 // applyRoutes puts the routes of an edition into force. Older versions are ignored.
-func (c *Proxy) applyRoutes(latest edition.Edition) {
-	if table := c.routes.Load(); table != nil && table.Version >= latest.Version {
+func (p *Proxy) applyRoutes(latest edition.Edition) {
+	if table := p.routes.Load(); table != nil && table.Version >= latest.Version {
 		return
 	}
 	content, err := registry.Decompress(latest.Content)
 	var table *routes.Table
 	if err == nil {
-		table, err = c.options.ParseRoutes(content)
+		table, err = p.options.ParseRoutes(content)
 	}
 	if err != nil {
-		c.options.Log.Error().Err(err).Uint64("version", latest.Version).Msg("cannot parse the routes in force")
+		p.options.Log.Error().Err(err).Uint64("version", latest.Version).Msg("cannot parse the routes in force")
 		return
 	}
-	c.routes.Store(table)
-	c.options.Log.Info().Uint64("version", table.Version).Int("routes", table.Routes()).Msg("routes in force")
+	p.routes.Store(table)
+	p.options.Log.Info().Uint64("version", table.Version).Int("routes", table.Routes()).Msg("routes in force")
 }
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -44,23 +44,23 @@
 }
 
 // ServeRequest handles one request of a caller.
-func (c *Proxy) ServeRequest(w http.ResponseWriter, r *http.Request, call Call) {
-	arrived := c.options.Now()
-	if c.waitForRoutes(r.Context(), call) == nil {
-		c.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
+func (p *Proxy) ServeRequest(w http.ResponseWriter, r *http.Request, call Call) {
+	arrived := p.options.Now()
+	if p.waitForRoutes(r.Context(), call) == nil {
+		p.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
 		return
 	}
-	table, route := c.matchRoute(w, r, call)
+	table, route := p.matchRoute(w, r, call)
 	if route == nil {
 		return
 	}
 	body, status := readBody(w, r, table.Limits.BodyBytes)
 	if status != 0 {
-		c.refuse(w, call, route, refusal{status: status, text: "body not read"})
+		p.refuse(w, call, route, refusal{status: status, text: "body not read"})
 		return
 	}
 	t := &transaction{
-		counter: c, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
+		counter: p, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
 		requirements: requirements{
 			target:       target{service: route.Service(rand.Float64()), model: call.Model, adapter: call.Adapter},
 			promptTokens: call.PromptTokens, outputTokens: call.OutputTokens,
@@ -68,13 +68,13 @@
 			arrived: arrived, deadline: arrived.Add(timeoutOf(call, route)),
 		},
 	}
-	if c.crashes.IsQuarantined(t.digest) {
+	if p.crashes.IsQuarantined(t.digest) {
 		t.refuseQuarantined(w)
 		return
 	}
-	c.trackActive(t, 1)
-	defer c.trackActive(t, -1)
-	ctx, cancel := context.WithTimeout(r.Context(), t.deadline.Sub(c.options.Now()))
+	p.trackActive(t, 1)
+	defer p.trackActive(t, -1)
+	ctx, cancel := context.WithTimeout(r.Context(), t.deadline.Sub(p.options.Now()))
 	defer cancel()
 	t.serve(ctx, w)
 }
@@ -93,14 +93,14 @@
 )
 
 // waitForRoutes returns the routes in force, or nil if there are none in time.
-func (c *Proxy) waitForRoutes(ctx context.Context, call Call) *routes.Table {
-	if table := c.routes.Load(); table != nil {
+func (p *Proxy) waitForRoutes(ctx context.Context, call Call) *routes.Table {
+	if table := p.routes.Load(); table != nil {
 		return table
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout/routesWaitDivisor, maxRoutesWait))
 	defer cancel()
 	for pause.For(ctx, routesPollInterval) {
-		if table := c.routes.Load(); table != nil {
+		if table := p.routes.Load(); table != nil {
 			return table
 		}
 	}
@@ -124,18 +124,18 @@
 }
 
 // trackActive updates the counts of requests in flight, and of new requests of each service.
-func (c *Proxy) trackActive(t *transaction, change int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.active += change
-	c.demand.addActive(t.target, change)
+func (p *Proxy) trackActive(t *transaction, change int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.active += change
+	p.demand.addActive(t.target, change)
 	if change < 0 {
 		return
 	}
-	c.budgets.Get(t.arrived, t.service).AddRequest()
+	p.budgets.Get(t.arrived, t.service).AddRequest()
 	if t.model != "" {
-		c.estimateCost(&t.requirements)
-		c.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
+		p.estimateCost(&t.requirements)
+		p.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
 	}
 }
 
--- a/internal/courier/holdings.go
+++ b/internal/courier/holdings.go
@@ -44,10 +44,10 @@
 }
 
 // Encode returns the encoding of h for a SyncReply.
-func (h EngineStates) Encode() []byte {
-	buffer := parcel.AppendUint(nil, h.Revision)
-	buffer = parcel.AppendUint(buffer, uint64(len(h.Engines)))
-	for _, engine := range h.Engines {
+func (s EngineStates) Encode() []byte {
+	buffer := parcel.AppendUint(nil, s.Revision)
+	buffer = parcel.AppendUint(buffer, uint64(len(s.Engines)))
+	for _, engine := range s.Engines {
 		buffer = parcel.AppendBytes(buffer, engine.Name)
 		buffer = parcel.AppendUint(buffer, engine.Incarnation)
 		buffer = parcel.AppendBytes(buffer, engine.NextModel)
--- a/internal/desk/crashes_test.go
+++ b/internal/desk/crashes_test.go
@@ -33,7 +33,7 @@
 	It("is refused by all instances once three have ended, and others are served",
 		SpecTimeout(specTimeout), func(ctx SpecContext) {
 			cluster := newFakeVoters()
-			bulletin := quarantine.NewPublisher(quarantine.Limits{})
+			publisher := quarantine.NewPublisher(quarantine.Limits{})
 			servers := []*testServer{newTestServer(cluster, "a"), newTestServer(cluster, "b"), newTestServer(cluster, "c")}
 			engines := []*fakeUpstream{}
 			addresses := []string{}
@@ -44,7 +44,7 @@
 			}
 			syncQuarantine := func() {
 				cluster.mu.Lock()
-				news := bulletin.News(time.Now(), cluster.registry.CrashRecords())
+				news := publisher.News(time.Now(), cluster.registry.CrashRecords())
 				cluster.mu.Unlock()
 				for _, server := range servers {
 					server.crashDetector.ApplyNews(news)
@@ -69,7 +69,7 @@
 			}
 			Eventually(ctx, func() int {
 				syncQuarantine()
-				return len(bulletin.News(time.Now(), cluster.registry.CrashRecords()).Quarantined)
+				return len(publisher.News(time.Now(), cluster.registry.CrashRecords()).Quarantined)
 			}).Should(Equal(1))
 			Eventually(ctx, func() bool {
 				syncQuarantine()
--- a/internal/desk/entries_bench_test.go
+++ b/internal/desk/entries_bench_test.go
@@ -30,7 +30,7 @@
 func BenchmarkSlopeEntries(b *testing.B) {
 	for _, count := range []int{2, 4, 8} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
-			instance := &fixedEntriesInstance{fakeInstance: fakeInstance{gazette: gazette.New()}}
+			instance := &fixedEntriesInstance{fakeInstance: fakeInstance{configCache: gazette.New()}}
 			instance.entries.TTL = 5 * time.Second
 			for n := range count {
 				instance.entries.Instances = append(instance.entries.Instances, desk.Entry{
--- a/internal/desk/fakes_test.go
+++ b/internal/desk/fakes_test.go
@@ -91,8 +91,8 @@
 
 // fakeInstance implements desk.Instance.
 type fakeInstance struct {
-	cluster *fakeVoters
-	gazette *gazette.Cache
+	cluster     *fakeVoters
+	configCache *gazette.Cache
 
 	// configurationReads counts calls of Configuration.
 	configurationReads atomic.Int32
@@ -134,7 +134,7 @@
 
 func (f *fakeInstance) Configuration() *gazette.Configuration {
 	f.configurationReads.Add(1)
-	return f.gazette.Latest()
+	return f.configCache.Latest()
 }
 
 func (f *fakeInstance) Propose(_ context.Context, command registry.Command) (registry.Result, error) {
@@ -204,7 +204,7 @@
 	for _, change := range changes {
 		change(&limits)
 	}
-	instance := &fakeInstance{cluster: cluster, gazette: gazette.New()}
+	instance := &fakeInstance{cluster: cluster, configCache: gazette.New()}
 	proxy := shuttle.New(shuttle.Options{})
 	detector := coroner.New(coroner.Options{
 		Status: func(quarantine.Endpoint) quarantine.Status { return quarantine.StatusUnknown },
--- a/internal/desk/ratelimits.go
+++ b/internal/desk/ratelimits.go
@@ -26,8 +26,8 @@
 
 // upstreamLimit is the rate limit of one upstream.
 type upstreamLimit struct {
-	state ratelimit.State
-	pace  *ratelimit.TokenBucket
+	state       ratelimit.State
+	tokenBucket *ratelimit.TokenBucket
 }
 
 func newRateLimits(instances int, log zerolog.Logger) rateLimits {
@@ -41,7 +41,7 @@
 	switch stated := statement.(type) {
 	case ratelimit.NamedLimit:
 		if limit == nil {
-			limit = &upstreamLimit{pace: ratelimit.NewPhasedTokenBucket(now, rand.Float64())}
+			limit = &upstreamLimit{tokenBucket: ratelimit.NewPhasedTokenBucket(now, rand.Float64())}
 			l.byUpstream[upstream] = limit
 			l.log.Info().Str("upstream", upstream).Float64("limit", float64(stated.Limit)).Msg("upstream states a rate limit")
 		}
@@ -71,7 +71,7 @@
 	}
 	limit, _ := limited.state.Limit()
 	rate := max(ratelimit.ShareRate(limit, l.instances), ratelimit.ProbeRate(l.instances))
-	return limited.pace.Take(now, rate)
+	return limited.tokenBucket.Take(now, rate)
 }
 
 // observeLimit applies the limit stated by the response or the refusal of an attempt.
--- a/internal/desk/slot.go
+++ b/internal/desk/slot.go
@@ -24,14 +24,14 @@
 	firstByteOnce sync.Once
 	releaseOnce   sync.Once
 	// flight is guarded by the router's mutex.
-	flight dispatch.Attempt
+	attempt dispatch.Attempt
 }
 
 // noFailure stands for a complete response.
 const noFailure dispatch.Failure = 0
 
 func (r *router) newSlot(start dispatch.Start) *slot {
-	return &slot{router: r, decision: start.Decision, flight: start.Attempt}
+	return &slot{router: r, decision: start.Decision, attempt: start.Attempt}
 }
 
 // markFirstByte records that the response has begun. Only the first call has an effect.
@@ -39,7 +39,7 @@
 	s.firstByteOnce.Do(func() {
 		s.router.mu.Lock()
 		defer s.router.mu.Unlock()
-		s.router.dispatcher.FirstByte(s.router.now(), &s.flight)
+		s.router.dispatcher.FirstByte(s.router.now(), &s.attempt)
 	})
 }
 
@@ -53,9 +53,9 @@
 		defer r.mu.Unlock()
 		now := r.now()
 		if failure == noFailure {
-			r.dispatcher.Finished(now, &s.flight)
+			r.dispatcher.Finished(now, &s.attempt)
 		} else {
-			r.dispatcher.Failed(now, &s.flight, failure)
+			r.dispatcher.Failed(now, &s.attempt, failure)
 		}
 		r.startWaiting(now, s.decision.Chosen.Name)
 	})
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -50,9 +50,9 @@
 		if !decision.OK() {
 			b.Fatal(decision.Reason)
 		}
-		flight := d.Sent(now, r, &decision)
-		d.FirstByte(now, &flight)
-		d.Finished(now, &flight)
+		attempt := d.Sent(now, r, &decision)
+		d.FirstByte(now, &attempt)
+		d.Finished(now, &attempt)
 		return choiceTime
 	}
 	// Warm up until the change logs of all upstreams have their final size.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -130,13 +130,13 @@
 		// that reduced the count of the new incarnation, the instance could exceed the limit
 		// by one more request with each restart.
 		d.Update(viewOf("a", 1, 8))
-		flight := send(start)
+		attempt := send(start)
 		newer := viewOf("a", 1, 8)
 		newer.Incarnation = 2
 		d.Update(newer)
 		open, _ := d.InFlight("a")
 		Expect(open).To(Equal(0))
-		d.Failed(start, &flight, dispatch.FailureError)
+		d.Failed(start, &attempt, dispatch.FailureError)
 		open, _ = d.InFlight("a")
 		Expect(open).To(Equal(0))
 	})
@@ -184,8 +184,8 @@
 		for range 4 {
 			decision := d.Choose(now, request)
 			Expect(decision.Chosen.Name).To(Equal("b"))
-			flight := d.Sent(now, request, &decision)
-			d.FirstByte(now.Add(100*time.Millisecond), &flight) // the predicted time
+			attempt := d.Sent(now, request, &decision)
+			d.FirstByte(now.Add(100*time.Millisecond), &attempt) // the predicted time
 		}
 		name, _ := choose(now.Add(5 * time.Second))
 		Expect(name).To(Equal("a"))
@@ -202,14 +202,14 @@
 		request.Target = dispatch.Target{Service: "seat-check"}
 		now := start
 		for range 20 {
-			var flights []dispatch.Attempt
+			var attempts []dispatch.Attempt
 			for range 10 {
-				flights = append(flights, send(now))
+				attempts = append(attempts, send(now))
 			}
 			now = now.Add(200 * time.Millisecond)
-			for i := range flights {
-				d.FirstByte(now, &flights[i])
-				d.Finished(now, &flights[i])
+			for i := range attempts {
+				d.FirstByte(now, &attempts[i])
+				d.Finished(now, &attempts[i])
 			}
 		}
 		_, limit := d.InFlight("seats")
@@ -240,17 +240,17 @@
 		d.Update(other)
 		d.Update(viewOf("a", 1, 16))
 		now := start.Add(10 * time.Second)
-		var flights []dispatch.Attempt
+		var attempts []dispatch.Attempt
 		for range 3 {
-			flights = append(flights, send(now))
+			attempts = append(attempts, send(now))
 		}
 		_, reason := choose(now)
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
-		d.Finished(now, &flights[0])
-		flights[0] = send(now)
+		d.Finished(now, &attempts[0])
+		attempts[0] = send(now)
 
-		d.FirstByte(now.Add(time.Second), &flights[1]) // over budget: reduces the limit to 2.7
-		d.Finished(now.Add(time.Second), &flights[1])
+		d.FirstByte(now.Add(time.Second), &attempts[1]) // over budget: reduces the limit to 2.7
+		d.Finished(now.Add(time.Second), &attempts[1])
 		_, reason = choose(now.Add(time.Second))
 		Expect(reason).To(Equal(dispatch.ReasonNoRoom))
 		_, reason = choose(now.Add(4 * time.Second))
@@ -276,8 +276,8 @@
 				for decision.Chosen.Name != name {
 					decision = d.Choose(now, request)
 				}
-				flight := d.Sent(now, request, &decision)
-				ejected = d.Failed(now, &flight, dispatch.FailureError)
+				attempt := d.Sent(now, request, &decision)
+				ejected = d.Failed(now, &attempt, dispatch.FailureError)
 			}
 			return ejected
 		}
@@ -339,9 +339,9 @@
 		})
 
 		It("prefers the upstream that has already run the prefix", func() {
-			flight := send(start)
-			d.FirstByte(start.Add(time.Second), &flight)
-			d.Finished(start.Add(2*time.Second), &flight)
+			attempt := send(start)
+			d.FirstByte(start.Add(time.Second), &attempt)
+			d.Finished(start.Add(2*time.Second), &attempt)
 			first := d.Choose(start.Add(2*time.Second), request)
 			Expect(first.Reason).To(Equal(dispatch.ReasonPrefixCached))
 			Expect(first.Chosen.CachedTokens).To(BeNumerically(">", 7*dispatch.BlockTokens))
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -40,7 +40,7 @@
 func (d *Dispatcher) Sent(now time.Time, r *Request, decision *Decision) Attempt {
 	chosen := &decision.Chosen
 	u := chosen.upstream
-	flight := Attempt{
+	attempt := Attempt{
 		upstream:        u,
 		sentAt:          now,
 		unbiasedSeconds: chosen.FirstToken.Seconds() / u.bias,
@@ -49,46 +49,46 @@
 		priority:        r.Priority,
 	}
 	d.addInFlight(u, r.Priority, 1)
-	u.pendingPromptTokens += int(flight.promptTokens)
-	u.changes.add(loadChange{at: now, requests: 1, promptTokens: flight.promptTokens})
+	u.pendingPromptTokens += int(attempt.promptTokens)
+	u.changes.add(loadChange{at: now, requests: 1, promptTokens: attempt.promptTokens})
 	// Record the prompt as cached before its prefill: a request with the same prefix that
 	// arrives before the first token is faster at the same upstream, even if it waits there.
 	for _, block := range r.Blocks {
 		d.prefixes.add(block, u.id)
 	}
-	return flight
+	return attempt
 }
 
 // FirstByte records the arrival of the first token, or of the answer of a plain service.
-func (d *Dispatcher) FirstByte(now time.Time, flight *Attempt) {
-	u := flight.upstream
-	flight.firstTokenAt = now
-	elapsed := now.Sub(flight.sentAt)
-	u.changes.add(loadChange{at: now, promptTokens: -flight.promptTokens})
-	u.pendingPromptTokens -= int(flight.promptTokens)
+func (d *Dispatcher) FirstByte(now time.Time, attempt *Attempt) {
+	u := attempt.upstream
+	attempt.firstTokenAt = now
+	elapsed := now.Sub(attempt.sentAt)
+	u.changes.add(loadChange{at: now, promptTokens: -attempt.promptTokens})
+	u.pendingPromptTokens -= int(attempt.promptTokens)
 	u.firstTokenSeconds = movingMean(u.firstTokenSeconds, elapsed.Seconds())
-	u.observeOverhead(elapsed.Seconds() - u.prefillSeconds(int(flight.promptTokens)))
-	if flight.unbiasedSeconds >= minPredictionSeconds {
-		ratio := elapsed.Seconds() / flight.unbiasedSeconds
+	u.observeOverhead(elapsed.Seconds() - u.prefillSeconds(int(attempt.promptTokens)))
+	if attempt.unbiasedSeconds >= minPredictionSeconds {
+		ratio := elapsed.Seconds() / attempt.unbiasedSeconds
 		u.bias = min(max(u.bias+meanWeight*(ratio-u.bias), minBias), maxBias)
 	}
-	d.setLimit(u, u.limit.WithFirstToken(now, flight.sentAt, elapsed, flight.budget, u.inFlight))
+	d.setLimit(u, u.limit.WithFirstToken(now, attempt.sentAt, elapsed, attempt.budget, u.inFlight))
 	u.health.succeeded()
 }
 
 // Finished records the end of a complete answer. If the request has no goal, or FirstByte
 // was not called, the limit may grow if the upstream reports an empty queue.
-func (d *Dispatcher) Finished(now time.Time, flight *Attempt) {
-	u := flight.upstream
-	if flight.firstTokenAt.IsZero() {
+func (d *Dispatcher) Finished(now time.Time, attempt *Attempt) {
+	u := attempt.upstream
+	if attempt.firstTokenAt.IsZero() {
 		u.health.succeeded()
 	} else {
-		u.decodeSeconds = movingMean(u.decodeSeconds, now.Sub(flight.firstTokenAt).Seconds())
+		u.decodeSeconds = movingMean(u.decodeSeconds, now.Sub(attempt.firstTokenAt).Seconds())
 	}
-	if (flight.firstTokenAt.IsZero() || flight.budget == 0) && u.view.Load.Waiting == 0 {
+	if (attempt.firstTokenAt.IsZero() || attempt.budget == 0) && u.view.Load.Waiting == 0 {
 		d.setLimit(u, u.limit.WithAnswer(u.inFlight))
 	}
-	d.release(now, flight)
+	d.release(now, attempt)
 }
 
 // firstTokenBudget returns the longest time to the first token that doesn't indicate
@@ -134,12 +134,12 @@
 
 // Failed records that a request ended without a complete answer. It reports whether this
 // ejected the upstream.
-func (d *Dispatcher) Failed(now time.Time, flight *Attempt, failure Failure) bool {
-	u := flight.upstream
-	d.release(now, flight)
+func (d *Dispatcher) Failed(now time.Time, attempt *Attempt, failure Failure) bool {
+	u := attempt.upstream
+	d.release(now, attempt)
 	switch failure {
 	case FailureOverloaded:
-		d.setLimit(u, u.limit.WithDecrease(now, flight.sentAt))
+		d.setLimit(u, u.limit.WithDecrease(now, attempt.sentAt))
 	case FailureError:
 		u.health.failed()
 		return d.maybeEject(now, u)
@@ -149,13 +149,13 @@
 }
 
 // release removes a request from the load of its upstream.
-func (d *Dispatcher) release(now time.Time, flight *Attempt) {
-	u := flight.upstream
-	d.addInFlight(u, flight.priority, -1)
+func (d *Dispatcher) release(now time.Time, attempt *Attempt) {
+	u := attempt.upstream
+	d.addInFlight(u, attempt.priority, -1)
 	change := loadChange{at: now, requests: -1}
-	if flight.firstTokenAt.IsZero() {
-		change.promptTokens = -flight.promptTokens
-		u.pendingPromptTokens -= int(flight.promptTokens)
+	if attempt.firstTokenAt.IsZero() {
+		change.promptTokens = -attempt.promptTokens
+		u.pendingPromptTokens -= int(attempt.promptTokens)
 	}
 	u.changes.add(change)
 }
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -173,8 +173,8 @@
 }
 
 func (g *Gate) start(now time.Time, a *Arrival, decision Decision) Start {
-	flight := g.dispatcher.Sent(now, &a.Request, &decision)
-	return Start{Arrival: a, Decision: decision, Attempt: flight}
+	attempt := g.dispatcher.Sent(now, &a.Request, &decision)
+	return Start{Arrival: a, Decision: decision, Attempt: attempt}
 }
 
 // ticket returns the ticket of a. If even an idle upstream can't meet the goal, a rejection
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -31,7 +31,7 @@
 	firstTokenAt  time.Time
 	tokenInterval time.Duration
 	arrival       dispatch.Arrival
-	flight        dispatch.Attempt
+	attempt       dispatch.Attempt
 	engine        *engine
 }
 
--- a/internal/dispatch/policies_test.go
+++ b/internal/dispatch/policies_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-func (p *gatePolicy) send(now time.Time, j *job, flight dispatch.Attempt, name string) {
+func (p *gatePolicy) send(now time.Time, j *job, attempt dispatch.Attempt, name string) {
 	delete(p.jobs, j.arrival.ID)
-	j.flight = flight
+	j.attempt = attempt
 	p.sim.send(now, p.engines[name], j)
 }
 
@@ -173,13 +173,13 @@
 	p.startWaiting(now, e.name)
 }
 
-func (p *gatePolicy) firstToken(now time.Time, j *job) { p.dispatcher.FirstByte(now, &j.flight) }
+func (p *gatePolicy) firstToken(now time.Time, j *job) { p.dispatcher.FirstByte(now, &j.attempt) }
 
 func (p *gatePolicy) done(now time.Time, j *job) {
 	if j.firstTokenAt.IsZero() {
-		p.dispatcher.Failed(now, &j.flight, dispatch.FailureCanceled)
+		p.dispatcher.Failed(now, &j.attempt, dispatch.FailureCanceled)
 	} else {
-		p.dispatcher.Finished(now, &j.flight)
+		p.dispatcher.Finished(now, &j.attempt)
 	}
 	p.startWaiting(now, j.engine.name)
 }
--- a/internal/docket/bench_test.go
+++ b/internal/docket/bench_test.go
@@ -30,7 +30,7 @@
 	d.Apply(record)
 }
 
-func newUnlimitedDocket() *docket.Store {
+func newUnlimitedStore() *docket.Store {
 	d := docket.New()
 	limits := docket.DefaultLimits()
 	limits.MaxRecords = 1 << 30
@@ -43,7 +43,7 @@
 func BenchmarkClaim(b *testing.B) {
 	for _, count := range recordCounts {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
-			d := newUnlimitedDocket()
+			d := newUnlimitedStore()
 			for n := range count {
 				claimAndComplete(d, uint64(n), 0)
 			}
@@ -61,7 +61,7 @@
 func BenchmarkLookup(b *testing.B) {
 	for _, count := range recordCounts {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
-			d := newUnlimitedDocket()
+			d := newUnlimitedStore()
 			for n := range count {
 				claimAndComplete(d, uint64(n), 0)
 			}
@@ -87,7 +87,7 @@
 				var heapUsed, snapshotBytes, responseBytes uint64
 				for b.Loop() {
 					heapBefore := heapBytes()
-					d := newUnlimitedDocket()
+					d := newUnlimitedStore()
 					for n := range count {
 						claimAndComplete(d, uint64(n), bodyBytes)
 					}
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -58,36 +58,36 @@
 }
 
 // Len returns the number of records.
-func (d *Store) Len() int {
-	return len(d.records)
+func (s *Store) Len() int {
+	return len(s.records)
 }
 
 // ResponseBytes returns the estimated memory use of the kept responses in bytes.
-func (d *Store) ResponseBytes() int64 {
-	return d.responseBytes
+func (s *Store) ResponseBytes() int64 {
+	return s.responseBytes
 }
 
 // Counters returns the current counters.
-func (d *Store) Counters() Counters {
-	return d.counters
+func (s *Store) Counters() Counters {
+	return s.counters
 }
 
 // Limits returns the limits in force.
-func (d *Store) Limits() Limits {
-	return d.limits
+func (s *Store) Limits() Limits {
+	return s.limits
 }
 
 // Apply applies a command and returns its result.
-func (d *Store) Apply(command Command) Answer {
+func (s *Store) Apply(command Command) Answer {
 	switch c := command.(type) {
 	case Claim:
-		return d.applyClaim(c)
+		return s.applyClaim(c)
 	case Record:
-		return d.applyRecord(c)
+		return s.applyRecord(c)
 	case Expire:
-		return d.applyExpire(c)
+		return s.applyExpire(c)
 	case Abandon:
-		return d.applyAbandon(c)
+		return s.applyAbandon(c)
 	default:
 		panic(errors.AssertionFailedf("docket: command %T", command))
 	}
@@ -96,15 +96,15 @@
 // Lookup returns the state of the record for key. The verdict is VerdictNotFound,
 // VerdictInProgress, VerdictCompleted, VerdictUnknown, or VerdictRecorded if the
 // request was not run.
-func (d *Store) Lookup(key Key) Answer {
-	r, ok := d.records[key]
+func (s *Store) Lookup(key Key) Answer {
+	r, ok := s.records[key]
 	switch {
 	case !ok:
 		return Answer{Verdict: VerdictNotFound}
 	case r.state == StateNotRun:
 		return Answer{Verdict: VerdictRecorded, Attempt: r.attempt, Owner: r.claimant}
 	default:
-		return d.answerFor(r)
+		return s.answerFor(r)
 	}
 }
 
@@ -113,17 +113,17 @@
 // whose timeout has passed is never granted to another claimant. Its owner may be
 // paused or partitioned with bytes still in transit, so a second run would
 // violate at-most-once execution whatever the timeout.
-func (d *Store) applyClaim(c Claim) Answer {
-	r, ok := d.records[c.Key]
+func (s *Store) applyClaim(c Claim) Answer {
+	r, ok := s.records[c.Key]
 	if !ok {
-		if len(d.records) >= d.limits.MaxRecords {
-			d.counters.RefusedFull++
-			return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
+		if len(s.records) >= s.limits.MaxRecords {
+			s.counters.RefusedFull++
+			return Answer{Verdict: VerdictFull, Wait: s.timeUntilExpiry()}
 		}
 		r = &storedRecord{key: c.Key, fingerprint: c.Fingerprint, state: StateNotRun}
-		d.records[c.Key] = r
-		d.byLastChange.pushBack(r)
-		return d.grant(r, c)
+		s.records[c.Key] = r
+		s.byLastChange.pushBack(r)
+		return s.grant(r, c)
 	}
 	switch {
 	case r.fingerprint != c.Fingerprint:
@@ -136,42 +136,42 @@
 		// became unknown.
 		return Answer{Verdict: VerdictStale, Attempt: r.attempt, Owner: r.claimant}
 	case r.state == StateNotRun:
-		return d.grant(r, c)
+		return s.grant(r, c)
 	default:
-		return d.answerFor(r)
+		return s.answerFor(r)
 	}
 }
 
-func (d *Store) grant(r *storedRecord, c Claim) Answer {
+func (s *Store) grant(r *storedRecord, c Claim) Answer {
 	r.claimant = internInstance(c.Claimant)
 	r.attempt++
 	r.state = StateInFlight
-	r.unknownAfter = d.clock + min(max(c.Timeout, 0), d.limits.MaxTimeout) + d.limits.TimeoutGrace
-	d.markChanged(r)
-	d.counters.Granted++
+	r.unknownAfter = s.clock + min(max(c.Timeout, 0), s.limits.MaxTimeout) + s.limits.TimeoutGrace
+	s.markChanged(r)
+	s.counters.Granted++
 	return Answer{Verdict: VerdictGranted, Attempt: r.attempt, Owner: r.claimant}
 }
 
 // answerFor returns the state of a record in any state except StateNotRun.
-func (d *Store) answerFor(r *storedRecord) Answer {
+func (s *Store) answerFor(r *storedRecord) Answer {
 	answer := Answer{Attempt: r.attempt, Owner: r.claimant}
 	switch {
 	case r.state == StateCompleted:
 		answer.Verdict = VerdictCompleted
 		answer.Response = r.response
-	case r.state == StateInFlight && d.clock <= r.unknownAfter:
+	case r.state == StateInFlight && s.clock <= r.unknownAfter:
 		answer.Verdict = VerdictInProgress
-		answer.Wait = r.unknownAfter - d.clock
+		answer.Wait = r.unknownAfter - s.clock
 	default:
 		answer.Verdict = VerdictUnknown
 	}
 	return answer
 }
 
-func (d *Store) applyRecord(c Record) Answer {
-	r, ok := d.records[c.Key]
+func (s *Store) applyRecord(c Record) Answer {
+	r, ok := s.records[c.Key]
 	if !ok {
-		return d.recordWithdrawal(c)
+		return s.recordWithdrawal(c)
 	}
 	isWithdrawal := c.Attempt == 0 && c.State == StateNotRun
 	if r.claimant != c.Claimant || r.attempt != c.Attempt && !isWithdrawal {
@@ -190,9 +190,9 @@
 		return answer
 	}
 	r.state = c.State
-	d.markChanged(r)
+	s.markChanged(r)
 	if c.State == StateCompleted {
-		d.storeResponse(r, c.Response)
+		s.storeResponse(r, c.Response)
 	}
 	return answer
 }
@@ -201,60 +201,60 @@
 // to its claim, if the claim hasn't arrived yet. With this record, the claim is
 // stale when it arrives. Otherwise it would block the key until its timeout
 // although nobody sends the request.
-func (d *Store) recordWithdrawal(c Record) Answer {
+func (s *Store) recordWithdrawal(c Record) Answer {
 	if c.State != StateNotRun {
 		return Answer{Verdict: VerdictNotFound}
 	}
-	if len(d.records) >= d.limits.MaxRecords {
-		return Answer{Verdict: VerdictFull, Wait: d.timeUntilExpiry()}
+	if len(s.records) >= s.limits.MaxRecords {
+		return Answer{Verdict: VerdictFull, Wait: s.timeUntilExpiry()}
 	}
-	r := &storedRecord{key: c.Key, fingerprint: c.Fingerprint, claimant: internInstance(c.Claimant), state: StateNotRun, changedAt: d.clock}
-	d.records[c.Key] = r
-	d.byLastChange.pushBack(r)
+	r := &storedRecord{key: c.Key, fingerprint: c.Fingerprint, claimant: internInstance(c.Claimant), state: StateNotRun, changedAt: s.clock}
+	s.records[c.Key] = r
+	s.byLastChange.pushBack(r)
 	return Answer{Verdict: VerdictRecorded, Owner: r.claimant}
 }
 
 // storeResponse adds a response to r and evicts older ones to stay within the
 // limits.
-func (d *Store) storeResponse(r *storedRecord, response *Response) {
+func (s *Store) storeResponse(r *storedRecord, response *Response) {
 	size := response.size()
-	if response == nil || len(response.Body) > d.limits.MaxBodyBytes || size > d.limits.MaxResponseBytes {
-		d.counters.ResponsesDropped++
+	if response == nil || len(response.Body) > s.limits.MaxBodyBytes || size > s.limits.MaxResponseBytes {
+		s.counters.ResponsesDropped++
 		return
 	}
 	r.response = response
-	d.responseBytes += size
-	d.withResponse = append(d.withResponse, r)
-	d.evictResponses()
+	s.responseBytes += size
+	s.withResponse = append(s.withResponse, r)
+	s.evictResponses()
 }
 
 // evictResponses drops the oldest responses until Limits.MaxResponseBytes is met.
-func (d *Store) evictResponses() {
-	for len(d.withResponse) > 0 {
-		oldest := d.withResponse[0]
+func (s *Store) evictResponses() {
+	for len(s.withResponse) > 0 {
+		oldest := s.withResponse[0]
 		if oldest.response != nil {
-			if d.responseBytes <= d.limits.MaxResponseBytes {
+			if s.responseBytes <= s.limits.MaxResponseBytes {
 				return
 			}
-			d.dropResponse(oldest)
-			d.counters.ResponsesDropped++
+			s.dropResponse(oldest)
+			s.counters.ResponsesDropped++
 		}
-		d.withResponse[0] = nil
-		d.withResponse = d.withResponse[1:]
+		s.withResponse[0] = nil
+		s.withResponse = s.withResponse[1:]
 	}
 }
 
-func (d *Store) dropResponse(r *storedRecord) {
-	d.responseBytes -= r.response.size()
+func (s *Store) dropResponse(r *storedRecord) {
+	s.responseBytes -= r.response.size()
 	r.response = nil
 }
 
 // markChanged sets the time of the last change and moves r to the end of
 // byLastChange.
-func (d *Store) markChanged(r *storedRecord) {
-	r.changedAt = d.clock
-	d.byLastChange.remove(r)
-	d.byLastChange.pushBack(r)
+func (s *Store) markChanged(r *storedRecord) {
+	r.changedAt = s.clock
+	s.byLastChange.remove(r)
+	s.byLastChange.pushBack(r)
 }
 
 // internInstance interns the instance name, so that all claimants of an instance
@@ -266,9 +266,9 @@
 
 // timeUntilExpiry returns the time until the least recently changed record
 // expires.
-func (d *Store) timeUntilExpiry() time.Duration {
-	if d.byLastChange.first == nil {
-		return d.limits.Retention
+func (s *Store) timeUntilExpiry() time.Duration {
+	if s.byLastChange.first == nil {
+		return s.limits.Retention
 	}
-	return max(0, d.byLastChange.first.changedAt+d.limits.Retention-d.clock)
+	return max(0, s.byLastChange.first.changedAt+s.limits.Retention-s.clock)
 }
--- a/internal/docket/expiry.go
+++ b/internal/docket/expiry.go
@@ -4,47 +4,47 @@
 // whose retention has ended. In-flight records are not removed. They change to
 // StateUnknown or, if they aren't overdue yet, stay in flight, and their
 // retention starts again.
-func (d *Store) applyExpire(c Expire) Answer {
-	step := c.Now.Sub(d.leaderTime)
-	if d.leaderTime.IsZero() {
+func (s *Store) applyExpire(c Expire) Answer {
+	step := c.Now.Sub(s.leaderTime)
+	if s.leaderTime.IsZero() {
 		step = 0
 	}
-	d.leaderTime = c.Now
+	s.leaderTime = c.Now
 	if c.Limits.Valid() {
-		d.limits = c.Limits
+		s.limits = c.Limits
 	}
-	d.clock += min(max(step, 0), d.limits.MaxStep)
+	s.clock += min(max(step, 0), s.limits.MaxStep)
 	answer := Answer{Verdict: VerdictRecorded}
-	for r := d.byLastChange.first; r != nil && r.changedAt+d.limits.Retention <= d.clock; r = d.byLastChange.first {
+	for r := s.byLastChange.first; r != nil && r.changedAt+s.limits.Retention <= s.clock; r = s.byLastChange.first {
 		switch {
 		case r.state != StateInFlight:
-			d.removeRecord(r)
+			s.removeRecord(r)
 			answer.Expired++
-		case r.unknownAfter < d.clock:
-			d.markUnknown(r)
+		case r.unknownAfter < s.clock:
+			s.markUnknown(r)
 			answer.Overdue++
 		default:
-			d.markChanged(r)
+			s.markChanged(r)
 		}
 	}
-	d.evictResponses()
-	d.counters.Expired += uint64(answer.Expired)
-	d.counters.Overdue += uint64(answer.Overdue)
+	s.evictResponses()
+	s.counters.Expired += uint64(answer.Expired)
+	s.counters.Overdue += uint64(answer.Overdue)
 	return answer
 }
 
 // applyAbandon changes the in-flight claims of an instance's earlier incarnations
 // to StateUnknown.
-func (d *Store) applyAbandon(c Abandon) Answer {
+func (s *Store) applyAbandon(c Abandon) Answer {
 	answer := Answer{Verdict: VerdictRecorded}
 	// Changed records move to the end of the list, so the loop stops after the
 	// record that is last at the start.
-	last := d.byLastChange.last
-	for r := d.byLastChange.first; r != nil; {
+	last := s.byLastChange.last
+	for r := s.byLastChange.first; r != nil; {
 		next := r.next
 		isLast := r == last
 		if r.state == StateInFlight && r.claimant.Instance == c.Instance && r.claimant.Incarnation < c.Incarnation {
-			d.markUnknown(r)
+			s.markUnknown(r)
 			answer.Overdue++
 		}
 		if isLast {
@@ -52,19 +52,19 @@
 		}
 		r = next
 	}
-	d.counters.Overdue += uint64(answer.Overdue)
+	s.counters.Overdue += uint64(answer.Overdue)
 	return answer
 }
 
-func (d *Store) markUnknown(r *storedRecord) {
+func (s *Store) markUnknown(r *storedRecord) {
 	r.state = StateUnknown
-	d.markChanged(r)
+	s.markChanged(r)
 }
 
-func (d *Store) removeRecord(r *storedRecord) {
+func (s *Store) removeRecord(r *storedRecord) {
 	if r.response != nil {
-		d.dropResponse(r)
+		s.dropResponse(r)
 	}
-	d.byLastChange.remove(r)
-	delete(d.records, r.key)
+	s.byLastChange.remove(r)
+	delete(s.records, r.key)
 }
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -15,7 +15,7 @@
 // Some answers to claims are lost.
 type simulation struct {
 	random  *rand.Rand
-	docket  *docket.Store
+	store   *docket.Store
 	now     time.Time
 	limits  docket.Limits
 	pending []docket.Command
@@ -38,7 +38,7 @@
 		s.startRequest()
 	case 2:
 		s.now = s.now.Add(time.Duration(s.random.IntN(40)) * time.Second)
-		s.docket.Apply(docket.Expire{Now: s.now, Limits: s.limits})
+		s.store.Apply(docket.Expire{Now: s.now, Limits: s.limits})
 	case 3:
 		s.abandonRequest()
 	default:
@@ -83,7 +83,7 @@
 	index := s.random.IntN(len(s.pending))
 	command := s.pending[index]
 	s.pending = append(s.pending[:index], s.pending[index+1:]...)
-	answer := s.docket.Apply(command)
+	answer := s.store.Apply(command)
 	claim, ok := command.(docket.Claim)
 	if !ok || answer.Verdict != docket.VerdictGranted || s.random.IntN(4) == 0 {
 		return
@@ -113,7 +113,7 @@
 		for seed := range uint64(300) {
 			s := &simulation{
 				random: rand.New(rand.NewPCG(seed, 3)),
-				docket: docket.New(),
+				store:  docket.New(),
 				now:    startTime,
 				limits: docket.DefaultLimits(),
 				sends:  map[docket.Key]int{},
--- a/internal/docket/snapshot.go
+++ b/internal/docket/snapshot.go
@@ -12,16 +12,16 @@
 
 // Snapshot appends the encoded state of the docket to buffer. Equal dockets have
 // equal encodings.
-func (d *Store) Snapshot(buffer []byte) []byte {
+func (s *Store) Snapshot(buffer []byte) []byte {
 	buffer = parcel.AppendUint(buffer, snapshotFormatVersion)
-	buffer = appendLimits(buffer, d.limits)
-	buffer = parcel.AppendUint(buffer, uint64(d.clock))
-	buffer = parcel.AppendUint(buffer, unixNanoseconds(d.leaderTime))
-	for _, counter := range d.counters.inSnapshotOrder() {
+	buffer = appendLimits(buffer, s.limits)
+	buffer = parcel.AppendUint(buffer, uint64(s.clock))
+	buffer = parcel.AppendUint(buffer, unixNanoseconds(s.leaderTime))
+	for _, counter := range s.counters.inSnapshotOrder() {
 		buffer = parcel.AppendUint(buffer, *counter)
 	}
-	buffer = parcel.AppendUint(buffer, uint64(len(d.records)))
-	for r := d.byLastChange.first; r != nil; r = r.next {
+	buffer = parcel.AppendUint(buffer, uint64(len(s.records)))
+	for r := s.byLastChange.first; r != nil; r = r.next {
 		buffer = appendRecord(buffer, r)
 	}
 	return buffer
@@ -66,15 +66,15 @@
 
 // isValidNext reports whether r is a valid next record of the snapshot that is
 // being restored.
-func (d *Store) isValidNext(r *storedRecord) bool {
-	if _, duplicate := d.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
+func (s *Store) isValidNext(r *storedRecord) bool {
+	if _, duplicate := s.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
 		return false
 	}
 	minChangedAt := time.Duration(0)
-	if d.byLastChange.last != nil {
-		minChangedAt = d.byLastChange.last.changedAt
+	if s.byLastChange.last != nil {
+		minChangedAt = s.byLastChange.last.changedAt
 	}
-	return r.changedAt >= minChangedAt && r.changedAt <= d.clock && r.unknownAfter >= 0 && r.unknownAfter <= d.clock+2*maxDuration
+	return r.changedAt >= minChangedAt && r.changedAt <= s.clock && r.unknownAfter >= 0 && r.unknownAfter <= s.clock+2*maxDuration
 }
 
 // inSnapshotOrder returns pointers to the counters in the order in which the
--- a/internal/foreman/enginereports.go
+++ b/internal/foreman/enginereports.go
@@ -12,9 +12,9 @@
 const maxReportsPerCommand = 32
 
 // liveEngines returns, by name, the engines that accept orders and have a valid announcement lease.
-func (f *Controller) liveEngines(now time.Time) map[string]roster.Upstream {
+func (c *Controller) liveEngines(now time.Time) map[string]roster.Upstream {
 	live := map[string]roster.Upstream{}
-	for _, u := range f.options.Cluster.Upstreams(now) {
+	for _, u := range c.options.Cluster.Upstreams(now) {
 		if acceptsOrders(u.Announcement) {
 			live[u.Announcement.Name] = u
 		}
@@ -31,8 +31,8 @@
 }
 
 // recordReports records the engines' announcements that contain something new.
-func (f *Controller) recordReports(live map[string]roster.Upstream) {
-	state := f.options.State.Manifest()
+func (c *Controller) recordReports(live map[string]roster.Upstream) {
+	state := c.options.State.Manifest()
 	remaining := manifest.MaxEngines - len(state.Engines)
 	var changed []upstreamapi.Announcement
 	for name, u := range live {
@@ -41,7 +41,7 @@
 		case recorded && !e.ChangedByAnnouncement(u.Announcement):
 			continue
 		case !recorded && remaining == 0:
-			f.options.Log.Error().Str("engine", name).Msg("limit of recorded engines reached; no orders are sent to this engine")
+			c.options.Log.Error().Str("engine", name).Msg("limit of recorded engines reached; no orders are sent to this engine")
 			continue
 		case !recorded:
 			remaining--
@@ -50,29 +50,29 @@
 	}
 	for len(changed) > 0 {
 		count := min(len(changed), maxReportsPerCommand)
-		f.propose(manifest.Reports{Announcements: changed[:count]})
+		c.propose(manifest.Reports{Announcements: changed[:count]})
 		changed = changed[count:]
 	}
 }
 
 // logContradictions logs, once per incarnation, each engine whose reports contradict the ledger.
 // Such an engine receives no further orders; the other engines are not affected.
-func (f *Controller) logContradictions() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, e := range f.options.State.Manifest().Engines {
+func (c *Controller) logContradictions() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range c.options.State.Manifest().Engines {
 		contradictions := e.Ledger.Contradictions()
 		name := e.Announcement.Name
 		if len(contradictions) == 0 {
-			delete(f.loggedIncarnations, name)
+			delete(c.loggedIncarnations, name)
 			continue
 		}
-		if f.loggedIncarnations[name] == e.Ledger.Incarnation() {
+		if c.loggedIncarnations[name] == e.Ledger.Incarnation() {
 			continue
 		}
-		f.loggedIncarnations[name] = e.Ledger.Incarnation()
+		c.loggedIncarnations[name] = e.Ledger.Incarnation()
 		for _, contradiction := range contradictions {
-			f.options.Log.Error().Str("engine", name).Uint64("incarnation", e.Ledger.Incarnation()).
+			c.options.Log.Error().Str("engine", name).Uint64("incarnation", e.Ledger.Incarnation()).
 				Str("finding", contradiction.String()).
 				Msg("alarm: engine report contradicts the ledger; no orders are sent to the engine until it restarts")
 		}
@@ -81,27 +81,27 @@
 
 // removeGoneEngines removes the records of engines that have been missing for goneEngineRetention
 // and have no open order.
-func (f *Controller) removeGoneEngines(now time.Time, live map[string]roster.Upstream) {
-	for _, e := range f.options.State.Manifest().Engines {
+func (c *Controller) removeGoneEngines(now time.Time, live map[string]roster.Upstream) {
+	for _, e := range c.options.State.Manifest().Engines {
 		name := e.Announcement.Name
 		_, isLive := live[name]
-		if f.missingFor(now, name, isLive) >= goneEngineRetention && len(e.Ledger.Open()) == 0 {
-			f.propose(manifest.RemoveEngine{Engine: name})
+		if c.missingFor(now, name, isLive) >= goneEngineRetention && len(e.Ledger.Open()) == 0 {
+			c.propose(manifest.RemoveEngine{Engine: name})
 		}
 	}
 }
 
 // missingFor returns how long the engine has been absent from liveEngines at this leader.
-func (f *Controller) missingFor(now time.Time, name string, isLive bool) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *Controller) missingFor(now time.Time, name string, isLive bool) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if isLive {
-		delete(f.missingSince, name)
+		delete(c.missingSince, name)
 		return 0
 	}
-	since, missing := f.missingSince[name]
+	since, missing := c.missingSince[name]
 	if !missing {
-		f.missingSince[name] = now
+		c.missingSince[name] = now
 		return 0
 	}
 	return now.Sub(since)
--- a/internal/foreman/export_test.go
+++ b/internal/foreman/export_test.go
@@ -10,13 +10,13 @@
 
 // NewWithoutLoop returns a Controller without its control loop: it acts only in Reconcile.
 func NewWithoutLoop(options Options) *Controller {
-	return newForeman(options)
+	return newController(options)
 }
 
 // Reconcile runs one reconciliation at now and waits for its calls to engines.
-func (f *Controller) Reconcile(now time.Time) {
-	f.reconcile(now)
-	f.inFlight.Wait()
+func (c *Controller) Reconcile(now time.Time) {
+	c.reconcile(now)
+	c.inFlight.Wait()
 }
 
 // ImmediateResends returns the ids of the orders that are sent again in the given state without a
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -126,12 +126,12 @@
 
 // New starts a Controller.
 func New(options Options) *Controller {
-	f := newForeman(options)
+	f := newController(options)
 	f.loop.Go(f.run)
 	return f
 }
 
-func newForeman(options Options) *Controller {
+func newController(options Options) *Controller {
 	if options.Interval == 0 {
 		options.Interval = DefaultInterval
 	}
@@ -149,89 +149,89 @@
 
 // Close stops the control loop and cancels the calls in progress. Their orders are recorded, so the
 // next leader queries their state.
-func (f *Controller) Close() {
-	f.cancel()
-	f.loop.Wait()
-	f.inFlight.Wait()
+func (c *Controller) Close() {
+	c.cancel()
+	c.loop.Wait()
+	c.inFlight.Wait()
 }
 
-func (f *Controller) run() {
-	ticker := time.NewTicker(f.options.Interval)
+func (c *Controller) run() {
+	ticker := time.NewTicker(c.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-f.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		f.reconcile(f.options.Now())
+		c.reconcile(c.options.Now())
 	}
 }
 
 // reconcile performs everything that is due at now.
-func (f *Controller) reconcile(now time.Time) {
-	rightTerm, _, held := f.options.State.OrderRight(now)
+func (c *Controller) reconcile(now time.Time) {
+	rightTerm, _, held := c.options.State.OrderRight(now)
 	if !held {
-		f.resetTerm()
+		c.resetTerm()
 		return
 	}
 	term := uint64(rightTerm)
-	state := f.options.State.Manifest()
+	state := c.options.State.Manifest()
 	switch {
 	case state.Term > term:
 		return
 	case state.Term < term:
 		// Once this command is applied here, so are all commands that earlier leaders committed.
-		if !f.propose(manifest.NewLeader{Term: term}) {
+		if !c.propose(manifest.NewLeader{Term: term}) {
 			return
 		}
 	}
-	f.beginTerm(now, term)
-	live := f.liveEngines(now)
-	f.recordReports(live)
-	f.logContradictions()
-	f.removeGoneEngines(now, live)
-	f.followUpOrders(now, term, live)
-	f.updatePlacement(now, term, live)
+	c.beginTerm(now, term)
+	live := c.liveEngines(now)
+	c.recordReports(live)
+	c.logContradictions()
+	c.removeGoneEngines(now, live)
+	c.followUpOrders(now, term, live)
+	c.updatePlacement(now, term, live)
 }
 
 // resetTerm clears the state that is bound to an order right that has ended.
-func (f *Controller) resetTerm() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.term, f.termStart = 0, time.Time{}
-	f.plan, f.planState, f.lastPlanned = placement.Plan{}, placement.State{}, time.Time{}
+func (c *Controller) resetTerm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.term, c.termStart = 0, time.Time{}
+	c.plan, c.planState, c.lastPlanned = placement.Plan{}, placement.State{}, time.Time{}
 }
 
 // beginTerm initializes the state of a term, unless this process already acts in it.
-func (f *Controller) beginTerm(now time.Time, term uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term == term {
+func (c *Controller) beginTerm(now time.Time, term uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.term == term {
 		return
 	}
-	f.term, f.termStart = term, now
-	f.planState, f.lastPlanned = placement.State{}, time.Time{}
-	f.missingSince = map[string]time.Time{}
-	f.loggedIncarnations = map[string]uint64{}
-	f.options.Log.Info().Uint64("term", term).Msg("order right acquired; issuing orders to engines")
+	c.term, c.termStart = term, now
+	c.planState, c.lastPlanned = placement.State{}, time.Time{}
+	c.missingSince = map[string]time.Time{}
+	c.loggedIncarnations = map[string]uint64{}
+	c.options.Log.Info().Uint64("term", term).Msg("order right acquired; issuing orders to engines")
 }
 
 // propose proposes a command and reports whether it was accepted.
-func (f *Controller) propose(command manifest.Command) bool {
-	ctx, cancel := context.WithTimeout(f.ctx, proposeTimeout)
+func (c *Controller) propose(command manifest.Command) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
-	result, err := f.options.State.Propose(ctx, command)
+	result, err := c.options.State.Propose(ctx, command)
 	switch {
 	case err != nil:
-		f.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
+		c.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
 		return false
 	case result.Manifest == nil || !result.Manifest.Accepted:
 		reason := ""
 		if result.Manifest != nil {
 			reason = result.Manifest.Reason
 		}
-		f.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement command rejected")
+		c.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement command rejected")
 		return false
 	}
 	return true
@@ -241,7 +241,7 @@
 //
 // It is checked immediately before each send: the order right may have expired while the order was
 // being recorded, and another leader may rely on no order being sent.
-func (f *Controller) maySend(fencing uint64) bool {
-	currentTerm, _, held := f.options.State.OrderRight(f.options.Now())
+func (c *Controller) maySend(fencing uint64) bool {
+	currentTerm, _, held := c.options.State.OrderRight(c.options.Now())
 	return held && uint64(currentTerm) == fencing
 }
--- a/internal/foreman/placement.go
+++ b/internal/foreman/placement.go
@@ -17,43 +17,43 @@
 )
 
 // updatePlacement computes a plan if one is due, and issues its orders.
-func (f *Controller) updatePlacement(now time.Time, term uint64, live map[string]roster.Upstream) {
-	issue := f.options.Cluster.Configuration()
-	f.mu.Lock()
-	tooEarly := now.Sub(f.termStart) < f.options.UpstreamLease || !f.lastPlanned.IsZero() && now.Sub(f.lastPlanned) < f.planPause
-	previous := f.planState
-	f.mu.Unlock()
-	if tooEarly || issue.Revision == 0 {
+func (c *Controller) updatePlacement(now time.Time, term uint64, live map[string]roster.Upstream) {
+	configuration := c.options.Cluster.Configuration()
+	c.mu.Lock()
+	tooEarly := now.Sub(c.termStart) < c.options.UpstreamLease || !c.lastPlanned.IsZero() && now.Sub(c.lastPlanned) < c.planPause
+	previous := c.planState
+	c.mu.Unlock()
+	if tooEarly || configuration.Revision == 0 {
 		return
 	}
 	var estimates []demand.Estimate
-	if f.options.Demand != nil {
-		estimates = f.options.Demand(now)
+	if c.options.Demand != nil {
+		estimates = c.options.Demand(now)
 	}
-	planStart := f.options.Now()
-	plan := f.options.Planner.Plan(now, placement.Input{
-		Declarations:  issue.Declarations,
-		Preset:        issue.Preset,
-		Engines:       planningEngines(f.options.State.Manifest(), f.options.Cluster.Upstreams(now)),
+	planStart := c.options.Now()
+	plan := c.options.Planner.Plan(now, placement.Input{
+		Declarations:  configuration.Declarations,
+		Preset:        configuration.Preset,
+		Engines:       planningEngines(c.options.State.Manifest(), c.options.Cluster.Upstreams(now)),
 		Demand:        estimates,
-		WeightStore:   f.options.WeightStore,
-		WeightOfMoves: f.options.WeightOfMoves,
-		AvoidedLoads:  avoidedLoads(now, f.options.State.Manifest()),
+		WeightStore:   c.options.WeightStore,
+		WeightOfMoves: c.options.WeightOfMoves,
+		AvoidedLoads:  avoidedLoads(now, c.options.State.Manifest()),
 		Previous:      previous,
 	})
-	f.mu.Lock()
-	changed := !slices.Equal(plan.Problems, f.plan.Problems)
-	f.planState, f.lastPlanned, f.plan = plan.Next, now, plan
-	f.planPause = planPauseAfter(f.options.Now().Sub(planStart))
-	f.mu.Unlock()
+	c.mu.Lock()
+	changed := !slices.Equal(plan.Problems, c.plan.Problems)
+	c.planState, c.lastPlanned, c.plan = plan.Next, now, plan
+	c.planPause = planPauseAfter(c.options.Now().Sub(planStart))
+	c.mu.Unlock()
 	if changed {
 		for _, p := range plan.Problems {
-			f.options.Log.Warn().Str("model", p.Model).Str("reason", string(p.Reason)).Str("arithmetic", p.Description).
+			c.options.Log.Warn().Str("model", p.Model).Str("reason", string(p.Reason)).Str("arithmetic", p.Description).
 				Msg("placement requirement cannot be met at present")
 		}
 	}
 	for _, move := range plan.Moves[:min(len(plan.Moves), maxOrdersPerPlan)] {
-		f.issueOrder(now, term, move, live)
+		c.issueOrder(now, term, move, live)
 	}
 }
 
@@ -116,9 +116,9 @@
 }
 
 // issueOrder records the order of a move, and sends it once the record is committed.
-func (f *Controller) issueOrder(now time.Time, term uint64, move placement.Move, live map[string]roster.Upstream) {
+func (c *Controller) issueOrder(now time.Time, term uint64, move placement.Move, live map[string]roster.Upstream) {
 	u, isLive := live[move.Engine]
-	state := f.options.State.Manifest()
+	state := c.options.State.Manifest()
 	e, recorded := state.Engine(move.Engine)
 	if !isLive || !recorded {
 		return
@@ -131,12 +131,12 @@
 	if clock := u.Announcement.Load.Clock; !clock.IsZero() {
 		order.NotAfter = clock.Add(now.Sub(u.LastContact) + orderValidity).UTC()
 	}
-	if !f.propose(manifest.Record{Engine: move.Engine, Order: order, Reason: orderPurpose(move), At: now.UTC()}) {
+	if !c.propose(manifest.Record{Engine: move.Engine, Order: order, Reason: orderPurpose(move), At: now.UTC()}) {
 		return
 	}
-	f.logDecision(move, order)
+	c.logDecision(move, order)
 	target := delivery{engine: move.Engine, address: u.Announcement.Address, order: order}
-	f.startCall(order.ID, func() { f.send(target) })
+	c.startCall(order.ID, func() { c.send(target) })
 }
 
 // orderPurpose describes the purpose of a move briefly.
@@ -149,13 +149,13 @@
 }
 
 // logDecision logs one placement decision.
-func (f *Controller) logDecision(move placement.Move, order upstreamapi.Order) {
+func (c *Controller) logDecision(move placement.Move, order upstreamapi.Order) {
 	alternatives := zerolog.Arr()
 	for _, a := range move.Alternatives {
 		alternatives = alternatives.Dict(zerolog.Dict().Str("engine", a.Engine).
 			Float64("score", a.Score).Float64("taken-score", a.ChosenScore))
 	}
-	f.options.Log.Info().Str("engine", move.Engine).Str("order", order.ID).Uint64("term", order.Fencing).
+	c.options.Log.Info().Str("engine", move.Engine).Str("order", order.ID).Uint64("term", order.Fencing).
 		Str("kind", string(order.Kind)).Str("model", order.Model).Str("version", order.Version).
 		Str("from-version", order.FromVersion).Str("adapter", order.Adapter).
 		Strs("accelerators", order.Accelerators).Int64("memory-bytes", order.MemoryBytes).
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -49,16 +49,16 @@
 }
 
 // Scope returns the scope in which metrics are recorded.
-func (g *Metrics) Scope() tally.Scope {
-	return g.scope
+func (m *Metrics) Scope() tally.Scope {
+	return m.scope
 }
 
 // ServeHTTP writes all metrics.
-func (g *Metrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.handler.ServeHTTP(w, r)
+func (m *Metrics) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	m.handler.ServeHTTP(w, r)
 }
 
 // Close reports the last values and stops the reporting.
-func (g *Metrics) Close() error {
-	return errors.Wrap(g.closer.Close(), "gauge")
+func (m *Metrics) Close() error {
+	return errors.Wrap(m.closer.Close(), "gauge")
 }
--- a/internal/gazette/gazette.go
+++ b/internal/gazette/gazette.go
@@ -43,8 +43,8 @@
 }
 
 // Latest returns the latest Configuration. It takes no lock.
-func (g *Cache) Latest() *Configuration {
-	return g.latest.Load()
+func (c *Cache) Latest() *Configuration {
+	return c.latest.Load()
 }
 
 // Publish makes the configuration of view the latest Configuration. If its revision is not above
@@ -53,13 +53,13 @@
 // If the declarations of view can't be decoded or don't declare its preset, Publish returns
 // an error and keeps the latest Configuration. The instance must then admit no new work, as after
 // the end of its configuration lease. Most likely it must be upgraded.
-func (g *Cache) Publish(view *registry.View) error {
-	g.publishMu.Lock()
-	defer g.publishMu.Unlock()
-	if view.Revision <= g.latest.Load().Revision {
+func (c *Cache) Publish(view *registry.View) error {
+	c.publishMu.Lock()
+	defer c.publishMu.Unlock()
+	if view.Revision <= c.latest.Load().Revision {
 		return nil
 	}
-	set, err := g.decode(view.Declarations)
+	set, err := c.decode(view.Declarations)
 	if err != nil {
 		return errors.Wrapf(err, "gazette: revision %d", view.Revision)
 	}
@@ -67,15 +67,15 @@
 	if !ok {
 		return errors.Newf("gazette: revision %d: preset %q is in force but not declared", view.Revision, view.Preset)
 	}
-	g.latest.Store(&Configuration{Revision: view.Revision, Preset: preset, Declarations: set})
-	g.encoded = view.Declarations
+	c.latest.Store(&Configuration{Revision: view.Revision, Preset: preset, Declarations: set})
+	c.encoded = view.Declarations
 	return nil
 }
 
 // decode decodes declarations. It reuses those of the latest Configuration if the encoding is the
 // same: a replay of hundreds of changes of the preset alone then decodes them only once.
-func (g *Cache) decode(encoded []byte) (declaration.Set, error) {
-	if latest := g.latest.Load(); latest.Revision > 0 && bytes.Equal(encoded, g.encoded) {
+func (c *Cache) decode(encoded []byte) (declaration.Set, error) {
+	if latest := c.latest.Load(); latest.Revision > 0 && bytes.Equal(encoded, c.encoded) {
 		return latest.Declarations, nil
 	}
 	return declaration.Decode(encoded)
--- a/internal/gazette/gazette_test.go
+++ b/internal/gazette/gazette_test.go
@@ -77,12 +77,12 @@
 				defer GinkgoRecover()
 				var last registry.Revision
 				for {
-					issue := g.Latest()
-					Expect(issue.Revision).To(BeNumerically(">=", last))
-					if issue.Revision > 0 {
-						Expect(issue.Preset.Name).To(Equal(fmt.Sprintf("preset-%d", issue.Revision)))
+					configuration := g.Latest()
+					Expect(configuration.Revision).To(BeNumerically(">=", last))
+					if configuration.Revision > 0 {
+						Expect(configuration.Preset.Name).To(Equal(fmt.Sprintf("preset-%d", configuration.Revision)))
 					}
-					last = issue.Revision
+					last = configuration.Revision
 					select {
 					case <-stop:
 						return
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -196,13 +196,13 @@
 func (i *Instance) Status(now time.Time) registrar.Status {
 	settings := i.options.Settings
 	leader, term := i.controlPlane.Leader()
-	issue := i.controlPlane.ConfigCache().Latest()
+	configuration := i.controlPlane.ConfigCache().Latest()
 	status := registrar.Status{
 		Name:           settings.Name,
 		FailureDomain:  settings.FailureDomain,
 		Version:        i.options.Version,
-		Revision:       uint64(issue.Revision),
-		Preset:         issue.Preset.Name,
+		Revision:       uint64(configuration.Revision),
+		Preset:         configuration.Preset.Name,
 		HasConfigLease: i.controlPlane.HasConfigLease(now),
 		ActiveRequests: i.callerAPI.ActiveRequests(),
 		Leader:         leader.Instance(),
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -109,16 +109,16 @@
 		return upstreamapi.AnnounceResponse{}, err
 	}
 	i.forwardUpstreamChangesLocked()
-	welcome := upstreamapi.AnnounceResponse{
+	response := upstreamapi.AnnounceResponse{
 		RenewEvery: i.options.Settings.Timing.UpstreamRenewal,
 		Lease:      i.options.Settings.Timing.UpstreamLease,
 	}
 	for _, instance := range i.roster.Instances(now) {
 		if instance.Name != i.options.Settings.Name && !instance.Draining {
-			welcome.Instances = append(welcome.Instances, instance.UpstreamAddress)
+			response.Instances = append(response.Instances, instance.UpstreamAddress)
 		}
 	}
-	return welcome, nil
+	return response, nil
 }
 
 // Load records an upstream's load report between two announcements.
--- a/internal/instance/options.go
+++ b/internal/instance/options.go
@@ -64,9 +64,9 @@
 
 // tokenHolder returns a function that looks up the holder of a token in book. If
 // book is nil, every token is valid and its holder is anonymous.
-func tokenHolder(book *badge.Tokens, anonymous string) func(token string) (string, bool) {
-	if book == nil {
+func tokenHolder(tokens *badge.Tokens, anonymous string) func(token string) (string, bool) {
+	if tokens == nil {
 		return func(string) (string, bool) { return anonymous, true }
 	}
-	return book.Holder
+	return tokens.Holder
 }
--- a/internal/instance/placement.go
+++ b/internal/instance/placement.go
@@ -80,10 +80,10 @@
 				Model:           entry.Model,
 				Version:         entry.Version,
 				Adapter:         entry.Adapter,
-				PlacementReason: entry.Why,
+				PlacementReason: entry.PlacementReason,
 				At:              entry.At,
 				State:           string(entry.State),
-				RefusalReason:   entry.Reason,
+				RefusalReason:   entry.RefusalReason,
 			})
 		}
 		list = append(list, status)
--- a/internal/jury/invariants_test.go
+++ b/internal/jury/invariants_test.go
@@ -217,9 +217,9 @@
 	local := n.localTime(sim.now)
 	if _, until, ok := n.member.OrderRight(local); ok {
 		for _, other := range sim.nodes {
-			if other != n && other.orderRightUntil+testOrderFlight > sim.now {
+			if other != n && other.orderRightUntil+testOrderTimeout > sim.now {
 				h.failf("%s may send orders while an order of %s may be in flight until %s",
-					n.identity, other.identity, other.orderRightUntil+testOrderFlight)
+					n.identity, other.identity, other.orderRightUntil+testOrderTimeout)
 			}
 		}
 		n.orderRightUntil = max(n.orderRightUntil, n.trueTime(until))
--- a/internal/jury/simulation_test.go
+++ b/internal/jury/simulation_test.go
@@ -11,7 +11,7 @@
 
 const (
 	testElectionTimeout = 300 * time.Millisecond
-	testOrderFlight     = 200 * time.Millisecond
+	testOrderTimeout    = 200 * time.Millisecond
 	testClockDrift      = 0.05
 )
 
@@ -202,7 +202,7 @@
 		Heartbeat:          testElectionTimeout / 10,
 		ElectionTimeout:    testElectionTimeout,
 		ClockDrift:         testClockDrift,
-		OrderTimeout:       testOrderFlight,
+		OrderTimeout:       testOrderTimeout,
 		MaxInflightAppends: 3,
 		MaxAppendBytes:     40,
 		KeptEntries:        s.faults.keptEntries,
--- a/internal/lease/sightings.go
+++ b/internal/lease/sightings.go
@@ -18,31 +18,31 @@
 }
 
 // Record records that this replica applied take at now.
-func (s *Observations) Record(now time.Time, take Take) {
+func (o *Observations) Record(now time.Time, take Take) {
 	for _, upstream := range take.Forget {
-		delete(s.seenAt, upstream)
+		delete(o.seenAt, upstream)
 	}
-	if take.Holder == s.self {
+	if take.Holder == o.self {
 		return
 	}
 	for _, upstream := range take.Upstreams {
-		s.seenAt[upstream] = now
+		o.seenAt[upstream] = now
 	}
 }
 
 // Reset replaces the sightings after leases were restored from a snapshot. The
 // snapshot does not say when each lease was taken, so each is treated as taken at
 // now.
-func (s *Observations) Reset(now time.Time, leases Leases) {
-	clear(s.seenAt)
+func (o *Observations) Reset(now time.Time, leases Leases) {
+	clear(o.seenAt)
 	for _, upstream := range leases.Upstreams() {
-		s.seenAt[upstream] = now
+		o.seenAt[upstream] = now
 	}
 }
 
 // Free reports whether this replica saw no other instance take the lease of
 // upstream within the duration wait before now.
-func (s *Observations) Free(now time.Time, upstream string, wait time.Duration) bool {
-	at, seen := s.seenAt[upstream]
+func (o *Observations) Free(now time.Time, upstream string, wait time.Duration) bool {
+	at, seen := o.seenAt[upstream]
 	return !seen || now.Sub(at) >= wait
 }
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -28,11 +28,11 @@
 	Version string                `json:"version,omitempty"`
 	Adapter string                `json:"adapter,omitempty"`
 	// Reason and At are copied from Record.
-	Why   string    `json:"why"`
-	At    time.Time `json:"at"`
-	State State     `json:"state"`
+	PlacementReason string    `json:"why"`
+	At              time.Time `json:"at"`
+	State           State     `json:"state"`
 	// Reason is the engine's reason for a refused order, truncated to MaxReasonBytes.
-	Reason string `json:"reason,omitempty"`
+	RefusalReason string `json:"reason,omitempty"`
 }
 
 // State is the state of an order.
@@ -141,7 +141,7 @@
 		return e
 	}
 	e.Orders = slices.Clone(e.Orders)
-	e.Orders[i].State, e.Orders[i].Reason = state, reason
+	e.Orders[i].State, e.Orders[i].RefusalReason = state, reason
 	return e
 }
 
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -177,14 +177,14 @@
 	}
 	m.highestNumber = c.Order.Number
 	e.Orders = append(slices.Clone(e.Orders), OrderEntry{
-		ID:      c.Order.ID,
-		Kind:    c.Order.Kind,
-		Model:   c.Order.Model,
-		Version: c.Order.Version,
-		Adapter: c.Order.Adapter,
-		Why:     c.Reason,
-		At:      c.At,
-		State:   StateRecorded,
+		ID:              c.Order.ID,
+		Kind:            c.Order.Kind,
+		Model:           c.Order.Model,
+		Version:         c.Order.Version,
+		Adapter:         c.Order.Adapter,
+		PlacementReason: c.Reason,
+		At:              c.At,
+		State:           StateRecorded,
 	})
 	m.replace(e.withLedger(account))
 	return nil
--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/bulletin.go
@@ -69,18 +69,18 @@
 }
 
 // News returns the news as of now. The caller must not change it.
-func (b *Publisher) News(now time.Time, records Records) News {
-	fresh := now.Sub(b.computedAt) < refreshInterval && !b.computedAt.IsZero()
-	if !fresh || records.Revision() != b.current.Revision {
-		b.recompute(now, records)
+func (p *Publisher) News(now time.Time, records Records) News {
+	fresh := now.Sub(p.computedAt) < refreshInterval && !p.computedAt.IsZero()
+	if !fresh || records.Revision() != p.current.Revision {
+		p.recompute(now, records)
 	}
-	return b.current.Aged(now.Sub(b.computedAt))
+	return p.current.Aged(now.Sub(p.computedAt))
 }
 
 // Changes returns the changes since the last call.
-func (b *Publisher) Changes() []Change {
-	changes := b.changes
-	b.changes = nil
+func (p *Publisher) Changes() []Change {
+	changes := p.changes
+	p.changes = nil
 	return changes
 }
 
@@ -94,30 +94,30 @@
 }
 
 // make computes the news as of now, and the changes since the previous news.
-func (b *Publisher) recompute(now time.Time, records Records) {
-	verdicts := records.announcedVerdicts(now, b.limits)
-	maps.DeleteFunc(b.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
-	previous := b.current.Quarantined
-	b.current, b.computedAt = News{Revision: records.Revision()}, now
+func (p *Publisher) recompute(now time.Time, records Records) {
+	verdicts := records.announcedVerdicts(now, p.limits)
+	maps.DeleteFunc(p.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
+	previous := p.current.Quarantined
+	p.current, p.computedAt = News{Revision: records.Revision()}, now
 	for _, digest := range slices.SortedFunc(maps.Keys(verdicts), compareDigests) {
-		if _, found := b.announcedAt[digest]; !found {
-			b.announcedAt[digest] = b.announcementTime(now, records.cases[digest])
+		if _, found := p.announcedAt[digest]; !found {
+			p.announcedAt[digest] = p.announcementTime(now, records.cases[digest])
 		}
 		if verdicts[digest] == verdictQuarantined {
-			in := max(0, b.announcedAt[digest].Add(clearanceTime).Sub(now))
-			b.current.Quarantined = append(b.current.Quarantined, Entry{Digest: digest, In: in})
+			in := max(0, p.announcedAt[digest].Add(clearanceTime).Sub(now))
+			p.current.Quarantined = append(p.current.Quarantined, Entry{Digest: digest, In: in})
 		} else {
-			b.current.Suspected = append(b.current.Suspected, digest)
+			p.current.Suspected = append(p.current.Suspected, digest)
 		}
 	}
-	b.current.Mark = b.current.hash()
-	b.recordChanges(records, previous)
+	p.current.Mark = p.current.hash()
+	p.recordChanges(records, previous)
 }
 
 // announcementTime returns when a request that is new to this Publisher was first
 // announced. If its last crash is older than propagationTime, as after a restart of the
 // control instance, the other instances have already had the time to clear it.
-func (b *Publisher) announcementTime(now time.Time, c Case) time.Time {
+func (p *Publisher) announcementTime(now time.Time, c Case) time.Time {
 	if now.Sub(c.last()) > propagationTime {
 		return now.Add(-clearanceTime)
 	}
@@ -125,18 +125,18 @@
 }
 
 // recordChanges records the differences to the previous news.
-func (b *Publisher) recordChanges(records Records, previous []Entry) {
+func (p *Publisher) recordChanges(records Records, previous []Entry) {
 	contains := func(list []Entry, digest Digest) bool {
 		return slices.ContainsFunc(list, func(e Entry) bool { return e.Digest == digest })
 	}
-	for _, entry := range b.current.Quarantined {
+	for _, entry := range p.current.Quarantined {
 		if !contains(previous, entry.Digest) {
-			b.changes = append(b.changes, Change{Digest: entry.Digest, Crashes: records.cases[entry.Digest].Crashes})
+			p.changes = append(p.changes, Change{Digest: entry.Digest, Crashes: records.cases[entry.Digest].Crashes})
 		}
 	}
 	for _, entry := range previous {
-		if !contains(b.current.Quarantined, entry.Digest) {
-			b.changes = append(b.changes, Change{Digest: entry.Digest})
+		if !contains(p.current.Quarantined, entry.Digest) {
+			p.changes = append(p.changes, Change{Digest: entry.Digest})
 		}
 	}
 }
--- a/internal/quarantine/recall.go
+++ b/internal/quarantine/recall.go
@@ -25,13 +25,13 @@
 // Alive returns the upstreams that are alive although the records hold a crash of them.
 // lastHeard returns the time of the newest liveness report of a lifetime, and false if
 // there is none.
-func (r *FalseCrashDetector) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
-	if records.Revision() != r.revision {
-		r.revision = records.Revision()
-		r.refresh(now, records)
+func (d *FalseCrashDetector) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
+	if records.Revision() != d.revision {
+		d.revision = records.Revision()
+		d.refresh(now, records)
 	}
 	var alive []Lifetime
-	for lifetime, at := range r.firstSeen {
+	for lifetime, at := range d.firstSeen {
 		if now.Sub(at) > retractionWindow {
 			continue
 		}
@@ -43,16 +43,16 @@
 }
 
 // refresh takes the crashes from the records.
-func (r *FalseCrashDetector) refresh(now time.Time, records Records) {
-	previous := r.firstSeen
-	r.firstSeen = map[Lifetime]time.Time{}
+func (d *FalseCrashDetector) refresh(now time.Time, records Records) {
+	previous := d.firstSeen
+	d.firstSeen = map[Lifetime]time.Time{}
 	for _, c := range records.cases {
 		for _, crash := range c.Crashes {
 			at, known := previous[crash.Lifetime]
 			if !known {
 				at = now
 			}
-			r.firstSeen[crash.Lifetime] = at
+			d.firstSeen[crash.Lifetime] = at
 		}
 	}
 }
--- a/internal/quarantine/records_test.go
+++ b/internal/quarantine/records_test.go
@@ -12,13 +12,13 @@
 
 // cluster simulates a cluster: its records and the news of one control instance.
 type cluster struct {
-	now      time.Time
-	records  quarantine.Records
-	bulletin *quarantine.Publisher
+	now       time.Time
+	records   quarantine.Records
+	publisher *quarantine.Publisher
 }
 
 func newCluster(limits quarantine.Limits) *cluster {
-	return &cluster{now: time.Unix(1_000_000, 0).UTC(), bulletin: quarantine.NewPublisher(limits)}
+	return &cluster{now: time.Unix(1_000_000, 0).UTC(), publisher: quarantine.NewPublisher(limits)}
 }
 
 // crash records that an upstream ended with the given requests.
@@ -33,7 +33,7 @@
 }
 
 func (c *cluster) news() quarantine.News {
-	return c.bulletin.News(c.now, c.records)
+	return c.publisher.News(c.now, c.records)
 }
 
 // quarantined returns those of the bodies whose requests are in quarantine.
@@ -245,7 +245,7 @@
 			c.crash(fmt.Sprint("e", n), suspect("bad"))
 		}
 		c.now = c.now.Add(10 * time.Second)
-		c.bulletin = quarantine.NewPublisher(quarantine.Limits{})
+		c.publisher = quarantine.NewPublisher(quarantine.Limits{})
 		Expect(c.news().Quarantined[0].In).To(BeZero())
 	})
 
@@ -254,12 +254,12 @@
 		for n := range 3 {
 			c.crash(fmt.Sprint("e", n), suspect("bad"))
 		}
-		changes := c.bulletin.Changes()
+		changes := c.publisher.Changes()
 		Expect(changes).To(HaveLen(1))
 		Expect(changes[0].Crashes).To(HaveLen(3))
-		Expect(c.bulletin.Changes()).To(BeEmpty())
+		Expect(c.publisher.Changes()).To(BeEmpty())
 		c.apply(quarantine.Update{Lifted: []quarantine.Digest{digest("bad")}})
-		Expect(c.bulletin.Changes()).To(Equal([]quarantine.Change{{Digest: digest("bad")}}))
+		Expect(c.publisher.Changes()).To(Equal([]quarantine.Change{{Digest: digest("bad")}}))
 	})
 
 	It("gives equal news the same mark at every control instance", func() {
@@ -419,15 +419,15 @@
 		c := newCluster(quarantine.Limits{})
 		c.crash("e1", suspect("a"))
 		c.crash("e2", suspect("a"))
-		var recall quarantine.FalseCrashDetector
+		var detector quarantine.FalseCrashDetector
 		heard := map[string]time.Duration{"e1": 500 * time.Millisecond, "e2": 1500 * time.Millisecond}
 		start := c.now
 		lastHeard := func(l quarantine.Lifetime) (time.Time, bool) {
 			after, known := heard[l.Upstream]
 			return start.Add(after), known
 		}
-		Expect(recall.Alive(c.now, c.records, lastHeard)).To(Equal([]quarantine.Lifetime{lifetime("e2")}), "its liveness report is too late to be from before its end")
+		Expect(detector.Alive(c.now, c.records, lastHeard)).To(Equal([]quarantine.Lifetime{lifetime("e2")}), "its liveness report is too late to be from before its end")
 		delete(heard, "e2")
-		Expect(recall.Alive(c.now.Add(time.Second), c.records, lastHeard)).To(BeEmpty())
+		Expect(detector.Alive(c.now.Add(time.Second), c.records, lastHeard)).To(BeEmpty())
 	})
 })
