--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -42,7 +42,7 @@
 
 // Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or InvalidLimit.
 type Observation interface {
-	said()
+	isObservation()
 }
 
 // NamedLimit means that the answer names a valid limit.
@@ -60,9 +60,9 @@
 	Text string
 }
 
-func (NamedLimit) said()   {}
-func (NoLimit) said()      {}
-func (InvalidLimit) said() {}
+func (NamedLimit) isObservation()   {}
+func (NoLimit) isObservation()      {}
+func (InvalidLimit) isObservation() {}
 
 // State is the limit in force at an upstream, according to its answers. It is immutable;
 // the zero value has no limit in force.
@@ -74,30 +74,30 @@
 }
 
 // Limit returns the limit in force, and false if there is none.
-func (k State) Limit() (Limit, bool) {
-	return k.limit, !k.setAt.IsZero()
+func (state State) Limit() (Limit, bool) {
+	return state.limit, !state.setAt.IsZero()
 }
 
 // With returns the state after an answer that arrived at now to a request that was sent
 // at sent. Answers may arrive out of order, so one that raises or ends the limit counts
 // only if its request was sent after the limit was last set. A lower limit counts at
 // once.
-func (k State) With(now, sent time.Time, said Observation) State {
-	limit, inForce := k.Limit()
-	sentLater := sent.After(k.setAt)
-	switch s := said.(type) {
+func (state State) With(now, sent time.Time, observation Observation) State {
+	limit, inForce := state.Limit()
+	sentLater := sent.After(state.setAt)
+	switch s := observation.(type) {
 	case NamedLimit:
 		if inForce && s.Limit > limit && !sentLater {
-			return k
+			return state
 		}
 		return State{limit: s.Limit, setAt: now}
 	case NoLimit:
 		if inForce && !sentLater {
-			return k
+			return state
 		}
 		return State{}
 	default:
-		return k
+		return state
 	}
 }
 
--- a/internal/ratelimit/pace.go
+++ b/internal/ratelimit/pace.go
@@ -38,24 +38,24 @@
 
 // Take takes a token for one request, at a rate in requests a second. If there is none,
 // Take returns false and the time until the next one.
-func (p *TokenBucket) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
+func (b *TokenBucket) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
 	if rate <= 0 {
 		return waitForever, false
 	}
-	if elapsed := now.Sub(p.filledAt); elapsed > 0 {
+	if elapsed := now.Sub(b.filledAt); elapsed > 0 {
 		burst := max(rate*burstDuration.Seconds(), 1)
-		p.tokens = min(p.tokens+rate*elapsed.Seconds(), burst)
-		p.filledAt = now
+		b.tokens = min(b.tokens+rate*elapsed.Seconds(), burst)
+		b.filledAt = now
 	}
-	if p.tokens >= 1 {
-		p.tokens--
+	if b.tokens >= 1 {
+		b.tokens--
 		return 0, true
 	}
-	missing := time.Duration(math.Ceil((1 - p.tokens) / rate * float64(time.Second)))
-	return max(p.filledAt.Sub(now), 0) + missing, false
+	missing := time.Duration(math.Ceil((1 - b.tokens) / rate * float64(time.Second)))
+	return max(b.filledAt.Sub(now), 0) + missing, false
 }
 
 // TakeAtLimit is Take at the rate of all senders together, for the owner of the limit.
-func (p *TokenBucket) TakeAtLimit(now time.Time, l Limit) (wait time.Duration, ok bool) {
-	return p.Take(now, l.rate())
+func (b *TokenBucket) TakeAtLimit(now time.Time, l Limit) (wait time.Duration, ok bool) {
+	return b.Take(now, l.rate())
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -29,8 +29,8 @@
 	known := ratelimit.State{}.With(at(2), at(1), named(1.1))
 
 	DescribeTable("follows what the upstream says last",
-		func(now, sent float64, said ratelimit.Observation, limit float64, inForce bool) {
-			got, ok := known.With(at(now), at(sent), said).Limit()
+		func(now, sent float64, observation ratelimit.Observation, limit float64, inForce bool) {
+			got, ok := known.With(at(now), at(sent), observation).Limit()
 			Expect(ok).To(Equal(inForce))
 			Expect(float64(got)).To(Equal(limit))
 		},
@@ -76,13 +76,13 @@
 
 	It("stay within what the upstream bears, the first moment and bursts after rests included", func() {
 		for _, limit := range limits {
-			pace := ratelimit.NewTokenBucket(start)
+			bucket := ratelimit.NewTokenBucket(start)
 			var sent []time.Time
 			for ms := range 20_000 {
 				now := start.Add(time.Duration(ms) * time.Millisecond)
 				paused := ms > 6000 && ms < 9000
 				for range 3 {
-					if _, ok := pace.TakeAtLimit(now, limit); !paused && ok {
+					if _, ok := bucket.TakeAtLimit(now, limit); !paused && ok {
 						sent = append(sent, now)
 					}
 				}
@@ -99,10 +99,10 @@
 			for _, limit := range limits {
 				var sent []time.Time
 				for range senders {
-					pace := ratelimit.NewTokenBucket(start)
+					bucket := ratelimit.NewTokenBucket(start)
 					for ms := 0; ms < 12_000; ms += 20 {
 						now := start.Add(time.Duration(ms) * time.Millisecond)
-						if _, ok := pace.Take(now, ratelimit.ShareRate(limit, senders)); ok {
+						if _, ok := bucket.Take(now, ratelimit.ShareRate(limit, senders)); ok {
 							sent = append(sent, now)
 						}
 					}
@@ -137,14 +137,14 @@
 	})
 
 	It("get the time until the next one may be sent", func() {
-		pace := ratelimit.NewTokenBucket(start)
-		wait, ok := pace.TakeAtLimit(at(2), 1)
+		bucket := ratelimit.NewTokenBucket(start)
+		wait, ok := bucket.TakeAtLimit(at(2), 1)
 		Expect(ok).To(BeTrue())
 		Expect(wait).To(BeZero())
-		wait, ok = pace.TakeAtLimit(at(2.25), 1)
+		wait, ok = bucket.TakeAtLimit(at(2.25), 1)
 		Expect(ok).To(BeFalse())
 		Expect(wait).To(BeNumerically("~", 750*time.Millisecond, time.Microsecond))
-		_, ok = pace.Take(at(10), 0)
+		_, ok = bucket.Take(at(10), 0)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -32,7 +32,7 @@
 	// applied is the log index of the last applied command.
 	applied       jury.Index
 	configuration *configuration
-	docket        *docket.Store
+	store         *docket.Store
 	manifest      *manifest.Manifest
 	// view is the view of configuration for lock-free readers.
 	view atomic.Pointer[View]
@@ -45,7 +45,7 @@
 
 // New returns a replica with the empty state.
 func New() *Registry {
-	r := &Registry{configuration: newConfiguration(), docket: docket.New(), manifest: manifest.New()}
+	r := &Registry{configuration: newConfiguration(), store: docket.New(), manifest: manifest.New()}
 	r.view.Store(r.configuration.view())
 	r.edition.Store(&edition.Edition{})
 	r.crashRecords.Store(&quarantine.Records{})
@@ -66,7 +66,7 @@
 func (r *Registry) LookupRequest(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return r.docket.Lookup(key)
+	return r.store.Lookup(key)
 }
 
 // DocketStats returns the counters of the docket, its number of records and the size
@@ -74,7 +74,7 @@
 func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return r.docket.Counters(), r.docket.Len(), r.docket.ResponseBytes()
+	return r.store.Counters(), r.store.Len(), r.store.ResponseBytes()
 }
 
 // CrashRecords returns the records of requests that were in flight at upstreams that
@@ -127,7 +127,7 @@
 		}
 		return Result{Change: &answer}, nil
 	case docket.Command:
-		answer := r.docket.Apply(c)
+		answer := r.store.Apply(c)
 		return Result{Docket: &answer}, nil
 	case manifest.Command:
 		result := r.manifest.Apply(c)
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sections := []section{{configurationSection, configuration}, {docketSection, r.docket.Snapshot(nil)}}
+	sections := []section{{configurationSection, configuration}, {docketSection, r.store.Snapshot(nil)}}
 	if current := r.edition.Load(); current.Content != nil {
 		sections = append(sections, section{editionSection, current.Snapshot()})
 	}
@@ -80,7 +80,7 @@
 // snapshotState is the decoded content of a snapshot.
 type snapshotState struct {
 	configuration *configuration
-	docket        *docket.Store
+	store         *docket.Store
 	manifest      *manifest.Manifest
 	edition       edition.Edition
 	leases        lease.Leases
@@ -95,7 +95,7 @@
 		err = json.Unmarshal(data, &decoded)
 		s.configuration = decoded.restore()
 	case docketSection:
-		s.docket, err = docket.Restore(data)
+		s.store, err = docket.Restore(data)
 	case manifestSection:
 		s.manifest, err = manifest.Restore(data)
 	case editionSection:
@@ -133,14 +133,14 @@
 	if err := reader.End(); err != nil {
 		return errors.Wrap(err, "registry: snapshot")
 	}
-	if restored.configuration == nil || restored.docket == nil {
+	if restored.configuration == nil || restored.store == nil {
 		return errors.New("registry: snapshot without configuration or docket")
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.applied = applied
 	r.configuration = restored.configuration
-	r.docket = restored.docket
+	r.store = restored.store
 	r.manifest = restored.manifest
 	r.edition.Store(&restored.edition)
 	r.leases = restored.leases
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -44,20 +44,20 @@
 
 // Cursor returns the cursor for the next pull. If direct is true, it requests only members that
 // report to the source themselves. If direct differs from the last pull, the pull starts over.
-func (s *PullState) Cursor(direct bool) Cursor {
-	if s.cursor.Direct != direct {
+func (p *PullState) Cursor(direct bool) Cursor {
+	if p.cursor.Direct != direct {
 		return Cursor{Direct: direct}
 	}
-	return s.cursor
+	return p.cursor
 }
 
 // advance stores the cursor of an answer. If the pull started over, it discards the handles: those
 // of a restarted source refer to other members.
-func (s *PullState) advance(next Cursor) {
-	if s.upstreams == nil || next.Direct != s.cursor.Direct || next.Incarnation != s.cursor.Incarnation {
-		s.upstreams, s.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
+func (p *PullState) advance(next Cursor) {
+	if p.upstreams == nil || next.Direct != p.cursor.Direct || next.Incarnation != p.cursor.Incarnation {
+		p.upstreams, p.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
 	}
-	s.cursor = next
+	p.cursor = next
 }
 
 // Since returns the changes after cursor.
--- a/internal/roster/pull_test.go
+++ b/internal/roster/pull_test.go
@@ -12,7 +12,7 @@
 )
 
 // sites returns n instances in ten failure domains; the first seven are voters.
-func sites(n int) []roster.Location {
+func newLocations(n int) []roster.Location {
 	all := make([]roster.Location, n)
 	for k := range all {
 		all[k] = roster.Location{
@@ -26,13 +26,13 @@
 
 func without(all []roster.Location, lost ...string) []roster.Location {
 	var remaining []roster.Location
-	for _, site := range all {
+	for _, location := range all {
 		keep := true
 		for _, name := range lost {
-			keep = keep && site.Name != name
+			keep = keep && location.Name != name
 		}
 		if keep {
-			remaining = append(remaining, site)
+			remaining = append(remaining, location)
 		}
 	}
 	return remaining
@@ -40,12 +40,12 @@
 
 var _ = Describe("SourcesOf", func() {
 	It("returns all other instances of a small cluster", func() {
-		all := sites(7)
+		all := newLocations(7)
 		Expect(roster.SelectSources(all[6], all[:6]).All).To(HaveLen(6))
 	})
 
 	It("returns the voters in order of preference for a non-voter of a large cluster", func() {
-		all := sites(330)
+		all := newLocations(330)
 		sources := roster.SelectSources(all[100], without(all, all[100].Name))
 		Expect(sources.All).To(BeEmpty())
 		Expect(sources.Alternatives).To(HaveLen(7))
@@ -53,7 +53,7 @@
 	})
 
 	It("distributes the non-voters evenly over the voters", func() {
-		all := sites(330)
+		all := newLocations(330)
 		for _, voter := range all[:7] {
 			pulledDirectly := len(roster.SelectSources(voter, without(all, voter.Name)).Direct)
 			Expect(pulledDirectly).To(BeNumerically(">", 50))
@@ -65,12 +65,12 @@
 	// of pulls, even if the preferred voter of that non-voter is lost.
 	DescribeTable("carries news to everybody in three rounds",
 		func(lost ...string) {
-			all := without(sites(330), lost...)
+			all := without(newLocations(330), lost...)
 			rosters := map[string]*roster.Roster{}
 			sources := map[string]map[string]*roster.PullState{}
-			for _, site := range all {
-				rosters[site.Name] = newRoster(site.Name)
-				sources[site.Name] = map[string]*roster.PullState{}
+			for _, location := range all {
+				rosters[location.Name] = newRoster(location.Name)
+				sources[location.Name] = map[string]*roster.PullState{}
 			}
 			Expect(rosters["instance-100"].Announce(at(0), announcement(1))).To(Succeed())
 			now := at(0)
@@ -78,8 +78,8 @@
 				now = now.Add(250 * time.Millisecond)
 				pullRound(now, all, rosters, sources)
 			}
-			for _, site := range all {
-				Expect(rosters[site.Name].Upstreams(now)).To(HaveLen(1), site.Name)
+			for _, location := range all {
+				Expect(rosters[location.Name].Upstreams(now)).To(HaveLen(1), location.Name)
 			}
 		},
 		Entry("with all voters"),
@@ -97,14 +97,14 @@
 		changes  roster.Changes
 	}
 	var answers []answer
-	for _, site := range all {
-		targets := roster.SelectSources(site, without(all, site.Name))
+	for _, location := range all {
+		targets := roster.SelectSources(location, without(all, location.Name))
 		pull := func(from string, direct bool) {
-			if sources[site.Name][from] == nil {
-				sources[site.Name][from] = &roster.PullState{}
+			if sources[location.Name][from] == nil {
+				sources[location.Name][from] = &roster.PullState{}
 			}
-			cursor := sources[site.Name][from].Cursor(direct)
-			answers = append(answers, answer{site.Name, from, rosters[from].Since(now, cursor)})
+			cursor := sources[location.Name][from].Cursor(direct)
+			answers = append(answers, answer{location.Name, from, rosters[from].Since(now, cursor)})
 		}
 		for _, from := range append(targets.All, targets.Alternatives[:min(1, len(targets.Alternatives))]...) {
 			pull(from, false)
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -48,12 +48,12 @@
 		}
 	}
 	if len(others) < maxMeshSize || len(voters) == 0 {
-		return Sources{All: siteNames(others)}
+		return Sources{All: locationNames(others)}
 	}
 	if !self.Voter {
-		return Sources{Alternatives: siteNames(rankVoters(self, voters))}
+		return Sources{Alternatives: locationNames(rankVoters(self, voters))}
 	}
-	sources := Sources{All: siteNames(voters)}
+	sources := Sources{All: locationNames(voters)}
 	for _, other := range nonVoters {
 		pullers := rankVoters(other, append(slices.Clone(voters), self))
 		if slices.Contains(pullers[:min(pullersPerInstance, len(pullers))], self) {
@@ -105,10 +105,10 @@
 	return x
 }
 
-func siteNames(sites []Location) []string {
-	names := make([]string, 0, len(sites))
-	for _, site := range sites {
-		names = append(names, site.Name)
+func locationNames(locations []Location) []string {
+	names := make([]string, 0, len(locations))
+	for _, location := range locations {
+		names = append(names, location.Name)
 	}
 	return names
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -86,11 +86,11 @@
 
 // Server returns the configuration of a listener. If there is a CA file, clients must present a
 // certificate that it verifies.
-func (s *Reloader) Server() *tls.Config {
+func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.latest().server, nil
+			return r.latest().server, nil
 		},
 	}
 }
@@ -98,8 +98,8 @@
 // Client returns the configuration for one connection that is made now. It does not follow later
 // replacements of the files. With a CA file, only its certificates verify the server; without one,
 // those of the system do.
-func (s *Reloader) Client() *tls.Config {
-	latest := s.latest()
+func (r *Reloader) Client() *tls.Config {
+	latest := r.latest()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		Certificates: []tls.Certificate{latest.certificate},
@@ -108,32 +108,32 @@
 }
 
 // latest checks the files if that is due, and returns their contents, or the last usable ones.
-func (s *Reloader) latest() credentials {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.options.Now()
-	if now.Sub(s.lastCheck) < s.options.CheckInterval {
-		return s.current
+func (r *Reloader) latest() credentials {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.options.Now()
+	if now.Sub(r.lastCheck) < r.options.CheckInterval {
+		return r.current
 	}
-	s.lastCheck = now
-	versions, err := versionsOf(s.options.Files)
-	if err == nil && versions == s.versions {
-		return s.current
+	r.lastCheck = now
+	versions, err := versionsOf(r.options.Files)
+	if err == nil && versions == r.versions {
+		return r.current
 	}
 	if err != nil {
-		s.options.OnError(err)
-		return s.current
+		r.options.OnError(err)
+		return r.current
 	}
 	// Certificate and key are two files that are replaced one after the other. In between they do
 	// not match and loading fails. The versions are not updated then, so the next check tries
 	// again.
-	loaded, err := loadCredentials(s.options.Files)
+	loaded, err := loadCredentials(r.options.Files)
 	if err != nil {
-		s.options.OnError(err)
-		return s.current
+		r.options.OnError(err)
+		return r.current
 	}
-	s.versions, s.current = versions, loaded
-	return s.current
+	r.versions, r.current = versions, loaded
+	return r.current
 }
 
 func loadCredentials(files settings.KeyPair) (credentials, error) {
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -71,7 +71,7 @@
 	now      time.Time
 	writes   int
 	failures []error
-	seal     *seal.Reloader
+	reloader *seal.Reloader
 }
 
 func newFixture(a authority, name string) *fixture {
@@ -103,7 +103,7 @@
 		OnError: func(err error) { f.failures = append(f.failures, err) },
 	})
 	Expect(err).NotTo(HaveOccurred())
-	f.seal = opened
+	f.reloader = opened
 	return f
 }
 
@@ -143,7 +143,7 @@
 	It("verifies both peers if one authority issued their certificates", func() {
 		a := newAuthority()
 		server, client := newFixture(a, "server").open(), newFixture(a, "client").open()
-		serverName, clientErr, serverErr := handshake(server.seal.Server(), client.seal.Client())
+		serverName, clientErr, serverErr := handshake(server.reloader.Server(), client.reloader.Client())
 		Expect(clientErr).NotTo(HaveOccurred())
 		Expect(serverErr).NotTo(HaveOccurred())
 		Expect(serverName).To(Equal("server"))
@@ -151,14 +151,14 @@
 
 	It("rejects certificates of another authority on both sides, and a client without a certificate", func() {
 		server, client := newFixture(newAuthority(), "server").open(), newFixture(newAuthority(), "client").open()
-		_, clientErr, _ := handshake(server.seal.Server(), client.seal.Client())
+		_, clientErr, _ := handshake(server.reloader.Server(), client.reloader.Client())
 		Expect(clientErr).To(MatchError(ContainSubstring("unknown authority")))
-		insecure := client.seal.Client()
+		insecure := client.reloader.Client()
 		insecure.InsecureSkipVerify = true
-		_, _, serverErr := handshake(server.seal.Server(), insecure)
+		_, _, serverErr := handshake(server.reloader.Server(), insecure)
 		Expect(serverErr).To(MatchError(ContainSubstring("unknown authority")))
 		insecure.Certificates = nil
-		_, _, serverErr = handshake(server.seal.Server(), insecure)
+		_, _, serverErr = handshake(server.reloader.Server(), insecure)
 		Expect(serverErr).To(MatchError(ContainSubstring("client didn't provide a certificate")))
 	})
 
@@ -169,7 +169,7 @@
 		f.open()
 		pool := x509.NewCertPool()
 		pool.AddCert(a.certificate)
-		_, clientErr, serverErr := handshake(f.seal.Server(), &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12})
+		_, clientErr, serverErr := handshake(f.reloader.Server(), &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12})
 		Expect(clientErr).NotTo(HaveOccurred())
 		Expect(serverErr).NotTo(HaveOccurred())
 	})
@@ -177,15 +177,15 @@
 	It("presents a replaced certificate after the next check, on the same listener", func() {
 		a := newAuthority()
 		f, client := newFixture(a, "old").open(), newFixture(a, "client").open()
-		listener := f.seal.Server()
+		listener := f.reloader.Server()
 		certificate, key := a.issue("new")
 		f.write(f.files.CertFile, certificate)
 		f.write(f.files.KeyFile, key)
 		f.now = f.now.Add(seal.DefaultCheckInterval - 1)
-		serverName, _, _ := handshake(listener, client.seal.Client())
+		serverName, _, _ := handshake(listener, client.reloader.Client())
 		Expect(serverName).To(Equal("old"))
 		f.now = f.now.Add(1)
-		serverName, _, _ = handshake(listener, client.seal.Client())
+		serverName, _, _ = handshake(listener, client.reloader.Client())
 		Expect(serverName).To(Equal("new"))
 		Expect(f.failures).To(BeEmpty())
 	})
@@ -199,13 +199,13 @@
 		certificate, key := a.issue("new")
 		f.write(f.files.CertFile, certificate)
 		f.now = f.now.Add(seal.DefaultCheckInterval)
-		serverName, clientErr, _ := handshake(f.seal.Server(), client.seal.Client())
+		serverName, clientErr, _ := handshake(f.reloader.Server(), client.reloader.Client())
 		Expect(clientErr).NotTo(HaveOccurred())
 		Expect(serverName).To(Equal("old"))
 		Expect(f.failures).To(ConsistOf(MatchError(ContainSubstring("does not match"))))
 		f.write(f.files.KeyFile, key)
 		f.now = f.now.Add(seal.DefaultCheckInterval)
-		serverName, _, _ = handshake(f.seal.Server(), client.seal.Client())
+		serverName, _, _ = handshake(f.reloader.Server(), client.reloader.Client())
 		Expect(serverName).To(Equal("new"))
 	})
 
@@ -219,14 +219,14 @@
 		f.write(f.files.CertFile, certificate)
 		f.write(f.files.KeyFile, make([]byte, len(key)))
 		f.now = f.now.Add(seal.DefaultCheckInterval)
-		serverName, _, _ := handshake(f.seal.Server(), client.seal.Client())
+		serverName, _, _ := handshake(f.reloader.Server(), client.reloader.Client())
 		Expect(serverName).To(Equal("old"))
 		info, err := os.Stat(f.files.KeyFile)
 		Expect(err).NotTo(HaveOccurred())
 		f.write(f.files.KeyFile, key)
 		Expect(os.Chtimes(f.files.KeyFile, info.ModTime(), info.ModTime())).To(Succeed())
 		f.now = f.now.Add(seal.DefaultCheckInterval)
-		serverName, _, _ = handshake(f.seal.Server(), client.seal.Client())
+		serverName, _, _ = handshake(f.reloader.Server(), client.reloader.Client())
 		Expect(serverName).To(Equal("new"))
 	})
 
@@ -234,7 +234,7 @@
 		f := newFixture(newAuthority(), "old").open()
 		Expect(os.Remove(f.files.KeyFile)).To(Succeed())
 		f.now = f.now.Add(seal.DefaultCheckInterval)
-		Expect(f.seal.Client().Certificates).To(HaveLen(1))
+		Expect(f.reloader.Client().Certificates).To(HaveLen(1))
 		Expect(f.failures).To(ConsistOf(MatchError(ContainSubstring("seal: looking at the files"))))
 	})
 
@@ -245,9 +245,9 @@
 		f.write(f.files.CAFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: next.certificate.Raw}))
 		f.now = f.now.Add(seal.DefaultCheckInterval)
 		for client, accepted := range map[*fixture]bool{before: false, after: true} {
-			config := client.seal.Client()
+			config := client.reloader.Client()
 			config.InsecureSkipVerify = true
-			_, _, serverErr := handshake(f.seal.Server(), config)
+			_, _, serverErr := handshake(f.reloader.Server(), config)
 			Expect(serverErr == nil).To(Equal(accepted), "%v", serverErr)
 		}
 	})
--- a/internal/shuttle/idempotent.go
+++ b/internal/shuttle/idempotent.go
@@ -25,14 +25,14 @@
 // it does not have the request, or has produced part of a response that did not arrive, the
 // connection is lost: the request is sent again on a new one. If the status query cannot reach the
 // upstream, the upstream is considered lost.
-func (s *Proxy) sendIdempotent(ctx context.Context, address string, request Request) (*Response, error) {
-	s.hedges.addRequest()
-	first := s.startAttempt(ctx, s.keepAlive, address, request)
+func (p *Proxy) sendIdempotent(ctx context.Context, address string, request Request) (*Response, error) {
+	p.hedges.addRequest()
+	first := p.startAttempt(ctx, p.keepAlive, address, request)
 	for {
-		if first.doneWithin(ctx, s.statusQueryDelay) {
+		if first.doneWithin(ctx, p.statusQueryDelay) {
 			return first.wait()
 		}
-		switch s.queryStatus(ctx, address, request) {
+		switch p.queryStatus(ctx, address, request) {
 		case requestInProgress:
 		case upstreamUnreachable:
 			first.abort()
@@ -42,14 +42,14 @@
 				return first.wait()
 			}
 			// Other idle connections of the same age are probably lost as well.
-			s.keepAlive.CloseIdleConnections()
+			p.keepAlive.CloseIdleConnections()
 			first.abort()
-			return s.startAttempt(ctx, s.singleUse, address, request).waitAsRetry()
+			return p.startAttempt(ctx, p.singleUse, address, request).waitAsRetry()
 		case statusUnavailable:
-			if !first.reusedConnection.Load() || !s.hedges.takeToken() {
+			if !first.reusedConnection.Load() || !p.hedges.takeToken() {
 				return first.wait()
 			}
-			return raceAttempts(first, s.startAttempt(ctx, s.singleUse, address, request))
+			return raceAttempts(first, p.startAttempt(ctx, p.singleUse, address, request))
 		}
 	}
 }
@@ -124,7 +124,7 @@
 const statusQueryTimeout = 2 * time.Second
 
 // queryStatus queries the status of a request on a new connection.
-func (s *Proxy) queryStatus(ctx context.Context, address string, request Request) requestStatus {
+func (p *Proxy) queryStatus(ctx context.Context, address string, request Request) requestStatus {
 	if !request.SupportsStatusQuery {
 		return statusUnavailable
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return statusUnavailable
 	}
-	response, err := s.singleUse.RoundTrip(query)
+	response, err := p.singleUse.RoundTrip(query)
 	if err != nil {
 		return upstreamUnreachable
 	}
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -164,9 +164,9 @@
 }
 
 // Close closes the idle connections.
-func (s *Proxy) Close() {
-	s.keepAlive.CloseIdleConnections()
-	s.singleUse.CloseIdleConnections()
+func (p *Proxy) Close() {
+	p.keepAlive.CloseIdleConnections()
+	p.singleUse.CloseIdleConnections()
 }
 
 // Send sends request to the upstream at address and waits for the header of the response. If there
@@ -176,15 +176,15 @@
 // ctx limits the whole attempt, including reading the body. A request that is not idempotent is
 // sent exactly once. An idempotent request may be sent again to the same upstream on another
 // connection if the first one has become unresponsive.
-func (s *Proxy) Send(ctx context.Context, address string, request Request) (*Response, error) {
+func (p *Proxy) Send(ctx context.Context, address string, request Request) (*Response, error) {
 	if request.Idempotent {
-		return s.sendIdempotent(ctx, address, request)
+		return p.sendIdempotent(ctx, address, request)
 	}
 	// If the upstream's end has lost the state of a keep-alive connection, a request on it would be
 	// written and never answered: its outcome would be unknown although it never arrived. Besides,
 	// net/http retries requests that it considers idempotent on another connection, for which an
 	// Idempotency-Key header is sufficient. On a single-use connection it retries nothing.
-	return s.startAttempt(ctx, s.singleUse, address, request).wait()
+	return p.startAttempt(ctx, p.singleUse, address, request).wait()
 }
 
 // attempt is a request on one connection.
@@ -201,12 +201,12 @@
 }
 
 // startAttempt sends request on a connection of transport.
-func (s *Proxy) startAttempt(ctx context.Context, transport *http.Transport, address string, request Request) *attempt {
+func (p *Proxy) startAttempt(ctx context.Context, transport *http.Transport, address string, request Request) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
-		a.response, a.err = s.roundTrip(ctx, a, transport, address, request)
+		a.response, a.err = p.roundTrip(ctx, a, transport, address, request)
 		if a.err != nil {
 			cancel()
 		}
@@ -229,7 +229,7 @@
 	}
 }
 
-func (s *Proxy) roundTrip(
+func (p *Proxy) roundTrip(
 	ctx context.Context, a *attempt, transport *http.Transport, address string, request Request,
 ) (*Response, error) {
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -239,7 +239,7 @@
 			a.reusedConnection.Store(info.Reused)
 		},
 	})
-	outgoing, err := s.buildRequest(traced, address, request)
+	outgoing, err := p.buildRequest(traced, address, request)
 	if err != nil {
 		return nil, &Error{Outcome: outcome.NotRun, cause: err}
 	}
@@ -256,11 +256,11 @@
 		Header: response.Header,
 		Limit:  rateLimitOf(response.Header),
 		Length: response.ContentLength,
-		Body:   newIdleTimeoutBody(response.Body, a.cancel, s.bodyIdleTimeout),
+		Body:   newIdleTimeoutBody(response.Body, a.cancel, p.bodyIdleTimeout),
 	}, nil
 }
 
-func (s *Proxy) buildRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
+func (p *Proxy) buildRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
 	outgoing, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Target, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -83,28 +83,28 @@
 
 // ObservePrefill records one prefill: the prompt's length in tokens, and the time from the start
 // of the prefill to the first token.
-func (s *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
+func (e *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
 	if promptTokens <= 0 || duration <= 0 {
 		return
 	}
-	s.allModels.observe(float64(promptTokens), duration.Seconds())
-	prefill := s.models[model]
+	e.allModels.observe(float64(promptTokens), duration.Seconds())
+	prefill := e.models[model]
 	if prefill == nil {
 		// The prior of a model is the estimate over all models.
 		prefill = &regression{}
-		slope, intercept := s.allModels.fit()
+		slope, intercept := e.allModels.fit()
 		prefill.addPrior(slope, intercept, modelPriorSamples)
-		s.models[model] = prefill
+		e.models[model] = prefill
 	}
 	prefill.observe(float64(promptTokens), duration.Seconds())
 }
 
 // PrefillTime returns the estimated prefill time of a prompt. It stores nothing for a model
 // without an answer so far, because callers may name any model.
-func (s *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
-	prefill := s.models[model]
+func (e *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
+	prefill := e.models[model]
 	if prefill == nil {
-		prefill = &s.allModels
+		prefill = &e.allModels
 	}
 	slope, _ := prefill.fit()
 	return time.Duration(float64(promptTokens) * slope * float64(time.Second))
@@ -112,38 +112,38 @@
 
 // ObserveStream records a complete stream: the number of answer tokens that its request declared,
 // the number of events, and the time from the first event to the last.
-func (s *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
+func (e *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
 	if events < 2 || declaredTokens <= 0 || duration <= 0 {
 		return
 	}
 	gap := duration.Seconds() / float64(events-1)
-	if gap > s.eventSeconds {
-		s.eventSeconds *= math.Exp(eventStepSize * eventQuantile)
+	if gap > e.eventSeconds {
+		e.eventSeconds *= math.Exp(eventStepSize * eventQuantile)
 	} else {
-		s.eventSeconds *= math.Exp(-eventStepSize * (1 - eventQuantile))
+		e.eventSeconds *= math.Exp(-eventStepSize * (1 - eventQuantile))
 	}
-	s.eventSeconds = min(max(s.eventSeconds, s.priorEventTime.Seconds()/maxPriorRatio), s.priorEventTime.Seconds()*maxPriorRatio)
-	s.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - s.tokenSeconds)
+	e.eventSeconds = min(max(e.eventSeconds, e.priorEventTime.Seconds()/maxPriorRatio), e.priorEventTime.Seconds()*maxPriorRatio)
+	e.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - e.tokenSeconds)
 }
 
 // ObserveRequest records the time that a request spent at an engine.
-func (s *Estimator) ObserveRequest(duration time.Duration) {
-	s.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - s.requestSeconds)
+func (e *Estimator) ObserveRequest(duration time.Duration) {
+	e.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - e.requestSeconds)
 }
 
 // RequestTime returns the estimated time that a request spends at an engine.
-func (s *Estimator) RequestTime() time.Duration {
-	return time.Duration(s.requestSeconds * float64(time.Second))
+func (e *Estimator) RequestTime() time.Duration {
+	return time.Duration(e.requestSeconds * float64(time.Second))
 }
 
 // EventInterval returns the estimated time between two events of a stream while the engine
 // prefills few prompts.
-func (s *Estimator) EventInterval() time.Duration {
-	return time.Duration(s.eventSeconds * float64(time.Second))
+func (e *Estimator) EventInterval() time.Duration {
+	return time.Duration(e.eventSeconds * float64(time.Second))
 }
 
 // AnswerTime returns the estimated time to generate the answer to a request that declared
 // this number of answer tokens.
-func (s *Estimator) AnswerTime(declaredTokens int) time.Duration {
-	return time.Duration(float64(declaredTokens) * s.tokenSeconds * float64(time.Second))
+func (e *Estimator) AnswerTime(declaredTokens int) time.Duration {
+	return time.Duration(float64(declaredTokens) * e.tokenSeconds * float64(time.Second))
 }
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -138,13 +138,13 @@
 // next announcement.
 func (a *announcer) announce(ctx context.Context) time.Duration {
 	for _, instance := range a.instances() {
-		var welcome upstreamapi.AnnounceResponse
-		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.nextAnnouncement(), &welcome) != nil {
+		var response upstreamapi.AnnounceResponse
+		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.nextAnnouncement(), &response) != nil {
 			continue
 		}
-		a.recordWelcome(instance, welcome)
-		if welcome.RenewEvery > 0 {
-			return welcome.RenewEvery
+		a.recordWelcome(instance, response)
+		if response.RenewEvery > 0 {
+			return response.RenewEvery
 		}
 		return defaultRenewInterval
 	}
@@ -165,9 +165,9 @@
 // those in its welcome, then the configured ones. The configured ones are never
 // removed, because all instances in the welcome may have been replaced when
 // they are needed.
-func (a *announcer) recordWelcome(instance string, welcome upstreamapi.AnnounceResponse) {
+func (a *announcer) recordWelcome(instance string, response upstreamapi.AnnounceResponse) {
 	instances := []string{instance}
-	for _, other := range slices.Concat(welcome.Instances, a.options.To) {
+	for _, other := range slices.Concat(response.Instances, a.options.To) {
 		if !slices.Contains(instances, baseURL(other)) {
 			instances = append(instances, baseURL(other))
 		}
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -28,7 +28,7 @@
 
 // fakeInstance records the messages of an upstream.
 type fakeInstance struct {
-	welcome   upstreamapi.AnnounceResponse
+	response  upstreamapi.AnnounceResponse
 	announced chan upstreamapi.Announcement
 	left      chan upstreamapi.Leave
 	token     string
@@ -36,7 +36,7 @@
 
 func newFakeInstance(others ...string) *fakeInstance {
 	return &fakeInstance{
-		welcome:   upstreamapi.AnnounceResponse{RenewEvery: time.Second, Lease: 3 * time.Second, Instances: others},
+		response:  upstreamapi.AnnounceResponse{RenewEvery: time.Second, Lease: 3 * time.Second, Instances: others},
 		announced: make(chan upstreamapi.Announcement, 16),
 		left:      make(chan upstreamapi.Leave, 16),
 	}
@@ -70,7 +70,7 @@
 		var a upstreamapi.Announcement
 		_ = json.NewDecoder(r.Body).Decode(&a)
 		i.announced <- a
-		_ = json.NewEncoder(w).Encode(i.welcome)
+		_ = json.NewEncoder(w).Encode(i.response)
 	case upstreamapi.LeavePath:
 		var l upstreamapi.Leave
 		_ = json.NewDecoder(r.Body).Decode(&l)
