--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "aging")
 }
 
-var _ = Describe("Ages", func() {
+var _ = Describe("Tracker", func() {
 	start := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	var ages *aging.Tracker[string]
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -357,7 +357,7 @@
 	switch {
 	case err != nil && allowed:
 		e.orderUnanswered()
-		// The engine may still carry out the order. Expected, the number of accepted
+		// The engine may still carry out the order. ExpectedSequence, the number of accepted
 		// orders, prevents this order and a later one from both taking the same memory.
 		e.markStale()
 	case !allowed || answer == Refused || answer == RefusedByOtherProcess:
--- a/internal/badge/badge_test.go
+++ b/internal/badge/badge_test.go
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("[[token]]\nname = %q\nsha256 = \"%x\"\n", name, sha256.Sum256([]byte(token)))
 }
 
-var _ = Describe("Book", func() {
+var _ = Describe("Tokens", func() {
 	It("returns the holder of each token, and none for other tokens", func() {
 		tokens, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -20,7 +20,7 @@
 // clusterIDBytes is long enough to make collisions of cluster IDs practically impossible.
 const clusterIDBytes = 8
 
-// Founding returns the state of this voter that a bootstrap needs to know.
+// BootstrapState returns the state of this voter that a bootstrap needs to know.
 func (c controlServer) BootstrapState() courier.Founding {
 	status := c.voter.replica.Status()
 	state := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// runDocketClock advances the docket's clock periodically while this voter is the leader, and
-// reports the docket's metrics.
+// runDocketClock advances the idempotency store's clock periodically while this voter is the leader, and
+// reports the idempotency store's metrics.
 func (v *Voter) runDocketClock(ctx context.Context) {
 	ticker := time.NewTicker(v.options.Docket.MaxStep / 2)
 	defer ticker.Stop()
@@ -285,7 +285,7 @@
 	}
 }
 
-// advanceDocketClock advances the docket's clock, by which records expire. The key of an expired
+// advanceDocketClock advances the idempotency store's clock, by which records expire. The key of an expired
 // record counts as a new request, so expiries are logged for operators.
 func (v *Voter) advanceDocketClock(ctx context.Context) {
 	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -301,7 +301,7 @@
 	}
 }
 
-// reportDocketMetrics reports the size of the docket and its counters, which are part of the
+// reportDocketMetrics reports the size of the idempotency store and its counters, which are part of the
 // replicated state: all voters report the same values.
 func (v *Voter) reportDocketMetrics() {
 	counters, records, responseBytes := v.registry.DocketStats()
--- a/internal/coroner/coroner_test.go
+++ b/internal/coroner/coroner_test.go
@@ -79,7 +79,7 @@
 
 var errRefused = errors.Wrap(syscall.ECONNREFUSED, "dial")
 
-var _ = Describe("Coroner", func() {
+var _ = Describe("CrashDetector", func() {
 	endpoint := quarantine.Endpoint{Lifetime: quarantine.Lifetime{Upstream: "e1"}, Address: "e1:80"}
 	suspect := func(body string) quarantine.Suspect {
 		return quarantine.Suspect{Digest: quarantine.Identity{Body: []byte(body)}.Digest(), Request: body}
--- a/internal/docket/answer.go
+++ b/internal/docket/answer.go
@@ -86,7 +86,7 @@
 	// record changes. For VerdictFull, it is the time until the next record
 	// expires.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Response is shared with the docket and must not be modified.
+	// Response is shared with the store and must not be modified.
 	Response *Response `json:"response,omitempty"`
 	// Expired is the number of records that Expire removed.
 	Expired int `json:"expired,omitempty"`
--- a/internal/docket/bench_test.go
+++ b/internal/docket/bench_test.go
@@ -39,7 +39,7 @@
 	return d
 }
 
-// BenchmarkClaim claims and completes one key in a docket with existing records.
+// BenchmarkClaim claims and completes one key in a store with existing records.
 func BenchmarkClaim(b *testing.B) {
 	for _, count := range recordCounts {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkLookup looks up a key in a docket with existing records.
+// BenchmarkLookup looks up a key in a store with existing records.
 func BenchmarkLookup(b *testing.B) {
 	for _, count := range recordCounts {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
--- a/internal/docket/command.go
+++ b/internal/docket/command.go
@@ -52,10 +52,10 @@
 	Response *Response `json:"response,omitempty"`
 }
 
-// Expire advances the docket's clock and removes the records whose retention has
+// Expire advances the store's clock and removes the records whose retention has
 // ended. The leader proposes it at least once every Limits.MaxStep.
 type Expire struct {
-	// Now is the leader's wall clock. The docket's clock advances by the difference
+	// Now is the leader's wall clock. The store's clock advances by the difference
 	// from the previous Now, but by Limits.MaxStep at most. So if a leader's clock
 	// is a day ahead, no record expires a day early.
 	Now time.Time `json:"now"`
--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -34,7 +34,7 @@
 	counters   Counters
 }
 
-// Counters are totals since the docket was created. They are part of the
+// Counters are totals since the store was created. They are part of the
 // replicated state.
 type Counters struct {
 	// Granted counts the claims granted.
@@ -52,7 +52,7 @@
 	ResponsesDropped uint64 `json:"responses-dropped"`
 }
 
-// New returns an empty docket with DefaultLimits.
+// New returns an empty Store with DefaultLimits.
 func New() *Store {
 	return &Store{limits: DefaultLimits(), records: map[Key]*storedRecord{}}
 }
--- a/internal/docket/docket_test.go
+++ b/internal/docket/docket_test.go
@@ -17,7 +17,7 @@
 	bookingFingerprint = docket.FingerprintOf([]byte("POST"), []byte("/confirm"), []byte("seat 4"))
 )
 
-// fixture is a docket with a simulated leader clock.
+// fixture is a store with a simulated leader clock.
 type fixture struct {
 	*docket.Store
 	now    time.Time
@@ -30,7 +30,7 @@
 	return f
 }
 
-// advance advances the time by d, in steps of MaxStep at most so that the docket
+// advance advances the time by d, in steps of MaxStep at most so that the store
 // counts all of it. It returns the total counts of the Expire commands.
 func (f *fixture) advance(d time.Duration) docket.Answer {
 	var total docket.Answer
@@ -191,7 +191,7 @@
 		return answer
 	}
 
-	// A burst of requests fills the docket. Removing the oldest record could let
+	// A burst of requests fills the store. Removing the oldest record could let
 	// its request run twice. So the newest request is refused, and the answer says
 	// when the next record expires.
 	It("refuse a new key when full, and drop no record before its time", func() {
@@ -251,7 +251,7 @@
 	})
 
 	// A leader proposes empty limits because its settings contain none. With a
-	// retention of 0, the docket would remove all records and every resent request
+	// retention of 0, the store would remove all records and every resent request
 	// would run again.
 	It("stay the same when a command has no limits", func() {
 		runRequest(0, 10)
--- a/internal/docket/fuzz_test.go
+++ b/internal/docket/fuzz_test.go
@@ -9,7 +9,7 @@
 )
 
 // FuzzRestore restores arbitrary bytes. If Restore accepts them, a snapshot of the
-// restored docket must restore to the same state.
+// restored store must restore to the same state.
 func FuzzRestore(f *testing.F) {
 	d := docket.New()
 	d.Apply(docket.Expire{Now: startTime, Limits: docket.DefaultLimits()})
--- a/internal/docket/limits.go
+++ b/internal/docket/limits.go
@@ -13,7 +13,7 @@
 	TimeoutGrace time.Duration `json:"grace"`
 	// MaxTimeout is the maximum timeout of a claim. Longer ones are shortened.
 	MaxTimeout time.Duration `json:"max-timeout"`
-	// MaxStep is the maximum time by which one Expire advances the docket's clock.
+	// MaxStep is the maximum time by which one Expire advances the store's clock.
 	MaxStep time.Duration `json:"max-step"`
 	// MaxRecords is the maximum number of records. When it is reached, new keys
 	// are refused. Records are never removed before the end of their retention.
@@ -46,7 +46,7 @@
 //
 // Retention is four days, because a web page that is left open over a weekend
 // with a holiday may resend its request after up to 88 hours (Friday 17:00 to
-// Tuesday 09:00). The other limits keep the docket of a voter below 64 MB. See
+// Tuesday 09:00). The other limits keep the store of a voter below 64 MB. See
 // docs/MEASURES.md for the bytes per record.
 func DefaultLimits() Limits {
 	return Limits{
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -11,7 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/docket"
 )
 
-// simulation delivers commands to a docket late, more than once and out of order.
+// simulation delivers commands to a store late, more than once and out of order.
 // Some answers to claims are lost.
 type simulation struct {
 	random  *rand.Rand
--- a/internal/docket/record_list.go
+++ b/internal/docket/record_list.go
@@ -10,10 +10,10 @@
 	claimant    Claimant
 	attempt     uint32
 	state       State
-	// unknownAfter is the time on the docket's clock after which an in-flight
+	// unknownAfter is the time on the store's clock after which an in-flight
 	// record counts as unknown.
 	unknownAfter time.Duration
-	// changedAt is the time of the last change on the docket's clock.
+	// changedAt is the time of the last change on the store's clock.
 	changedAt time.Duration
 	// response is nil unless state is StateCompleted.
 	response *Response
--- a/internal/docket/snapshot.go
+++ b/internal/docket/snapshot.go
@@ -10,7 +10,7 @@
 
 const snapshotFormatVersion = 1
 
-// Snapshot appends the encoded state of the docket to buffer. Equal dockets have
+// Snapshot appends the encoded state of the store to buffer. Equal stores have
 // equal encodings.
 func (s *Store) Snapshot(buffer []byte) []byte {
 	buffer = parcel.AppendUint(buffer, snapshotFormatVersion)
@@ -27,7 +27,7 @@
 	return buffer
 }
 
-// Restore returns the docket that Snapshot encoded as data. It returns an error if
+// Restore returns the store that Snapshot encoded as data. It returns an error if
 // data has another format version or is damaged.
 func Restore(data []byte) (*Store, error) {
 	reader := parcel.NewReader(data)
--- a/internal/edition/proof.go
+++ b/internal/edition/proof.go
@@ -47,7 +47,7 @@
 	return now.Sub(p.asOf), !p.asOf.IsZero()
 }
 
-// Voucher returns the name of the replica that confirmed the copy last, empty if none
+// ConfirmedBy returns the name of the replica that confirmed the copy last, empty if none
 // has.
 func (p Proof) ConfirmedBy() string {
 	return p.confirmedBy
--- a/internal/foreman/faults_test.go
+++ b/internal/foreman/faults_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// An order cannot be recorded, for example because there is no quorum. The foreman must not send
+// An order cannot be recorded, for example because there is no quorum. The controller must not send
 // it, since no other replica would know of it. Once records succeed again, the model is loaded.
 func TestNothingIsSentBeforeItIsRecorded(t *testing.T) {
 	forEachEngineKind(t, func(c *testCluster) {
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -10,7 +10,7 @@
 	"github.com/lovagelift/lovagelift/internal/gauge"
 )
 
-var _ = Describe("Gauges", func() {
+var _ = Describe("Metrics", func() {
 	It("serve the counters of their own instance only", func() {
 		a := gauge.New("a")
 		b := gauge.New("b")
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -33,7 +33,7 @@
 	})
 })
 
-var _ = Describe("Sightings", func() {
+var _ = Describe("Observations", func() {
 	const wait = 4 * time.Second
 
 	It("make an instance wait only for upstreams whose leases another instance took", func() {
--- a/internal/quarantine/bulletin.go
+++ b/internal/quarantine/publisher.go
@@ -93,7 +93,7 @@
 	return n
 }
 
-// make computes the news as of now, and the changes since the previous news.
+// recompute computes the news as of now, and the changes since the previous news.
 func (p *Publisher) recompute(now time.Time, records Records) {
 	verdicts := records.announcedVerdicts(now, p.limits)
 	maps.DeleteFunc(p.announcedAt, func(d Digest, _ time.Time) bool { return verdicts[d] == verdictNone })
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// BenchmarkSnapshot encodes a state with a full docket.
+// BenchmarkSnapshot encodes a state with a full set of idempotency records.
 func BenchmarkSnapshot(b *testing.B) {
 	r := registry.New()
 	limits := docket.DefaultLimits()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
 // Package registry is the replicated state machine. Its state consists of
 //   - the current configuration,
 //   - the edition, a document whose version numbers operators assign,
-//   - the docket, the idempotency records of non-idempotent requests,
+//   - the idempotency records of non-idempotent requests,
 //   - the manifest, the contents of the engines and the orders to them,
 //   - the leases of upstreams, and
 //   - the crash records of requests that were in flight at upstreams that crashed.
@@ -62,14 +62,14 @@
 	return r.view.Load()
 }
 
-// LookupRequest returns the docket's record of a non-idempotent request.
+// LookupRequest returns the idempotency store's record of a non-idempotent request.
 func (r *Registry) LookupRequest(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.store.Lookup(key)
 }
 
-// DocketStats returns the counters of the docket, its number of records and the size
+// DocketStats returns the counters of the idempotency store, its number of records and the size
 // of its stored responses in bytes.
 func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -139,7 +139,7 @@
 	return serverName, clientErr, <-done
 }
 
-var _ = Describe("Seal", func() {
+var _ = Describe("Reloader", func() {
 	It("verifies both peers if one authority issued their certificates", func() {
 		a := newAuthority()
 		server, client := newFixture(a, "server").open(), newFixture(a, "client").open()
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -19,7 +19,7 @@
 const (
 	// retryDelay is the delay after no known instance accepted an announcement.
 	retryDelay = 250 * time.Millisecond
-	// defaultRenewInterval applies if a Welcome has no renewal interval.
+	// defaultRenewInterval applies if an AnnounceResponse has no renewal interval.
 	defaultRenewInterval = time.Second
 	// callTimeout limits one call to an instance by the default client.
 	callTimeout = 2 * time.Second
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -112,7 +112,7 @@
 		Expect(one.announced).To(BeEmpty())
 	})
 
-	// The configured instance names another one in its welcome and then fails.
+	// The configured instance names another one in its response and then fails.
 	// The upstream's lease would expire unless the next renewal went to the
 	// other instance at once.
 	It("turns to the next known instance when one is lost", func() {
