--- a/internal/courier/enginestates_test.go
+++ b/internal/courier/enginestates_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-var _ = Describe("Holdings", func() {
+var _ = Describe("EngineStates", func() {
 	holdings := courier.EngineStates{Revision: 7<<32 + 3, Engines: []courier.EngineState{
 		{Name: "e1", Age: 120 * time.Millisecond, Running: 3, Queued: 1, KVUsed: 4100, Models: []courier.LoadedModel{
 			{Name: "a", Adapters: []string{"a1", "a2"}}, {Name: "b"},
