--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -25,7 +25,7 @@
 type Instance interface {
 	// Announce accepts an announcement, or returns an error and changes nothing.
 	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.AnnounceResponse, error)
-	// Load processes a load report, which an upstream sends between two announcements.
+	// ReportLoad processes a load report, which an upstream sends between two announcements.
 	ReportLoad(now time.Time, report upstreamapi.LoadReport)
 	// Leave processes the leave message of an upstream that is going away.
 	Leave(now time.Time, leave upstreamapi.Leave)
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -100,7 +100,7 @@
 	return v.options.Calls.Bootstrap(ctx, voter.InnerAddress, charter)
 }
 
-// collectFoundings collects the Founding of every voter, including this one.
+// collectBootstrapStates collects the Founding of every voter, including this one.
 func (v *Voter) collectBootstrapStates(ctx context.Context) ([]courier.Founding, error) {
 	var findings finding.List
 	states := []courier.Founding{v.Control().BootstrapState()}
--- a/internal/chamber/control.go
+++ b/internal/chamber/control.go
@@ -31,7 +31,7 @@
 	c.voter.replica.Receive(message)
 }
 
-// ProposeHere proposes command if this voter is the leader.
+// ProposeLocally proposes command if this voter is the leader.
 func (c controlServer) ProposeLocally(ctx context.Context, command []byte) courier.Proposed {
 	if rejection, ok := rejectUndecodable(command); ok {
 		return rejection
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -21,7 +21,7 @@
 	pausedUntil time.Time
 }
 
-// paceForAll returns the pace of all instances.
+// bucketForAll returns the token bucket of all instances.
 func (l *upstreamLimit) bucketForAll(now time.Time) *ratelimit.TokenBucket {
 	if l.sharedBucket == nil {
 		l.sharedBucket = ratelimit.NewTokenBucket(now)
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -145,7 +145,7 @@
 	c.revision++
 }
 
-// Issue returns the active configuration.
+// Configuration returns the active configuration.
 func (c *testCluster) Configuration() *gazette.Configuration {
 	preset, _ := c.declared.Preset(c.preset)
 	return &gazette.Configuration{Revision: c.revision, Preset: preset, Declarations: c.declared}
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -40,7 +40,7 @@
 type Cluster interface {
 	// Upstreams returns the upstreams with a valid announcement lease.
 	Upstreams(now time.Time) []roster.Upstream
-	// Issue returns the active configuration.
+	// Configuration returns the active configuration.
 	Configuration() *gazette.Configuration
 }
 
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -84,7 +84,7 @@
 	return identities
 }
 
-// Issue returns the configuration in force.
+// Configuration returns the configuration in force.
 func (i *Instance) Configuration() *gazette.Configuration {
 	return i.controlPlane.ConfigCache().Latest()
 }
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -12,7 +12,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Admits returns the refusal of new requests while the instance is shutting down
+// CheckAdmission returns the refusal of new requests while the instance is shutting down
 // or cannot confirm that its configuration is in force, and nil otherwise.
 func (i *Instance) CheckAdmission(now time.Time) *desk.RefusalError {
 	fresh := i.controlPlane.HasConfigLease(now)
@@ -121,7 +121,7 @@
 	return response, nil
 }
 
-// Load records an upstream's load report between two announcements.
+// ReportLoad records an upstream's load report between two announcements.
 func (i *Instance) ReportLoad(now time.Time, report upstreamapi.LoadReport) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -137,7 +137,7 @@
 	i.forwardUpstreamChangesLocked()
 }
 
-// Cached applies events of an engine's prefix cache. They are not shared with other
+// ApplyCacheEvents applies events of an engine's prefix cache. They are not shared with other
 // instances: they only affect the choice of an engine, and other instances learn
 // the cache contents from the requests that they send.
 func (i *Instance) ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents) {
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -27,11 +27,11 @@
 	Model   string                `json:"model,omitempty"`
 	Version string                `json:"version,omitempty"`
 	Adapter string                `json:"adapter,omitempty"`
-	// Reason and At are copied from Record.
+	// PlacementReason and At are copied from Record.
 	PlacementReason string    `json:"why"`
 	At              time.Time `json:"at"`
 	State           State     `json:"state"`
-	// Reason is the engine's reason for a refused order, truncated to MaxReasonBytes.
+	// RefusalReason is the engine's reason for a refused order, truncated to MaxReasonBytes.
 	RefusalReason string `json:"reason,omitempty"`
 }
 
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -35,7 +35,7 @@
 	MaxEngines = 4096
 	// MaxOpenOrders limits the number of open orders to one engine.
 	MaxOpenOrders = 64
-	// MaxReasonBytes limits Record.Reason and OrderEntry.Reason.
+	// MaxReasonBytes limits Record.Reason and OrderEntry.RefusalReason.
 	MaxReasonBytes = 256
 )
 
--- a/internal/roster/pull_test.go
+++ b/internal/roster/pull_test.go
@@ -11,7 +11,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// sites returns n instances in ten failure domains; the first seven are voters.
+// newLocations returns n instances in ten failure domains; the first seven are voters.
 func newLocations(n int) []roster.Location {
 	all := make([]roster.Location, n)
 	for k := range all {
