--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -62,7 +62,7 @@
 
 const (
 	existingSpec  = "Budget is separate for each service"
-	existingTable = "Budget keeps from trying again"
+	existingTable = "Budget denies another attempt"
 )
 
 var _ = Describe("Check", func() {
