--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -39,8 +39,8 @@
 // firstIndex is the log index of the initial state of a new cluster.
 const firstIndex = 1
 
-// InitialState is the state of a cluster that lost its quorum, from which a new cluster starts. The zero
-// value starts with an empty state.
+// InitialState is the state of a cluster that lost its quorum, from which a new cluster starts. The
+// zero value starts with an empty state.
 type InitialState struct {
 	Index jury.Index
 	Term  jury.Term
--- a/internal/chamber/chamber.go
+++ b/internal/chamber/chamber.go
@@ -24,8 +24,8 @@
 type ControlPlane interface {
 	// ConfigCache returns the cache of the configuration in force.
 	ConfigCache() *gazette.Cache
-	// HasConfigLease reports whether the instance holds its configuration lease at now: whether the latest
-	// published configuration was still in force less than Options.ConfigLease ago.
+	// HasConfigLease reports whether the instance holds its configuration lease at now: whether the
+	// latest published configuration was still in force less than Options.ConfigLease ago.
 	HasConfigLease(now time.Time) bool
 	// Propose replicates and applies command. If the command was not applied and never will be, the
 	// error matches ErrNotAccepted. After any other error, the outcome is unknown.
@@ -64,8 +64,8 @@
 	Self string
 	// Voters are the other voters in the settings.
 	Voters []VoterAddress
-	// ResolveAddress returns the inner address of an instance that joined later and is therefore not in
-	// Voters. It may be nil.
+	// ResolveAddress returns the inner address of an instance that joined later and is therefore
+	// not in Voters. It may be nil.
 	ResolveAddress func(instance string) (string, bool)
 	// Calls carries proposals, lookups and configuration requests.
 	Calls *courier.Pool
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -23,8 +23,8 @@
 	configCache *gazette.Cache
 
 	mu sync.Mutex
-	// freshAsOf is the latest time for which the configuration cache is known to hold the configuration that
-	// was in force then. It never decreases.
+	// freshAsOf is the latest time for which the configuration cache is known to hold the
+	// configuration that was in force then. It never decreases.
 	freshAsOf time.Time
 	// clusterID is the cluster that is followed, empty until the first answer.
 	clusterID string
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -226,8 +226,8 @@
 	return v.registry.Edition()
 }
 
-// EditionWithAge returns the operator-versioned document according to this replica, and how current it is
-// known to be.
+// EditionWithAge returns the operator-versioned document according to this replica, and how current
+// it is known to be.
 func (v *Voter) EditionWithAge() (edition.Edition, edition.Reading) {
 	// Read the freshness before the document: the document then includes everything that the
 	// freshness covers.
@@ -267,8 +267,8 @@
 	}
 }
 
-// runDocketClock advances the idempotency store's clock periodically while this voter is the leader, and
-// reports the idempotency store's metrics.
+// runDocketClock advances the idempotency store's clock periodically while this voter is the
+// leader, and reports the idempotency store's metrics.
 func (v *Voter) runDocketClock(ctx context.Context) {
 	ticker := time.NewTicker(v.options.Docket.MaxStep / 2)
 	defer ticker.Stop()
@@ -285,8 +285,8 @@
 	}
 }
 
-// advanceDocketClock advances the idempotency store's clock, by which records expire. The key of an expired
-// record counts as a new request, so expiries are logged for operators.
+// advanceDocketClock advances the idempotency store's clock, by which records expire. The key of an
+// expired record counts as a new request, so expiries are logged for operators.
 func (v *Voter) advanceDocketClock(ctx context.Context) {
 	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -301,8 +301,8 @@
 	}
 }
 
-// reportDocketMetrics reports the size of the idempotency store and its counters, which are part of the
-// replicated state: all voters report the same values.
+// reportDocketMetrics reports the size of the idempotency store and its counters, which are part of
+// the replicated state: all voters report the same values.
 func (v *Voter) reportDocketMetrics() {
 	counters, records, responseBytes := v.registry.DocketStats()
 	scope := v.options.Metrics.SubScope("docket")
--- a/internal/courier/enginestates.go
+++ b/internal/courier/enginestates.go
@@ -8,8 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/parcel"
 )
 
-// EngineStates are the models and the load of the engines, as known to the instance that sends commands
-// to them.
+// EngineStates are the models and the load of the engines, as known to the instance that sends
+// commands to them.
 type EngineStates struct {
 	// Revision increases with each change. Each new leader starts from a number above all previous
 	// ones.
@@ -66,7 +66,8 @@
 	return buffer
 }
 
-// DecodeEngineStates decodes the result of EngineStates.Encode. If data is damaged, it returns an error.
+// DecodeEngineStates decodes the result of EngineStates.Encode. If data is damaged, it returns an
+// error.
 func DecodeEngineStates(data []byte) (EngineStates, error) {
 	reader := parcel.NewReader(data)
 	holdings := EngineStates{Revision: reader.Uint()}
--- a/internal/courier/enginestates_fuzz_test.go
+++ b/internal/courier/enginestates_fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// FuzzDecodeHoldings searches for data that makes DecodeEngineStates panic, or that changes when it is
-// decoded and encoded again.
+// FuzzDecodeHoldings searches for data that makes DecodeEngineStates panic, or that changes when it
+// is decoded and encoded again.
 func FuzzDecodeHoldings(f *testing.F) {
 	f.Add(courier.EngineStates{Revision: 7, Engines: []courier.EngineState{{
 		Name: "e1", Incarnation: 1790000000123, Age: time.Second, Running: 3, Queued: 1, KVUsed: 900,
--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -75,8 +75,8 @@
 	Changes roster.Changes
 	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
-	// Holdings is an encoded EngineStates. It is empty if the caller already has this revision. It was
-	// encoded HoldingsAge ago, once for all callers: the holdings of 140 engines take 50 us to
+	// Holdings is an encoded EngineStates. It is empty if the caller already has this revision. It
+	// was encoded HoldingsAge ago, once for all callers: the holdings of 140 engines take 50 us to
 	// encode, and 86 callers get 344 replies a second. Encoding them for each reply would take a
 	// seventh of the processor time that a leader is granted.
 	Holdings    []byte
@@ -215,8 +215,8 @@
 	return callForReply[WantReply](ctx, p, address, "Feed.Want", args)
 }
 
-// ReportDemand reports the demand of entry instances to the leader at address and requests the holdings
-// of the engines.
+// ReportDemand reports the demand of entry instances to the leader at address and requests the
+// holdings of the engines.
 func (p *Pool) ReportDemand(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
 	return callForReply[GatherReply](ctx, p, address, "Feed.Gather", args)
 }
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -84,8 +84,8 @@
 	// that is in progress.
 	InProgressWait time.Duration
 	// MaxRecordedBytes is the maximum size of a response body in an idempotency record. A larger
-	// body would be replicated through the log of every voter, only for the idempotency store to discard
-	// it.
+	// body would be replicated through the log of every voter, only for the idempotency store to
+	// discard it.
 	MaxRecordedBytes int64
 }
 
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -118,8 +118,8 @@
 // LoadReport reports a request at an engine to the owners of the engine's other models.
 type LoadReport struct {
 	Upstream string
-	// PrefillTime is the prefill time of the prompt, and ActiveRequests the number of requests that the
-	// sender has at the engine, including this one.
+	// PrefillTime is the prefill time of the prompt, and ActiveRequests the number of requests that
+	// the sender has at the engine, including this one.
 	PrefillTime    time.Duration
 	ActiveRequests int
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -40,7 +40,8 @@
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
-// Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or InvalidLimit.
+// Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or
+// InvalidLimit.
 type Observation interface {
 	isObservation()
 }
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -28,8 +28,8 @@
 	Next          Cursor
 }
 
-// PullState is the state of pulling from one instance: the cursor, and the members behind its handles.
-// The zero value has pulled nothing. It is not safe for concurrent use.
+// PullState is the state of pulling from one instance: the cursor, and the members behind its
+// handles. The zero value has pulled nothing. It is not safe for concurrent use.
 type PullState struct {
 	cursor    Cursor
 	upstreams map[uint32]memberKey
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -88,8 +88,8 @@
 	Static InstanceStatic
 	// Lease is how long a member counts as alive after it was last heard from.
 	Lease time.Duration
-	// AllowRestartElsewhere makes an announcement with a higher incarnation and another address count as a
-	// restart of the same upstream. Without it, the address of a live name can't change.
+	// AllowRestartElsewhere makes an announcement with a higher incarnation and another address
+	// count as a restart of the same upstream. Without it, the address of a live name can't change.
 	AllowRestartElsewhere bool
 }
 
@@ -161,9 +161,9 @@
 //
 // If the name is taken by an upstream at another address, Announce returns an error that wraps
 // ErrNameTaken and changes nothing. A name is taken while its upstream is alive, unless
-// Options.AllowRestartElsewhere is set and the new incarnation is higher. After the upstream has left or
-// expired, an announcement still needs a higher incarnation to take over the name. If only the
-// leave of an upstream is known, its address is unknown and its name is free.
+// Options.AllowRestartElsewhere is set and the new incarnation is higher. After the upstream has
+// left or expired, an announcement still needs a higher incarnation to take over the name. If only
+// the leave of an upstream is known, its address is unknown and its name is free.
 //
 // If the incarnation was announced before with other services, the announcement does not come from
 // the upstream itself, and Announce returns an error that wraps ErrServicesMismatch.
--- a/internal/shuttle/relay.go
+++ b/internal/shuttle/relay.go
@@ -61,9 +61,9 @@
 	w.WriteHeader(response.Status)
 }
 
-// StreamBody relays the body of response to w, and flushes after each read. If the upstream's body ends
-// before it is complete, StreamBody returns a *Error marked as ErrTruncated. If a write to the caller
-// fails, StreamBody returns its error.
+// StreamBody relays the body of response to w, and flushes after each read. If the upstream's body
+// ends before it is complete, StreamBody returns a *Error marked as ErrTruncated. If a write to the
+// caller fails, StreamBody returns its error.
 //
 // If events is true, the body is an event stream. It is complete only if "data: [DONE]" is its last
 // event: a crashing engine may close its connection in the same way as one that has finished.
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -39,8 +39,8 @@
 	// Streamed is true if the response is an event stream, whose header is sent with the first
 	// event.
 	Streamed bool
-	// SupportsStatusQuery is true if the upstream supports status queries for requests. A plain service may
-	// mistake a status query for a regular request.
+	// SupportsStatusQuery is true if the upstream supports status queries for requests. A plain
+	// service may mistake a status query for a regular request.
 	SupportsStatusQuery bool
 	Priority            int
 	// Remaining is the time left until the deadline.
