--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -13,7 +13,7 @@
 // engineCounts are the sizes of the deployments in use and of the target deployment.
 var engineCounts = []int{20, 240, 1100}
 
-// holdingsOf returns the states of engines with four models each.
+// holdingsOf returns the holdings of engines with four models each.
 func holdingsOf(engines int) courier.Holdings {
 	var holdings courier.Holdings
 	for i := range engines {
@@ -35,7 +35,7 @@
 	return pool
 }
 
-// BenchmarkHold applies engine states, which each entry instance does several times a second.
+// BenchmarkHold applies holdings, which each entry instance does several times a second.
 func BenchmarkHold(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/counter/budget.go
+++ b/internal/counter/budget.go
@@ -1,8 +1,8 @@
 package counter
 
-// The instances share the slack evenly. An instance may use reserveShare of its part at once and
-// regains refillShare of it within a window. The rest covers sliding windows, which may contain a
-// full reserve and a full refill.
+// The instances share RetryLimits.Slack evenly. An instance may use reserveShare of its part at
+// once and regains refillShare of it within RetryLimits.Window. Any period of that length may
+// contain a full reserve and a full refill, so the two shares add up to less than 1.
 const (
 	reserveShare = 0.6
 	refillShare  = 0.3
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -118,7 +118,7 @@
 	return permit.Allowed{ID: m.ID}
 }
 
-// expireClaims removes the answers whose claims are over. c.mu is held.
+// expireClaims removes the stored answers that have expired. c.mu is held.
 func (c *Counter) expireClaims(now time.Time) {
 	for requester, stored := range c.claimAnswers {
 		if now.After(stored.expires) {
--- a/internal/counter/crashes_test.go
+++ b/internal/counter/crashes_test.go
@@ -23,12 +23,12 @@
 // entry instance has applied it.
 func (p *testProxy) setQuarantined(ctx context.Context, requests ...quarantine.Identity) {
 	GinkgoHelper()
-	news := &quarantine.News{Revision: 1, Mark: 1}
+	state := &quarantine.News{Revision: 1, Mark: 1}
 	for _, request := range requests {
-		news.Quarantined = append(news.Quarantined, quarantine.Entry{Digest: request.Digest()})
+		state.Quarantined = append(state.Quarantined, quarantine.Entry{Digest: request.Digest()})
 	}
 	p.control.mu.Lock()
-	p.control.quarantine = news
+	p.control.quarantine = state
 	p.control.mu.Unlock()
 	Eventually(ctx, func() uint64 {
 		p.control.mu.Lock()
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// ApplyHoldings applies engine states known to the leader.
+// ApplyHoldings applies holdings known to the leader.
 func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.Holdings) {
 	p.pool.applyHoldings(now, &holdings)
 }
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -33,7 +33,7 @@
 	// it. If it is nil, this instance places all its requests itself.
 	Peers net.PacketConn
 	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
-	// of.
+	// from.
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
--- a/internal/counter/pacing.go
+++ b/internal/counter/pacing.go
@@ -8,10 +8,10 @@
 
 // An engine prefills new prompts between the decode steps of its running requests, so a step takes
 // longer by the prompts that arrived in the meantime. Many prompts at once stall all streams of the
-// engine. Even under a load that the engines can carry easily, 40 in 100 streams would stall for more
-// than the 250 ms that callers tolerate, because all prompts of a quarter of a second may go to one
-// engine. So each engine receives prompts one after the other, at the rate at which it prefills
-// them.
+// engine. Even under a load that the engines can carry easily, 40 in 100 streams would stall for
+// more than the 250 ms that callers tolerate, because all prompts of a quarter of a second may go
+// to one engine. So each engine receives prompts one after the other, at the rate at which it
+// prefills them.
 
 const (
 	// gapMargin is the part of a gap reserved for the network path to the caller and for prompts
--- a/internal/counter/pacing_test.go
+++ b/internal/counter/pacing_test.go
@@ -157,8 +157,8 @@
 	for _, engine := range s.engines {
 		pauses := engine.pauses()
 		all += len(pauses)
-		place, _ := slices.BinarySearch(pauses, 250*time.Millisecond)
-		long += len(pauses) - place
+		firstLong, _ := slices.BinarySearch(pauses, 250*time.Millisecond)
+		long += len(pauses) - firstLong
 	}
 	return float64(long) / float64(all)
 }
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -8,7 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// permitRecord is the state of a peer's request that this instance places.
+// permitRecord is the state of a peer's request that this instance places: it is queued, or has a
+// permit.
 type permitRecord struct {
 	waiter *waiter
 	// grant has no upstream while the request is queued.
--- a/internal/counter/permits_test.go
+++ b/internal/counter/permits_test.go
@@ -113,7 +113,7 @@
 		Expect(pool.Load(start, "e")).To(BeNumerically("~", 1, 0.01))
 	})
 
-	It("grants a returned place to the next request", func() {
+	It("grants a returned slot to the next request", func() {
 		addSmallEngine(pool, "e", model)
 		for i := range 12 {
 			instance.Receive(start, instances[1], askMessage(permit.ID(i), model))
@@ -245,7 +245,7 @@
 	})
 
 	// The owner is cut off from the control instances and does not learn that an engine is leaving.
-	// Its grants must not be used: the engine was told to expect no more requests.
+	// Its grants must not be used: the engine expects no more requests.
 	It("is not sent to an engine that leaves by what its own instance knows", func() {
 		c := newFakeControl()
 		first := startPeer(c)
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -43,7 +43,8 @@
 func (localRequest) requester() {}
 func (peerRequest) requester()  {}
 
-// grant is permission to send a request to an upstream.
+// grant is permission to send one request to an upstream. A grant to a peer's request is called a
+// permit.
 type grant struct {
 	upstream *upstream
 	// prefillAhead is the engine's prefill time for prompts that were sent before this one.
--- a/internal/counter/requirements.go
+++ b/internal/counter/requirements.go
@@ -28,7 +28,7 @@
 	// pacing limits the prompts sent to one engine.
 	pacing pacing
 	// prefillTime is the engine's time for the prompt, and decodeTime the time for which the
-	// response occupies a place in the batch.
+	// response occupies a slot of the batch.
 	prefillTime time.Duration
 	decodeTime  time.Duration
 }
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -49,7 +49,7 @@
 	// of live instances.
 	entryInstances  int
 	membersRevision uint64
-	// holdingsRevision is the revision of the engine states held here.
+	// holdingsRevision is the revision of the latest holdings received.
 	holdingsRevision uint64
 	// interval is the time between two syncs.
 	interval       time.Duration
@@ -183,7 +183,7 @@
 	c.control.known = union(members.Controls, c.seeds)
 }
 
-// applyHoldings applies the engine states of a reply, if it has any. c.mu is held.
+// applyHoldings applies the holdings of a reply, if it has any. c.mu is held.
 func (c *Counter) applyHoldings(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -22,7 +22,7 @@
 	// request uses it, and a model is loaded by few of hundreds of upstreams.
 	byModel      map[modelKey][]*upstream
 	byModelStale bool
-	// byAddress maps each address to the upstream last heard of there. A crashed upstream is
+	// byAddress maps each address to the upstream last heard from there. A crashed upstream is
 	// restarted under another name: until the lease of the old one expires, requests for it would
 	// reach the new one, which refuses them. Upstreams of services that no route uses own no
 	// address: such an announcement may come from a foreign program and would take a working
@@ -30,10 +30,10 @@
 	byAddress map[string]*upstream
 	// routedServices are the services of the routes in force, nil before the first routes.
 	routedServices map[string]*routes.Service
-	// lastHeard is the latest time at which any upstream was heard of.
+	// lastHeard is the latest time at which any upstream was heard from.
 	lastHeard time.Time
 	// graceUntil is the time until which no lease expires. After an outage of the control
-	// instances, upstreams are heard of again one after the other.
+	// instances, upstreams are heard from again one after the other.
 	graceUntil time.Time
 }
 
@@ -204,8 +204,8 @@
 // reportLag is the approximate age of an engine's report when the engine sends it.
 const reportLag = 100 * time.Millisecond
 
-// applyHoldings applies the engine states known to the leader, which are newer than the engines'
-// own announcements.
+// applyHoldings applies the holdings known to the leader, which are the models and the load of each
+// engine. They are newer than the engines' own announcements.
 func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
 	for _, engine := range holdings.Engines {
 		u := p.byName[engine.Name]
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -55,9 +55,9 @@
 		Entry("nothing", "m", "", ""),
 	)
 
-	// All control instances are down, so that no upstream is heard of, although the upstreams are
+	// All control instances are down, so that no upstream is heard from, although the upstreams are
 	// running. An instance that expired them would refuse all callers.
-	It("keeps upstreams while none is heard of, and drops one whose lease alone expires", func() {
+	It("keeps upstreams while none is heard from, and drops one whose lease alone expires", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "m"))
 		late := start.Add(time.Minute)
 		name, _ := pool.Send(late, "pool", "m", "", 100)
@@ -73,8 +73,8 @@
 		}
 	})
 
-	// Control instances come back and hear of the upstreams one after the other. Upstreams they
-	// have not heard of yet must not count as lost.
+	// Control instances come back and hear from the upstreams one after the other. Upstreams they
+	// have not heard from yet must not count as lost.
 	It("waits for all upstreams after the control instances were away", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "n"))
 		back := start.Add(time.Minute)
@@ -130,7 +130,7 @@
 
 	// The only upstream has just failed the request. An immediate retry would fail again, while a
 	// later one may find capacity.
-	It("makes a request wait whose only upstream has failed it", func() {
+	It("makes a request wait if its only upstream has failed it", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
 		pool.Fail(start, "a")
 		_, lacking := pool.Send(start, "pool", "m", "", 100, "a")
