--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -18,7 +18,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Backoffice is one control plane instance. It is safe for concurrent use.
+// Backoffice is one control instance. It is safe for concurrent use.
 type Backoffice struct {
 	options     Options
 	voter       *chamber.Voter
@@ -39,7 +39,7 @@
 	// packedEdition is the edition that was last sent to an entry instance, with its
 	// content packed. It is nil before the first.
 	packedEdition *edition.Edition
-	// peers are the other control plane instances by address.
+	// peers are the other control instances by address.
 	peers map[string]*peer
 	// leaderSince is the time since which this instance leads, zero while it does not.
 	leaderSince time.Time
@@ -52,7 +52,7 @@
 	done   sync.WaitGroup
 }
 
-// New starts a control plane instance. If the data folder can't be used, New closes the
+// New starts a control instance. If the data folder can't be used, New closes the
 // listener and returns an error.
 func New(options Options) (*Backoffice, error) {
 	if options.Metrics == nil {
@@ -202,7 +202,7 @@
 }
 
 // Leave records that an upstream is leaving. It also spreads the leave of an upstream
-// that this instance does not know yet: another control plane instance may know it
+// that this instance does not know yet: another control instance may know it
 // already, and the upstream would still receive work after its leave was acknowledged.
 // Incarnation 0 matches any incarnation.
 func (b *Backoffice) Leave(now time.Time, leave upstreamapi.Leave) {
@@ -246,7 +246,7 @@
 	return leader != ""
 }
 
-// Seed replaces the addresses of the seed control plane instances.
+// Seed replaces the addresses of the seed control instances.
 func (b *Backoffice) Seed(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/backoffice/backoffice_test.go
+++ b/internal/backoffice/backoffice_test.go
@@ -153,7 +153,7 @@
 	return text
 }
 
-// testCluster is a group of control plane instances in this process.
+// testCluster is a group of control instances in this process.
 type testCluster struct {
 	seeds     []string
 	fakes     *fakeEngines
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -96,7 +96,7 @@
 	return err == nil
 }
 
-// runRecall withdraws crash reports of upstreams that were heard from after the report.
+// runRecall retracts crash reports of upstreams that were heard from after the report.
 func (c *crashRecorder) runRecall(ctx context.Context) {
 	for pause.For(ctx, crashRecallInterval) {
 		c.backoffice.voter.RecallCrashes(ctx, c.backoffice.lastHeardFrom)
--- a/internal/backoffice/crashes_test.go
+++ b/internal/backoffice/crashes_test.go
@@ -43,7 +43,7 @@
 			return count
 		}
 	}
-	quarantineNews := func(ctx context.Context, address string) func() int {
+	quarantinedInSync := func(ctx context.Context, address string) func() int {
 		return func() int {
 			reply, err := c.calls.Sync(ctx, address, courier.SyncArgs{})
 			if err != nil || reply.Quarantine == nil {
@@ -59,7 +59,7 @@
 		}
 		for _, address := range c.seeds {
 			Eventually(ctx, quarantined(address)).Should(Equal(1))
-			Eventually(ctx, quarantineNews(ctx, address)).Should(Equal(1))
+			Eventually(ctx, quarantinedInSync(ctx, address)).Should(Equal(1))
 		}
 		c.wipe(c.seeds[0])
 		Eventually(ctx, quarantined(c.seeds[0])).Should(Equal(1))
@@ -69,7 +69,7 @@
 
 	// A network link that refuses connections looks like a crashed engine, except that
 	// the engine still announces itself.
-	It("are withdrawn if the upstream is heard from later, and ignored if it had announced its leave", func(ctx SpecContext) {
+	It("are retracted if the upstream is heard from later, and ignored if it had announced its leave", func(ctx SpecContext) {
 		announce := func(name string, sequence uint64) {
 			Expect(c.instances[c.seeds[1]].Announce(time.Now(), upstreamapi.Announcement{
 				Name: name, Sequence: sequence, Address: "127.0.0.1:1", Kind: upstreamapi.KindService, Services: []string{"app"},
--- a/internal/backoffice/demand.go
+++ b/internal/backoffice/demand.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// demandSlotDuration is the resolution in which demand is counted.
-	demandSlotDuration = 250 * time.Millisecond
-	// The workload is averaged over two windows, given in slots: the short one shows a
+	// demandBucketDuration is the resolution in which demand is counted.
+	demandBucketDuration = 250 * time.Millisecond
+	// The workload is averaged over two windows, given in buckets: the short one shows a
 	// rise of demand within a second, the long one bridges a pause of a few requests.
-	shortWindowSlots = 4
-	longWindowSlots  = 16
+	shortWindowBuckets = 4
+	longWindowBuckets  = 16
 	// shortWindowWeight reduces the rate of the short window, which is based on few
 	// requests.
 	shortWindowWeight = 0.8
@@ -26,18 +26,18 @@
 	service, model string
 }
 
-// modelDemand is the recent workload requested of one model, in time slots.
+// modelDemand is the recent workload requested of one model, in time buckets.
 type modelDemand struct {
-	// slots is a ring buffer.
-	slots [longWindowSlots]workload
+	// buckets is a ring buffer.
+	buckets [longWindowBuckets]workload
 	// lastRequested is the time of the last request.
 	lastRequested time.Time
 	// missingSince is the time since which requests have found no engine that holds the
 	// model. It is zero while an engine holds it.
 	missingSince time.Time
-	// currentSlot is the number of the slot that is being filled, counted from the Unix
+	// currentBucket is the number of the bucket that is being filled, counted from the Unix
 	// epoch.
-	currentSlot int64
+	currentBucket int64
 	// waitingByEntry holds how many requests wait at each entry instance by its last
 	// report.
 	waitingByEntry map[string]waitingCount
@@ -74,36 +74,36 @@
 	return max(w.prefill/maxPrefillShare, w.decode/maxDecodeShare)
 }
 
-// add counts w in the slot of now.
+// add counts w in the bucket of now.
 func (d *modelDemand) add(now time.Time, w workload) {
 	d.lastRequested = now
 	d.advance(now)
-	d.slots[d.currentSlot%longWindowSlots].add(w)
+	d.buckets[d.currentBucket%longWindowBuckets].add(w)
 }
 
-// advance moves to the slot of now and clears the slots that it reuses.
+// advance moves to the bucket of now and clears the buckets that it reuses.
 func (d *modelDemand) advance(now time.Time) {
-	slot := now.UnixNano() / int64(demandSlotDuration)
-	for steps := 0; d.currentSlot < slot && steps < longWindowSlots; steps++ {
-		d.currentSlot++
-		d.slots[d.currentSlot%longWindowSlots] = workload{}
+	bucket := now.UnixNano() / int64(demandBucketDuration)
+	for steps := 0; d.currentBucket < bucket && steps < longWindowBuckets; steps++ {
+		d.currentBucket++
+		d.buckets[d.currentBucket%longWindowBuckets] = workload{}
 	}
-	d.currentSlot = slot
+	d.currentBucket = bucket
 }
 
 // rate returns the workload per second at now, in engines: 1 keeps one engine busy.
 func (d *modelDemand) rate(now time.Time) float64 {
 	d.advance(now)
 	var long, short workload
-	for i := range int64(longWindowSlots) {
-		slotLoad := d.slots[(d.currentSlot-i+longWindowSlots)%longWindowSlots]
-		long.add(slotLoad)
-		if i < shortWindowSlots {
-			short.add(slotLoad)
+	for i := range int64(longWindowBuckets) {
+		bucketLoad := d.buckets[(d.currentBucket-i+longWindowBuckets)%longWindowBuckets]
+		long.add(bucketLoad)
+		if i < shortWindowBuckets {
+			short.add(bucketLoad)
 		}
 	}
-	slot := demandSlotDuration.Seconds()
-	return max(long.engineSeconds()/(longWindowSlots*slot), shortWindowWeight*short.engineSeconds()/(shortWindowSlots*slot))
+	bucketSeconds := demandBucketDuration.Seconds()
+	return max(long.engineSeconds()/(longWindowBuckets*bucketSeconds), shortWindowWeight*short.engineSeconds()/(shortWindowBuckets*bucketSeconds))
 }
 
 // missingFor returns how long requests have found no engine that holds the model. held
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -13,7 +13,7 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// feedServer answers the calls of entry instances, and those of control plane instances
+// feedServer answers the calls of entry instances, and those of control instances
 // that relay for them.
 type feedServer struct {
 	backoffice *Backoffice
@@ -41,8 +41,8 @@
 	if held.Version > args.Edition {
 		reply.Edition = b.packEdition(held)
 	}
-	if news := b.voter.Quarantine(now); news.Mark != args.Quarantine {
-		reply.Quarantine = &news
+	if state := b.voter.Quarantine(now); state.Mark != args.Quarantine {
+		reply.Quarantine = &state
 	}
 	b.orchestrator.recordDemand(now, args.From.Name, args.Demand)
 	b.orchestrator.recordLimits(now, args.Limited)
@@ -87,8 +87,8 @@
 	return b.packedEdition
 }
 
-// membershipTTL is how long the membership is cached. Entry instances ask for it
-// several times a second each, and share the result.
+// membershipTTL is how long the membership is cached. Each entry instance requests
+// it several times a second.
 const membershipTTL = 100 * time.Millisecond
 
 // membership holds the inner addresses of the entry instances and the control plane
--- a/internal/backoffice/holdings.go
+++ b/internal/backoffice/holdings.go
@@ -10,7 +10,8 @@
 // Entry instances sync every 250 ms.
 const holdingsEncodeInterval = 50 * time.Millisecond
 
-// holdings returns the encoded holdings of all engines, their revision and their age.
+// holdings returns the encoded holdings of all engines (their models and load), the
+// revision of the holdings and their age.
 // It returns nothing if this instance does not lead, or if have, the caller's revision,
 // is current.
 func (o *orchestrator) holdings(now time.Time, have uint64) (encoded []byte, revision uint64, age time.Duration) {
--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -22,7 +22,7 @@
 	// name, so that an identity implies an address.
 	Address       string
 	FailureDomain string
-	// Seeds are the addresses of the initial control plane instances. They may include
+	// Seeds are the addresses of the initial control instances. They may include
 	// this instance.
 	Seeds []string
 	// Founder is set at the very first start of the whole system, on the instances listed
@@ -154,7 +154,7 @@
 	}
 }
 
-// Timing of a control plane instance.
+// Timing of a control instance.
 const (
 	// rosterPullInterval is the interval between two pulls of a peer's roster. Together
 	// with the sync interval of entry instances, it makes the leave of an upstream known
--- a/internal/backoffice/pulls.go
+++ b/internal/backoffice/pulls.go
@@ -7,7 +7,7 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// peer is another control plane instance.
+// peer is another control instance.
 type peer struct {
 	address string
 	// seed is set if the settings list the instance. A seed is also pulled from while it
@@ -20,7 +20,7 @@
 	unreachable bool
 }
 
-// runPulls pulls the roster changes of the other control plane instances until ctx
+// runPulls pulls the roster changes of the other control instances until ctx
 // ends.
 func (b *Backoffice) runPulls(ctx context.Context) {
 	ticker := time.NewTicker(rosterPullInterval)
@@ -80,14 +80,14 @@
 	p.pulling = false
 	if failed := err != nil; failed != p.unreachable && ctx.Err() == nil {
 		p.unreachable = failed
-		b.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", failed).Msg("reachability of a control plane instance changed")
+		b.options.Log.Info().Err(err).Str("peer", p.address).Bool("lost", failed).Msg("reachability of a control instance changed")
 	}
 	if err == nil {
 		b.roster.Merge(sentAt, &p.source, changes)
 	}
 }
 
-// handlePull answers the pull of another control plane instance, which includes the
+// handlePull answers the pull of another control instance, which includes the
 // caller's own record.
 func (b *Backoffice) handlePull(cursor roster.Cursor, from *roster.InstanceRecord) roster.Changes {
 	now := b.options.Now()
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -125,8 +125,8 @@
 	r.holdings, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
 }
 
-// fillHoldings adds the holdings to reply if they are newer than the revision have of
-// the caller.
+// fillHoldings adds the holdings to reply if they are newer than have, the caller's
+// revision.
 func (r *relay) fillHoldings(now time.Time, have uint64, reply *courier.SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/backoffice/relay_test.go
+++ b/internal/backoffice/relay_test.go
@@ -55,7 +55,7 @@
 }
 
 var _ = Describe("An instance that does not lead", func() {
-	// Entry instances sync with control plane instances that do not lead. Demand for a
+	// Entry instances sync with control instances that do not lead. Demand for a
 	// model that no engine holds must reach the leader through them, and they must report
 	// which engine holds it afterwards.
 	It("hands on what is asked for, and what engines hold", func(ctx SpecContext) {
@@ -92,7 +92,7 @@
 		Expect(members.Revision).NotTo(BeZero())
 		Expect(c.membersOf(ctx, c.seeds[0], members.Revision)).To(BeNil())
 		Eventually(ctx, func() *courier.Members { return c.membersOf(ctx, c.seeds[1], members.Revision) }).
-			Should(BeNil(), "other control plane instances have the same membership")
+			Should(BeNil(), "other control instances have the same membership")
 	}, SpecTimeout(specTimeout))
 
 	It("adds up requests of two reports, and takes the waiting ones from the newer", func() {
--- a/internal/backoffice/wakedelay.go
+++ b/internal/backoffice/wakedelay.go
@@ -11,7 +11,7 @@
 	wakeDelayRounds = 4
 )
 
-// wakeDelay is the average delay with which a control plane instance wakes from its
+// wakeDelay is the average delay with which a control instance wakes from its
 // timer. A leader that lacks processor time sends its heartbeats with the same delay,
 // and is replaced.
 type wakeDelay time.Duration
--- a/internal/backoffice/want.go
+++ b/internal/backoffice/want.go
@@ -50,8 +50,9 @@
 	minModelCheckInterval = 100 * time.Millisecond
 )
 
-// ensureAdapter tries to have an adapter loaded. If the outcome is open, it returns a
-// channel to wait on before the next attempt.
+// ensureAdapter makes one attempt to find an engine that holds an adapter, and orders the
+// load if none does. If the outcome is open, it returns a channel to wait on before the
+// next attempt.
 func (o *orchestrator) ensureAdapter(ctx context.Context, args courier.WantArgs) (courier.WantReply, <-chan struct{}) {
 	now := o.backoffice.options.Now()
 	o.mu.Lock()
