--- a/internal/stocking/shortage.go
+++ b/internal/stocking/shortage.go
@@ -5,12 +5,11 @@
 	// compared with an overloaded model: all of its requests are lost, not only some.
 	unreachableFactor = 2
 	// waitingLoss is the loss, in engines, for each request that waits for a model
-	// without a copy. Demand alone would not do: for a model with one request in 10 s it
+	// without a copy. Demand alone is not enough: for a model with one request in 10 s it
 	// is almost 0.
 	waitingLoss = 0.05
-	// missingLossPerSecond is the loss, in engines, that a model without a copy gains
-	// with each second that requests find none. Within some seconds it comes before
-	// any other model.
+	// missingLossPerSecond is added to the loss, in engines, for each second in which
+	// requests have found no copy. Within some seconds the model comes before any other.
 	missingLossPerSecond = 0.2
 )
 
@@ -54,7 +53,7 @@
 // Models without a copy do not always come first. If they did, all four loads could go to
 // models with few requests, while the model with the highest demand has one copy of the
 // four that it needs. When demand shifts and engines are lost, that rule
-// delivers 0.564 of the requested value, and this one 0.603.
+// delivers 0.564 of the value owed, and this one 0.603.
 func (p *planner) relieveShortages() {
 	skipped := map[*modelState]bool{}
 	for len(p.moves) < p.options.Orders {
