--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -70,7 +70,7 @@
 func (u *limitedUpstream) arrivalsSince(at time.Time) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(u.arrivals), func(came time.Time) bool { return came.Before(at) })
+	return slices.DeleteFunc(slices.Clone(u.arrivals), func(arrival time.Time) bool { return arrival.Before(at) })
 }
 
 // maxInWindow returns the maximum number of the sorted times within one window of the limit.
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// leaderLoadCallsPerSecond is how many load calls a leader handles from all entry instances. A
-	// call takes it about 100 us, so that they take a quarter of 0.12 of a core. It is ten times
-	// the number of loads that it can order.
+	// leaderLoadCallsPerSecond is how many load calls a leader handles from all entry instances. At
+	// about 100 us per call, they take a quarter of the time of a leader with 0.12 of a core. The
+	// leader can order a tenth as many loads.
 	leaderLoadCallsPerSecond = 300.0
-	// loadBurstTime sets the burst of calls that one instance may make after a pause, as the time
-	// in which its rate allows as many. minLoadBurstCalls is the minimum burst.
+	// loadBurstTime is the burst of calls that one instance may make after a pause, expressed as
+	// the time in which its rate allows that many calls. minLoadBurstCalls is the minimum burst.
 	loadBurstTime     = 250 * time.Millisecond
 	minLoadBurstCalls = 2.0
 	// minLoadBackoff is the backoff of a target after a failed call. It doubles with each
@@ -71,8 +71,8 @@
 	burst := max(l.rate*loadBurstTime.Seconds(), minLoadBurstCalls)
 	l.tokens = min(l.tokens+l.rate*now.Sub(l.refilledAt).Seconds(), burst)
 	l.refilledAt = now
-	if rest := l.failed[args].retryAt.Sub(now); rest > 0 {
-		return rest
+	if remaining := l.failed[args].retryAt.Sub(now); remaining > 0 {
+		return remaining
 	}
 	if l.tokens >= 1 {
 		l.tokens--
--- a/internal/counter/loads_test.go
+++ b/internal/counter/loads_test.go
@@ -14,12 +14,11 @@
 )
 
 var _ = Describe("Calls for what no engine holds", func() {
-	// A leader could not carry out loads (because of a lease, a lack of space or a lack of CPU
-	// time), and each of 86 entry instances called it for each missing adapter ten times a second.
-	// The calls took its CPU time, its heartbeats were late, and it was replaced: there were nine
-	// leaders in 22 s, and 9,985 of 11,148 failed calls were answered "this instance gives no
-	// orders". A new leader has to wait before it gives orders, which caused still more calls. As a
-	// result, 103 of 300 models and adapters were never served.
+	// A leader can't carry out loads (because of a lease, a lack of space or a lack of CPU time),
+	// and each of 86 entry instances calls it for each missing adapter ten times a second. The
+	// calls take its CPU time, its heartbeats are late, and it is replaced every few seconds. Each
+	// new leader has to wait before it gives orders, which causes still more calls, and a third of
+	// the models and adapters is never served.
 	It("are bounded, however many callers wait for adapters that the leader can't load", func() {
 		const instances, adapters = 86, 60
 		p := newTestProxy()
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -26,7 +26,7 @@
 	Name          string
 	CallerAddress string
 	FailureDomain string
-	// Seeds are the inner addresses of the first control instances to contact.
+	// Seeds are the inner addresses of the first control instances to contact, at least one.
 	Seeds []string
 	Dial  courier.Dial
 	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -51,10 +51,10 @@
 	slots  int
 	remote bool
 	// models maps each loaded model to its loaded adapters. loading is the model that will be
-	// available at loadedAt, empty if there is none.
-	models   map[string][]string
-	loading  string
-	loadedAt time.Time
+	// available at loadDoneAt, empty if there is none.
+	models     map[string][]string
+	loading    string
+	loadDoneAt time.Time
 	// active is the number of requests of this instance in flight.
 	active int
 	// reportedAt is the time of the state described by the latest report.
@@ -217,7 +217,7 @@
 			u.models[model.Name] = model.Adapters
 		}
 		p.byModelStale = true
-		u.loading, u.loadedAt = engine.Coming, now.Add(engine.ComingIn)
+		u.loading, u.loadDoneAt = engine.Coming, now.Add(engine.ComingIn)
 		if age := engine.Age + reportLag; age >= 0 {
 			u.applyReport(now, now.Add(-age), engine.Running+engine.Queued)
 		}
@@ -249,7 +249,7 @@
 		if u.loading != model || model == "" || !p.isAvailable(now, u) {
 			continue
 		}
-		if left := max(u.loadedAt.Sub(now), 0); !ok || left < shortest {
+		if left := max(u.loadDoneAt.Sub(now), 0); !ok || left < shortest {
 			shortest, ok = left, true
 		}
 	}
@@ -287,7 +287,7 @@
 	u.models[model] = adapters
 }
 
-// removeModel records that u lacks a model, or only an adapter of it if one is given.
+// removeModel records that u lacks a model, or only its adapter unless adapter is empty.
 func (u *upstream) removeModel(model, adapter string) {
 	if adapter == "" {
 		delete(u.models, model)
