--- a/internal/backoffice/adapters.go
+++ b/internal/backoffice/adapters.go
@@ -12,7 +12,7 @@
 }
 
 // evictableAdapter returns the least recently requested adapter of e that may be
-// unloaded: no open request uses it, and its last request was at least
+// unloaded: no request in flight uses it, and its last request was at least
 // minAdapterResidence ago. It returns the zero Adapter if there is none. o.mu is held.
 func (o *orchestrator) evictableAdapter(now time.Time, e *engine) Adapter {
 	var chosen Adapter
@@ -31,8 +31,8 @@
 	return chosen
 }
 
-// adapterUses holds the adapters that the open requests of one entry instance use, as
-// reported at reportedAt.
+// adapterUses holds the adapters that the requests in flight of one entry instance use,
+// as reported at reportedAt.
 type adapterUses struct {
 	reportedAt time.Time
 	adapters   []Adapter
@@ -62,7 +62,7 @@
 	delete(o.usesByEntry, entry)
 }
 
-// adapterInUse reports whether open requests use an adapter. o.mu is held.
+// adapterInUse reports whether requests in flight use an adapter. o.mu is held.
 func (o *orchestrator) adapterInUse(adapter Adapter) bool {
 	return o.adapterUsers[adapter] > 0
 }
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -186,7 +186,8 @@
 	return identities
 }
 
-// Announce records an announcement that an upstream sent to this instance.
+// Announce records an announcement that an upstream sent to this instance. It returns an
+// error, as roster.Roster.Announce does, if the announcement is rejected.
 func (b *Backoffice) Announce(now time.Time, announcement upstreamapi.Announcement) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/backoffice/backoffice_test.go
+++ b/internal/backoffice/backoffice_test.go
@@ -381,7 +381,7 @@
 
 	// Requests wait for a model that the only engine does not hold, and for more adapters
 	// than it has slots. The answer to an order is lost: the leader must not repeat the
-	// order in a way that could have it carried out twice.
+	// order in a way that could make the engine carry it out twice.
 	It("loads what requests wait for, by one holder and within the places", func(ctx SpecContext) {
 		c := newTestCluster()
 		c.fakes.add("e1", "a", "b")
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -142,8 +142,8 @@
 	return b.cachedMembership
 }
 
-// Want returns an engine that holds a model or an adapter, if necessary after it was
-// loaded.
+// Want returns an engine that holds a model or an adapter, after loading it if
+// necessary.
 func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
 	return f.backoffice.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -18,10 +18,10 @@
 	// retransmitTime is how long after its sender timed out an order may still arrive,
 	// because the network retransmits lost packets.
 	retransmitTime = 400 * time.Millisecond
-	// leaseRestFactor is the pause between two batches, as a multiple of the time that
+	// leasePauseFactor is the pause between two batches, as a multiple of the time that
 	// the last batch took. Most of that time is spent by the voters, not by this
 	// instance.
-	leaseRestFactor = 2
+	leasePauseFactor = 2
 	// leaseForgetDelay is how long a leader collects announcements before it deletes the
 	// leases of engines that it has not heard from.
 	leaseForgetDelay = 10 * time.Second
@@ -68,7 +68,8 @@
 	return l
 }
 
-// take takes the lease of an engine for one order, which must be sent at once.
+// take takes the lease of an engine for one order, which must be sent at once. After an
+// error, the order must not be sent.
 func (l *leaseBatcher) take(ctx context.Context, engine string) error {
 	answer := make(chan leaseResult, 1)
 	l.mu.Lock()
@@ -100,7 +101,7 @@
 	}
 	start := l.now()
 	l.takeBatch(ctx, batch)
-	pause.For(ctx, leaseRestFactor*l.now().Sub(start))
+	pause.For(ctx, leasePauseFactor*l.now().Sub(start))
 }
 
 func (l *leaseBatcher) takeBatch(ctx context.Context, batch map[string][]chan leaseResult) {
--- a/internal/backoffice/models.go
+++ b/internal/backoffice/models.go
@@ -11,8 +11,8 @@
 )
 
 // placementOptions are the options of every plan. The time to first token of an engine
-// rises from about two thirds of its load on. A load takes seconds, so another copy is
-// ordered before that point.
+// rises once its load exceeds about two thirds of its capacity. Loading a model takes
+// seconds, so another copy is ordered before that point.
 var placementOptions = stocking.Options{Busy: 0.65, Gain: 0.3, Orders: 4}
 
 // maxFetchTokens is the burst of loads from the weight store, in addition to the rate
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// minRoundInterval is the minimum pause between two rounds of reports and orders.
-	minRoundInterval = 125 * time.Millisecond
-	// minRestFactor is the minimum pause after a round, as a multiple of the round's
+	// minRoundPause is the minimum pause between two rounds of reports and orders.
+	minRoundPause = 125 * time.Millisecond
+	// roundPauseFactor is the minimum pause after a round, as a multiple of the round's
 	// duration. A plan for 140 engines and 242 models takes 1.6 ms of a whole core.
 	// With 0.12 of a core, rounds must leave time for the consensus protocol.
-	minRestFactor = 6
+	roundPauseFactor = 6
 	// idleReportInterval is the minimum interval between two reports of an engine that is
 	// not changing. Reports lag by about 100 ms, so that shorter intervals would add
 	// little.
@@ -40,13 +40,13 @@
 	adapterLoadTime = 20 * time.Millisecond
 	// minAdapterResidence is the minimum time that an adapter stays loaded after its last
 	// request. The request may still be on its way to the engine, and entry instances
-	// report open requests only every 250 ms.
+	// report their requests in flight only every 250 ms.
 	minAdapterResidence = 600 * time.Millisecond
 	// demandTTL is how long the time of the last request for a model or an adapter is
 	// kept. All models and adapters without a request since then are treated the same.
 	demandTTL = 30 * time.Second
-	// adapterUsesTTL is how long the last reported open requests of a silent entry
-	// instance still count as open.
+	// adapterUsesTTL is how long the adapters that a silent entry instance last reported
+	// still count as in use.
 	adapterUsesTTL = 5 * time.Second
 	// adapterUnloadTime is how long an adapter that may be in use is assumed to keep its
 	// slot after the order to unload it. The longest streams take about 10 s.
@@ -105,13 +105,13 @@
 }
 
 func (o *orchestrator) run(ctx context.Context) {
-	rest := minRoundInterval
+	roundPause := minRoundPause
 	ended := o.backoffice.options.Now()
-	for pause.For(ctx, rest) {
+	for pause.For(ctx, roundPause) {
 		began := o.backoffice.options.Now()
-		o.round(ctx, began.Sub(ended)-rest)
+		o.round(ctx, began.Sub(ended)-roundPause)
 		ended = o.backoffice.options.Now()
-		rest = max(minRoundInterval, minRestFactor*ended.Sub(began))
+		roundPause = max(minRoundPause, roundPauseFactor*ended.Sub(began))
 	}
 }
 
