--- a/internal/backoffice/engine_test.go
+++ b/internal/backoffice/engine_test.go
@@ -75,8 +75,8 @@
 		Expect(e.ReportDue(soon.Add(200*time.Millisecond), 12, 2)).To(BeFalse())
 	})
 
-	// When 140 engines were polled as often as 12, the leader was replaced every other
-	// second, and no adapters were loaded.
+	// If 140 engines are polled as often as 12, the leader is replaced every other second,
+	// and no adapters are loaded.
 	It("is polled less often among many engines", func() {
 		now := time.Now()
 		e := backoffice.NewEngine()
--- a/internal/backoffice/export_test.go
+++ b/internal/backoffice/export_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Engine exports engine.
+// Engine gives specs access to the leader's view of an engine.
 type Engine struct {
 	engine *engine
 }
@@ -58,6 +58,7 @@
 	return e.engine.usedAdapterSlots()
 }
 
+// ApplyReport stores a report of the engine.
 func (e Engine) ApplyReport(now time.Time, report Report) {
 	e.engine.applyReport(now, report)
 }
@@ -93,7 +94,7 @@
 	return now.Sub(e.engine.reportRequestedAt) >= e.engine.reportInterval(engines, changing)
 }
 
-// WaitingRequests exports the waiting requests of modelDemand.
+// WaitingRequests gives specs access to the waiting requests of a model.
 type WaitingRequests struct {
 	demand modelDemand
 }
@@ -108,7 +109,7 @@
 	return w.demand.totalWaiting(now)
 }
 
-// Reported exports the state of orchestrator that entry instances report.
+// Reported gives specs access to the state that entry instances report to an orchestrator.
 type Reported struct {
 	orchestrator *orchestrator
 }
@@ -121,6 +122,7 @@
 	}}
 }
 
+// RecordDemand records the demand that an entry instance reports.
 func (r Reported) RecordDemand(now time.Time, entry string, demand ...courier.Demand) {
 	r.orchestrator.recordDemand(now, entry, demand)
 }
--- a/internal/counter/boost_test.go
+++ b/internal/counter/boost_test.go
@@ -96,7 +96,7 @@
 	})
 
 	// The load of a model is five times the capacity of its engine. Requests for rarely used
-	// adapters were always overtaken by more urgent ones, or rejected because too many were
+	// adapters would always be overtaken by more urgent ones, or rejected because too many are
 	// waiting.
 	DescribeTable("is served within 5 s in an overload that lasts",
 		func(priority uint8) {
--- a/internal/counter/controlchoice_test.go
+++ b/internal/counter/controlchoice_test.go
@@ -27,9 +27,9 @@
 		Expect(entriesPerControl(7, controls)).To(Equal(map[string]int{"c1": 7}))
 	})
 
-	// A leader failed, and 86 entry instances called its successor at once, each with a new
-	// connection and a request for all upstreams. The successor sent its heartbeats late and was
-	// replaced in turn, repeatedly. No model or adapter was loaded in the meantime.
+	// A leader fails. If 86 entry instances call its successor at once, each with a new connection
+	// and a request for all upstreams, the successor sends its heartbeats late and is replaced in
+	// turn, repeatedly. No model or adapter is loaded in the meantime.
 	It("is any instance but the leader, about as many each, where there are many", func() {
 		counts := entriesPerControl(86, controls)
 		Expect(counts).NotTo(HaveKey("c1"))
--- a/internal/counter/pacing_test.go
+++ b/internal/counter/pacing_test.go
@@ -171,8 +171,8 @@
 
 var _ = Describe("the pace of an engine", func() {
 	// Seven instances send 70 prompts a second to ten engines, a third of the engines' capacity.
-	// Each instance sees only a seventh of the load. All prompts of a quarter of a second could go
-	// to the same engine, and 40 in 100 streams paused for too long.
+	// Each instance sees only a seventh of the load. Without pacing, all prompts of a quarter of a
+	// second may go to the same engine, and 40 in 100 streams pause for too long.
 	It("keeps pauses short under a load that engines carry easily", func() {
 		load := newLoadSimulation(10)
 		load.run(70, 10*time.Second)
@@ -181,8 +181,8 @@
 	})
 
 	// The load of a model has risen close to the capacity of its three engines, and prompts wait at
-	// every instance. All instances learned at the same moment that an engine had capacity, and
-	// each sent a prompt: streams paused for half a second.
+	// every instance. All instances learn at the same moment that an engine has capacity. If each
+	// sent a prompt then, streams would pause for half a second.
 	It("keeps instances that wait for the same engine from sending at once", func() {
 		load := newLoadSimulation(3)
 		load.run(37, 10*time.Second)
--- a/internal/counter/peerload_test.go
+++ b/internal/counter/peerload_test.go
@@ -60,9 +60,9 @@
 		Expect(totalError/float64(samples)).To(BeNumerically("<", 2.5), "requests, of about 16")
 	})
 
-	// An order to an engine got no answer, and the age of its state was reported as the maximum
-	// duration. The load estimate was NaN from then on: the engine never appeared full, and no
-	// boosted request was sent to it.
+	// An order to an engine gets no answer, and the age of its state is reported as the maximum
+	// duration. If the load estimate became NaN, the engine would never appear full, and no boosted
+	// request would be sent to it.
 	It("stays a number whatever age a report is told to have", func() {
 		pool := counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
