--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -48,10 +48,10 @@
 	b.orchestrator.recordLimits(now, args.Limited)
 	if leader != b.voter.Identity() {
 		b.relay.record(now, args.From.Name, args.Demand, args.Limited)
-		b.relay.fillHoldings(now, args.Holdings, &reply)
+		b.relay.fillEngineStates(now, args.Holdings, &reply)
 		return reply
 	}
-	reply.Holdings, _, reply.HoldingsAge = b.orchestrator.holdings(now, args.Holdings)
+	reply.Holdings, _, reply.HoldingsAge = b.orchestrator.engineStates(now, args.Holdings)
 	return reply
 }
 
@@ -65,7 +65,7 @@
 	}
 	o.recordLimits(now, args.Limited)
 	var reply courier.GatherReply
-	reply.Holdings, reply.Revision, reply.Age = o.holdings(now, args.Holdings)
+	reply.Holdings, reply.Revision, reply.Age = o.engineStates(now, args.Holdings)
 	return reply
 }
 
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -63,7 +63,7 @@
 	// table is parsed from the edition of the routes with its version.
 	table *routes.Table
 	// term is the leadership term in which engines was collected, or 0 while this
-	// instance does not lead. revision grows with each change of the holdings that entry
+	// instance does not lead. revision grows with each change of the engine states that entry
 	// instances receive. changed is closed and replaced with each such change.
 	term      uint64
 	revision  uint64
@@ -72,9 +72,9 @@
 	// termSince is the time at which this instance began to lead in term.
 	termSince time.Time
 	leases    *leaseBatcher
-	// encodedHoldings are the holdings for entry instances, encoded at encodedAt from
+	// encodedStates are the engine states for entry instances, encoded at encodedAt from
 	// encodedRevision.
-	encodedHoldings []byte
+	encodedStates   []byte
 	encodedRevision uint64
 	encodedAt       time.Time
 	// demand is the demand for each model. It is kept when the leadership is lost, so
@@ -272,7 +272,7 @@
 	return names
 }
 
-// markChanged records a change of the holdings that entry instances receive. o.mu is
+// markChanged records a change of the engine states that entry instances receive. o.mu is
 // held.
 func (o *orchestrator) markChanged() {
 	o.revision++
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -21,7 +21,7 @@
 )
 
 // relay runs on instances that do not lead. It forwards the demand reported by entry
-// instances to the leader, and returns the leader's holdings to the entry instances.
+// instances to the leader, and returns the leader's engine states to the entry instances.
 //
 // If 86 entry instances all call the leader directly, a new leader receives 86
 // connections and lists of all upstreams at once, which takes about a second of 0.07 of
@@ -38,11 +38,11 @@
 	// limited holds the upstreams with a rate limit that were reported since the last
 	// call, by name.
 	limited map[string]courier.LimitedUpstream
-	// holdings are the last ones that the leader returned, with their revision. The
+	// engineStates are the last ones that the leader returned, with their revision. The
 	// leader encoded them at encodedAt.
-	holdings  []byte
-	revision  uint64
-	encodedAt time.Time
+	engineStates []byte
+	revision     uint64
+	encodedAt    time.Time
 }
 
 // run calls the leader until ctx ends.
@@ -109,28 +109,28 @@
 	defer cancel()
 	reply, err := r.backoffice.callPool.Gather(ctx, leader.Instance(), args)
 	if err != nil {
-		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching holdings from the leader failed")
+		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching the engine states from the leader failed")
 		return
 	}
-	r.setHoldings(r.backoffice.options.Now(), reply)
+	r.setEngineStates(r.backoffice.options.Now(), reply)
 }
 
-// setHoldings stores the leader's reply if it has newer holdings.
-func (r *relay) setHoldings(now time.Time, reply courier.GatherReply) {
+// setEngineStates stores the leader's reply if it has newer engine states.
+func (r *relay) setEngineStates(now time.Time, reply courier.GatherReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.Revision <= r.revision {
 		return
 	}
-	r.holdings, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
+	r.engineStates, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
 }
 
-// fillHoldings adds the holdings to reply if they are newer than have, the caller's
-// revision.
-func (r *relay) fillHoldings(now time.Time, have uint64, reply *courier.SyncReply) {
+// fillEngineStates adds the engine states to reply if they are newer than have, the
+// caller's revision.
+func (r *relay) fillEngineStates(now time.Time, have uint64, reply *courier.SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.revision > have {
-		reply.Holdings, reply.HoldingsAge = r.holdings, now.Sub(r.encodedAt)
+		reply.Holdings, reply.HoldingsAge = r.engineStates, now.Sub(r.encodedAt)
 	}
 }
--- a/internal/backoffice/relay_test.go
+++ b/internal/backoffice/relay_test.go
@@ -39,12 +39,12 @@
 	if err != nil {
 		return nil
 	}
-	holdings, err := courier.DecodeHoldings(reply.Holdings)
+	states, err := courier.DecodeHoldings(reply.Holdings)
 	if err != nil {
 		return nil
 	}
 	var holders []string
-	for _, engine := range holdings.Engines {
+	for _, engine := range states.Engines {
 		for _, known := range engine.Models {
 			if known.Name == model {
 				holders = append(holders, engine.Name)
--- a/internal/counter/bench_test.go
+++ b/internal/counter/bench_test.go
@@ -13,17 +13,17 @@
 // engineCounts are the sizes of the deployments in use and of the target deployment.
 var engineCounts = []int{20, 240, 1100}
 
-// holdingsOf returns the holdings of engines with four models each.
-func holdingsOf(engines int) courier.Holdings {
-	var holdings courier.Holdings
+// engineStatesOf returns the states of engines with four models each.
+func engineStatesOf(engines int) courier.Holdings {
+	var states courier.Holdings
 	for i := range engines {
 		engine := courier.Holding{Name: fmt.Sprint("e", i), Age: 100 * time.Millisecond, Running: 6}
 		for m := range 4 {
 			engine.Models = append(engine.Models, courier.HeldModel{Name: fmt.Sprint("model-", (i*4+m)%(engines+50)), Adapters: []string{"a1", "a2"}})
 		}
-		holdings.Engines = append(holdings.Engines, engine)
+		states.Engines = append(states.Engines, engine)
 	}
-	return holdings
+	return states
 }
 
 func poolOf(engines int) counter.UpstreamPool {
@@ -31,19 +31,19 @@
 	for i := range engines {
 		addSmallEngine(pool, fmt.Sprint("e", i))
 	}
-	pool.ApplyHoldings(start, holdingsOf(engines))
+	pool.ApplyEngineStates(start, engineStatesOf(engines))
 	return pool
 }
 
-// BenchmarkHold applies holdings, which each entry instance does several times a second.
+// BenchmarkHold applies engine states, which each entry instance does several times a second.
 func BenchmarkHold(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			pool := poolOf(engines)
-			holdings := holdingsOf(engines)
+			states := engineStatesOf(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				pool.ApplyHoldings(start, holdings)
+				pool.ApplyEngineStates(start, states)
 			}
 		})
 	}
--- a/internal/counter/boost_test.go
+++ b/internal/counter/boost_test.go
@@ -89,7 +89,7 @@
 		}
 		pool = counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
+		pool.ApplyEngineStates(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Models: []courier.HeldModel{{Name: "m", Adapters: adapters}},
 		}}})
 		queue = counter.NewQueue(pool, 1)
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// ApplyHoldings applies holdings known to the leader.
-func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.Holdings) {
-	p.pool.applyHoldings(now, &holdings)
+// ApplyEngineStates applies engine states known to the leader.
+func (p UpstreamPool) ApplyEngineStates(now time.Time, states courier.Holdings) {
+	p.pool.applyEngineStates(now, &states)
 }
 
 // Send selects an upstream for a request and records the request there. If there is none, it
--- a/internal/counter/forecast_test.go
+++ b/internal/counter/forecast_test.go
@@ -79,7 +79,7 @@
 	It("is refused at once if no engine will hold its model in time", func() {
 		w := queue.Enqueue(start, "gone", objective)
 		Expect(queue.Rejects(start, w)).To(BeTrue())
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
+		pool.ApplyEngineStates(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Models: []courier.HeldModel{{Name: "m"}}, Coming: "gone", ComingIn: 2 * time.Second,
 		}}})
 		Expect(queue.Rejects(start, w)).To(BeTrue())
@@ -101,11 +101,11 @@
 			Name: "e", Age: 400 * time.Millisecond, Running: 30, Models: []courier.HeldModel{{Name: "m"}},
 		}}}
 		before := pool.Load(now, "e")
-		pool.ApplyHoldings(now, report)
+		pool.ApplyEngineStates(now, report)
 		corrected := pool.Load(now, "e")
 		Expect(corrected).To(BeNumerically(">", before+5))
 		Expect(corrected).To(BeNumerically("<", 30))
-		pool.ApplyHoldings(now.Add(time.Millisecond), report)
+		pool.ApplyEngineStates(now.Add(time.Millisecond), report)
 		Expect(pool.Load(now, "e")).To(BeNumerically("~", corrected, 0.1), "the same report with the next reply")
 	})
 })
--- a/internal/counter/peerload_test.go
+++ b/internal/counter/peerload_test.go
@@ -68,7 +68,7 @@
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
 		pool.PeerActive(start, "e", 4, 1)
 		for _, age := range []time.Duration{math.MaxInt64, math.MinInt64, 0} {
-			pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
+			pool.ApplyEngineStates(start, courier.Holdings{Engines: []courier.Holding{{
 				Name: "e", Age: age, Running: 20, Models: []courier.HeldModel{{Name: "m"}},
 			}}})
 			Expect(pool.Load(start, "e")).To(And(BeNumerically(">=", 4), BeNumerically("<=", 4+20)), age.String())
@@ -81,7 +81,7 @@
 	It("is that of the latest report at an instance without messages from peers", func() {
 		pool := counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
+		pool.ApplyEngineStates(start, courier.Holdings{Engines: []courier.Holding{{
 			Name: "e", Running: 64, Queued: 6, Models: []courier.HeldModel{{Name: "m"}},
 		}}})
 		_, missing := pool.Send(start, "pool", "m", "", 10)
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -49,8 +49,8 @@
 	// of live instances.
 	entryInstances  int
 	membersRevision uint64
-	// holdingsRevision is the revision of the latest holdings received.
-	holdingsRevision uint64
+	// engineStatesRevision is the revision of the latest engine states received.
+	engineStatesRevision uint64
 	// interval is the time between two syncs.
 	interval       time.Duration
 	lastSyncFailed bool
@@ -83,7 +83,7 @@
 		FailureDomain: c.options.FailureDomain,
 		Cursor:        c.control.source.Cursor(false),
 		Members:       c.control.membersRevision,
-		Holdings:      c.control.holdingsRevision,
+		Holdings:      c.control.engineStatesRevision,
 		Quarantine:    c.crashes.Mark(),
 		Demand:        c.demand.flush(),
 		Limited:       c.pool.limitedUpstreams(),
@@ -163,7 +163,7 @@
 	}
 	c.pool.apply(now, changed)
 	c.crashes.Review(c.pool.contact)
-	c.applyHoldings(now, reply)
+	c.applyEngineStates(now, reply)
 	c.control.leader = reply.Leader
 	if next := c.control.afterReply(now, c.options.Name, reply.Reading, c.options.denyProofMaxAge()); next != c.control.current {
 		c.control.current = next
@@ -183,18 +183,18 @@
 	c.control.known = union(members.Controls, c.seeds)
 }
 
-// applyHoldings applies the holdings of a reply, if it has any. c.mu is held.
-func (c *Counter) applyHoldings(now time.Time, reply courier.SyncReply) {
+// applyEngineStates applies the engine states of a reply, if it has any. c.mu is held.
+func (c *Counter) applyEngineStates(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
 	}
-	holdings, err := courier.DecodeHoldings(reply.Holdings)
+	states, err := courier.DecodeHoldings(reply.Holdings)
 	if err != nil {
 		c.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
 	}
-	c.pool.applyHoldings(now.Add(-reply.HoldingsAge), &holdings)
-	c.control.holdingsRevision = holdings.Revision
+	c.pool.applyEngineStates(now.Add(-reply.HoldingsAge), &states)
+	c.control.engineStatesRevision = states.Revision
 }
 
 // nextSyncDelay returns the time until the next sync.
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -204,10 +204,10 @@
 // reportLag is the approximate age of an engine's report when the engine sends it.
 const reportLag = 100 * time.Millisecond
 
-// applyHoldings applies the holdings known to the leader, which are the models and the load of each
+// applyEngineStates applies the engine states known to the leader: the models and the load of each
 // engine. They are newer than the engines' own announcements.
-func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
-	for _, engine := range holdings.Engines {
+func (p *upstreamPool) applyEngineStates(now time.Time, states *courier.Holdings) {
+	for _, engine := range states.Engines {
 		u := p.byName[engine.Name]
 		if u == nil || engine.Incarnation != u.incarnation {
 			continue
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -143,7 +143,7 @@
 	// half a second.
 	It("fills no engine beyond its slots", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
+		pool.ApplyEngineStates(start, courier.Holdings{Engines: []courier.Holding{
 			{Name: "a", Running: 40, Models: []courier.HeldModel{{Name: "m"}}},
 		}})
 		sent, lacking := 0, ""
@@ -163,7 +163,7 @@
 		u.Announcement.Incarnation = 2
 		return u
 	}
-	holdingsOf := func(incarnation uint64, models ...string) courier.Holdings {
+	engineStatesOf := func(incarnation uint64, models ...string) courier.Holdings {
 		held := courier.Holding{Name: "e", Incarnation: incarnation, Running: 24}
 		for _, model := range models {
 			held.Models = append(held.Models, courier.HeldModel{Name: model})
@@ -183,14 +183,14 @@
 	// after the new announcement. A request sent on the basis of it would be refused and retried at
 	// the expense of the shared retry budget.
 	It("holds nothing of what the one before held, in either order of the news", func() {
-		pool.ApplyHoldings(start, holdingsOf(1, "m"))
+		pool.ApplyEngineStates(start, engineStatesOf(1, "m"))
 		pool.Apply(start.Add(time.Second), restarted(start.Add(time.Second)))
 		_, missing := pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(1, "m"))
+		pool.ApplyEngineStates(start.Add(time.Second), engineStatesOf(1, "m"))
 		_, missing = pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(2, "n"))
+		pool.ApplyEngineStates(start.Add(time.Second), engineStatesOf(2, "n"))
 		name, _ := pool.Send(start.Add(time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
