--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -52,7 +52,7 @@
 	peers  *peerLink
 	owners ownerTable
 	// pendingReplies are the messages of this instance to which the owner of a model or limit has
-	// yet to reply. permits are the peers' requests that this instance places.
+	// yet to reply. permits are the peers' requests that this instance places, queued or granted.
 	pendingReplies map[permit.ID]*pendingReply
 	lastMessageID  permit.ID
 	permits        map[peerRequest]*permitRecord
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -115,11 +115,11 @@
 // Intervals and timeouts of the calls to control instances and upstreams.
 const (
 	// minSyncInterval is the time between two syncs with a control instance, unless many entry
-	// instances share it. Routes and departing upstreams take effect here well within 1 s.
+	// instances share it. Routes and leaving upstreams take effect here well within 1 s.
 	minSyncInterval = 250 * time.Millisecond
 	// minSyncSpacing is the minimum average time between the syncs that one control instance
 	// serves: a leader with 0.12 of a core has 20 ms of CPU time for 28 syncs. maxSyncInterval
-	// bounds the resulting interval, because a departing upstream must be known within 2 s.
+	// bounds the resulting interval, because a leaving upstream must be known within 2 s.
 	minSyncSpacing  = 6 * time.Millisecond
 	maxSyncInterval = time.Second
 	// syncTimeout is how long a control instance has to reply before another one is tried.
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// maxPermitServiceTimes is the number of service times after which a granted permit expires.
+	// maxPermitServiceTimes is the number of service times after which a permit expires.
 	// Until then, a permit whose end was not reported makes the engine appear more loaded than it
 	// is.
 	maxPermitServiceTimes = 4
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -41,7 +41,7 @@
 type upstream struct {
 	roster.Upstream
 	// name and address never change, so that requests in flight may read them during updates. A
-	// record that only reports a departure has no address.
+	// record that only reports a leave has no address.
 	name        string
 	incarnation uint64
 	address     string
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -106,7 +106,7 @@
 		Expect(name).To(Equal("new"))
 	})
 
-	// A request is in flight to an upstream when its departure is reported by an instance that
+	// A request is in flight to an upstream when its leave is reported by an instance that
 	// never knew its address. The fields that the request reads must not change.
 	It("never changes the address of an upstream", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
