--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -18,7 +18,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Instance is one control plane instance. It is safe for concurrent use.
+// Instance is one control instance. It is safe for concurrent use.
 type Instance struct {
 	options     Options
 	voter       *chamber.Voter
@@ -39,7 +39,7 @@
 	// packedEdition is the edition that was last sent to an entry instance, with its
 	// content packed. It is nil before the first.
 	packedEdition *edition.Edition
-	// peers are the other control plane instances by address.
+	// peers are the other control instances by address.
 	peers map[string]*peer
 	// leaderSince is the time since which this instance leads, zero while it does not.
 	leaderSince time.Time
@@ -52,7 +52,7 @@
 	done   sync.WaitGroup
 }
 
-// New starts a control plane instance. If the data folder can't be used, New closes the
+// New starts a control instance. If the data folder can't be used, New closes the
 // listener and returns an error.
 func New(options Options) (*Instance, error) {
 	if options.Metrics == nil {
@@ -186,7 +186,8 @@
 	return identities
 }
 
-// Announce records an announcement that an upstream sent to this instance.
+// Announce records an announcement that an upstream sent to this instance. It returns an
+// error, as roster.Roster.Announce does, if the announcement is rejected.
 func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -202,7 +203,7 @@
 }
 
 // Leave records that an upstream is leaving. It also spreads the leave of an upstream
-// that this instance does not know yet: another control plane instance may know it
+// that this instance does not know yet: another control instance may know it
 // already, and the upstream would still receive work after its leave was acknowledged.
 // Incarnation 0 matches any incarnation.
 func (i *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
@@ -246,7 +247,7 @@
 	return leader != ""
 }
 
-// SetSeeds replaces the addresses of the seed control plane instances.
+// SetSeeds replaces the addresses of the seed control instances.
 func (i *Instance) SetSeeds(seeds []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -13,7 +13,7 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// feedServer answers the calls of entry instances, and those of control plane instances
+// feedServer answers the calls of entry instances, and those of control instances
 // that relay for them.
 type feedServer struct {
 	backoffice *Instance
@@ -41,17 +41,17 @@
 	if held.Version > args.Edition {
 		reply.Edition = i.packEdition(held)
 	}
-	if news := i.voter.Quarantine(now); news.Mark != args.Quarantine {
-		reply.Quarantine = &news
+	if state := i.voter.Quarantine(now); state.Mark != args.Quarantine {
+		reply.Quarantine = &state
 	}
 	i.orchestrator.recordDemand(now, args.From.Name, args.Demand)
 	i.orchestrator.recordLimits(now, args.Limited)
 	if leader != i.voter.Identity() {
 		i.relay.record(now, args.From.Name, args.Demand, args.Limited)
-		i.relay.fillHoldings(now, args.Holdings, &reply)
+		i.relay.fillEngineStates(now, args.Holdings, &reply)
 		return reply
 	}
-	reply.Holdings, _, reply.HoldingsAge = i.orchestrator.holdings(now, args.Holdings)
+	reply.Holdings, _, reply.HoldingsAge = i.orchestrator.engineStates(now, args.Holdings)
 	return reply
 }
 
@@ -65,7 +65,7 @@
 	}
 	o.recordLimits(now, args.Limited)
 	var reply courier.GatherReply
-	reply.Holdings, reply.Revision, reply.Age = o.holdings(now, args.Holdings)
+	reply.Holdings, reply.Revision, reply.Age = o.engineStates(now, args.Holdings)
 	return reply
 }
 
@@ -87,8 +87,8 @@
 	return i.packedEdition
 }
 
-// membershipTTL is how long the membership is cached. Entry instances ask for it
-// several times a second each, and share the result.
+// membershipTTL is how long the membership is cached. Each entry instance requests
+// it several times a second.
 const membershipTTL = 100 * time.Millisecond
 
 // membership holds the inner addresses of the entry instances and the control plane
@@ -142,8 +142,8 @@
 	return i.cachedMembership
 }
 
-// Want returns an engine that holds a model or an adapter, if necessary after it was
-// loaded.
+// Want returns an engine that holds a model or an adapter, after loading it if
+// necessary.
 func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
 	return f.backoffice.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/counter/boost_test.go
+++ b/internal/counter/boost_test.go
@@ -89,14 +89,14 @@
 		}
 		pool = counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.EngineStates{Engines: []courier.EngineState{{
+		pool.ApplyEngineStates(start, courier.EngineStates{Engines: []courier.EngineState{{
 			Name: "e", Models: []courier.LoadedModel{{Name: "m", Adapters: adapters}},
 		}}})
 		queue = counter.NewQueue(pool, 1)
 	})
 
 	// The load of a model is five times the capacity of its engine. Requests for rarely used
-	// adapters were always overtaken by more urgent ones, or rejected because too many were
+	// adapters would always be overtaken by more urgent ones, or rejected because too many are
 	// waiting.
 	DescribeTable("is served within 5 s in an overload that lasts",
 		func(priority uint8) {
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -118,7 +118,7 @@
 	return permit.SendAllowed{ID: m.ID}
 }
 
-// expireClaims removes the answers whose claims are over. c.mu is held.
+// expireClaims removes the stored answers that have expired. c.mu is held.
 func (p *Proxy) expireClaims(now time.Time) {
 	for requester, stored := range p.claimAnswers {
 		if now.After(stored.expires) {
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -26,14 +26,14 @@
 	Name          string
 	CallerAddress string
 	FailureDomain string
-	// Seeds are the inner addresses of the first control instances to contact.
+	// Seeds are the inner addresses of the first control instances to contact, at least one.
 	Seeds []string
 	Dial  courier.Dial
 	// PeerConn carries the messages that entry instances exchange to share engines. The Proxy closes
 	// it. If it is nil, this instance places all its requests itself.
 	PeerConn net.PacketConn
 	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
-	// of.
+	// from.
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
@@ -115,11 +115,11 @@
 // Intervals and timeouts of the calls to control instances and upstreams.
 const (
 	// minSyncInterval is the time between two syncs with a control instance, unless many entry
-	// instances share it. Routes and departing upstreams take effect here well within 1 s.
+	// instances share it. Routes and leaving upstreams take effect here well within 1 s.
 	minSyncInterval = 250 * time.Millisecond
 	// minSyncSpacing is the minimum average time between the syncs that one control instance
 	// serves: a leader with 0.12 of a core has 20 ms of CPU time for 28 syncs. maxSyncInterval
-	// bounds the resulting interval, because a departing upstream must be known within 2 s.
+	// bounds the resulting interval, because a leaving upstream must be known within 2 s.
 	minSyncSpacing  = 6 * time.Millisecond
 	maxSyncInterval = time.Second
 	// syncTimeout is how long a control instance has to reply before another one is tried.
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -8,7 +8,8 @@
 	"github.com/lovagelift/lovagelift/internal/permit"
 )
 
-// permitRecord is the state of a peer's request that this instance places.
+// permitRecord is the state of a peer's request that this instance places: it is queued, or has a
+// permit.
 type permitRecord struct {
 	waiter *waiter
 	// grant has no upstream while the request is queued.
@@ -19,7 +20,7 @@
 }
 
 const (
-	// maxPermitServiceTimes is the number of service times after which a granted permit expires.
+	// maxPermitServiceTimes is the number of service times after which a permit expires.
 	// Until then, a permit whose end was not reported makes the engine appear more loaded than it
 	// is.
 	maxPermitServiceTimes = 4
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -49,8 +49,8 @@
 	// of live instances.
 	entryInstances  int
 	membersRevision uint64
-	// holdingsRevision is the revision of the engine states held here.
-	holdingsRevision uint64
+	// engineStatesRevision is the revision of the latest engine states received.
+	engineStatesRevision uint64
 	// interval is the time between two syncs.
 	interval       time.Duration
 	lastSyncFailed bool
@@ -83,7 +83,7 @@
 		FailureDomain: p.options.FailureDomain,
 		Cursor:        p.control.source.Cursor(false),
 		Members:       p.control.membersRevision,
-		Holdings:      p.control.holdingsRevision,
+		Holdings:      p.control.engineStatesRevision,
 		Quarantine:    p.crashes.Mark(),
 		Demand:        p.demand.flush(),
 		Limited:       p.pool.limitedUpstreams(),
@@ -163,7 +163,7 @@
 	}
 	p.pool.apply(now, changed)
 	p.crashes.Review(p.pool.contact)
-	p.applyHoldings(now, reply)
+	p.applyEngineStates(now, reply)
 	p.control.leader = reply.Leader
 	if next := p.control.afterReply(now, p.options.Name, reply.Reading, p.options.denyProofMaxAge()); next != p.control.current {
 		p.control.current = next
@@ -183,18 +183,18 @@
 	p.control.known = union(members.Controls, p.seeds)
 }
 
-// applyHoldings applies the engine states of a reply, if it has any. c.mu is held.
-func (p *Proxy) applyHoldings(now time.Time, reply courier.SyncReply) {
+// applyEngineStates applies the engine states of a reply, if it has any. c.mu is held.
+func (p *Proxy) applyEngineStates(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
 	}
-	holdings, err := courier.DecodeEngineStates(reply.Holdings)
+	states, err := courier.DecodeEngineStates(reply.Holdings)
 	if err != nil {
 		p.options.Log.Warn().Err(err).Msg("cannot decode the engine states")
 		return
 	}
-	p.pool.applyHoldings(now.Add(-reply.HoldingsAge), &holdings)
-	p.control.holdingsRevision = holdings.Revision
+	p.pool.applyEngineStates(now.Add(-reply.HoldingsAge), &states)
+	p.control.engineStatesRevision = states.Revision
 }
 
 // nextSyncDelay returns the time until the next sync.
