--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -76,7 +76,7 @@
 	// The orchestrator must exist before the listener is served, because it answers calls
 	// of entry instances.
 	i.orchestrator = newOrchestrator(ctx, i)
-	i.relay = &relay{backoffice: i, demand: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
+	i.relay = &relay{instance: i, demand: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
 	i.crashRecorder = newCrashRecorder(i)
 	if err := i.start(); err != nil {
 		cancel()
@@ -90,7 +90,7 @@
 	i.done.Go(func() { i.orchestrator.run(ctx) })
 	i.done.Go(func() { i.relay.run(ctx) })
 	i.done.Go(func() { i.crashRecorder.run(ctx) })
-	i.done.Go(func() { i.crashRecorder.runRecall(ctx) })
+	i.done.Go(func() { i.crashRecorder.runRetraction(ctx) })
 	return i, nil
 }
 
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -17,15 +17,15 @@
 	crashBatchDelay = 40 * time.Millisecond
 	// crashRecordTimeout bounds the recording of one batch of reports.
 	crashRecordTimeout = 2 * time.Second
-	// crashRecallInterval is the interval between two checks for upstreams that were
+	// crashRetractionInterval is the interval between two checks for upstreams that were
 	// reported as crashed but are alive.
-	crashRecallInterval = 500 * time.Millisecond
+	crashRetractionInterval = 500 * time.Millisecond
 )
 
 // crashRecorder records in the replicated log the upstreams that entry instances report
 // as crashed while they served requests.
 type crashRecorder struct {
-	backoffice *Instance
+	instance *Instance
 
 	mu sync.Mutex
 	// batch holds the reports that are not recorded yet.
@@ -37,7 +37,7 @@
 }
 
 func newCrashRecorder(i *Instance) *crashRecorder {
-	return &crashRecorder{backoffice: i, wake: make(chan struct{}, 1)}
+	return &crashRecorder{instance: i, wake: make(chan struct{}, 1)}
 }
 
 // record adds update to the current batch, waits until the batch is recorded and
@@ -45,7 +45,7 @@
 func (c *crashRecorder) record(ctx context.Context, update quarantine.Update) bool {
 	recorded := make(chan bool, 1)
 	c.mu.Lock()
-	c.batch = c.batch.With(c.backoffice.withoutLeavingUpstreams(update))
+	c.batch = c.batch.With(c.instance.withoutLeavingUpstreams(update))
 	c.waiters = append(c.waiters, recorded)
 	c.mu.Unlock()
 	select {
@@ -88,18 +88,18 @@
 func (c *crashRecorder) propose(ctx context.Context, update quarantine.Update) bool {
 	ctx, cancel := context.WithTimeout(ctx, crashRecordTimeout)
 	defer cancel()
-	update.Now = c.backoffice.options.Now()
-	_, err := c.backoffice.voter.Propose(ctx, update)
+	update.Now = c.instance.options.Now()
+	_, err := c.instance.voter.Propose(ctx, update)
 	if err != nil {
-		c.backoffice.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
+		c.instance.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
 	}
 	return err == nil
 }
 
-// runRecall retracts crash reports of upstreams that were heard from after the report.
-func (c *crashRecorder) runRecall(ctx context.Context) {
-	for pause.For(ctx, crashRecallInterval) {
-		c.backoffice.voter.RetractFalseCrashes(ctx, c.backoffice.lastHeardFrom)
+// runRetraction retracts crash reports of upstreams that were heard from after the report.
+func (c *crashRecorder) runRetraction(ctx context.Context) {
+	for pause.For(ctx, crashRetractionInterval) {
+		c.instance.voter.RetractFalseCrashes(ctx, c.instance.lastHeardFrom)
 	}
 }
 
@@ -139,5 +139,5 @@
 // Note records the upstreams that an entry instance reports as crashed while they
 // served requests.
 func (f feedServer) Note(ctx context.Context, args courier.NoteArgs) courier.NoteReply {
-	return courier.NoteReply{Recorded: f.backoffice.crashRecorder.record(ctx, args.Update)}
+	return courier.NoteReply{Recorded: f.instance.crashRecorder.record(ctx, args.Update)}
 }
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -16,13 +16,13 @@
 // feedServer answers the calls of entry instances, and those of control instances
 // that relay for them.
 type feedServer struct {
-	backoffice *Instance
+	instance *Instance
 }
 
 // Sync records an entry instance's roster record and demand, and returns what has
 // changed since its last call.
 func (f feedServer) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
-	i := f.backoffice
+	i := f.instance
 	now := i.options.Now()
 	leader, _ := i.voter.Leader()
 	reply := courier.SyncReply{Leader: leader.Instance()}
@@ -58,8 +58,8 @@
 // Gather records the demand that entry instances reported to another control plane
 // instance, and returns the models that engines hold.
 func (f feedServer) Gather(_ context.Context, args courier.GatherArgs) courier.GatherReply {
-	o := f.backoffice.orchestrator
-	now := f.backoffice.options.Now()
+	o := f.instance.orchestrator
+	now := f.instance.options.Now()
 	for entry, demand := range args.Told {
 		o.recordDemand(now, entry, demand)
 	}
@@ -120,7 +120,7 @@
 	return max(sum.Sum64(), 1)
 }
 
-// membership returns the instances that are alive. b.mu is held.
+// membership returns the instances that are alive. i.mu is held.
 func (i *Instance) membership(now time.Time) membership {
 	if now.Sub(i.cachedMembership.computedAt) < membershipTTL {
 		return i.cachedMembership
@@ -145,5 +145,5 @@
 // Want returns an engine that holds a model or an adapter, after loading it if
 // necessary.
 func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
-	return f.backoffice.orchestrator.ensureHeld(ctx, args)
+	return f.instance.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -55,7 +55,7 @@
 // newLeaseBatcher returns a leaseBatcher that works until ctx ends.
 func newLeaseBatcher(ctx context.Context, o *orchestrator) *leaseBatcher {
 	l := &leaseBatcher{orchestrator: o, pending: map[string][]chan leaseResult{}, wake: make(chan struct{}, 1)}
-	o.backoffice.done.Go(func() {
+	o.instance.done.Go(func() {
 		for {
 			select {
 			case <-l.wake:
@@ -113,7 +113,7 @@
 		engines = append(engines, engine)
 	}
 	slices.Sort(engines)
-	taken, err := l.orchestrator.backoffice.voter.TakeLeases(ctx, engines, l.exclusionTime(), l.goneEngines())
+	taken, err := l.orchestrator.instance.voter.TakeLeases(ctx, engines, l.exclusionTime(), l.goneEngines())
 	for engine, waiting := range batch {
 		answer := leaseResult{until: until, err: err}
 		if err == nil && !slices.Contains(taken, engine) {
@@ -126,7 +126,7 @@
 }
 
 func (l *leaseBatcher) now() time.Time {
-	return l.orchestrator.backoffice.options.Now()
+	return l.orchestrator.instance.options.Now()
 }
 
 // exclusionTime is how long this instance sends no orders to an engine after it has
@@ -134,13 +134,13 @@
 // leaseValidity later, which may arrive up to orderTimeout and retransmitTime after
 // that. MinOrderGap must then pass before the next order.
 func (l *leaseBatcher) exclusionTime() time.Duration {
-	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.MinOrderGap
+	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.instance.options.MinOrderGap
 }
 
 // isFree reports whether no other instance can have ordered an engine within the
 // minimum time between orders of two instances.
 func (l *leaseBatcher) isFree(now time.Time, engine string) bool {
-	return l.orchestrator.backoffice.voter.LeaseFree(now, engine, l.exclusionTime())
+	return l.orchestrator.instance.voter.LeaseFree(now, engine, l.exclusionTime())
 }
 
 // goneEngines returns the engines whose leases can be deleted: those that are unknown
@@ -153,5 +153,5 @@
 	if l.now().Sub(o.termSince) < leaseForgetDelay {
 		return nil
 	}
-	return slices.DeleteFunc(o.backoffice.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
+	return slices.DeleteFunc(o.instance.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
 }
--- a/internal/backoffice/models.go
+++ b/internal/backoffice/models.go
@@ -39,7 +39,7 @@
 		}
 		e.orderPending = true
 		order := Order{Kind: Unload, Model: e.withdrawn}
-		o.backoffice.done.Go(func() { o.sendOrder(ctx, e, order) })
+		o.instance.done.Go(func() { o.sendOrder(ctx, e, order) })
 	}
 }
 
@@ -86,7 +86,7 @@
 	options.MaxFetches = int(o.fetchTokens)
 	for _, move := range stocking.Plan(o.plannerModels(now, service, spec), o.plannerEngines(now, service), options) {
 		e := o.engines[move.Engine]
-		o.backoffice.options.Log.Info().Str("engine", e.Name).Str("model", move.Model).Bool("unload", move.Unload).
+		o.instance.options.Log.Info().Str("engine", e.Name).Str("model", move.Model).Bool("unload", move.Unload).
 			Bool("fetch", move.FromStore).Str("reason", string(move.Reason)).Float64("load", move.Load).Msg("placement move")
 		if move.Unload {
 			e.withdrawn, e.withdrawnAt, e.replacement = move.Model, now, move.MakesRoomFor
@@ -98,7 +98,7 @@
 		}
 		e.orderPending = true
 		order := Order{Kind: Load, Model: move.Model}
-		o.backoffice.done.Go(func() { o.sendOrder(ctx, e, order) })
+		o.instance.done.Go(func() { o.sendOrder(ctx, e, order) })
 	}
 }
 
@@ -195,7 +195,7 @@
 // which the next plan takes into account. A plan for each call would cost the leader
 // too much time, and its orders would be cancelled at the end of the call.
 func (o *orchestrator) awaitModel(ctx context.Context, args courier.WantArgs) courier.WantReply {
-	now := o.backoffice.options.Now()
+	now := o.instance.options.Now()
 	o.mu.Lock()
 	o.recordModelDemand(now, callEntry, courier.Demand{Service: args.Service, Model: args.Model, Waiting: 1})
 	o.mu.Unlock()
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -56,7 +56,7 @@
 // orchestrator polls the reports of engines and orders engines to load and unload
 // models and adapters, while this instance leads.
 type orchestrator struct {
-	backoffice *Instance
+	instance *Instance
 
 	mu      sync.Mutex
 	engines map[string]*engine
@@ -96,7 +96,7 @@
 
 func newOrchestrator(ctx context.Context, i *Instance) *orchestrator {
 	o := &orchestrator{
-		backoffice: i, engines: map[string]*engine{}, changed: make(chan struct{}),
+		instance: i, engines: map[string]*engine{}, changed: make(chan struct{}),
 		demand: map[demandKey]*modelDemand{}, usesByEntry: map[string]adapterUses{},
 		adapterUsers: map[Adapter]int{}, adapterRequestedAt: map[Adapter]time.Time{}, limits: map[string]reportedLimit{},
 	}
@@ -106,11 +106,11 @@
 
 func (o *orchestrator) run(ctx context.Context) {
 	roundPause := minRoundPause
-	ended := o.backoffice.options.Now()
+	ended := o.instance.options.Now()
 	for pause.For(ctx, roundPause) {
-		began := o.backoffice.options.Now()
+		began := o.instance.options.Now()
 		o.round(ctx, began.Sub(ended)-roundPause)
-		ended = o.backoffice.options.Now()
+		ended = o.instance.options.Now()
 		roundPause = max(minRoundPause, roundPauseFactor*ended.Sub(began))
 	}
 }
@@ -118,7 +118,7 @@
 // fencingToken returns the fencing token of this instance's orders. ok is false if it
 // may not send orders. Each order also needs the lease of its engine.
 func (o *orchestrator) fencingToken() (fence uint64, ok bool) {
-	term, ok := o.backoffice.voter.IsLeader(o.backoffice.options.Now())
+	term, ok := o.instance.voter.IsLeader(o.instance.options.Now())
 	return uint64(term), ok
 }
 
@@ -126,13 +126,13 @@
 // that are due and places models. If the leadership or its term has changed, it first
 // discards the engines. delay is how late the round began.
 func (o *orchestrator) round(ctx context.Context, delay time.Duration) {
-	now := o.backoffice.options.Now()
-	leader, _ := o.backoffice.voter.Leader()
-	if leader != o.backoffice.voter.Identity() {
+	now := o.instance.options.Now()
+	leader, _ := o.instance.voter.Leader()
+	if leader != o.instance.voter.Identity() {
 		o.endTerm(now)
 		return
 	}
-	status := o.backoffice.voter.Status()
+	status := o.instance.voter.Status()
 	o.mu.Lock()
 	o.updateWakeDelay(delay)
 	if o.term != uint64(status.Term) {
@@ -148,7 +148,7 @@
 	due := o.syncEngines(now)
 	o.mu.Unlock()
 	for _, e := range due {
-		o.backoffice.done.Go(func() { o.fetchReport(ctx, e) })
+		o.instance.done.Go(func() { o.fetchReport(ctx, e) })
 	}
 	o.placeModels(ctx, now)
 }
@@ -159,12 +159,12 @@
 func (o *orchestrator) updateWakeDelay(delay time.Duration) {
 	before := o.wakeDelay.isStarved()
 	o.wakeDelay = o.wakeDelay.averagedWith(delay)
-	o.backoffice.options.Metrics.SubScope("backoffice").Gauge("late_seconds").Update(time.Duration(o.wakeDelay).Seconds())
+	o.instance.options.Metrics.SubScope("backoffice").Gauge("late_seconds").Update(time.Duration(o.wakeDelay).Seconds())
 	switch after := o.wakeDelay.isStarved(); {
 	case after && !before:
-		o.backoffice.options.Log.Warn().Dur("late", time.Duration(o.wakeDelay)).Msg("processor time is short; leadership may be lost")
+		o.instance.options.Log.Warn().Dur("late", time.Duration(o.wakeDelay)).Msg("processor time is short; leadership may be lost")
 	case before && !after:
-		o.backoffice.options.Log.Info().Msg("processor time is sufficient again")
+		o.instance.options.Log.Info().Msg("processor time is sufficient again")
 	}
 }
 
@@ -180,13 +180,13 @@
 
 // refreshTable parses the routes in force if their version has changed. o.mu is held.
 func (o *orchestrator) refreshTable() {
-	held := o.backoffice.voter.Edition()
+	held := o.instance.voter.Edition()
 	if held.Content == nil || o.table != nil && o.table.Version == held.Version {
 		return
 	}
-	table, err := o.backoffice.options.ParseRoutes(held.Content)
+	table, err := o.instance.options.ParseRoutes(held.Content)
 	if err != nil {
-		o.backoffice.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("parsing the routes in force failed")
+		o.instance.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("parsing the routes in force failed")
 		return
 	}
 	o.table = table
@@ -204,16 +204,16 @@
 	if o.table == nil {
 		return nil
 	}
-	o.backoffice.mu.Lock()
-	upstreams, _ := o.backoffice.roster.UpstreamsSince(0)
-	o.backoffice.mu.Unlock()
+	o.instance.mu.Lock()
+	upstreams, _ := o.instance.roster.UpstreamsSince(0)
+	o.instance.mu.Unlock()
 	latest := latestNameByAddress(upstreams, o.table)
 	present := map[string]bool{}
 	for _, upstream := range upstreams {
 		if latest[upstream.Announcement.Address] != upstream.Announcement.Name {
 			continue
 		}
-		if now.Sub(upstream.LastContact) >= o.backoffice.options.UpstreamLease || len(upstream.Announcement.Services) == 0 {
+		if now.Sub(upstream.LastContact) >= o.instance.options.UpstreamLease || len(upstream.Announcement.Services) == 0 {
 			continue
 		}
 		service := o.table.Service(upstream.Announcement.Services[0])
@@ -283,8 +283,8 @@
 func (o *orchestrator) fetchReport(ctx context.Context, e *engine) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	report, err := o.backoffice.options.Engines.Report(ctx, e.EngineAddress)
-	now := o.backoffice.options.Now()
+	report, err := o.instance.options.Engines.Report(ctx, e.EngineAddress)
+	now := o.instance.options.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e.reportPending = false
@@ -293,7 +293,7 @@
 		// After an error, the next attempt waits for the regular interval. Otherwise an
 		// engine that is gone would be polled continuously.
 		e.reportRequestedAt = now
-		o.backoffice.options.Log.Debug().Err(err).Str("engine", e.Name).Msg("fetching the engine's report failed")
+		o.instance.options.Log.Debug().Err(err).Str("engine", e.Name).Msg("fetching the engine's report failed")
 		return
 	}
 	e.applyReport(now, report)
@@ -329,21 +329,21 @@
 		allowed = err == nil
 	}
 	if allowed {
-		order.Holder, order.FencingToken = o.backoffice.options.Address, fence
+		order.Holder, order.FencingToken = o.instance.options.Address, fence
 		o.mu.Lock()
 		order.ExpectedSequence = e.report.Sequence
-		e.orderSent(o.backoffice.options.Now(), order)
+		e.orderSent(o.instance.options.Now(), order)
 		o.mu.Unlock()
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
-		answer, err = o.backoffice.options.Engines.Order(callCtx, e.EngineAddress, order)
+		answer, err = o.instance.options.Engines.Order(callCtx, e.EngineAddress, order)
 		cancel()
 	}
 	o.logOrder(e, order, answer, allowed, err)
 	if answer == RefusedByOtherProcess {
 		// Announcements of the engine may still arrive, but its process no longer exists.
-		o.backoffice.Leave(o.backoffice.options.Now(), upstreamapi.Leave{Name: e.Name, Incarnation: e.incarnation})
+		o.instance.Leave(o.instance.options.Now(), upstreamapi.Leave{Name: e.Name, Incarnation: e.incarnation})
 	}
-	o.backoffice.options.Metrics.SubScope("backoffice").Tagged(map[string]string{"answer": answer.String()}).Counter("orders").Inc(1)
+	o.instance.options.Metrics.SubScope("backoffice").Tagged(map[string]string{"answer": answer.String()}).Counter("orders").Inc(1)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	defer e.notifyWaiters()
@@ -365,9 +365,9 @@
 		e.markStale()
 	default:
 		e.orderAnswered()
-		e.applyOrder(o.backoffice.options.Now(), order)
+		e.applyOrder(o.instance.options.Now(), order)
 		if order.Kind == Unload && order.Adapter != "" && answer == Accepted {
-			e.adapterLoadsBlockedUntil = o.backoffice.options.Now().Add(adapterUnloadTime)
+			e.adapterLoadsBlockedUntil = o.instance.options.Now().Add(adapterUnloadTime)
 		}
 	}
 	o.markChanged()
@@ -379,7 +379,7 @@
 	if order.Kind == Unload {
 		kind = "unload"
 	}
-	o.backoffice.options.Log.Info().Err(err).Str("engine", e.Name).Str("order", kind).Str("model", order.Model).
+	o.instance.options.Log.Info().Err(err).Str("engine", e.Name).Str("order", kind).Str("model", order.Model).
 		Str("adapter", order.Adapter).Uint64("expected", order.ExpectedSequence).Uint64("fence", order.FencingToken).
 		Bool("right", allowed).Stringer("answer", answer).Msg("order to an engine")
 }
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -28,7 +28,7 @@
 // a core. Its heartbeats are then late and it is replaced again. With the relay, the
 // number of callers of the leader does not depend on the number of entry instances.
 type relay struct {
-	backoffice *Instance
+	instance *Instance
 
 	mu sync.Mutex
 	// demand holds the reports since the last call to the leader, by entry instance.
@@ -92,8 +92,8 @@
 // fails: entry instances report lasting demand again, and a new leader must not receive
 // all the demand that accumulated without a leader at once.
 func (r *relay) gather(ctx context.Context) {
-	now := r.backoffice.options.Now()
-	leader, _ := r.backoffice.voter.Leader()
+	now := r.instance.options.Now()
+	leader, _ := r.instance.voter.Leader()
 	r.mu.Lock()
 	args := courier.GatherArgs{
 		Told: r.demand, Limited: slices.Collect(maps.Values(r.limited)), Holdings: r.revision,
@@ -102,17 +102,17 @@
 	clear(r.limited)
 	idle := now.Sub(r.lastSyncAt) >= relayIdleTimeout
 	r.mu.Unlock()
-	if idle || leader == "" || leader == r.backoffice.voter.Identity() {
+	if idle || leader == "" || leader == r.instance.voter.Identity() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := r.backoffice.callPool.ReportDemand(ctx, leader.Instance(), args)
+	reply, err := r.instance.callPool.ReportDemand(ctx, leader.Instance(), args)
 	if err != nil {
-		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching the engine states from the leader failed")
+		r.instance.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching the engine states from the leader failed")
 		return
 	}
-	r.setEngineStates(r.backoffice.options.Now(), reply)
+	r.setEngineStates(r.instance.options.Now(), reply)
 }
 
 // setEngineStates stores the leader's reply if it has newer engine states.
--- a/internal/backoffice/want.go
+++ b/internal/backoffice/want.go
@@ -54,7 +54,7 @@
 // load if none does. If the outcome is open, it returns a channel to wait on before the
 // next attempt.
 func (o *orchestrator) ensureAdapter(ctx context.Context, args courier.WantArgs) (courier.WantReply, <-chan struct{}) {
-	now := o.backoffice.options.Now()
+	now := o.instance.options.Now()
 	o.mu.Lock()
 	if o.term == 0 {
 		o.mu.Unlock()
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -193,7 +193,7 @@
 	d.wakeReporter()
 }
 
-// wakeReporter signals the reporter if there is something to report. c.mu must be held.
+// wakeReporter signals the reporter if there is something to report. d.mu must be held.
 func (d *CrashDetector) wakeReporter() {
 	if !d.watch.IsPending() {
 		return
--- a/internal/counter/acquire.go
+++ b/internal/counter/acquire.go
@@ -11,7 +11,7 @@
 // acquireUpstream waits for a grant to send the request. If none is issued in time, it answers the
 // caller and returns false.
 func (t *transaction) acquireUpstream(ctx context.Context, w http.ResponseWriter) (grant, bool) {
-	now := t.counter.options.Now()
+	now := t.proxy.options.Now()
 	waitCtx, cancel := context.WithTimeout(ctx, t.arrived.Add(t.maxWait()).Sub(now))
 	defer cancel()
 	granted, err := t.acquireFromOwner(waitCtx)
@@ -24,9 +24,9 @@
 		t.prefillAhead = granted.prefillAhead
 		return granted, true
 	case errors.As(err, &rejected) && t.possibleRuns == 0:
-		t.counter.refuse(w, t.call, t.route, refusal{
+		t.proxy.refuse(w, t.call, t.route, refusal{
 			status: http.StatusServiceUnavailable, text: rejected.Error(), retryAfter: rejected.retryAfter,
-			forecastWait: rejected.forecastWait, waited: t.counter.options.Now().Sub(t.arrived), survey: &rejected.survey,
+			forecastWait: rejected.forecastWait, waited: t.proxy.options.Now().Sub(t.arrived), survey: &rejected.survey,
 			owner: t.owner,
 		})
 	default:
@@ -37,7 +37,7 @@
 
 // acquireLocally waits for a grant of this instance.
 func (t *transaction) acquireLocally(ctx context.Context) (grant, error) {
-	p := t.counter
+	p := t.proxy
 	local := localRequest{grants: make(chan grant, 1)}
 	w := &waiter{requirements: t.requirements, requester: local}
 	if rejected := p.enqueueLocal(w, local); rejected != nil {
@@ -76,7 +76,7 @@
 
 // refuseNoUpstream answers a request for which no upstream was available in time.
 func (t *transaction) refuseNoUpstream(w http.ResponseWriter) {
-	p := t.counter
+	p := t.proxy
 	if t.possibleRuns > 0 {
 		p.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "no upstream is left to try"})
 		return
@@ -102,7 +102,7 @@
 
 // retryAfterNow returns the Retry-After time of a request that is refused now.
 func (t *transaction) retryAfterNow() time.Duration {
-	p := t.counter
+	p := t.proxy
 	now := p.options.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/counter/attempt.go
+++ b/internal/counter/attempt.go
@@ -14,7 +14,7 @@
 
 // attempt sends the request to the granted upstream, and reports whether the caller was answered.
 func (t *transaction) attempt(ctx context.Context, w http.ResponseWriter, granted grant) bool {
-	p := t.counter
+	p := t.proxy
 	a := &upstreamAttempt{grant: granted}
 	defer p.finishAttempt(t, a)
 	if p.crashes.IsQuarantined(t.digest) {
@@ -48,7 +48,7 @@
 
 // handleNotRun handles an upstream that did not run the request.
 func (t *transaction) handleNotRun(w http.ResponseWriter, a *upstreamAttempt, response *http.Response, class ResponseClass) bool {
-	p := t.counter
+	p := t.proxy
 	now := p.options.Now()
 	a.outcome = permit.Full
 	if class == Misdirected && t.model != "" {
@@ -78,7 +78,7 @@
 
 // handleFailure handles an attempt without a complete response.
 func (t *transaction) handleFailure(ctx context.Context, w http.ResponseWriter, a *upstreamAttempt, cause error) bool {
-	p := t.counter
+	p := t.proxy
 	now := p.options.Now()
 	if t.request.Context().Err() != nil {
 		t.reportCallerLeft(a)
@@ -126,7 +126,7 @@
 	if t.possibleRuns >= t.route.MaxAttempts {
 		return retry.AttemptsSpent
 	}
-	return t.counter.budgets.Get(now, t.service).Decide(now, retry.Attempt{
+	return t.proxy.budgets.Get(now, t.service).Decide(now, retry.Attempt{
 		Number: t.sends, Outcome: run, Idempotent: t.route.Repeatable(), Deadline: t.deadline,
 	})
 }
--- a/internal/counter/claims.go
+++ b/internal/counter/claims.go
@@ -16,7 +16,7 @@
 
 // limitOwner returns the other instance that paces the requests to an upstream. It returns false if
 // this instance does. An owner that does not answer is not replaced, because two pacing instances
-// would allow twice the limit. c.mu is held.
+// would allow twice the limit. p.mu is held.
 func (p *Proxy) limitOwner(u *upstream) (netip.AddrPort, bool) {
 	if p.peers.conn == nil {
 		return netip.AddrPort{}, false
@@ -91,7 +91,7 @@
 	expires time.Time
 }
 
-// handleClaim decides a peer's claim, or repeats the earlier answer. c.mu is held.
+// handleClaim decides a peer's claim, or repeats the earlier answer. p.mu is held.
 func (p *Proxy) handleClaim(now time.Time, from netip.AddrPort, m permit.SendRequest) {
 	requester := peerRequest{from, m.ID}
 	stored, found := p.claimAnswers[requester]
@@ -118,7 +118,7 @@
 	return permit.SendAllowed{ID: m.ID}
 }
 
-// expireClaims removes the stored answers that have expired. c.mu is held.
+// expireClaims removes the stored answers that have expired. p.mu is held.
 func (p *Proxy) expireClaims(now time.Time) {
 	for requester, stored := range p.claimAnswers {
 		if now.After(stored.expires) {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -335,7 +335,7 @@
 type testProxy struct {
 	upstreams []*upstream
 	control   *fakeControl
-	counter   *counter.Proxy
+	proxy     *counter.Proxy
 	server    *httptest.Server
 	// clockOffset is the offset of the instance's clock in nanoseconds.
 	clockOffset atomic.Int64
@@ -350,21 +350,21 @@
 	for i, u := range upstreams {
 		p.control.announce(fmt.Sprint("u", i), u.address())
 	}
-	p.counter = counter.New(counter.Options{
+	p.proxy = counter.New(counter.Options{
 		Name: "127.0.0.1:1", CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{p.control.address},
 		Dial: courier.DialTCP, UpstreamLease: time.Minute,
 		Retries:     counter.RetryLimits{Ratio: 0.1, Burst: 20, Window: 10 * time.Second},
 		ParseRoutes: parseRoutes, Dialect: dialect{}, Now: p.now, Log: zerolog.Nop(),
 	})
 	p.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.counter.ServeRequest(w, r, counter.Call{ID: r.Header.Get(idHeader), Timeout: 5 * time.Second})
+		p.proxy.ServeRequest(w, r, counter.Call{ID: r.Header.Get(idHeader), Timeout: 5 * time.Second})
 	}))
 	DeferCleanup(func() {
 		p.server.CloseClientConnections()
 		p.server.Close()
-		p.counter.Close()
+		p.proxy.Close()
 	})
-	Eventually(p.counter.Ready, specTimeout).Should(BeTrue())
+	Eventually(p.proxy.Ready, specTimeout).Should(BeTrue())
 	return p
 }
 
@@ -560,7 +560,7 @@
 		p.control.mu.Lock()
 		p.control.leaderless = true
 		p.control.mu.Unlock()
-		p.counter.SetSeeds([]string{other.address})
+		p.proxy.SetSeeds([]string{other.address})
 		Eventually(ctx, func() int {
 			other.mu.Lock()
 			defer other.mu.Unlock()
@@ -570,8 +570,8 @@
 
 	It("reports draining as soon as a planned shutdown begins, and continues to serve", func(ctx SpecContext) {
 		p := newTestProxy(newFakeUpstream(succeed))
-		p.counter.Drain()
-		Expect(p.counter.Ready()).To(BeFalse())
+		p.proxy.Drain()
+		Expect(p.proxy.Ready()).To(BeFalse())
 		Eventually(ctx, func() bool {
 			p.control.mu.Lock()
 			defer p.control.mu.Unlock()
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -60,15 +60,15 @@
 func (t *transaction) reportBroken(a *upstreamAttempt, cause error) {
 	place := a.upstream.place()
 	if a.mayHaveSent.Load() {
-		t.counter.crashes.Interrupted(place, t.suspect(a))
+		t.proxy.crashes.Interrupted(place, t.suspect(a))
 	}
-	t.counter.crashes.ConnectionFailed(place, cause)
+	t.proxy.crashes.ConnectionFailed(place, cause)
 }
 
 // reportCallerLeft reports that the caller disconnected while its request was at an upstream.
 func (t *transaction) reportCallerLeft(a *upstreamAttempt) {
 	if a.mayHaveSent.Load() {
-		t.counter.crashes.Abandoned(a.upstream.place(), t.suspect(a))
+		t.proxy.crashes.Abandoned(a.upstream.place(), t.suspect(a))
 	}
 }
 
@@ -100,5 +100,5 @@
 	if t.possibleRuns > 0 {
 		r.status, r.outcome = http.StatusBadGateway, outcome.Unknown
 	}
-	t.counter.refuse(w, t.call, t.route, r)
+	t.proxy.refuse(w, t.call, t.route, r)
 }
--- a/internal/counter/estimators.go
+++ b/internal/counter/estimators.go
@@ -7,7 +7,7 @@
 	"github.com/lovagelift/lovagelift/internal/speed"
 )
 
-// speedOf returns the speed estimate of a service's engines. c.mu is held.
+// speedOf returns the speed estimate of a service's engines. p.mu is held.
 func (p *Proxy) speedOf(service *routes.Service) *speed.Estimator {
 	known := p.estimators[service.Name]
 	if known == nil {
@@ -17,7 +17,7 @@
 	return known
 }
 
-// estimateCost sets the pacing and the expected engine time of a request. c.mu is held.
+// estimateCost sets the pacing and the expected engine time of a request. p.mu is held.
 func (p *Proxy) estimateCost(req *requirements) {
 	engineSpeed := p.speedByName(req.service)
 	req.pacing = pacingFor(req.maxGap, engineSpeed)
@@ -60,7 +60,7 @@
 	}
 }
 
-// recordSpeed updates the speed estimate of a service with a measurement. c.mu is held.
+// recordSpeed updates the speed estimate of a service with a measurement. p.mu is held.
 func (p *Proxy) recordSpeed(req *requirements, s speedSample) {
 	engineSpeed := p.estimators[req.service]
 	if engineSpeed == nil || s.serviceTime <= 0 {
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -118,8 +118,8 @@
 
 // Queue gives specs access to the request queue of an instance without a network.
 type Queue struct {
-	counter *Proxy
-	pool    UpstreamPool
+	proxy *Proxy
+	pool  UpstreamPool
 }
 
 // NewQueue returns the queue of one of several instances.
@@ -131,7 +131,7 @@
 	p.queue = newQueue()
 	p.queue.timerSet = true
 	p.control.entryInstances = instances
-	return Queue{counter: p, pool: pool}
+	return Queue{proxy: p, pool: pool}
 }
 
 // Enqueue adds a request for a model that arrived at a given time.
@@ -145,22 +145,22 @@
 			target: target{service: "pool", model: model}, arrived: arrived, deadline: arrived.Add(10 * time.Second),
 			objective: objective, pacing: pacingFor(q.pool.maxGap, speed.New(3)), prefillTime: prefillTime(1000),
 		},
-		requester: localRequest{grants: make(chan grant, 1)}, placingInstances: q.counter.control.entryInstances,
+		requester: localRequest{grants: make(chan grant, 1)}, placingInstances: q.proxy.control.entryInstances,
 	}
 }
 
 func (q Queue) enqueue(now time.Time, w *waiter) *waiter {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.enqueue(now, w)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.enqueue(now, w)
 	return w
 }
 
 // Dispatch dispatches the queue.
 func (q Queue) Dispatch(now time.Time) {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.dispatch(now)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.dispatch(now)
 }
 
 // Rejects reports whether a request that was just enqueued is rejected.
@@ -168,16 +168,16 @@
 	if Granted(w) {
 		return false
 	}
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	return q.counter.rejectionFor(now, w) != nil
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	return q.proxy.rejectionFor(now, w) != nil
 }
 
 // Dequeue removes a request from the queue.
 func (q Queue) Dequeue(w *waiter) {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.dequeue(w)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.dequeue(w)
 }
 
 // Granted reports whether a request was granted an upstream.
@@ -187,8 +187,8 @@
 
 // Instance gives specs access to an instance that owns models, without a network.
 type Instance struct {
-	counter *Proxy
-	conn    *recordingConn
+	proxy *Proxy
+	conn  *recordingConn
 }
 
 // SentMessage is a message that an instance has sent.
@@ -215,37 +215,37 @@
 // NewInstance returns the instance at self, one of all instances.
 func NewInstance(pool UpstreamPool, self netip.AddrPort, all []netip.AddrPort) Instance {
 	conn := &recordingConn{}
-	p := NewQueue(pool, len(all)).counter
+	p := NewQueue(pool, len(all)).proxy
 	p.peers = &peerLink{conn: conn}
 	p.owners = newOwnerTable(self)
 	p.owners.assignment = permit.NewOwners(all)
 	p.permits = map[peerRequest]*permitRecord{}
 	p.pendingReplies = map[permit.ID]*pendingReply{}
-	return Instance{counter: p, conn: conn}
+	return Instance{proxy: p, conn: conn}
 }
 
 // Receive handles a message and returns the messages sent in response.
 func (i Instance) Receive(now time.Time, from netip.AddrPort, message permit.Message) []SentMessage {
-	i.counter.receive(now, from, message)
+	i.proxy.receive(now, from, message)
 	return i.takeSent()
 }
 
 // Dispatch dispatches the queue and returns the messages sent.
 func (i Instance) Dispatch(now time.Time) []SentMessage {
-	i.counter.mu.Lock()
-	i.counter.dispatch(now)
-	i.counter.mu.Unlock()
+	i.proxy.mu.Lock()
+	i.proxy.dispatch(now)
+	i.proxy.mu.Unlock()
 	return i.takeSent()
 }
 
 // ExpirePermits removes permits whose time has run out.
 func (i Instance) ExpirePermits(now time.Time) {
-	i.counter.expirePermits(now)
+	i.proxy.expirePermits(now)
 }
 
 // Drain begins a planned shutdown.
 func (i Instance) Drain() {
-	i.counter.draining = true
+	i.proxy.draining = true
 }
 
 // Permits returns the number of peers' requests that the instance places.
@@ -376,6 +376,6 @@
 
 // AllowByLimit reports whether the rate limit of an upstream allows a request.
 func (i Instance) AllowByLimit(name string) bool {
-	_, ok := i.counter.allowByLimit(context.Background(), i.counter.pool.byName[name])
+	_, ok := i.proxy.allowByLimit(context.Background(), i.proxy.pool.byName[name])
 	return ok
 }
--- a/internal/counter/forecast.go
+++ b/internal/counter/forecast.go
@@ -64,7 +64,7 @@
 }
 
 // rejectionFor decides whether a request that was just enqueued is rejected. It returns nil if the
-// request may wait. c.mu is held.
+// request may wait. p.mu is held.
 func (p *Proxy) rejectionFor(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
 	if rejected := p.rejectRateLimited(now, w); rejected != nil {
@@ -84,7 +84,7 @@
 }
 
 // rejectOrWait removes a request that was just enqueued from the queue if it is rejected, and
-// returns the reason. It returns nil if the request may wait. c.mu is held.
+// returns the reason. It returns nil if the request may wait. p.mu is held.
 func (p *Proxy) rejectOrWait(now time.Time, w *waiter) *rejection {
 	rejected := p.rejectionFor(now, w)
 	if rejected == nil {
@@ -125,7 +125,7 @@
 }
 
 // capacity returns how many requests per second the engines that have loaded the requested model
-// and adapter could run for this instance, assuming an equal share for each placing instance. c.mu
+// and adapter could run for this instance, assuming an equal share for each placing instance. p.mu
 // is held.
 func (p *Proxy) capacity(now time.Time, w *waiter) float64 {
 	req := &w.requirements
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// broadcastLimit sends the limit stated in a response to all other instances. c.mu is held.
+// broadcastLimit sends the limit stated in a response to all other instances. p.mu is held.
 func (p *Proxy) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Observation) {
 	message := permit.LimitReport{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
 	if named, ok := stated.(ratelimit.NamedLimit); ok {
@@ -124,7 +124,7 @@
 	}
 }
 
-// receiveLimit applies a limit stated in a response to another instance. c.mu is held.
+// receiveLimit applies a limit stated in a response to another instance. p.mu is held.
 func (p *Proxy) receiveLimit(now time.Time, m permit.LimitReport) {
 	u := p.pool.byName[m.Upstream]
 	if u == nil || u.incarnation != m.Incarnation {
@@ -150,7 +150,7 @@
 // handleRateLimit pauses an upstream whose rate limit allows no request for a while. It reports
 // whether the caller was answered, which happens once the request has met too many rate limits.
 func (t *transaction) handleRateLimit(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
-	p := t.counter
+	p := t.proxy
 	now := p.options.Now()
 	a.outcome = permit.RateLimited
 	p.mu.Lock()
@@ -203,7 +203,7 @@
 }
 
 // rejectRateLimited rejects a request that cannot be sent in time because of rate limits. It
-// returns nil if the request may wait. c.mu is held.
+// returns nil if the request may wait. p.mu is held.
 func (p *Proxy) rejectRateLimited(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
 	wait, perSecond, limited := p.pool.limitedFor(now, req.query())
@@ -232,8 +232,8 @@
 	return limited
 }
 
-// updateLimitGauges sets the number of rate-limited upstreams of each service. c.mu is held.
-func (p *Proxy) updateLimitGauges() {
+// updateLimitMetrics sets the number of rate-limited upstreams of each service. p.mu is held.
+func (p *Proxy) updateLimitMetrics() {
 	counts := map[string]int{}
 	for _, upstream := range p.pool.limitedUpstreams() {
 		counts[p.pool.byName[upstream.Name].service]++
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -105,8 +105,8 @@
 	}
 	waitUntilKnown := func(upstreams int) {
 		for _, p := range peers {
-			Eventually(p.counter.Instances, specTimeout).Should(Equal(len(peers)))
-			Eventually(p.counter.Upstreams, specTimeout).Should(Equal(upstreams))
+			Eventually(p.proxy.Instances, specTimeout).Should(Equal(len(peers)))
+			Eventually(p.proxy.Upstreams, specTimeout).Should(Equal(upstreams))
 		}
 	}
 	// startWithLimit starts instances and an upstream that states a rate limit.
@@ -128,7 +128,7 @@
 			request.Header.Set(idHeader, "r1")
 			recorder := httptest.NewRecorder()
 			call := counter.Call{ID: "r1", Timeout: 400 * time.Millisecond, Model: model}
-			peers[i%len(peers)].counter.ServeRequest(recorder, request, call)
+			peers[i%len(peers)].proxy.ServeRequest(recorder, request, call)
 			statuses[recorder.Code]++
 			if recorder.Code == http.StatusServiceUnavailable {
 				Expect(recorder.Header().Get("Retry-After")).NotTo(BeEmpty())
@@ -162,13 +162,13 @@
 		u := startWithLimit(3, "1.1")
 		Expect(send(1, "/short/", "")).To(HaveKey(http.StatusOK))
 		for _, p := range peers {
-			Eventually(p.counter.LimitOf("u"), specTimeout).Should(Equal("1.1"))
+			Eventually(p.proxy.LimitOf("u"), specTimeout).Should(Equal("1.1"))
 		}
 		u.setLimit("")
 		clock.advance(5 * time.Second)
 		send(40, "/short/", "")
 		for _, p := range peers {
-			Eventually(p.counter.LimitOf("u"), specTimeout).Should(Equal("none"))
+			Eventually(p.proxy.LimitOf("u"), specTimeout).Should(Equal("none"))
 		}
 		Expect(send(30, "/short/", "")).To(Equal(map[int]int{http.StatusOK: 30}))
 	})
@@ -195,9 +195,9 @@
 	It("is not limited by what the process before it named", func() {
 		u := startWithLimit(1, "0.3")
 		send(1, "/short/", "")
-		Expect(peers[0].counter.LimitOf("u")()).To(Equal("0.3"))
+		Expect(peers[0].proxy.LimitOf("u")()).To(Equal("0.3"))
 		c.announceRestart("u", u.address())
-		Eventually(peers[0].counter.LimitOf("u"), specTimeout).Should(Equal("none"))
+		Eventually(peers[0].proxy.LimitOf("u"), specTimeout).Should(Equal("none"))
 	})
 
 	// The owner of the limit is frozen or gone, but still listed.
@@ -211,8 +211,8 @@
 		u := newLimitedUpstream(clock)
 		c.announce(name, u.address(), "m")
 		for _, p := range peers {
-			Eventually(p.counter.Instances, specTimeout).Should(Equal(3))
-			Eventually(p.counter.Upstreams, specTimeout).Should(Equal(1))
+			Eventually(p.proxy.Instances, specTimeout).Should(Equal(3))
+			Eventually(p.proxy.Upstreams, specTimeout).Should(Equal(1))
 		}
 		u.setLimit("1.1")
 		send(20, "/short/", "")
--- a/internal/counter/loads.go
+++ b/internal/counter/loads.go
@@ -102,7 +102,7 @@
 }
 
 // requestLoad calls the leader to load the model or adapter that a waiting request is missing, if
-// that is what it needs. Requests with the same target share one call. c.mu is held.
+// that is what it needs. Requests with the same target share one call. p.mu is held.
 func (p *Proxy) requestLoad(w *waiter) {
 	if w.requirements.model == "" || w.missing != missingAdapter && w.missing != missingModel {
 		return
@@ -154,7 +154,7 @@
 	}
 }
 
-// isStillWanted reports whether a waiting request needs the load. c.mu is held.
+// isStillWanted reports whether a waiting request needs the load. p.mu is held.
 func (p *Proxy) isStillWanted(args courier.WantArgs) bool {
 	for _, w := range p.queue.waiters {
 		needsLoad := w.missing == missingModel || w.missing == missingAdapter
--- a/internal/counter/loads_test.go
+++ b/internal/counter/loads_test.go
@@ -24,14 +24,14 @@
 		p := newTestProxy()
 		p.control.setEntryCount(instances)
 		p.control.announce("u", "127.0.0.1:9", "m")
-		Eventually(func() int { return p.counter.Instances() }, specTimeout).Should(Equal(instances))
+		Eventually(func() int { return p.proxy.Instances() }, specTimeout).Should(Equal(instances))
 		began := time.Now()
 		var callers sync.WaitGroup
 		for i := range adapters {
 			callers.Go(func() {
 				request := httptest.NewRequest(http.MethodPost, "http://spec.test/write/", nil)
 				call := counter.Call{ID: fmt.Sprint(i), Timeout: 5 * time.Second, Model: "m", Adapter: fmt.Sprint("a", i)}
-				p.counter.ServeRequest(httptest.NewRecorder(), request, call)
+				p.proxy.ServeRequest(httptest.NewRecorder(), request, call)
 			})
 		}
 		callers.Wait()
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -127,8 +127,8 @@
 	return counter
 }
 
-// updateGauges sets the gauges of the instance's state.
-func (p *Proxy) updateGauges(now time.Time) {
+// updateMetrics sets the gauges of the instance's state.
+func (p *Proxy) updateMetrics(now time.Time) {
 	scope := p.metrics.scope
 	scope.Gauge("open").Update(float64(p.active))
 	scope.Gauge("waiting").Update(float64(len(p.queue.waiters)))
@@ -137,7 +137,7 @@
 	scope.Gauge("quarantined").Update(float64(quarantined))
 	scope.Gauge("suspected").Update(float64(suspected))
 	scope.Gauge("upstreams").Update(float64(len(p.pool.byName)))
-	p.updateLimitGauges()
+	p.updateLimitMetrics()
 	scope.Gauge("news_age_seconds").Update(now.Sub(p.control.lastSyncSent).Seconds())
 	if table := p.routes.Load(); table != nil {
 		scope.Gauge("routes_version").Update(float64(table.Version))
--- a/internal/counter/ownerclient.go
+++ b/internal/counter/ownerclient.go
@@ -43,7 +43,7 @@
 // acquireFromOwner waits for a grant from the owner of the model. It returns errDecideLocally if
 // there is no owner to ask.
 func (t *transaction) acquireFromOwner(ctx context.Context) (grant, error) {
-	p := t.counter
+	p := t.proxy
 	for range maxOwnersAsked {
 		now := p.options.Now()
 		p.mu.Lock()
@@ -85,7 +85,7 @@
 // requestPermit asks an owner for a permit, repeatedly until it decides. The answer is nil if none
 // arrives in time.
 func (t *transaction) requestPermit(ctx context.Context, owner netip.AddrPort) (permit.ID, permit.Message, error) {
-	p := t.counter
+	p := t.proxy
 	id, pending := p.startPermitRequest(t, owner)
 	defer p.finishPermitRequest(t, id)
 	if !p.peers.send(owner, t.askMessage(id)) {
@@ -137,7 +137,7 @@
 
 // askMessage returns the permit request to send now.
 func (t *transaction) askMessage(id permit.ID) permit.Request {
-	now := t.counter.options.Now()
+	now := t.proxy.options.Now()
 	return permit.Request{
 		ID: id, Service: t.service, Model: t.model, Adapter: t.adapter,
 		PromptTokens: t.promptTokens, AnswerTokens: t.outputTokens, Priority: t.priority,
@@ -153,7 +153,7 @@
 	return p.expectReply(owner)
 }
 
-// expectReply registers a message to another instance that expects a reply. c.mu is held.
+// expectReply registers a message to another instance that expects a reply. p.mu is held.
 func (p *Proxy) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
 	p.lastMessageID++
 	pending := &pendingReply{owner: owner, answers: make(chan permit.Message, ownerAttempts+1)}
@@ -200,7 +200,7 @@
 	return grant{upstream: u, prefillAhead: m.PrefillBacklog, owner: owner, id: m.ID}, nil
 }
 
-// deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
+// deliverAnswer passes an owner's answer to the request that waits for it. p.mu is held.
 func (p *Proxy) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
 	pending := p.pendingReplies[id]
 	if pending != nil && pending.owner == from {
--- a/internal/counter/owners.go
+++ b/internal/counter/owners.go
@@ -95,7 +95,7 @@
 }
 
 // remoteOwner returns the other instance that places a request. It returns false if this instance
-// does. c.mu is held.
+// does. p.mu is held.
 func (p *Proxy) remoteOwner(now time.Time, req *requirements) (netip.AddrPort, bool) {
 	if req.model == "" || p.peers.conn == nil {
 		return netip.AddrPort{}, false
@@ -105,7 +105,7 @@
 }
 
 // placingInstances returns how many instances place requests for the model of a request that is
-// placed here: one if this instance owns the model, otherwise all of them. c.mu is held.
+// placed here: one if this instance owns the model, otherwise all of them. p.mu is held.
 func (p *Proxy) placingInstances(now time.Time, req *requirements) int {
 	if owner, known := p.owners.ownerOf(now, req.service, req.model); known && owner == p.owners.self {
 		return 1
@@ -115,7 +115,7 @@
 
 // notifyUse notifies the owners of the engine's other models of a request that is sent there. The
 // engine's reports arrive half a second later, and until then the owners would send to an engine
-// that only appears idle. c.mu is held.
+// that only appears idle. p.mu is held.
 func (p *Proxy) notifyUse(now time.Time, u *upstream, req *requirements) {
 	if req.model == "" {
 		return
--- a/internal/counter/permits.go
+++ b/internal/counter/permits.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// handleAsk decides a peer's permit request, or repeats the earlier decision. c.mu is held.
+// handleAsk decides a peer's permit request, or repeats the earlier decision. p.mu is held.
 func (p *Proxy) handleAsk(now time.Time, from netip.AddrPort, m permit.Request) {
 	requester := peerRequest{from, m.ID}
 	if record := p.permits[requester]; record != nil {
@@ -105,7 +105,7 @@
 	return req
 }
 
-// issuePermit grants an upstream to a peer's request. c.mu is held.
+// issuePermit grants an upstream to a peer's request. p.mu is held.
 func (p *Proxy) issuePermit(now time.Time, requester peerRequest, granted grant) {
 	record := p.permits[requester]
 	record.grant = granted
@@ -127,7 +127,7 @@
 	})
 }
 
-// handleEnded processes the outcome of a peer's request. c.mu is held.
+// handleEnded processes the outcome of a peer's request. p.mu is held.
 func (p *Proxy) handleEnded(now time.Time, requester peerRequest, m permit.Release) {
 	record := p.permits[requester]
 	if record == nil {
--- a/internal/counter/permits_test.go
+++ b/internal/counter/permits_test.go
@@ -186,7 +186,7 @@
 // peer is an entry instance on loopback that exchanges messages with others.
 type peer struct {
 	address netip.AddrPort
-	counter *counter.Proxy
+	proxy   *counter.Proxy
 }
 
 func listenPeer() net.PacketConn {
@@ -208,13 +208,13 @@
 	GinkgoHelper()
 	conn := listenPeer()
 	p := peer{address: conn.LocalAddr().(*net.UDPAddr).AddrPort()}
-	p.counter = counter.New(counter.Options{
+	p.proxy = counter.New(counter.Options{
 		Name: p.address.String(), CallerAddress: "127.0.0.1:2", FailureDomain: "here", Seeds: []string{c.address},
 		Dial: courier.DialTCP, UpstreamLease: time.Minute, PeerConn: conn,
 		Retries:     counter.RetryLimits{Ratio: 0.1, Burst: 20, Window: 10 * time.Second},
 		ParseRoutes: parseRoutes, Dialect: dialect{}, Now: now, Log: zerolog.Nop(),
 	})
-	DeferCleanup(p.counter.Close)
+	DeferCleanup(p.proxy.Close)
 	return p
 }
 
@@ -223,7 +223,7 @@
 	request := httptest.NewRequest(http.MethodPost, "http://spec.test/write/", nil)
 	request.Header.Set(idHeader, "r1")
 	recorder := httptest.NewRecorder()
-	p.counter.ServeRequest(recorder, request, counter.Call{ID: "r1", Timeout: 5 * time.Second, Model: model})
+	p.proxy.ServeRequest(recorder, request, counter.Call{ID: "r1", Timeout: 5 * time.Second, Model: model})
 	return recorder.Code
 }
 
@@ -233,15 +233,15 @@
 		first, second := startPeer(c), startPeer(c)
 		model := modelOwnedBy("desk", second.address, first.address, second.address)
 		u := newFakeUpstream(func(w http.ResponseWriter, r *http.Request) {
-			Expect(second.counter.Permits()).To(Equal(1))
+			Expect(second.proxy.Permits()).To(Equal(1))
 			succeed(w, r)
 		})
 		c.announce("u", u.address(), model)
 		c.addExactEntries(first.address, second.address)
-		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
-		Eventually(second.counter.Upstreams, specTimeout).Should(Equal(1))
+		Eventually(first.proxy.Instances, specTimeout).Should(Equal(2))
+		Eventually(second.proxy.Upstreams, specTimeout).Should(Equal(1))
 		Expect(first.serve(model)).To(Equal(http.StatusOK))
-		Eventually(second.counter.Permits, specTimeout).Should(BeZero())
+		Eventually(second.proxy.Permits, specTimeout).Should(BeZero())
 	})
 
 	// The owner is cut off from the control instances and does not learn that an engine is leaving.
@@ -258,8 +258,8 @@
 		c.announce("staying", staying.address(), model)
 		c.announceLeave("leaving")
 		c.addExactEntries(first.address, owner)
-		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
-		Eventually(first.counter.Upstreams, specTimeout).Should(Equal(2))
+		Eventually(first.proxy.Instances, specTimeout).Should(Equal(2))
+		Eventually(first.proxy.Upstreams, specTimeout).Should(Equal(2))
 		ended := make(chan permit.Release, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -298,8 +298,8 @@
 		u := newFakeUpstream(succeed)
 		c.announce("u", u.address(), model)
 		c.addExactEntries(first.address, silentOwner)
-		Eventually(first.counter.Instances, specTimeout).Should(Equal(2))
-		Eventually(first.counter.Upstreams, specTimeout).Should(Equal(1))
+		Eventually(first.proxy.Instances, specTimeout).Should(Equal(2))
+		Eventually(first.proxy.Upstreams, specTimeout).Should(Equal(1))
 		began := time.Now()
 		Expect(first.serve(model)).To(Equal(http.StatusOK))
 		Expect(first.serve(model)).To(Equal(http.StatusOK))
--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -33,7 +33,7 @@
 	return time.Duration(denyProofShare * float64(o.MaxRouteUpdateDelay))
 }
 
-// recordProof records up to which time the routes in force here are confirmed. c.mu is held.
+// recordProof records up to which time the routes in force here are confirmed. p.mu is held.
 func (p *Proxy) recordProof(now, askedAt time.Time, address string, version uint64, reading edition.Reading) {
 	l := &p.control
 	if age, ok := l.proof.Age(now); ok {
--- a/internal/counter/queue.go
+++ b/internal/counter/queue.go
@@ -84,7 +84,7 @@
 // small steps.
 const dispatchInterval = 4 * time.Millisecond
 
-// enqueue adds a request and dispatches the queue. c.mu is held.
+// enqueue adds a request and dispatches the queue. p.mu is held.
 func (p *Proxy) enqueue(now time.Time, w *waiter) {
 	p.queue.waiters = append(p.queue.waiters, w)
 	if w.requirements.model != "" {
@@ -94,13 +94,13 @@
 	p.dispatch(now)
 }
 
-// dequeue removes a request from the queue. c.mu is held.
+// dequeue removes a request from the queue. p.mu is held.
 func (p *Proxy) dequeue(w *waiter) {
 	p.queue.waiters = slices.DeleteFunc(p.queue.waiters, func(other *waiter) bool { return other == w })
 	p.updateWaiting(w, false)
 }
 
-// updateWaiting updates the demand when a local request starts or stops waiting for an engine. c.mu
+// updateWaiting updates the demand when a local request starts or stops waiting for an engine. p.mu
 // is held.
 func (p *Proxy) updateWaiting(w *waiter, waiting bool) {
 	if _, local := w.requester.(localRequest); !local || w.countedWaiting == waiting {
@@ -114,7 +114,7 @@
 	p.addWaiting(&w.requirements, change)
 }
 
-// addWaiting adds change to the number of requests that wait for the target of req. c.mu is held.
+// addWaiting adds change to the number of requests that wait for the target of req. p.mu is held.
 func (p *Proxy) addWaiting(req *requirements, change int) {
 	if req.model != "" {
 		p.demand.addWaiting(req.target, change)
@@ -127,7 +127,7 @@
 	pacing pacing
 }
 
-// dispatch grants upstreams to waiting requests in order of priority. c.mu is held.
+// dispatch grants upstreams to waiting requests in order of priority. p.mu is held.
 //
 // Boosted requests come first, then requests that can still meet their objective, the more urgent
 // ones first. Late requests get the remaining capacity: their response is still of use to the
@@ -173,7 +173,7 @@
 	p.setTimer()
 }
 
-// issueGrant grants chosen to a waiting request. c.mu is held.
+// issueGrant grants chosen to a waiting request. p.mu is held.
 func (p *Proxy) issueGrant(now time.Time, w *waiter, chosen *upstream) {
 	granted := grant{upstream: chosen, prefillAhead: chosen.backlog.remaining(now)}
 	chosen.recordSend(now, w.requirements.prefillTime, w.requirements.pacing)
@@ -209,7 +209,7 @@
 	p.queue.timer.Reset(dispatchInterval)
 }
 
-// requestMissingLoads requests the loads that waiting requests need. c.mu is held.
+// requestMissingLoads requests the loads that waiting requests need. p.mu is held.
 func (p *Proxy) requestMissingLoads() {
 	for _, w := range p.queue.waiters {
 		p.requestLoad(w)
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -38,20 +38,20 @@
 		return false
 	}
 	a.outcome = permit.Succeeded
-	t.counter.crashes.Succeeded(t.digest, response.StatusCode)
+	t.proxy.crashes.Succeeded(t.digest, response.StatusCode)
 	copyHeader(w, response)
 	w.WriteHeader(response.StatusCode)
 	if _, err := w.Write(body); err != nil {
-		t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+		t.proxy.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
 		return true
 	}
 	if len(body) > maxBufferedBytes {
 		if _, err := io.Copy(w, response.Body); err != nil {
-			t.counter.logAttempt(t, a, "broken off", response.StatusCode, err.Error())
+			t.proxy.logAttempt(t, a, "broken off", response.StatusCode, err.Error())
 			panic(http.ErrAbortHandler)
 		}
 	}
-	t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+	t.proxy.logAttempt(t, a, "answered", response.StatusCode, "")
 	return true
 }
 
@@ -61,7 +61,7 @@
 	if !t.route.Repeatable() {
 		return false
 	}
-	p := t.counter
+	p := t.proxy
 	now := p.options.Now()
 	p.mu.Lock()
 	verdict := t.verdict(now, outcome.Ran)
@@ -85,22 +85,22 @@
 		n, readErr := response.Body.Read(buffer)
 		if n > 0 {
 			a.bodyStarted = true
-			t.timing.recordChunk(t.counter.options.Now())
+			t.timing.recordChunk(t.proxy.options.Now())
 			if _, err := w.Write(buffer[:n]); err != nil || controller.Flush() != nil {
 				t.reportCallerLeft(a)
-				t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+				t.proxy.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
 				panic(http.ErrAbortHandler)
 			}
 		}
 		if readErr == io.EOF {
 			a.outcome, a.speed = permit.Succeeded, t.measuredSpeed()
-			t.counter.crashes.Succeeded(t.digest, response.StatusCode)
-			t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+			t.proxy.crashes.Succeeded(t.digest, response.StatusCode)
+			t.proxy.logAttempt(t, a, "answered", response.StatusCode, "")
 			return
 		}
 		if readErr != nil && t.request.Context().Err() != nil {
 			t.reportCallerLeft(a)
-			t.counter.logAttempt(t, a, "caller disconnected", response.StatusCode, "the caller left")
+			t.proxy.logAttempt(t, a, "caller disconnected", response.StatusCode, "the caller left")
 			panic(http.ErrAbortHandler)
 		}
 		if readErr != nil {
@@ -108,7 +108,7 @@
 			if ctx.Err() == nil {
 				a.outcome = permit.Failed
 			}
-			t.counter.logAttempt(t, a, "broken off", response.StatusCode, readErr.Error())
+			t.proxy.logAttempt(t, a, "broken off", response.StatusCode, readErr.Error())
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/counter/send.go
+++ b/internal/counter/send.go
@@ -46,7 +46,7 @@
 
 // roundTrip sends the request once and waits for the response header.
 func (t *transaction) roundTrip(ctx context.Context, a *upstreamAttempt) (*http.Response, error) {
-	p := t.counter
+	p := t.proxy
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		// From here on bytes may be sent. All earlier steps only connect.
 		GotConn: func(httptrace.GotConnInfo) { a.mayHaveSent.Store(true) },
@@ -79,7 +79,7 @@
 // run twice could then not be retried.
 func (t *transaction) transport() *http.Transport {
 	if t.route.Kind == routes.Idempotent {
-		return t.counter.keepAlive
+		return t.proxy.keepAlive
 	}
-	return t.counter.singleUse
+	return t.proxy.singleUse
 }
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -146,7 +146,7 @@
 	defer p.mu.Unlock()
 	p.control.lastSyncSent = askedAt
 	p.control.lastSyncFailed = false
-	p.updateGauges(now)
+	p.updateMetrics(now)
 	if p.control.disconnected {
 		p.control.disconnected = false
 		p.options.Log.Info().Str("control", address).Msg("control instance answers again")
@@ -173,7 +173,7 @@
 	p.dispatch(now)
 }
 
-// applyMembers applies the list of live instances. c.mu is held.
+// applyMembers applies the list of live instances. p.mu is held.
 func (p *Proxy) applyMembers(now time.Time, members courier.Members) {
 	p.control.membersRevision = members.Revision
 	p.control.entryInstances = len(members.Entries)
@@ -183,7 +183,7 @@
 	p.control.known = union(members.Controls, p.seeds)
 }
 
-// applyEngineStates applies the engine states of a reply, if it has any. c.mu is held.
+// applyEngineStates applies the engine states of a reply, if it has any. p.mu is held.
 func (p *Proxy) applyEngineStates(now time.Time, reply courier.SyncReply) {
 	if len(reply.Holdings) == 0 {
 		return
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -18,7 +18,7 @@
 
 // transaction is the state of one proxied request.
 type transaction struct {
-	counter *Proxy
+	proxy   *Proxy
 	call    Call
 	route   *routes.Route
 	version uint64
@@ -60,7 +60,7 @@
 		return
 	}
 	t := &transaction{
-		counter: p, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
+		proxy: p, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
 		requirements: requirements{
 			target:       target{service: route.Service(rand.Float64()), model: call.Model, adapter: call.Adapter},
 			promptTokens: call.PromptTokens, outputTokens: call.OutputTokens,
--- a/internal/courier/enginestates.go
+++ b/internal/courier/enginestates.go
@@ -43,7 +43,7 @@
 	Adapters []string
 }
 
-// Encode returns the encoding of h for a SyncReply.
+// Encode returns the encoding of s for a SyncReply.
 func (s EngineStates) Encode() []byte {
 	buffer := parcel.AppendUint(nil, s.Revision)
 	buffer = parcel.AppendUint(buffer, uint64(len(s.Engines)))
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -29,7 +29,7 @@
 	return engines{random: rand.New(rand.NewPCG(7, 7)), prefillRate: prefillRate, decodeStep: decodeStep, tokensPerEvent: tokensPerEvent}
 }
 
-// serve records the given number of streams in s. The share queued of them first waits
+// serve records the given number of streams in estimator. The share queued of them first waits
 // 400 ms in the engine's queue.
 func (e engines) serve(estimator *speed.Estimator, streams int, queued float64) {
 	for range streams {
