--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -132,8 +132,8 @@
 	AlreadyDone
 	// Refused means that the engine does not carry out the order, now or later.
 	Refused
-	// RefusedByOtherProcess means that the order was refused by another process that now has the engine's
-	// address.
+	// RefusedByOtherProcess means that the order was refused by another process that now has the
+	// engine's address.
 	RefusedByOtherProcess
 )
 
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -12,8 +12,8 @@
 // upstreamLimit tracks the rate limit of an upstream.
 type upstreamLimit struct {
 	ratelimit.State
-	// sharedBucket paces the requests of all instances, if this one owns the limit. ownBucket paces the
-	// requests of this instance alone while the owner does not answer. They are nil before the
+	// sharedBucket paces the requests of all instances, if this one owns the limit. ownBucket paces
+	// the requests of this instance alone while the owner does not answer. They are nil before the
 	// first request.
 	sharedBucket *ratelimit.TokenBucket
 	ownBucket    *ratelimit.TokenBucket
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -66,8 +66,8 @@
 	Prepare(header http.Header, attempt Attempt)
 	// Classify classifies a response by its status and header.
 	Classify(response *http.Response, requestID string) ResponseClass
-	// ParseLimit parses the rate limit that a response header states: the requests per second that the
-	// upstream accepts from all senders together.
+	// ParseLimit parses the rate limit that a response header states: the requests per second that
+	// the upstream accepts from all senders together.
 	ParseLimit(header http.Header) ratelimit.Observation
 }
 
--- a/internal/counter/proof.go
+++ b/internal/counter/proof.go
@@ -13,12 +13,12 @@
 const (
 	// defaultRoutesMaxDelay is the default of Options.MaxRouteUpdateDelay.
 	defaultRoutesMaxDelay = 2 * time.Second
-	// denyProofShare is the maximum age of the routes' proof, as a share of MaxRouteUpdateDelay, at which
-	// a request without a route is refused for good. The rest of MaxRouteUpdateDelay is left for the
-	// propagation of updates.
+	// denyProofShare is the maximum age of the routes' proof, as a share of MaxRouteUpdateDelay, at
+	// which a request without a route is refused for good. The rest of MaxRouteUpdateDelay is left
+	// for the propagation of updates.
 	denyProofShare = 0.5
-	// sendProofFactor is the maximum age of the routes' proof, in multiples of MaxRouteUpdateDelay, at
-	// which requests are sent. With a smaller value, all callers would wait during each leader
+	// sendProofFactor is the maximum age of the routes' proof, in multiples of MaxRouteUpdateDelay,
+	// at which requests are sent. With a smaller value, all callers would wait during each leader
 	// election.
 	sendProofFactor = 2
 	// maxProofWait bounds how long a request waits for a proof, and proofPollInterval is the time
