--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -6,20 +6,20 @@
 
 import "time"
 
-// Options configures Ages. All fields must be above 0.
+// Options configures a Tracker. All fields must be above 0.
 type Options struct {
-	// After is the time without service after which a requested key starves.
-	After time.Duration
-	// Forget is the time without a request after which a key is forgotten. It must be
-	// longer than After.
-	Forget time.Duration
-	// Keys is the largest number of keys that are tracked. Further keys are ignored.
-	Keys int
+	// StarvedAfter is the time without service after which a requested key starves.
+	StarvedAfter time.Duration
+	// ForgetAfter is the time without a request after which a key is forgotten. It must be
+	// longer than StarvedAfter.
+	ForgetAfter time.Duration
+	// MaxKeys is the largest number of keys that are tracked. Further keys are ignored.
+	MaxKeys int
 }
 
-// Ages tracks how long each key has been requested without being served. It is not safe
+// Tracker tracks how long each key has been requested without being served. It is not safe
 // for concurrent use.
-type Ages[K comparable] struct {
+type Tracker[K comparable] struct {
 	options Options
 	// unserved holds the keys that were requested since they were last served, at most
 	// options.Keys of them.
@@ -32,50 +32,50 @@
 	first, last time.Time
 }
 
-// New returns Ages that track no keys.
-func New[K comparable](options Options) *Ages[K] {
-	return &Ages[K]{options: options, unserved: map[K]requestTimes{}}
+// New returns a Tracker that tracks no keys.
+func New[K comparable](options Options) *Tracker[K] {
+	return &Tracker[K]{options: options, unserved: map[K]requestTimes{}}
 }
 
-// Asked records a request for a key.
-func (a *Ages[K]) Asked(now time.Time, key K) {
-	times, found := a.unserved[key]
+// Requested records a request for a key.
+func (t *Tracker[K]) Requested(now time.Time, key K) {
+	times, found := t.unserved[key]
 	switch {
-	case found && now.Sub(times.last) <= a.options.Forget:
+	case found && now.Sub(times.last) <= t.options.ForgetAfter:
 		times.last = now
-	case !found && len(a.unserved) >= a.options.Keys && !a.removeExpired(now):
+	case !found && len(t.unserved) >= t.options.MaxKeys && !t.removeExpired(now):
 		return
 	default:
 		times = requestTimes{first: now, last: now}
 	}
-	a.unserved[key] = times
+	t.unserved[key] = times
 }
 
 // removeExpired forgets the keys that are no longer requested, and reports whether there
 // were any.
-func (a *Ages[K]) removeExpired(now time.Time) bool {
-	count := len(a.unserved)
-	for key, times := range a.unserved {
-		if now.Sub(times.last) > a.options.Forget {
-			delete(a.unserved, key)
+func (t *Tracker[K]) removeExpired(now time.Time) bool {
+	count := len(t.unserved)
+	for key, times := range t.unserved {
+		if now.Sub(times.last) > t.options.ForgetAfter {
+			delete(t.unserved, key)
 		}
 	}
-	return len(a.unserved) < count
+	return len(t.unserved) < count
 }
 
 // Served records that a key was served.
-func (a *Ages[K]) Served(key K) {
-	delete(a.unserved, key)
+func (t *Tracker[K]) Served(key K) {
+	delete(t.unserved, key)
 }
 
 // Starved returns the time for which a key has been requested without being served, and
 // whether that is long enough for starvation. A key that is no longer requested doesn't
 // starve.
-func (a *Ages[K]) Starved(now time.Time, key K) (time.Duration, bool) {
-	times, found := a.unserved[key]
-	if !found || now.Sub(times.last) > a.options.Forget {
+func (t *Tracker[K]) Starved(now time.Time, key K) (time.Duration, bool) {
+	times, found := t.unserved[key]
+	if !found || now.Sub(times.last) > t.options.ForgetAfter {
 		return 0, false
 	}
 	unservedFor := now.Sub(times.first)
-	return unservedFor, unservedFor >= a.options.After
+	return unservedFor, unservedFor >= t.options.StarvedAfter
 }
--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -24,117 +24,117 @@
 // Instance processes the messages of upstreams. Its methods may be called concurrently.
 type Instance interface {
 	// Announce accepts an announcement, or returns an error and changes nothing.
-	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.Welcome, error)
-	// Load processes a load report, which an upstream sends between two announcements.
-	Load(now time.Time, report upstreamapi.LoadReport)
+	Announce(now time.Time, announcement upstreamapi.Announcement) (upstreamapi.AnnounceResponse, error)
+	// ReportLoad processes a load report, which an upstream sends between two announcements.
+	ReportLoad(now time.Time, report upstreamapi.LoadReport)
 	// Leave processes the leave message of an upstream that is going away.
 	Leave(now time.Time, leave upstreamapi.Leave)
-	// Cached processes events of an engine's prefix cache.
-	Cached(now time.Time, events upstreamapi.CacheEvents)
+	// ApplyCacheEvents processes events of an engine's prefix cache.
+	ApplyCacheEvents(now time.Time, events upstreamapi.CacheEvents)
 }
 
 // Options configures the handler.
 type Options struct {
 	Instance Instance
-	// Holder returns the name of the upstream that holds a token.
-	Holder func(token string) (string, bool)
-	Now    func() time.Time
-	Log    zerolog.Logger
+	// UpstreamByToken returns the name of the upstream that holds a token.
+	UpstreamByToken func(token string) (string, bool)
+	Now             func() time.Time
+	Log             zerolog.Logger
 }
 
-// Arrivals is the HTTP handler for messages of upstreams. It is safe for concurrent use.
-type Arrivals struct {
+// Handler is the HTTP handler for messages of upstreams. It is safe for concurrent use.
+type Handler struct {
 	options Options
 	echo    *echo.Echo
 }
 
 // New returns the handler.
-func New(options Options) *Arrivals {
-	a := &Arrivals{options: options, echo: echo.New()}
-	a.echo.Use(a.checkToken)
-	a.echo.POST(upstreamapi.AnnouncePath, a.announce)
-	a.echo.POST(upstreamapi.LoadPath, a.load)
-	a.echo.POST(upstreamapi.LeavePath, a.leave)
-	a.echo.POST(upstreamapi.CacheEventsPath, a.cacheEvents)
-	return a
+func New(options Options) *Handler {
+	h := &Handler{options: options, echo: echo.New()}
+	h.echo.Use(h.checkToken)
+	h.echo.POST(upstreamapi.AnnouncePath, h.announce)
+	h.echo.POST(upstreamapi.LoadPath, h.load)
+	h.echo.POST(upstreamapi.LeavePath, h.leave)
+	h.echo.POST(upstreamapi.CacheEventsPath, h.cacheEvents)
+	return h
 }
 
 // ServeHTTP responds to one message of an upstream.
-func (a *Arrivals) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.echo.ServeHTTP(w, r)
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.echo.ServeHTTP(w, r)
 }
 
-func (a *Arrivals) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
+func (h *Handler) checkToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if _, ok := a.options.Holder(token); !ok {
-			return a.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
+		if _, ok := h.options.UpstreamByToken(token); !ok {
+			return h.reject(c, http.StatusUnauthorized, "", "the upstreams' token is missing or wrong")
 		}
 		return next(c)
 	}
 }
 
-func (a *Arrivals) announce(c echo.Context) error {
+func (h *Handler) announce(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	announcement, findings := upstreamapi.DecodeAnnouncement(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, announcement.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, announcement.Name, findingTexts(findings)...)
 	}
-	welcome, err := a.options.Instance.Announce(a.options.Now(), announcement)
+	response, err := h.options.Instance.Announce(h.options.Now(), announcement)
 	switch {
 	case errors.Is(err, roster.ErrNameTaken):
-		return a.reject(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
+		return h.reject(c, http.StatusConflict, announcement.Name, "$.name: "+err.Error())
 	case err != nil:
-		return a.reject(c, http.StatusBadRequest, announcement.Name, err.Error())
+		return h.reject(c, http.StatusBadRequest, announcement.Name, err.Error())
 	}
-	return c.JSON(http.StatusOK, welcome)
+	return c.JSON(http.StatusOK, response)
 }
 
-func (a *Arrivals) load(c echo.Context) error {
+func (h *Handler) load(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	report, findings := upstreamapi.DecodeLoadReport(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, report.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Load(a.options.Now(), report)
+	h.options.Instance.ReportLoad(h.options.Now(), report)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Arrivals) leave(c echo.Context) error {
+func (h *Handler) leave(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	leave, findings := upstreamapi.DecodeLeave(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, leave.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, leave.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Leave(a.options.Now(), leave)
+	h.options.Instance.Leave(h.options.Now(), leave)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a *Arrivals) cacheEvents(c echo.Context) error {
+func (h *Handler) cacheEvents(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return a.reject(c, http.StatusBadRequest, "", err.Error())
+		return h.reject(c, http.StatusBadRequest, "", err.Error())
 	}
 	events, findings := upstreamapi.DecodeCacheEvents(body)
 	if findings.Len() > 0 {
-		return a.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
+		return h.reject(c, http.StatusBadRequest, events.Name, findingTexts(findings)...)
 	}
-	a.options.Instance.Cached(a.options.Now(), events)
+	h.options.Instance.ApplyCacheEvents(h.options.Now(), events)
 	return c.NoContent(http.StatusNoContent)
 }
 
 // reject responds with all findings about a message, and logs them.
-func (a *Arrivals) reject(c echo.Context, status int, upstream string, findings ...string) error {
-	a.options.Log.Warn().
+func (h *Handler) reject(c echo.Context, status int, upstream string, findings ...string) error {
+	h.options.Log.Warn().
 		Str("upstream", upstream).
 		Str("path", c.Path()).
 		Str("remote", c.Request().RemoteAddr).
--- a/internal/backoffice/backoffice.go
+++ b/internal/backoffice/backoffice.go
@@ -18,8 +18,8 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Backoffice is one control plane instance. It is safe for concurrent use.
-type Backoffice struct {
+// Instance is one control instance. It is safe for concurrent use.
+type Instance struct {
 	options     Options
 	voter       *chamber.Voter
 	innerServer *courier.Server
@@ -39,7 +39,7 @@
 	// packedEdition is the edition that was last sent to an entry instance, with its
 	// content packed. It is nil before the first.
 	packedEdition *edition.Edition
-	// peers are the other control plane instances by address.
+	// peers are the other control instances by address.
 	peers map[string]*peer
 	// leaderSince is the time since which this instance leads, zero while it does not.
 	leaderSince time.Time
@@ -52,14 +52,14 @@
 	done   sync.WaitGroup
 }
 
-// New starts a control plane instance. If the data folder can't be used, New closes the
+// New starts a control instance. If the data folder can't be used, New closes the
 // listener and returns an error.
-func New(options Options) (*Backoffice, error) {
+func New(options Options) (*Instance, error) {
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &Backoffice{
+	i := &Instance{
 		options:       options,
 		callPool:      courier.NewPool(options.Dial, callTimeout),
 		heartbeatPool: courier.NewPool(options.Dial, callTimeout),
@@ -70,43 +70,43 @@
 	}
 	for _, seed := range options.Seeds {
 		if seed != options.Address {
-			b.peers[seed] = &peer{address: seed, seed: true}
+			i.peers[seed] = &peer{address: seed, seed: true}
 		}
 	}
 	// The orchestrator must exist before the listener is served, because it answers calls
 	// of entry instances.
-	b.orchestrator = newOrchestrator(ctx, b)
-	b.relay = &relay{backoffice: b, demand: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
-	b.crashRecorder = newCrashRecorder(b)
-	if err := b.start(); err != nil {
+	i.orchestrator = newOrchestrator(ctx, i)
+	i.relay = &relay{instance: i, demand: map[string][]courier.Demand{}, limited: map[string]courier.LimitedUpstream{}}
+	i.crashRecorder = newCrashRecorder(i)
+	if err := i.start(); err != nil {
 		cancel()
-		options.Inner.Close()
-		b.closePools()
+		options.InnerListener.Close()
+		i.closePools()
 		return nil, err
 	}
-	b.done.Go(func() { b.bootstrap(ctx) })
-	b.done.Go(func() { b.runPulls(ctx) })
-	b.done.Go(func() { b.maintainVoters(ctx) })
-	b.done.Go(func() { b.orchestrator.run(ctx) })
-	b.done.Go(func() { b.relay.run(ctx) })
-	b.done.Go(func() { b.crashRecorder.run(ctx) })
-	b.done.Go(func() { b.crashRecorder.runRecall(ctx) })
-	return b, nil
+	i.done.Go(func() { i.bootstrap(ctx) })
+	i.done.Go(func() { i.runPulls(ctx) })
+	i.done.Go(func() { i.maintainVoters(ctx) })
+	i.done.Go(func() { i.orchestrator.run(ctx) })
+	i.done.Go(func() { i.relay.run(ctx) })
+	i.done.Go(func() { i.crashRecorder.run(ctx) })
+	i.done.Go(func() { i.crashRecorder.runRetraction(ctx) })
+	return i, nil
 }
 
 // start starts the replica, the roster and the inner listener.
-func (b *Backoffice) start() error {
-	voter, err := chamber.NewVoter(b.voterOptions())
+func (i *Instance) start() error {
+	voter, err := chamber.NewVoter(i.voterOptions())
 	if err != nil {
 		return err
 	}
-	b.voter = voter
-	b.startRoster()
-	b.innerServer, err = courier.NewServer(b.options.Inner, courier.Services{
-		Roster: courier.NewRosterService(b.handlePull),
+	i.voter = voter
+	i.startRoster()
+	i.innerServer, err = courier.NewServer(i.options.InnerListener, courier.Services{
+		Roster: courier.NewRosterService(i.handlePull),
 		Others: map[string]any{
 			"Control": courier.NewControlService(voter.Control()),
-			"Feed":    courier.NewFeedService(feedServer{b}),
+			"Feed":    courier.NewFeedService(feedServer{i}),
 		},
 	})
 	return errors.Wrap(err, "backoffice: inner listener")
@@ -114,38 +114,38 @@
 
 // startRoster creates the roster, which needs the replica's identity. The replica
 // already runs at this point and may call peerIdentities concurrently.
-func (b *Backoffice) startRoster() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.roster = roster.New(roster.Options{
-		Self:        b.options.Address,
-		Incarnation: uint64(b.options.Now().UnixNano()),
+func (i *Instance) startRoster() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.roster = roster.New(roster.Options{
+		Self:        i.options.Address,
+		Incarnation: uint64(i.options.Now().UnixNano()),
 		Static: roster.InstanceStatic{
-			InnerAddress:  b.options.Address,
-			FailureDomain: b.options.FailureDomain,
+			InnerAddress:  i.options.Address,
+			FailureDomain: i.options.FailureDomain,
 			Voter:         true,
-			Identity:      string(b.voter.Identity()),
+			Identity:      string(i.voter.Identity()),
 		},
-		Lease:    b.options.UpstreamLease,
-		Restarts: true,
+		Lease:                 i.options.UpstreamLease,
+		AllowRestartElsewhere: true,
 	})
-	b.roster.Beat(b.options.Now(), roster.InstanceBeat{})
+	i.roster.Heartbeat(i.options.Now(), roster.InstanceBeat{})
 }
 
-func (b *Backoffice) voterOptions() chamber.VoterOptions {
+func (i *Instance) voterOptions() chamber.VoterOptions {
 	options := chamber.Options{
-		Self:  b.options.Address,
-		Calls: b.callPool,
+		Self:  i.options.Address,
+		Calls: i.callPool,
 		// An instance's name is its address.
-		Address:    func(instance string) (string, bool) { return instance, true },
-		RenewEvery: electionTimeout,
-		Lease:      electionTimeout,
-		Now:        b.options.Now,
-		Log:        b.options.Log,
-		Metrics:    b.options.Metrics,
+		ResolveAddress: func(instance string) (string, bool) { return instance, true },
+		RenewInterval:  electionTimeout,
+		ConfigLease:    electionTimeout,
+		Now:            i.options.Now,
+		Log:            i.options.Log,
+		Metrics:        i.options.Metrics,
 	}
-	for _, seed := range b.options.Seeds {
-		if seed != b.options.Address {
+	for _, seed := range i.options.Seeds {
+		if seed != i.options.Address {
 			options.Voters = append(options.Voters, chamber.VoterAddress{Name: seed, InnerAddress: seed})
 		}
 	}
@@ -154,15 +154,15 @@
 	limits.MaxStep = docketAgingInterval
 	return chamber.VoterOptions{
 		Options:         options,
-		Folder:          b.options.Folder,
-		Heartbeats:      b.heartbeatPool,
-		Entries:         b.logEntryPool,
+		Folder:          i.options.DataDir,
+		HeartbeatPool:   i.heartbeatPool,
+		EntryPool:       i.logEntryPool,
 		Heartbeat:       heartbeatInterval,
 		ElectionTimeout: electionTimeout,
 		ClockDrift:      maxClockDrift,
-		Identities:      b.peerIdentities,
+		Identities:      i.peerIdentities,
 		Docket:          limits,
-		Quarantine:      b.options.Quarantine,
+		Quarantine:      i.options.Quarantine,
 	}
 }
 
@@ -171,113 +171,114 @@
 const docketAgingInterval = 24 * time.Hour
 
 // peerIdentities returns the known identities of the other replicas.
-func (b *Backoffice) peerIdentities() []jury.Identity {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.roster == nil {
+func (i *Instance) peerIdentities() []jury.Identity {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.roster == nil {
 		return nil
 	}
 	var identities []jury.Identity
-	for _, instance := range b.roster.Instances(b.options.Now()) {
-		if instance.Identity != "" && instance.Name != b.options.Address {
+	for _, instance := range i.roster.Instances(i.options.Now()) {
+		if instance.Identity != "" && instance.Name != i.options.Address {
 			identities = append(identities, jury.Identity(instance.Identity))
 		}
 	}
 	return identities
 }
 
-// Announce records an announcement that an upstream sent to this instance.
-func (b *Backoffice) Announce(now time.Time, announcement upstreamapi.Announcement) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, found := b.roster.Upstream(announcement.Name)
-	if err := b.roster.Announce(now, announcement); err != nil {
+// Announce records an announcement that an upstream sent to this instance. It returns an
+// error, as roster.Roster.Announce does, if the announcement is rejected.
+func (i *Instance) Announce(now time.Time, announcement upstreamapi.Announcement) error {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	known, found := i.roster.Upstream(announcement.Name)
+	if err := i.roster.Announce(now, announcement); err != nil {
 		return err
 	}
 	if !found || known.Announcement.Incarnation != announcement.Incarnation {
-		b.options.Log.Info().Str("upstream", announcement.Name).Strs("services", announcement.Services).
+		i.options.Log.Info().Str("upstream", announcement.Name).Strs("services", announcement.Services).
 			Str("address", announcement.Address).Int("models", len(announcement.Resident)).Msg("upstream announced")
 	}
 	return nil
 }
 
 // Leave records that an upstream is leaving. It also spreads the leave of an upstream
-// that this instance does not know yet: another control plane instance may know it
+// that this instance does not know yet: another control instance may know it
 // already, and the upstream would still receive work after its leave was acknowledged.
 // Incarnation 0 matches any incarnation.
-func (b *Backoffice) Leave(now time.Time, leave upstreamapi.Leave) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) Leave(now time.Time, leave upstreamapi.Leave) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	placeholder := upstreamapi.Announcement{Name: leave.Name, Incarnation: leave.Incarnation}
 	if leave.Incarnation == 0 {
 		// An upstream that restarts after a crash has sent no leave, so this does not hide
 		// a restarted upstream.
 		placeholder.Incarnation = maxIncarnation
 	}
-	if err := b.roster.Announce(now, placeholder); err != nil && !errors.Is(err, roster.ErrNameTaken) {
-		b.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("announcement of an unknown leaving upstream rejected")
+	if err := i.roster.Announce(now, placeholder); err != nil && !errors.Is(err, roster.ErrNameTaken) {
+		i.options.Log.Warn().Err(err).Str("upstream", leave.Name).Msg("announcement of an unknown leaving upstream rejected")
 	}
-	b.roster.Leave(now, leave)
+	i.roster.Leave(now, leave)
 }
 
 // maxIncarnation is higher than the incarnation of any process.
 const maxIncarnation = math.MaxUint64
 
-// Put proposes a new version of the routes. If it returns an error, the version may
+// PutRoutes proposes a new version of the routes. If it returns an error, the version may
 // still come into force.
-func (b *Backoffice) Put(ctx context.Context, put edition.Put) (edition.Result, error) {
-	result, err := b.voter.Propose(ctx, put)
+func (i *Instance) PutRoutes(ctx context.Context, put edition.Put) (edition.Result, error) {
+	result, err := i.voter.Propose(ctx, put)
 	if err != nil {
 		return edition.Result{}, err
 	}
 	return *result.Edition, nil
 }
 
-// Edition returns the routes in force, confirmed by the voters after the call began. If
-// they can't be confirmed before ctx ends, Edition returns false.
-func (b *Backoffice) Edition(ctx context.Context) (edition.Edition, bool) {
-	return b.voter.FreshEdition(ctx)
+// Routes returns the routes in force, confirmed by the voters after the call began. If
+// they can't be confirmed before ctx ends, Routes returns false.
+func (i *Instance) Routes(ctx context.Context) (edition.Edition, bool) {
+	return i.voter.ConfirmedEdition(ctx)
 }
 
-// InTouch reports whether the instance knows a leader, so that announcements made to it
+// KnowsLeader reports whether the instance knows a leader, so that announcements made to it
 // reach the other instances.
-func (b *Backoffice) InTouch() bool {
-	leader, _ := b.voter.Leader()
+func (i *Instance) KnowsLeader() bool {
+	leader, _ := i.voter.Leader()
 	return leader != ""
 }
 
-// Seed replaces the addresses of the seed control plane instances.
-func (b *Backoffice) Seed(seeds []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, p := range b.peers {
+// SetSeeds replaces the addresses of the seed control instances.
+func (i *Instance) SetSeeds(seeds []string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, p := range i.peers {
 		p.seed = false
 	}
 	for _, seed := range seeds {
-		if seed == b.options.Address {
+		if seed == i.options.Address {
 			continue
 		}
-		if b.peers[seed] == nil {
-			b.peers[seed] = &peer{address: seed}
+		if i.peers[seed] == nil {
+			i.peers[seed] = &peer{address: seed}
 		}
-		b.peers[seed].seed = true
+		i.peers[seed].seed = true
 	}
 }
 
-// Entry is an entry instance that is open to callers.
-type Entry struct {
+// EntryInstance is an entry instance that is open to callers.
+type EntryInstance struct {
 	Address       string
 	FailureDomain string
 }
 
-// Entries returns the entry instances that accept requests at now.
-func (b *Backoffice) Entries(now time.Time) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var entries []Entry
-	for _, instance := range b.roster.Instances(now) {
+// EntryInstances returns the entry instances that accept requests at now.
+func (i *Instance) EntryInstances(now time.Time) []EntryInstance {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	var entries []EntryInstance
+	for _, instance := range i.roster.Instances(now) {
 		if instance.CallerAddress != "" && !instance.Draining && !instance.Stale {
-			entries = append(entries, Entry{Address: instance.CallerAddress, FailureDomain: instance.FailureDomain})
+			entries = append(entries, EntryInstance{Address: instance.CallerAddress, FailureDomain: instance.FailureDomain})
 		}
 	}
 	return entries
@@ -285,22 +286,22 @@
 
 // Failed returns a channel that is closed when the replica has stopped for good after a
 // disk failure. The process must then be restarted.
-func (b *Backoffice) Failed() <-chan struct{} {
-	return b.failed
+func (i *Instance) Failed() <-chan struct{} {
+	return i.failed
 }
 
 // Close stops the instance. If it leads, it hands over the leadership, for which it has
 // until ctx ends.
-func (b *Backoffice) Close(ctx context.Context) {
-	b.stop()
-	b.voter.Close(ctx)
-	b.innerServer.Close()
-	b.closePools()
-	b.done.Wait()
+func (i *Instance) Close(ctx context.Context) {
+	i.stop()
+	i.voter.Close(ctx)
+	i.innerServer.Close()
+	i.closePools()
+	i.done.Wait()
 }
 
-func (b *Backoffice) closePools() {
-	for _, pool := range []*courier.Pool{b.callPool, b.heartbeatPool, b.logEntryPool} {
+func (i *Instance) closePools() {
+	for _, pool := range []*courier.Pool{i.callPool, i.heartbeatPool, i.logEntryPool} {
 		pool.Close()
 	}
 }
--- a/internal/backoffice/crashes.go
+++ b/internal/backoffice/crashes.go
@@ -17,15 +17,15 @@
 	crashBatchDelay = 40 * time.Millisecond
 	// crashRecordTimeout bounds the recording of one batch of reports.
 	crashRecordTimeout = 2 * time.Second
-	// crashRecallInterval is the interval between two checks for upstreams that were
+	// crashRetractionInterval is the interval between two checks for upstreams that were
 	// reported as crashed but are alive.
-	crashRecallInterval = 500 * time.Millisecond
+	crashRetractionInterval = 500 * time.Millisecond
 )
 
 // crashRecorder records in the replicated log the upstreams that entry instances report
 // as crashed while they served requests.
 type crashRecorder struct {
-	backoffice *Backoffice
+	instance *Instance
 
 	mu sync.Mutex
 	// batch holds the reports that are not recorded yet.
@@ -36,8 +36,8 @@
 	wake chan struct{}
 }
 
-func newCrashRecorder(b *Backoffice) *crashRecorder {
-	return &crashRecorder{backoffice: b, wake: make(chan struct{}, 1)}
+func newCrashRecorder(i *Instance) *crashRecorder {
+	return &crashRecorder{instance: i, wake: make(chan struct{}, 1)}
 }
 
 // record adds update to the current batch, waits until the batch is recorded and
@@ -45,7 +45,7 @@
 func (c *crashRecorder) record(ctx context.Context, update quarantine.Update) bool {
 	recorded := make(chan bool, 1)
 	c.mu.Lock()
-	c.batch = c.batch.With(c.backoffice.withoutLeavingUpstreams(update))
+	c.batch = c.batch.With(c.instance.withoutLeavingUpstreams(update))
 	c.waiters = append(c.waiters, recorded)
 	c.mu.Unlock()
 	select {
@@ -88,48 +88,48 @@
 func (c *crashRecorder) propose(ctx context.Context, update quarantine.Update) bool {
 	ctx, cancel := context.WithTimeout(ctx, crashRecordTimeout)
 	defer cancel()
-	update.Now = c.backoffice.options.Now()
-	_, err := c.backoffice.voter.Propose(ctx, update)
+	update.Now = c.instance.options.Now()
+	_, err := c.instance.voter.Propose(ctx, update)
 	if err != nil {
-		c.backoffice.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
+		c.instance.options.Log.Warn().Err(err).Int("upstreams", len(update.Reports)).Msg("crash reports not recorded")
 	}
 	return err == nil
 }
 
-// runRecall withdraws crash reports of upstreams that were heard from after the report.
-func (c *crashRecorder) runRecall(ctx context.Context) {
-	for pause.For(ctx, crashRecallInterval) {
-		c.backoffice.voter.RecallCrashes(ctx, c.backoffice.lastHeardFrom)
+// runRetraction retracts crash reports of upstreams that were heard from after the report.
+func (c *crashRecorder) runRetraction(ctx context.Context) {
+	for pause.For(ctx, crashRetractionInterval) {
+		c.instance.voter.RetractFalseCrashes(ctx, c.instance.lastHeardFrom)
 	}
 }
 
 // Quarantined returns the quarantined and the suspected requests.
-func (b *Backoffice) Quarantined(now time.Time) ([]quarantine.Listing, error) {
-	return b.voter.Quarantined(now)
+func (i *Instance) Quarantined(now time.Time) ([]quarantine.Listing, error) {
+	return i.voter.Quarantined(now)
 }
 
 // Lift releases requests from quarantine. If it returns an error, they may still be
 // released.
-func (b *Backoffice) Lift(ctx context.Context, digests []quarantine.Digest) error {
-	return b.voter.Lift(ctx, digests)
+func (i *Instance) Lift(ctx context.Context, digests []quarantine.Digest) error {
+	return i.voter.Lift(ctx, digests)
 }
 
 // lastHeardFrom returns the time when an incarnation of an upstream was last heard from.
 // It returns false if the roster does not hold this incarnation.
-func (b *Backoffice) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, found := b.roster.Upstream(lifetime.Upstream)
-	return known.Heard, found && known.Announcement.Incarnation == lifetime.Incarnation
+func (i *Instance) lastHeardFrom(lifetime quarantine.Lifetime) (time.Time, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	known, found := i.roster.Upstream(lifetime.Upstream)
+	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
 
 // withoutLeavingUpstreams returns update without the reports of upstreams that had
 // announced their leave before they ended.
-func (b *Backoffice) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *Instance) withoutLeavingUpstreams(update quarantine.Update) quarantine.Update {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	update.Reports = slices.DeleteFunc(slices.Clone(update.Reports), func(report quarantine.Report) bool {
-		known, found := b.roster.Upstream(report.Upstream)
+		known, found := i.roster.Upstream(report.Upstream)
 		// A leave without an incarnation is stored with maxIncarnation.
 		return found && known.Leaving && known.Announcement.Incarnation >= report.Incarnation
 	})
@@ -139,5 +139,5 @@
 // Note records the upstreams that an entry instance reports as crashed while they
 // served requests.
 func (f feedServer) Note(ctx context.Context, args courier.NoteArgs) courier.NoteReply {
-	return courier.NoteReply{Recorded: f.backoffice.crashRecorder.record(ctx, args.Update)}
+	return courier.NoteReply{Recorded: f.instance.crashRecorder.record(ctx, args.Update)}
 }
--- a/internal/backoffice/export_test.go
+++ b/internal/backoffice/export_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Engine exports engine.
+// Engine gives specs access to the leader's view of an engine.
 type Engine struct {
 	engine *engine
 }
@@ -58,6 +58,7 @@
 	return e.engine.usedAdapterSlots()
 }
 
+// ApplyReport stores a report of the engine.
 func (e Engine) ApplyReport(now time.Time, report Report) {
 	e.engine.applyReport(now, report)
 }
@@ -70,7 +71,7 @@
 // AcceptUnload applies an accepted order to unload a model.
 func (e Engine) AcceptUnload(model string, expected uint64) {
 	e.engine.withdrawn, e.engine.unloading = model, true
-	e.engine.applyOrder(time.Time{}, Order{Kind: Unload, Model: model, Expected: expected})
+	e.engine.applyOrder(time.Time{}, Order{Kind: Unload, Model: model, ExpectedSequence: expected})
 }
 
 // AdvertisedModels returns the names of the advertised models.
@@ -84,7 +85,7 @@
 
 // AcceptLoad applies an accepted order to load a model.
 func (e Engine) AcceptLoad(model string, expected uint64) {
-	e.engine.applyOrder(time.Time{}, Order{Kind: Load, Model: model, Expected: expected})
+	e.engine.applyOrder(time.Time{}, Order{Kind: Load, Model: model, ExpectedSequence: expected})
 }
 
 // ReportDue reports whether a report is due at now, among engines of which some are
@@ -93,7 +94,7 @@
 	return now.Sub(e.engine.reportRequestedAt) >= e.engine.reportInterval(engines, changing)
 }
 
-// WaitingRequests exports the waiting requests of modelDemand.
+// WaitingRequests gives specs access to the waiting requests of a model.
 type WaitingRequests struct {
 	demand modelDemand
 }
@@ -108,7 +109,7 @@
 	return w.demand.totalWaiting(now)
 }
 
-// Reported exports the state of orchestrator that entry instances report.
+// Reported gives specs access to the state that entry instances report to an orchestrator.
 type Reported struct {
 	orchestrator *orchestrator
 }
@@ -121,6 +122,7 @@
 	}}
 }
 
+// RecordDemand records the demand that an entry instance reports.
 func (r Reported) RecordDemand(now time.Time, entry string, demand ...courier.Demand) {
 	r.orchestrator.recordDemand(now, entry, demand)
 }
--- a/internal/backoffice/feed.go
+++ b/internal/backoffice/feed.go
@@ -13,82 +13,82 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// feedServer answers the calls of entry instances, and those of control plane instances
+// feedServer answers the calls of entry instances, and those of control instances
 // that relay for them.
 type feedServer struct {
-	backoffice *Backoffice
+	instance *Instance
 }
 
 // Sync records an entry instance's roster record and demand, and returns what has
 // changed since its last call.
 func (f feedServer) Sync(_ context.Context, args courier.SyncArgs) courier.SyncReply {
-	b := f.backoffice
-	now := b.options.Now()
-	leader, _ := b.voter.Leader()
+	i := f.instance
+	now := i.options.Now()
+	leader, _ := i.voter.Leader()
 	reply := courier.SyncReply{Leader: leader.Instance()}
-	b.mu.Lock()
-	b.roster.Hear(now, args.From)
-	reply.Changes = b.roster.Since(now, args.Cursor)
-	if members := b.membership(now).forDomain(args.FailureDomain); members.Revision != args.Members {
+	i.mu.Lock()
+	i.roster.Renew(now, args.From)
+	reply.Changes = i.roster.Since(now, args.Cursor)
+	if members := i.membership(now).forDomain(args.FailureDomain); members.Revision != args.Members {
 		reply.Members = &members
 	}
-	b.mu.Unlock()
+	i.mu.Unlock()
 	// Entry instances need only the upstreams for routing.
 	reply.Changes.Instances = nil
 	reply.Changes.InstanceBeats = roster.InstanceBeats{}
-	held, reading := b.voter.Reading()
+	held, reading := i.voter.EditionWithAge()
 	reply.Reading = reading
 	if held.Version > args.Edition {
-		reply.Edition = b.packEdition(held)
+		reply.Edition = i.packEdition(held)
 	}
-	if news := b.voter.Quarantine(now); news.Mark != args.Quarantine {
-		reply.Quarantine = &news
+	if state := i.voter.Quarantine(now); state.Mark != args.Quarantine {
+		reply.Quarantine = &state
 	}
-	b.orchestrator.recordDemand(now, args.From.Name, args.Demand)
-	b.orchestrator.recordLimits(now, args.Limited)
-	if leader != b.voter.Identity() {
-		b.relay.record(now, args.From.Name, args.Demand, args.Limited)
-		b.relay.fillHoldings(now, args.Holdings, &reply)
+	i.orchestrator.recordDemand(now, args.From.Name, args.Demand)
+	i.orchestrator.recordLimits(now, args.Limited)
+	if leader != i.voter.Identity() {
+		i.relay.record(now, args.From.Name, args.Demand, args.Limited)
+		i.relay.fillEngineStates(now, args.Holdings, &reply)
 		return reply
 	}
-	reply.Holdings, _, reply.HoldingsAge = b.orchestrator.holdings(now, args.Holdings)
+	reply.Holdings, _, reply.HoldingsAge = i.orchestrator.engineStates(now, args.Holdings)
 	return reply
 }
 
 // Gather records the demand that entry instances reported to another control plane
 // instance, and returns the models that engines hold.
 func (f feedServer) Gather(_ context.Context, args courier.GatherArgs) courier.GatherReply {
-	o := f.backoffice.orchestrator
-	now := f.backoffice.options.Now()
+	o := f.instance.orchestrator
+	now := f.instance.options.Now()
 	for entry, demand := range args.Told {
 		o.recordDemand(now, entry, demand)
 	}
 	o.recordLimits(now, args.Limited)
 	var reply courier.GatherReply
-	reply.Holdings, reply.Revision, reply.Age = o.holdings(now, args.Holdings)
+	reply.Holdings, reply.Revision, reply.Age = o.engineStates(now, args.Holdings)
 	return reply
 }
 
 // packEdition returns held with its content packed, and packs each version once for all
 // callers. The content of 1,400 routes takes 0.4 MB: unpacked, it often does not
 // reach 86 entry instances through the leader's link before their calls time out.
-func (b *Backoffice) packEdition(held edition.Edition) *edition.Edition {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.packedEdition != nil && b.packedEdition.Version == held.Version {
-		return b.packedEdition
+func (i *Instance) packEdition(held edition.Edition) *edition.Edition {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.packedEdition != nil && i.packedEdition.Version == held.Version {
+		return i.packedEdition
 	}
-	content, err := registry.Pack(held.Content)
+	content, err := registry.Compress(held.Content)
 	if err != nil {
-		b.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
+		i.options.Log.Error().Err(err).Uint64("version", held.Version).Msg("packing the routes failed; sending them unpacked")
 		return &held
 	}
-	b.packedEdition = &edition.Edition{Version: held.Version, Content: content}
-	return b.packedEdition
+	i.packedEdition = &edition.Edition{Version: held.Version, Content: content}
+	return i.packedEdition
 }
 
-// membershipTTL is how long the membership is cached. Entry instances ask for it
-// several times a second each, and share the result.
+// membershipTTL is how long the membership is cached. Each entry instance requests
+// it several times a second.
 const membershipTTL = 100 * time.Millisecond
 
 // membership holds the inner addresses of the entry instances and the control plane
@@ -120,30 +120,30 @@
 	return max(sum.Sum64(), 1)
 }
 
-// membership returns the instances that are alive. b.mu is held.
-func (b *Backoffice) membership(now time.Time) membership {
-	if now.Sub(b.cachedMembership.computedAt) < membershipTTL {
-		return b.cachedMembership
+// membership returns the instances that are alive. i.mu is held.
+func (i *Instance) membership(now time.Time) membership {
+	if now.Sub(i.cachedMembership.computedAt) < membershipTTL {
+		return i.cachedMembership
 	}
-	b.cachedMembership = membership{computedAt: now, controlsByDomain: map[string][]string{}}
-	for _, instance := range b.roster.Instances(now) {
+	i.cachedMembership = membership{computedAt: now, controlsByDomain: map[string][]string{}}
+	for _, instance := range i.roster.Instances(now) {
 		if instance.CallerAddress != "" {
-			b.cachedMembership.entries = append(b.cachedMembership.entries, instance.InnerAddress)
+			i.cachedMembership.entries = append(i.cachedMembership.entries, instance.InnerAddress)
 		}
 		if instance.Identity != "" {
-			b.cachedMembership.controls = append(b.cachedMembership.controls, instance.InnerAddress)
+			i.cachedMembership.controls = append(i.cachedMembership.controls, instance.InnerAddress)
 			domain := instance.FailureDomain
-			b.cachedMembership.controlsByDomain[domain] = append(b.cachedMembership.controlsByDomain[domain], instance.InnerAddress)
+			i.cachedMembership.controlsByDomain[domain] = append(i.cachedMembership.controlsByDomain[domain], instance.InnerAddress)
 		}
 	}
-	slices.Sort(b.cachedMembership.entries)
-	slices.Sort(b.cachedMembership.controls)
-	b.cachedMembership.revision = b.cachedMembership.hash()
-	return b.cachedMembership
+	slices.Sort(i.cachedMembership.entries)
+	slices.Sort(i.cachedMembership.controls)
+	i.cachedMembership.revision = i.cachedMembership.hash()
+	return i.cachedMembership
 }
 
-// Want returns an engine that holds a model or an adapter, if necessary after it was
-// loaded.
+// Want returns an engine that holds a model or an adapter, after loading it if
+// necessary.
 func (f feedServer) Want(ctx context.Context, args courier.WantArgs) courier.WantReply {
-	return f.backoffice.orchestrator.ensureHeld(ctx, args)
+	return f.instance.orchestrator.ensureHeld(ctx, args)
 }
--- a/internal/backoffice/leases.go
+++ b/internal/backoffice/leases.go
@@ -18,10 +18,10 @@
 	// retransmitTime is how long after its sender timed out an order may still arrive,
 	// because the network retransmits lost packets.
 	retransmitTime = 400 * time.Millisecond
-	// leaseRestFactor is the pause between two batches, as a multiple of the time that
+	// leasePauseFactor is the pause between two batches, as a multiple of the time that
 	// the last batch took. Most of that time is spent by the voters, not by this
 	// instance.
-	leaseRestFactor = 2
+	leasePauseFactor = 2
 	// leaseForgetDelay is how long a leader collects announcements before it deletes the
 	// leases of engines that it has not heard from.
 	leaseForgetDelay = 10 * time.Second
@@ -55,7 +55,7 @@
 // newLeaseBatcher returns a leaseBatcher that works until ctx ends.
 func newLeaseBatcher(ctx context.Context, o *orchestrator) *leaseBatcher {
 	l := &leaseBatcher{orchestrator: o, pending: map[string][]chan leaseResult{}, wake: make(chan struct{}, 1)}
-	o.backoffice.done.Go(func() {
+	o.instance.done.Go(func() {
 		for {
 			select {
 			case <-l.wake:
@@ -68,7 +68,8 @@
 	return l
 }
 
-// take takes the lease of an engine for one order, which must be sent at once.
+// take takes the lease of an engine for one order, which must be sent at once. After an
+// error, the order must not be sent.
 func (l *leaseBatcher) take(ctx context.Context, engine string) error {
 	answer := make(chan leaseResult, 1)
 	l.mu.Lock()
@@ -100,7 +101,7 @@
 	}
 	start := l.now()
 	l.takeBatch(ctx, batch)
-	pause.For(ctx, leaseRestFactor*l.now().Sub(start))
+	pause.For(ctx, leasePauseFactor*l.now().Sub(start))
 }
 
 func (l *leaseBatcher) takeBatch(ctx context.Context, batch map[string][]chan leaseResult) {
@@ -112,7 +113,7 @@
 		engines = append(engines, engine)
 	}
 	slices.Sort(engines)
-	taken, err := l.orchestrator.backoffice.voter.TakeLeases(ctx, engines, l.exclusionTime(), l.goneEngines())
+	taken, err := l.orchestrator.instance.voter.TakeLeases(ctx, engines, l.exclusionTime(), l.goneEngines())
 	for engine, waiting := range batch {
 		answer := leaseResult{until: until, err: err}
 		if err == nil && !slices.Contains(taken, engine) {
@@ -125,21 +126,21 @@
 }
 
 func (l *leaseBatcher) now() time.Time {
-	return l.orchestrator.backoffice.options.Now()
+	return l.orchestrator.instance.options.Now()
 }
 
 // exclusionTime is how long this instance sends no orders to an engine after it has
 // seen another instance take the lease. The other instance may send an order up to
 // leaseValidity later, which may arrive up to orderTimeout and retransmitTime after
-// that. OrderGap must then pass before the next order.
+// that. MinOrderGap must then pass before the next order.
 func (l *leaseBatcher) exclusionTime() time.Duration {
-	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.backoffice.options.OrderGap
+	return leaseValidity + orderTimeout + retransmitTime + l.orchestrator.instance.options.MinOrderGap
 }
 
 // isFree reports whether no other instance can have ordered an engine within the
 // minimum time between orders of two instances.
 func (l *leaseBatcher) isFree(now time.Time, engine string) bool {
-	return l.orchestrator.backoffice.voter.LeaseFree(now, engine, l.exclusionTime())
+	return l.orchestrator.instance.voter.LeaseFree(now, engine, l.exclusionTime())
 }
 
 // goneEngines returns the engines whose leases can be deleted: those that are unknown
@@ -152,5 +153,5 @@
 	if l.now().Sub(o.termSince) < leaseForgetDelay {
 		return nil
 	}
-	return slices.DeleteFunc(o.backoffice.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
+	return slices.DeleteFunc(o.instance.voter.Leases().Upstreams(), func(name string) bool { return o.engines[name] != nil })
 }
--- a/internal/backoffice/relay.go
+++ b/internal/backoffice/relay.go
@@ -21,14 +21,14 @@
 )
 
 // relay runs on instances that do not lead. It forwards the demand reported by entry
-// instances to the leader, and returns the leader's holdings to the entry instances.
+// instances to the leader, and returns the leader's engine states to the entry instances.
 //
 // If 86 entry instances all call the leader directly, a new leader receives 86
 // connections and lists of all upstreams at once, which takes about a second of 0.07 of
 // a core. Its heartbeats are then late and it is replaced again. With the relay, the
 // number of callers of the leader does not depend on the number of entry instances.
 type relay struct {
-	backoffice *Backoffice
+	instance *Instance
 
 	mu sync.Mutex
 	// demand holds the reports since the last call to the leader, by entry instance.
@@ -38,11 +38,11 @@
 	// limited holds the upstreams with a rate limit that were reported since the last
 	// call, by name.
 	limited map[string]courier.LimitedUpstream
-	// holdings are the last ones that the leader returned, with their revision. The
+	// engineStates are the last ones that the leader returned, with their revision. The
 	// leader encoded them at encodedAt.
-	holdings  []byte
-	revision  uint64
-	encodedAt time.Time
+	engineStates []byte
+	revision     uint64
+	encodedAt    time.Time
 }
 
 // run calls the leader until ctx ends.
@@ -92,8 +92,8 @@
 // fails: entry instances report lasting demand again, and a new leader must not receive
 // all the demand that accumulated without a leader at once.
 func (r *relay) gather(ctx context.Context) {
-	now := r.backoffice.options.Now()
-	leader, _ := r.backoffice.voter.Leader()
+	now := r.instance.options.Now()
+	leader, _ := r.instance.voter.Leader()
 	r.mu.Lock()
 	args := courier.GatherArgs{
 		Told: r.demand, Limited: slices.Collect(maps.Values(r.limited)), Holdings: r.revision,
@@ -102,35 +102,35 @@
 	clear(r.limited)
 	idle := now.Sub(r.lastSyncAt) >= relayIdleTimeout
 	r.mu.Unlock()
-	if idle || leader == "" || leader == r.backoffice.voter.Identity() {
+	if idle || leader == "" || leader == r.instance.voter.Identity() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := r.backoffice.callPool.Gather(ctx, leader.Instance(), args)
+	reply, err := r.instance.callPool.ReportDemand(ctx, leader.Instance(), args)
 	if err != nil {
-		r.backoffice.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching holdings from the leader failed")
+		r.instance.options.Log.Debug().Err(err).Str("leader", leader.Instance()).Msg("fetching the engine states from the leader failed")
 		return
 	}
-	r.setHoldings(r.backoffice.options.Now(), reply)
+	r.setEngineStates(r.instance.options.Now(), reply)
 }
 
-// setHoldings stores the leader's reply if it has newer holdings.
-func (r *relay) setHoldings(now time.Time, reply courier.GatherReply) {
+// setEngineStates stores the leader's reply if it has newer engine states.
+func (r *relay) setEngineStates(now time.Time, reply courier.GatherReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.Revision <= r.revision {
 		return
 	}
-	r.holdings, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
+	r.engineStates, r.revision, r.encodedAt = reply.Holdings, reply.Revision, now.Add(-reply.Age)
 }
 
-// fillHoldings adds the holdings to reply if they are newer than the revision have of
-// the caller.
-func (r *relay) fillHoldings(now time.Time, have uint64, reply *courier.SyncReply) {
+// fillEngineStates adds the engine states to reply if they are newer than have, the
+// caller's revision.
+func (r *relay) fillEngineStates(now time.Time, have uint64, reply *courier.SyncReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.revision > have {
-		reply.Holdings, reply.HoldingsAge = r.holdings, now.Sub(r.encodedAt)
+		reply.Holdings, reply.HoldingsAge = r.engineStates, now.Sub(r.encodedAt)
 	}
 }
--- a/internal/badge/badge.go
+++ b/internal/badge/badge.go
@@ -14,62 +14,62 @@
 	"github.com/lovagelift/lovagelift/internal/form"
 )
 
-// Book is the list of token holders. It is immutable and safe for concurrent use. The zero value
+// Tokens is the list of token holders. It is immutable and safe for concurrent use. The zero value
 // has no holders.
-type Book struct {
+type Tokens struct {
 	holders []holder
 }
 
 // tokenKey is the key of the TOML tables that list tokens.
 const tokenKey = "token"
 
-// holder is a user or program with a token. Names and hashes are unique within a Book.
+// holder is a user or program with a token. Names and hashes are unique within Tokens.
 type holder struct {
 	name string
 	hash [sha256.Size]byte
 }
 
-// Load reads the Book in the TOML file path.
-func Load(path string) (Book, error) {
+// Load reads Tokens from the TOML file path.
+func Load(path string) (Tokens, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Book{}, errors.Wrap(err, "badge: reading the file")
+		return Tokens{}, errors.Wrap(err, "badge: reading the file")
 	}
 	return Parse(path, data)
 }
 
-// Parse returns the Book in data, which is TOML: for each token a table [[token]] with the name of
+// Parse returns the Tokens of data, which is TOML: for each token a table [[token]] with the name of
 // its holder and sha256, the hash in hexadecimal. If data is invalid, Parse returns a
 // *finding.Error with every finding, whose places name file.
 //
 // A plain SHA-256 is sufficient for randomly generated tokens, which no dictionary contains.
 // docs/operators/settings.md describes how to generate one.
-func Parse(file string, data []byte) (Book, error) {
+func Parse(file string, data []byte) (Tokens, error) {
 	var findings finding.List
 	root, ok := form.Open(file, data, &findings)
 	if !ok {
-		return Book{}, findings.Err()
+		return Tokens{}, findings.Err()
 	}
-	var book Book
+	var tokens Tokens
 	namePlaces := map[string]finding.Place{}
 	hashPlaces := map[[sha256.Size]byte]finding.Place{}
 	for _, table := range root.Tables(tokenKey) {
 		parsed := readHolder(table, namePlaces, hashPlaces)
-		book.holders = append(book.holders, parsed)
+		tokens.holders = append(tokens.holders, parsed)
 	}
-	root.Done()
-	if len(book.holders) == 0 {
+	root.ReportUnknownKeys()
+	if len(tokens.holders) == 0 {
 		findings.Add(finding.Place{File: file}, "no token is listed, so nobody could act",
 			`write [[token]] with name = "..." and sha256 = "..."`)
 	}
 	if err := findings.Err(); err != nil {
-		return Book{}, err
+		return Tokens{}, err
 	}
-	return book, nil
+	return tokens, nil
 }
 
-// IsBook reports whether data is TOML that lists tokens, even if the list is invalid.
-func IsBook(data []byte) bool {
+// IsTokenFile reports whether data is TOML that lists tokens, even if the list is invalid.
+func IsTokenFile(data []byte) bool {
 	var ignored finding.List
 	root, ok := form.Open("", data, &ignored)
 	return ok && root.Has(tokenKey)
@@ -80,7 +80,7 @@
 	table.Require("sha256", `"..."`)
 	h := holder{name: table.Text("name", "")}
 	hexHash := table.Text("sha256", "")
-	table.Done()
+	table.ReportUnknownKeys()
 	hash, err := hex.DecodeString(hexHash)
 	switch {
 	case hexHash == "":
@@ -103,15 +103,15 @@
 
 // Holder returns the name of the holder of token, or false if there is none. Its running time does
 // not depend on the tokens.
-func (b Book) Holder(token string) (string, bool) {
+func (t Tokens) Holder(token string) (string, bool) {
 	hash := sha256.Sum256([]byte(token))
 	index := -1
-	for i := range b.holders {
-		match := subtle.ConstantTimeCompare(hash[:], b.holders[i].hash[:])
+	for i := range t.holders {
+		match := subtle.ConstantTimeCompare(hash[:], t.holders[i].hash[:])
 		index = subtle.ConstantTimeSelect(match, i, index)
 	}
 	if index < 0 {
 		return "", false
 	}
-	return b.holders[index].name, true
+	return t.holders[index].name, true
 }
--- a/internal/badge/badge_test.go
+++ b/internal/badge/badge_test.go
@@ -15,19 +15,19 @@
 	return fmt.Sprintf("[[token]]\nname = %q\nsha256 = \"%x\"\n", name, sha256.Sum256([]byte(token)))
 }
 
-var _ = Describe("Book", func() {
+var _ = Describe("Tokens", func() {
 	It("returns the holder of each token, and none for other tokens", func() {
-		book, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
+		tokens, err := badge.Parse("t.toml", []byte(tokenTable("kim", "first token")+tokenTable("ada", "second token")))
 		Expect(err).NotTo(HaveOccurred())
 		for token, want := range map[string]string{
 			"first token": "kim", "second token": "ada", "": "", "First token": "", "first token\n": "",
 			fmt.Sprintf("%x", sha256.Sum256([]byte("first token"))): "",
 		} {
-			name, ok := book.Holder(token)
+			name, ok := tokens.Holder(token)
 			Expect(name).To(Equal(want), token)
 			Expect(ok).To(Equal(want != ""), token)
 		}
-		_, ok := badge.Book{}.Holder("")
+		_, ok := badge.Tokens{}.Holder("")
 		Expect(ok).To(BeFalse())
 	})
 
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -18,9 +18,9 @@
 
 // Options configures a Caller.
 type Options struct {
-	// Known are seed addresses of instances (IP address and port), used to fetch the
+	// Seeds are seed addresses of instances (IP address and port), used to fetch the
 	// entries when no cached instance answers.
-	Known []string
+	Seeds []string
 	// Client sends the requests. Nil means a new client that uses TLS as set below.
 	Client *http.Client
 	// TLS configures TLS connections to the instances. Nil means plain HTTP.
@@ -104,18 +104,18 @@
 	for _, entry := range cached {
 		addresses = append(addresses, entry.Address)
 	}
-	return append(addresses, c.options.Known...)
+	return append(addresses, c.options.Seeds...)
 }
 
 func (c *Caller) fetchEntries(ctx context.Context, address string) (entriesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	var reply entriesResponse
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(address, "/v1/entries"), nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(address, "/v1/entries"), nil)
 	if err != nil {
 		return reply, errors.Wrap(err, "caller: entries")
 	}
-	response, err := c.options.Client.Do(request)
+	response, err := c.options.Client.Do(httpRequest)
 	if err != nil {
 		return reply, errors.Wrap(err, "caller: entries")
 	}
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -17,16 +17,16 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// Question is a request for a chat completion.
-type Question struct {
+// Request is a request for a chat completion.
+type Request struct {
 	// Service is the service that the request belongs to. It may be empty.
 	Service string
 	Model   string
-	Text    string
+	Prompt  string
 }
 
-// Answer is a complete response.
-type Answer struct {
+// Response is a complete response.
+type Response struct {
 	// Entry is the instance that answered.
 	Entry Entry
 	Text  string
@@ -39,26 +39,26 @@
 // serviceHeader names the service that a request belongs to.
 const serviceHeader = "Lovagelift-Service"
 
-// Ask sends a chat completion request and calls onChunk with each chunk of text as it
-// arrives. A completion has no side effects, so Ask retries on the next instance if an
+// Complete sends a chat completion request and calls onChunk with each chunk of text as it
+// arrives. A completion has no side effects, so Complete retries on the next instance if an
 // attempt fails before the first chunk, unless the response has a 4xx status. Once all
-// entries have failed, it first waits for the retry delay of the last response. If Ask
+// entries have failed, it first waits for the retry delay of the last response. If Complete
 // receives no complete response, it returns an *Error.
-func (c *Caller) Ask(ctx context.Context, question Question, onChunk func(string)) (Answer, error) {
+func (c *Caller) Complete(ctx context.Context, request Request, onChunk func(string)) (Response, error) {
 	var lastErr error
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		entries, err := c.Entries(ctx)
 		if err != nil {
-			return Answer{}, &Error{Outcome: outcome.NotRun, Message: err.Error()}
+			return Response{}, &Error{Outcome: outcome.NotRun, Message: err.Error()}
 		}
 		entry := c.pick(entries)
 		started := false
-		text, err := c.stream(ctx, entry, question, func(chunk string) {
+		text, err := c.stream(ctx, entry, request, func(chunk string) {
 			started = true
 			onChunk(chunk)
 		})
 		if err == nil {
-			return Answer{Entry: entry, Text: text, Attempts: attempt}, nil
+			return Response{Entry: entry, Text: text, Attempts: attempt}, nil
 		}
 		lastErr = err
 		if started || isFinal(err) || ctx.Err() != nil {
@@ -69,7 +69,7 @@
 			break
 		}
 	}
-	return Answer{}, lastErr
+	return Response{}, lastErr
 }
 
 // Limits of the delay before a failed instance is tried again.
@@ -107,26 +107,26 @@
 }
 
 func (c *Caller) stream(
-	ctx context.Context, entry Entry, question Question, onChunk func(string),
+	ctx context.Context, entry Entry, request Request, onChunk func(string),
 ) (string, error) {
 	body, err := json.Marshal(chatRequest{
-		Model:    question.Model,
-		Messages: []chatMessage{{Role: "user", Content: question.Text}},
+		Model:    request.Model,
+		Messages: []chatMessage{{Role: "user", Content: request.Prompt}},
 		Stream:   true,
 	})
 	if err != nil {
 		return "", errors.Wrap(err, "caller: question")
 	}
 	url := c.url(entry.Address, "/v1/chat/completions")
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return "", errors.Wrap(err, "caller: question")
 	}
-	request.Header.Set("Content-Type", "application/json")
-	if question.Service != "" {
-		request.Header.Set(serviceHeader, question.Service)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	if request.Service != "" {
+		httpRequest.Header.Set(serviceHeader, request.Service)
 	}
-	response, err := c.options.Client.Do(request)
+	response, err := c.options.Client.Do(httpRequest)
 	if err != nil {
 		return "", &Error{Outcome: outcome.Unknown, Message: err.Error()}
 	}
--- a/internal/chamber/bootstrap.go
+++ b/internal/chamber/bootstrap.go
@@ -20,28 +20,28 @@
 // clusterIDBytes is long enough to make collisions of cluster IDs practically impossible.
 const clusterIDBytes = 8
 
-// Founding returns the state of this voter that a bootstrap needs to know.
-func (c controlServer) Founding() courier.Founding {
+// BootstrapState returns the state of this voter that a bootstrap needs to know.
+func (c controlServer) BootstrapState() courier.Founding {
 	status := c.voter.replica.Status()
-	founding := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
+	state := courier.Founding{Identity: c.voter.identity, Cluster: status.Cluster}
 	// A voter in operation can be in this state too, when its snapshot covers the whole log.
 	// Bootstrapping it again with the charter of its own cluster has no effect.
 	if status.Cluster != "" && status.Last == status.SnapshotIndex {
-		founding.Charter = courier.Charter{
+		state.Charter = courier.Charter{
 			Cluster: status.Cluster,
 			Voters:  status.Voters,
 			Index:   status.SnapshotIndex,
 		}
 	}
-	return founding
+	return state
 }
 
 // firstIndex is the log index of the initial state of a new cluster.
 const firstIndex = 1
 
-// Origin is the state of a cluster that lost its quorum, from which a new cluster starts. The zero
-// value starts with an empty state.
-type Origin struct {
+// InitialState is the state of a cluster that lost its quorum, from which a new cluster starts. The
+// zero value starts with an empty state.
+type InitialState struct {
 	Index jury.Index
 	Term  jury.Term
 	// Data is a snapshot of the registry.
@@ -66,18 +66,18 @@
 // Bootstrap create a new cluster. Instances that followed the old cluster then refuse to follow the
 // new one until they are restarted.
 func (v *Voter) Bootstrap(ctx context.Context) error {
-	return v.BootstrapFrom(ctx, Origin{})
+	return v.BootstrapFrom(ctx, InitialState{})
 }
 
 // BootstrapFrom is Bootstrap with the state of a cluster that lost its quorum. The new cluster has
 // a new ID: voters of the old cluster that come back are ignored, and instances that followed the
 // old cluster must be restarted.
-func (v *Voter) BootstrapFrom(ctx context.Context, origin Origin) error {
-	foundings, err := v.collectFoundings(ctx)
+func (v *Voter) BootstrapFrom(ctx context.Context, origin InitialState) error {
+	states, err := v.collectBootstrapStates(ctx)
 	if err != nil {
 		return err
 	}
-	charter, err := newCharter(foundings, origin)
+	charter, err := newCharter(states, origin)
 	if err != nil {
 		return err
 	}
@@ -100,45 +100,45 @@
 	return v.options.Calls.Bootstrap(ctx, voter.InnerAddress, charter)
 }
 
-// collectFoundings collects the Founding of every voter, including this one.
-func (v *Voter) collectFoundings(ctx context.Context) ([]courier.Founding, error) {
+// collectBootstrapStates collects the Founding of every voter, including this one.
+func (v *Voter) collectBootstrapStates(ctx context.Context) ([]courier.Founding, error) {
 	var findings finding.List
-	foundings := []courier.Founding{v.Control().Founding()}
+	states := []courier.Founding{v.Control().BootstrapState()}
 	for _, voter := range v.options.Voters {
-		founding, err := v.options.Calls.Founding(ctx, voter.InnerAddress)
+		state, err := v.options.Calls.BootstrapState(ctx, voter.InnerAddress)
 		if err != nil {
 			findings.Add(finding.Place{File: voter.Name}, err.Error(), "start this voter before the bootstrap")
 			continue
 		}
-		foundings = append(foundings, founding)
+		states = append(states, state)
 	}
-	return foundings, findings.Err()
+	return states, findings.Err()
 }
 
-// newCharter returns the charter for the voters that reported foundings. If one of them prevents the
+// newCharter returns the charter for the voters that reported states. If one of them prevents the
 // bootstrap, newCharter returns a *finding.Error.
-func newCharter(foundings []courier.Founding, origin Origin) (courier.Charter, error) {
+func newCharter(states []courier.Founding, origin InitialState) (courier.Charter, error) {
 	var findings finding.List
 	charter := courier.Charter{}
-	identities := make([]jury.Identity, 0, len(foundings))
-	for _, founding := range foundings {
-		identities = append(identities, founding.Identity)
-		if founding.Cluster == "" {
+	identities := make([]jury.Identity, 0, len(states))
+	for _, state := range states {
+		identities = append(identities, state.Identity)
+		if state.Cluster == "" {
 			continue
 		}
-		place := finding.Place{File: founding.Identity.Instance()}
+		place := finding.Place{File: state.Identity.Instance()}
 		switch {
-		case founding.Charter.Cluster == "":
-			findings.Add(place, "this voter is at work in cluster "+founding.Cluster,
+		case state.Charter.Cluster == "":
+			findings.Add(place, "this voter is at work in cluster "+state.Cluster,
 				"to bring back a voter that lost its disk, replace it; do not bootstrap")
-		case founding.Charter.Index != max(origin.Index, firstIndex):
-			findings.Add(place, fmt.Sprintf("this voter was founded from the state at index %d", founding.Charter.Index),
+		case state.Charter.Index != max(origin.Index, firstIndex):
+			findings.Add(place, fmt.Sprintf("this voter was founded from the state at index %d", state.Charter.Index),
 				"run the bootstrap with the state that was given first")
-		case charter.Cluster != "" && charter.Cluster != founding.Cluster:
-			findings.Add(place, "this voter was founded in another cluster, "+founding.Cluster,
+		case charter.Cluster != "" && charter.Cluster != state.Cluster:
+			findings.Add(place, "this voter was founded in another cluster, "+state.Cluster,
 				"stop it and remove its data folder, unless the others are the wrong ones")
 		default:
-			charter = founding.Charter
+			charter = state.Charter
 		}
 	}
 	slices.Sort(identities)
@@ -155,7 +155,7 @@
 // completeCharter sets the fields of a charter that are still missing. The cluster ID is derived
 // from the voters and the initial state, so that concurrent bootstraps of the same voters create
 // one cluster, and bootstraps of different voters never share one.
-func completeCharter(charter courier.Charter, identities []jury.Identity, origin Origin) (courier.Charter, error) {
+func completeCharter(charter courier.Charter, identities []jury.Identity, origin InitialState) (courier.Charter, error) {
 	charter.Voters = identities
 	charter.Index, charter.Term, charter.Data = origin.Index, origin.Term, origin.Data
 	if origin.Index == 0 {
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -19,12 +19,12 @@
 // Follower is the control plane of an instance that is not a voter. It stores nothing on disk, so
 // it admits work only once a voter has confirmed the configuration.
 type Follower struct {
-	options Options
-	gazette *gazette.Gazette
+	options     Options
+	configCache *gazette.Cache
 
 	mu sync.Mutex
-	// freshAsOf is the latest time for which the gazette is known to hold the configuration that
-	// was in force then. It never decreases.
+	// freshAsOf is the latest time for which the configuration cache is known to hold the
+	// configuration that was in force then. It never decreases.
 	freshAsOf time.Time
 	// clusterID is the cluster that is followed, empty until the first answer.
 	clusterID string
@@ -41,14 +41,14 @@
 // NewFollower starts a Follower.
 func NewFollower(options Options) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{options: options, gazette: gazette.New(), cancel: cancel}
+	f := &Follower{options: options, configCache: gazette.New(), cancel: cancel}
 	f.goroutines.Go(func() { f.run(ctx) })
 	return f
 }
 
-// Gazette returns the publisher of the configuration in force.
-func (f *Follower) Gazette() *gazette.Gazette {
-	return f.gazette
+// ConfigCache returns the cache of the configuration in force.
+func (f *Follower) ConfigCache() *gazette.Cache {
+	return f.configCache
 }
 
 // Identity returns "", since a follower is not a voter.
@@ -62,11 +62,11 @@
 	return "", 0
 }
 
-// Fresh reports whether the follower holds its configuration lease.
-func (f *Follower) Fresh(now time.Time) bool {
+// HasConfigLease reports whether the follower holds its configuration lease.
+func (f *Follower) HasConfigLease(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.freshAsOf.IsZero() && now.Sub(f.freshAsOf) < f.options.Lease
+	return !f.freshAsOf.IsZero() && now.Sub(f.freshAsOf) < f.options.ConfigLease
 }
 
 // Close stops the follower.
@@ -76,7 +76,7 @@
 }
 
 func (f *Follower) run(ctx context.Context) {
-	ticker := time.NewTicker(f.options.RenewEvery)
+	ticker := time.NewTicker(f.options.RenewInterval)
 	defer ticker.Stop()
 	for {
 		f.renew(ctx)
@@ -93,7 +93,7 @@
 	for range f.options.Voters {
 		voter := f.currentVoter()
 		requestedAt := f.options.Now()
-		configuration, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.gazette.Latest().Revision, f.quarantineMark())
+		configuration, err := f.options.Calls.Configuration(ctx, voter.InnerAddress, f.configCache.Latest().Revision, f.quarantineMark())
 		if err == nil {
 			err = f.applyConfiguration(requestedAt, configuration)
 		}
@@ -118,7 +118,7 @@
 		return err
 	}
 	if configuration.View != nil {
-		if err := f.gazette.Publish(configuration.View); err != nil {
+		if err := f.configCache.Publish(configuration.View); err != nil {
 			return err
 		}
 	}
@@ -199,16 +199,16 @@
 	for {
 		proposed := f.proposeOnce(ctx, data)
 		switch {
-		case proposed.Fate == courier.FateCarriedOut:
+		case proposed.Fate == courier.ProposalExecuted:
 			return registry.DecodeResult(proposed.Result)
-		case proposed.Fate == courier.FateUnknown:
+		case proposed.Fate == courier.ProposalUnknown:
 			outcomeUnknown = true
 		case !proposed.Passing && !outcomeUnknown:
 			return registry.Result{}, proposalError(proposed)
 		}
 		if !pause.For(ctx, retryInterval) {
 			if outcomeUnknown {
-				proposed.Fate = courier.FateUnknown
+				proposed.Fate = courier.ProposalUnknown
 			}
 			return registry.Result{}, proposalError(proposed)
 		}
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposed := f.options.Calls.Propose(ctx, voter.InnerAddress, data, false)
-	if proposed.Fate != courier.FateCarriedOut {
+	if proposed.Fate != courier.ProposalExecuted {
 		f.skipVoter(voter)
 	}
 	return proposed
@@ -252,10 +252,10 @@
 
 // ChangeVoters asks one voter after another until it reaches the leader and the change is made.
 func (f *Follower) ChangeVoters(ctx context.Context, change courier.VotersChange) error {
-	proposed := courier.Proposed{Fate: courier.FateNotAccepted, Reason: "the settings name no voter"}
+	proposed := courier.Proposed{Fate: courier.ProposalRejected, Reason: "the settings name no voter"}
 	for _, voter := range f.options.Voters {
 		proposed = f.options.Calls.ChangeVoters(ctx, voter.InnerAddress, change)
-		if proposed.Fate != courier.FateNotAccepted || !proposed.Passing {
+		if proposed.Fate != courier.ProposalRejected || !proposed.Passing {
 			break
 		}
 	}
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -19,16 +19,16 @@
 	"github.com/lovagelift/lovagelift/internal/quarantine"
 )
 
-// Options configures a Coroner.
+// Options configures a CrashDetector.
 type Options struct {
-	// Contact returns what the instance currently knows about an upstream.
-	Contact func(endpoint quarantine.Place) quarantine.Contact
+	// Status returns what the instance currently knows about an upstream.
+	Status func(endpoint quarantine.Endpoint) quarantine.Status
 	// Report records an update, and reports whether it is certain that the update is
 	// recorded. Recording it more than once is safe.
 	Report func(ctx context.Context, update quarantine.Update) bool
-	// Line starts a log line of a kind. It returns nil if there were too many of that
+	// NewLogEvent starts a log line of a kind. It returns nil if there were too many of that
 	// kind.
-	Line func(kind string) *zerolog.Event
+	NewLogEvent func(kind string) *zerolog.Event
 	// Dial connects to an upstream. If nil, TCP is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Now  func() time.Time
@@ -36,9 +36,9 @@
 	Metrics tally.Scope
 }
 
-// Coroner detects the upstreams that ended while they had requests, and reports them. It
-// is safe for concurrent use. It calls Contact and Report without holding its lock.
-type Coroner struct {
+// CrashDetector detects the upstreams that ended while they had requests, and reports them. It
+// is safe for concurrent use. It calls Status and Report without holding its lock.
+type CrashDetector struct {
 	options Options
 	crashes tally.Counter
 
@@ -47,7 +47,7 @@
 
 	// probes holds the upstreams to probe, because their answers were interrupted.
 	// reportSignal holds a token if there may be something to report.
-	probes       chan quarantine.Place
+	probes       chan quarantine.Endpoint
 	reportSignal chan struct{}
 	stop         context.CancelFunc
 	goroutines   sync.WaitGroup
@@ -69,8 +69,8 @@
 	maxUnsent = 256
 )
 
-// New returns a Coroner and starts its goroutines.
-func New(options Options) *Coroner {
+// New returns a CrashDetector and starts its goroutines.
+func New(options Options) *CrashDetector {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
 	}
@@ -78,11 +78,11 @@
 		options.Metrics = tally.NoopScope
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Coroner{
+	c := &CrashDetector{
 		options:      options,
 		crashes:      options.Metrics.Counter("upstreams_ended"),
 		watch:        quarantine.NewWatch(),
-		probes:       make(chan quarantine.Place, maxProbes),
+		probes:       make(chan quarantine.Endpoint, maxProbes),
 		reportSignal: make(chan struct{}, 1),
 		stop:         cancel,
 	}
@@ -92,147 +92,147 @@
 }
 
 // Close stops all probes and reports, and waits until they have stopped.
-func (c *Coroner) Close() {
-	c.stop()
-	c.goroutines.Wait()
+func (d *CrashDetector) Close() {
+	d.stop()
+	d.goroutines.Wait()
 }
 
-// Holds reports whether a request is in quarantine and must not be sent.
-func (c *Coroner) Holds(digest quarantine.Digest) bool {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.IsQuarantined(now, digest)
+// IsQuarantined reports whether a request is in quarantine and must not be sent.
+func (d *CrashDetector) IsQuarantined(digest quarantine.Digest) bool {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.IsQuarantined(now, digest)
 }
 
-// Held returns the number of requests in quarantine and the number of suspected requests.
-func (c *Coroner) Held() (quarantined, suspected int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.Counts()
+// Counts returns the number of requests in quarantine and the number of suspected requests.
+func (d *CrashDetector) Counts() (quarantined, suspected int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.Counts()
 }
 
 // Mark returns the mark of the latest news, and 0 if there is none.
-func (c *Coroner) Mark() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.watch.Mark()
+func (d *CrashDetector) Mark() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watch.Mark()
 }
 
-// Follow applies news of the quarantine.
-func (c *Coroner) Follow(news quarantine.News) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.ApplyNews(now, news)
-	c.wakeReporter()
+// ApplyNews applies news of the quarantine.
+func (d *CrashDetector) ApplyNews(news quarantine.News) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.ApplyNews(now, news)
+	d.wakeReporter()
 }
 
 // Review calls contact for each upstream whose answers were interrupted, and records the
-// result. contact is like Options.Contact, and is called with the lock of the Coroner
+// result. contact is like Options.Status, and is called with the lock of the CrashDetector
 // held.
-func (c *Coroner) Review(contact func(quarantine.Place) quarantine.Contact) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Review(now, contact)
-	c.wakeReporter()
+func (d *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Review(now, contact)
+	d.wakeReporter()
 }
 
 // Succeeded records that an upstream gave a whole answer to a request. It ignores answers
 // with an error status.
-func (c *Coroner) Succeeded(digest quarantine.Digest, status int) {
+func (d *CrashDetector) Succeeded(digest quarantine.Digest, status int) {
 	if status >= http.StatusBadRequest {
 		return
 	}
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Succeeded(now, digest)
-	c.wakeReporter()
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Succeeded(now, digest)
+	d.wakeReporter()
 }
 
-// Left records that a caller abandoned a request while an upstream had it.
-func (c *Coroner) Left(endpoint quarantine.Place, suspect quarantine.Suspect) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Abandoned(now, endpoint, suspect)
+// Abandoned records that a caller abandoned a request while an upstream had it.
+func (d *CrashDetector) Abandoned(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Abandoned(now, endpoint, suspect)
 }
 
-// Broke records that the answer of an upstream to a request was interrupted, or did not
+// Interrupted records that the answer of an upstream to a request was interrupted, or did not
 // arrive.
-func (c *Coroner) Broke(endpoint quarantine.Place, suspect quarantine.Suspect) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.watch.Interrupted(now, endpoint, suspect) {
+func (d *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.watch.Interrupted(now, endpoint, suspect) {
 		select {
-		case c.probes <- endpoint:
+		case d.probes <- endpoint:
 		default:
 			// The queue of probes is full. A later observation may still show that the
 			// upstream has ended.
 		}
 	}
-	c.wakeReporter()
+	d.wakeReporter()
 }
 
-// Failed records why a connection to an upstream failed. Only a refused connection
+// ConnectionFailed records why a connection to an upstream failed. Only a refused connection
 // counts.
-func (c *Coroner) Failed(endpoint quarantine.Place, cause error) {
+func (d *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := c.options.Contact(endpoint)
-	if contact != quarantine.ContactLeaving {
-		contact = quarantine.ContactRefused
+	contact := d.options.Status(endpoint)
+	if contact != quarantine.StatusLeaving {
+		contact = quarantine.StatusRefused
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watch.Observe(endpoint.Lifetime, contact)
-	c.wakeReporter()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watch.Observe(endpoint.Lifetime, contact)
+	d.wakeReporter()
 }
 
-// wakeReporter signals the reporter if there is something to report. c.mu must be held.
-func (c *Coroner) wakeReporter() {
-	if !c.watch.IsPending() {
+// wakeReporter signals the reporter if there is something to report. d.mu must be held.
+func (d *CrashDetector) wakeReporter() {
+	if !d.watch.IsPending() {
 		return
 	}
 	select {
-	case c.reportSignal <- struct{}{}:
+	case d.reportSignal <- struct{}{}:
 	default:
 	}
 }
 
 // runProbes starts a probe for each upstream in the queue, until ctx ends.
-func (c *Coroner) runProbes(ctx context.Context) {
+func (d *CrashDetector) runProbes(ctx context.Context) {
 	for {
 		select {
-		case endpoint := <-c.probes:
-			c.goroutines.Go(func() { c.probe(ctx, endpoint) })
+		case endpoint := <-d.probes:
+			d.goroutines.Go(func() { d.probe(ctx, endpoint) })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Coroner) probe(ctx context.Context, endpoint quarantine.Place) {
+func (d *CrashDetector) probe(ctx context.Context, endpoint quarantine.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := c.options.Dial(ctx, "tcp", endpoint.Address)
+	conn, err := d.options.Dial(ctx, "tcp", endpoint.Address)
 	if err == nil {
 		conn.Close()
 		return
 	}
-	c.Failed(endpoint, err)
+	d.ConnectionFailed(endpoint, err)
 }
 
 // runReporter reports what is pending after each signal, until ctx ends.
-func (c *Coroner) runReporter(ctx context.Context) {
+func (d *CrashDetector) runReporter(ctx context.Context) {
 	for {
 		select {
-		case <-c.reportSignal:
-			c.reportPending(ctx)
+		case <-d.reportSignal:
+			d.reportPending(ctx)
 		case <-ctx.Done():
 			return
 		}
@@ -240,13 +240,13 @@
 }
 
 // reportPending reports until nothing is left to report, or ctx ends.
-func (c *Coroner) reportPending(ctx context.Context) {
+func (d *CrashDetector) reportPending(ctx context.Context) {
 	var unsent quarantine.Update
 	for pause.For(ctx, reportInterval) {
-		update, more := c.takeDue()
-		c.logReports(update)
+		update, more := d.takeDue()
+		d.logReports(update)
 		unsent = unsent.With(update).Newest(maxUnsent)
-		if unsent.Empty() || c.send(ctx, unsent) {
+		if unsent.Empty() || d.send(ctx, unsent) {
 			unsent = quarantine.Update{}
 		}
 		if !more && unsent.Empty() {
@@ -256,32 +256,32 @@
 }
 
 // takeDue returns what is to be reported now, and whether there will be more soon.
-func (c *Coroner) takeDue() (update quarantine.Update, more bool) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	update = c.watch.TakeDue(now)
-	return update, c.watch.IsPending()
+func (d *CrashDetector) takeDue() (update quarantine.Update, more bool) {
+	now := d.options.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	update = d.watch.TakeDue(now)
+	return update, d.watch.IsPending()
 }
 
-func (c *Coroner) send(ctx context.Context, update quarantine.Update) bool {
+func (d *CrashDetector) send(ctx context.Context, update quarantine.Update) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return c.options.Report(ctx, update)
+	return d.options.Report(ctx, update)
 }
 
 // logReports logs each request that an upstream had when it ended.
-func (c *Coroner) logReports(update quarantine.Update) {
+func (d *CrashDetector) logReports(update quarantine.Update) {
 	for _, report := range update.Reports {
-		c.crashes.Inc(1)
+		d.crashes.Inc(1)
 		for _, suspect := range report.Suspects {
-			event := c.options.Line("upstream ended")
+			event := d.options.NewLogEvent("upstream ended")
 			if event == nil {
 				continue
 			}
 			event.Str("request", suspect.Request).Str(quarantine.FieldDigest, suspect.Digest.Short()).
 				Str("upstream", report.Upstream).Bool("answering", suspect.Answering).
-				Int("requests", len(report.Suspects)).Msg(quarantine.LineEnded)
+				Int("requests", len(report.Suspects)).Msg(quarantine.LogEnded)
 		}
 	}
 }
--- a/internal/counter/budget.go
+++ b/internal/counter/budget.go
@@ -1,8 +1,8 @@
 package counter
 
-// The instances share the slack evenly. An instance may use reserveShare of its part at once and
-// regains refillShare of it within a window. The rest covers sliding windows, which may contain a
-// full reserve and a full refill.
+// The instances share RetryLimits.Burst evenly. An instance may use reserveShare of its part at
+// once and regains refillShare of it within RetryLimits.Window. Any period of that length may
+// contain a full reserve and a full refill, so the two shares add up to less than 1.
 const (
 	reserveShare = 0.6
 	refillShare  = 0.3
@@ -12,6 +12,6 @@
 
 // perInstance returns the reserve and the refill per second of each instance.
 func (l RetryLimits) perInstance(instances int) (reserve, refill float64) {
-	share := l.Slack / float64(max(instances, 1))
+	share := l.Burst / float64(max(instances, 1))
 	return max(share*reserveShare, minReserve), share * refillShare / l.Window.Seconds()
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -20,8 +20,8 @@
 	"github.com/lovagelift/lovagelift/internal/speed"
 )
 
-// Counter is the proxy of one entry instance. It is safe for concurrent use.
-type Counter struct {
+// Proxy is the proxy of one entry instance. It is safe for concurrent use.
+type Proxy struct {
 	options Options
 	// keepAlive serves idempotent requests over reused connections. singleUse serves all others and
 	// opens a connection for each.
@@ -35,10 +35,10 @@
 	control controlLinks
 	seeds   []string
 	demand  *demand
-	// speeds holds the estimated engine speed of each service.
-	speeds  map[string]*speed.Speed
-	budgets *retry.Budgets
-	metrics *metrics
+	// estimators holds the estimated engine speed of each service.
+	estimators map[string]*speed.Estimator
+	budgets    *retry.Budgets
+	metrics    *metrics
 	// logQuotas limits the log lines of each kind.
 	logQuotas map[string]*logQuota
 	// pendingLoads are the load calls for models and adapters that are waiting or in flight.
@@ -52,7 +52,7 @@
 	peers  *peerLink
 	owners ownerTable
 	// pendingReplies are the messages of this instance to which the owner of a model or limit has
-	// yet to reply. permits are the peers' requests that this instance places.
+	// yet to reply. permits are the peers' requests that this instance places, queued or granted.
 	pendingReplies map[permit.ID]*pendingReply
 	lastMessageID  permit.ID
 	permits        map[peerRequest]*permitRecord
@@ -61,7 +61,7 @@
 	claimAnswers map[peerRequest]claimAnswer
 	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock
 	// of the detector.
-	crashes *coroner.Coroner
+	crashes *coroner.CrashDetector
 	// active is the number of requests in flight.
 	active   int
 	draining bool
@@ -80,9 +80,9 @@
 // maxIdleConnsPerUpstream is the number of idle connections kept to each upstream.
 const maxIdleConnsPerUpstream = 8
 
-// New returns a Counter that has started to sync with control instances.
-func New(options Options) *Counter {
-	options.RoutesWithin = cmp.Or(options.RoutesWithin, defaultRoutesMaxDelay)
+// New returns a Proxy that has started to sync with control instances.
+func New(options Options) *Proxy {
+	options.MaxRouteUpdateDelay = cmp.Or(options.MaxRouteUpdateDelay, defaultRoutesMaxDelay)
 	ctx, cancel := context.WithCancel(context.Background())
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -90,7 +90,7 @@
 		var dialer net.Dialer
 		return dialer.DialContext(ctx, network, address)
 	}
-	c := &Counter{
+	p := &Proxy{
 		options: options,
 		keepAlive: &http.Transport{
 			DialContext: dial, DisableCompression: true,
@@ -105,11 +105,11 @@
 			},
 			Lease: options.UpstreamLease,
 		}),
-		pool:   newUpstreamPool(options.FailureDomain, options.UpstreamLease),
-		demand: newDemand(),
-		speeds: map[string]*speed.Speed{},
+		pool:       newUpstreamPool(options.FailureDomain, options.UpstreamLease),
+		demand:     newDemand(),
+		estimators: map[string]*speed.Estimator{},
 		budgets: retry.NewBudgets(retry.Options{
-			Attempts: maxSends, Share: options.Retries.Share, Reserve: minReserve,
+			MaxAttempts: maxSends, Share: options.Retries.Ratio, Reserve: minReserve,
 		}),
 		seeds:        options.Seeds,
 		metrics:      newMetrics(options.Metrics),
@@ -125,19 +125,19 @@
 		syncNow:       make(chan struct{}, 1),
 		cancel:        cancel,
 	}
-	c.queue = newQueue()
-	c.control = controlLinks{
+	p.queue = newQueue()
+	p.control = controlLinks{
 		syncCalls:   courier.NewPool(options.Dial, syncTimeout),
 		loadCalls:   courier.NewPool(options.Dial, syncTimeout),
 		reportCalls: courier.NewPool(options.Dial, syncTimeout),
 		known:       options.Seeds,
 		nextIndex:   rand.IntN(len(options.Seeds)),
 	}
-	c.control.current = options.Seeds[c.control.nextIndex]
-	c.peers = newPeerLink(options.Peers, options.Now, c.receive, options.Log)
-	c.crashes = c.newCrashDetector()
-	c.background.Go(func() { c.syncLoop(ctx) })
-	return c
+	p.control.current = options.Seeds[p.control.nextIndex]
+	p.peers = newPeerLink(options.PeerConn, options.Now, p.receive, options.Log)
+	p.crashes = p.newCrashDetector()
+	p.background.Go(func() { p.syncLoop(ctx) })
+	return p
 }
 
 // parseAddress returns the parsed address, or an invalid one if name is not an address.
@@ -149,61 +149,61 @@
 // maxSends bounds how often one request is sent, including attempts that an upstream refused.
 const maxSends = 4
 
-// Serves reports whether the instance accepts requests: it has routes and is not draining.
-func (c *Counter) Serves() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.draining && c.routes.Load() != nil
+// Ready reports whether the instance accepts requests: it has routes and is not draining.
+func (p *Proxy) Ready() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.draining && p.routes.Load() != nil
 }
 
-// Open returns the number of requests in flight.
-func (c *Counter) Open() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.active
+// ActiveRequests returns the number of requests in flight.
+func (p *Proxy) ActiveRequests() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.active
 }
 
 // Drain begins a planned shutdown. Callers are directed to other instances; requests that still
 // arrive are served.
-func (c *Counter) Drain() {
-	c.mu.Lock()
-	c.draining = true
-	c.mu.Unlock()
-	c.syncSoon()
+func (p *Proxy) Drain() {
+	p.mu.Lock()
+	p.draining = true
+	p.mu.Unlock()
+	p.syncSoon()
 }
 
 // syncSoon triggers the next sync immediately.
-func (c *Counter) syncSoon() {
+func (p *Proxy) syncSoon() {
 	select {
-	case c.syncNow <- struct{}{}:
+	case p.syncNow <- struct{}{}:
 	default:
 	}
 }
 
 // Draining reports whether a planned shutdown has begun.
-func (c *Counter) Draining() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.draining
+func (p *Proxy) Draining() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.draining
 }
 
-// Seed replaces the control instances to fall back on.
-func (c *Counter) Seed(seeds []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.seeds = seeds
-	c.control.known = union(c.control.known, seeds)
+// SetSeeds replaces the control instances to fall back on.
+func (p *Proxy) SetSeeds(seeds []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.seeds = seeds
+	p.control.known = union(p.control.known, seeds)
 }
 
 // Close stops synchronizing and closes all connections.
-func (c *Counter) Close() {
-	c.cancel()
-	c.control.syncCalls.Close()
-	c.control.loadCalls.Close()
-	c.crashes.Close()
-	c.control.reportCalls.Close()
-	c.peers.close()
-	c.background.Wait()
-	c.keepAlive.CloseIdleConnections()
-	c.singleUse.CloseIdleConnections()
+func (p *Proxy) Close() {
+	p.cancel()
+	p.control.syncCalls.Close()
+	p.control.loadCalls.Close()
+	p.crashes.Close()
+	p.control.reportCalls.Close()
+	p.peers.close()
+	p.background.Wait()
+	p.keepAlive.CloseIdleConnections()
+	p.singleUse.CloseIdleConnections()
 }
--- a/internal/counter/export_test.go
+++ b/internal/counter/export_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// ApplyHoldings applies engine states known to the leader.
-func (p UpstreamPool) ApplyHoldings(now time.Time, holdings courier.Holdings) {
-	p.pool.applyHoldings(now, &holdings)
+// ApplyEngineStates applies engine states known to the leader.
+func (p UpstreamPool) ApplyEngineStates(now time.Time, states courier.EngineStates) {
+	p.pool.applyEngineStates(now, &states)
 }
 
 // Send selects an upstream for a request and records the request there. If there is none, it
@@ -61,7 +61,7 @@
 
 // prefillTime is the assumed prefill time before any measurement.
 func prefillTime(tokens int) time.Duration {
-	return speed.New(3).Reading("m", tokens)
+	return speed.New(3).PrefillTime("m", tokens)
 }
 
 // PeerSent records a request that a peer sends to an upstream.
@@ -88,7 +88,7 @@
 // by their prompt backlog, or avoided.
 func (p UpstreamPool) Survey(now time.Time, service, model string, tried ...string) (holders, full, paced, avoided int) {
 	s := p.pool.survey(now, upstreamQuery{service: service, model: model, pacing: pacingFor(p.maxGap, speed.New(3)), tried: tried})
-	return s.Holders, s.Full, s.Paced, s.Avoided
+	return s.Holders, s.Full, s.PrefillBusy, s.Avoided
 }
 
 // Fail records that an upstream did not answer.
@@ -118,20 +118,20 @@
 
 // Queue gives specs access to the request queue of an instance without a network.
 type Queue struct {
-	counter *Counter
-	pool    UpstreamPool
+	proxy *Proxy
+	pool  UpstreamPool
 }
 
 // NewQueue returns the queue of one of several instances.
 func NewQueue(pool UpstreamPool, instances int) Queue {
-	c := &Counter{
+	p := &Proxy{
 		pool: pool.pool, peers: &peerLink{}, demand: newDemand(), pendingLoads: map[courier.WantArgs]bool{}, loadLimiter: newLoadLimiter(),
 		metrics: newMetrics(nil), options: Options{Now: func() time.Time { return time.Time{} }},
 	}
-	c.queue = newQueue()
-	c.queue.timerSet = true
-	c.control.entryInstances = instances
-	return Queue{counter: c, pool: pool}
+	p.queue = newQueue()
+	p.queue.timerSet = true
+	p.control.entryInstances = instances
+	return Queue{proxy: p, pool: pool}
 }
 
 // Enqueue adds a request for a model that arrived at a given time.
@@ -145,22 +145,22 @@
 			target: target{service: "pool", model: model}, arrived: arrived, deadline: arrived.Add(10 * time.Second),
 			objective: objective, pacing: pacingFor(q.pool.maxGap, speed.New(3)), prefillTime: prefillTime(1000),
 		},
-		requester: localRequest{grants: make(chan grant, 1)}, placingInstances: q.counter.control.entryInstances,
+		requester: localRequest{grants: make(chan grant, 1)}, placingInstances: q.proxy.control.entryInstances,
 	}
 }
 
 func (q Queue) enqueue(now time.Time, w *waiter) *waiter {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.enqueue(now, w)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.enqueue(now, w)
 	return w
 }
 
 // Dispatch dispatches the queue.
 func (q Queue) Dispatch(now time.Time) {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.dispatch(now)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.dispatch(now)
 }
 
 // Rejects reports whether a request that was just enqueued is rejected.
@@ -168,16 +168,16 @@
 	if Granted(w) {
 		return false
 	}
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	return q.counter.rejectionFor(now, w) != nil
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	return q.proxy.rejectionFor(now, w) != nil
 }
 
 // Dequeue removes a request from the queue.
 func (q Queue) Dequeue(w *waiter) {
-	q.counter.mu.Lock()
-	defer q.counter.mu.Unlock()
-	q.counter.dequeue(w)
+	q.proxy.mu.Lock()
+	defer q.proxy.mu.Unlock()
+	q.proxy.dequeue(w)
 }
 
 // Granted reports whether a request was granted an upstream.
@@ -187,8 +187,8 @@
 
 // Instance gives specs access to an instance that owns models, without a network.
 type Instance struct {
-	counter *Counter
-	conn    *recordingConn
+	proxy *Proxy
+	conn  *recordingConn
 }
 
 // SentMessage is a message that an instance has sent.
@@ -215,44 +215,44 @@
 // NewInstance returns the instance at self, one of all instances.
 func NewInstance(pool UpstreamPool, self netip.AddrPort, all []netip.AddrPort) Instance {
 	conn := &recordingConn{}
-	c := NewQueue(pool, len(all)).counter
-	c.peers = &peerLink{conn: conn}
-	c.owners = newOwnerTable(self)
-	c.owners.assignment = permit.NewOwners(all)
-	c.permits = map[peerRequest]*permitRecord{}
-	c.pendingReplies = map[permit.ID]*pendingReply{}
-	return Instance{counter: c, conn: conn}
+	p := NewQueue(pool, len(all)).proxy
+	p.peers = &peerLink{conn: conn}
+	p.owners = newOwnerTable(self)
+	p.owners.assignment = permit.NewOwners(all)
+	p.permits = map[peerRequest]*permitRecord{}
+	p.pendingReplies = map[permit.ID]*pendingReply{}
+	return Instance{proxy: p, conn: conn}
 }
 
 // Receive handles a message and returns the messages sent in response.
 func (i Instance) Receive(now time.Time, from netip.AddrPort, message permit.Message) []SentMessage {
-	i.counter.receive(now, from, message)
+	i.proxy.receive(now, from, message)
 	return i.takeSent()
 }
 
 // Dispatch dispatches the queue and returns the messages sent.
 func (i Instance) Dispatch(now time.Time) []SentMessage {
-	i.counter.mu.Lock()
-	i.counter.dispatch(now)
-	i.counter.mu.Unlock()
+	i.proxy.mu.Lock()
+	i.proxy.dispatch(now)
+	i.proxy.mu.Unlock()
 	return i.takeSent()
 }
 
 // ExpirePermits removes permits whose time has run out.
 func (i Instance) ExpirePermits(now time.Time) {
-	i.counter.expirePermits(now)
+	i.proxy.expirePermits(now)
 }
 
 // Drain begins a planned shutdown.
 func (i Instance) Drain() {
-	i.counter.draining = true
+	i.proxy.draining = true
 }
 
 // Permits returns the number of peers' requests that the instance places.
-func (c *Counter) Permits() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.permits)
+func (p *Proxy) Permits() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.permits)
 }
 
 func (i Instance) takeSent() []SentMessage {
@@ -262,10 +262,10 @@
 }
 
 // Instances returns the number of entry instances by the latest sync.
-func (c *Counter) Instances() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.control.entryInstances
+func (p *Proxy) Instances() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.control.entryInstances
 }
 
 // LoadLimiter gives specs access to the limiter of load calls.
@@ -289,10 +289,10 @@
 }
 
 // Upstreams returns the number of upstreams that the instance knows.
-func (c *Counter) Upstreams() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.pool.byName)
+func (p *Proxy) Upstreams() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.pool.byName)
 }
 
 // ChosenControl returns the control instance that an entry instance calls.
@@ -349,11 +349,11 @@
 }
 
 // LimitOf returns a function that returns the known rate limit of an upstream.
-func (c *Counter) LimitOf(name string) func() string {
+func (p *Proxy) LimitOf(name string) func() string {
 	return func() string {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		u := c.pool.byName[name]
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		u := p.pool.byName[name]
 		if u == nil {
 			return "unknown"
 		}
@@ -371,11 +371,11 @@
 
 // SetLimit records that an upstream has stated a rate limit.
 func (p UpstreamPool) SetLimit(now time.Time, name string, limit float64) {
-	p.pool.byName[name].applyLimit(now, now, ratelimit.Named{Limit: ratelimit.Limit(limit)})
+	p.pool.byName[name].applyLimit(now, now, ratelimit.NamedLimit{Limit: ratelimit.Limit(limit)})
 }
 
 // AllowByLimit reports whether the rate limit of an upstream allows a request.
 func (i Instance) AllowByLimit(name string) bool {
-	_, ok := i.counter.allowByLimit(context.Background(), i.counter.pool.byName[name])
+	_, ok := i.proxy.allowByLimit(context.Background(), i.proxy.pool.byName[name])
 	return ok
 }
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -11,31 +11,31 @@
 
 // upstreamLimit tracks the rate limit of an upstream.
 type upstreamLimit struct {
-	ratelimit.Known
-	// sharedPace paces the requests of all instances, if this one owns the limit. ownPace paces the
-	// requests of this instance alone while the owner does not answer. They are nil before the
+	ratelimit.State
+	// sharedBucket paces the requests of all instances, if this one owns the limit. ownBucket paces
+	// the requests of this instance alone while the owner does not answer. They are nil before the
 	// first request.
-	sharedPace *ratelimit.Pace
-	ownPace    *ratelimit.Pace
+	sharedBucket *ratelimit.TokenBucket
+	ownBucket    *ratelimit.TokenBucket
 	// pausedUntil is the time until which nothing is sent to the upstream.
 	pausedUntil time.Time
 }
 
-// paceForAll returns the pace of all instances.
-func (l *upstreamLimit) paceForAll(now time.Time) *ratelimit.Pace {
-	if l.sharedPace == nil {
-		l.sharedPace = ratelimit.NewPace(now)
+// bucketForAll returns the token bucket of all instances.
+func (l *upstreamLimit) bucketForAll(now time.Time) *ratelimit.TokenBucket {
+	if l.sharedBucket == nil {
+		l.sharedBucket = ratelimit.NewTokenBucket(now)
 	}
-	return l.sharedPace
+	return l.sharedBucket
 }
 
 // takeOwnShare takes one request from this instance's share of the limit, which is divided evenly
 // among instances.
 func (l *upstreamLimit) takeOwnShare(now time.Time, limit ratelimit.Limit, instances int) (wait time.Duration, ok bool) {
-	if l.ownPace == nil {
-		l.ownPace = ratelimit.NewPace(now)
+	if l.ownBucket == nil {
+		l.ownBucket = ratelimit.NewTokenBucket(now)
 	}
-	return l.ownPace.Take(now, ratelimit.Share(limit, instances))
+	return l.ownBucket.Take(now, ratelimit.ShareRate(limit, instances))
 }
 
 // pause stops requests to the upstream for a while.
@@ -47,25 +47,25 @@
 const maxPause = 2 * time.Second
 
 // observeLimit processes the rate limit stated in an upstream's response and broadcasts changes.
-func (c *Counter) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
-	stated := c.options.Dialect.Limit(header)
-	now := c.options.Now()
-	if unclear, ok := stated.(ratelimit.Unclear); ok {
-		c.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
+func (p *Proxy) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
+	stated := p.options.Dialect.ParseLimit(header)
+	now := p.options.Now()
+	if unclear, ok := stated.(ratelimit.InvalidLimit); ok {
+		p.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
 			Msg("cannot parse the rate limit that an upstream states")
 		return
 	}
-	c.mu.Lock()
+	p.mu.Lock()
 	u := a.upstream
-	if known := c.pool.byName[u.name]; known != nil && known.address == u.address {
+	if known := p.pool.byName[u.name]; known != nil && known.address == u.address {
 		u = known
 	}
 	changed := u.applyLimit(now, t.timing.sent, stated)
 	if changed != limitUnchanged {
-		c.broadcastLimit(now, u, t.timing.sent, stated)
+		p.broadcastLimit(now, u, t.timing.sent, stated)
 	}
-	c.mu.Unlock()
-	c.logLimit(now, u.name, u.service, changed, stated)
+	p.mu.Unlock()
+	p.logLimit(now, u.name, u.service, changed, stated)
 }
 
 // limitChange is the effect of a response on an upstream's rate limit.
@@ -94,9 +94,9 @@
 
 // applyLimit updates the limit from a response to a request that was sent at sent, and returns the
 // change.
-func (u *upstream) applyLimit(now, sent time.Time, stated ratelimit.Said) limitChange {
+func (u *upstream) applyLimit(now, sent time.Time, stated ratelimit.Observation) limitChange {
 	previous, hadLimit := u.limit.Limit()
-	u.limit.Known = u.limit.With(now, sent, stated)
+	u.limit.State = u.limit.With(now, sent, stated)
 	current, hasLimit := u.limit.Limit()
 	switch {
 	case hasLimit && !hadLimit:
@@ -111,64 +111,64 @@
 	}
 }
 
-// broadcastLimit sends the limit stated in a response to all other instances. c.mu is held.
-func (c *Counter) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Said) {
-	message := permit.Limited{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
-	if named, ok := stated.(ratelimit.Named); ok {
+// broadcastLimit sends the limit stated in a response to all other instances. p.mu is held.
+func (p *Proxy) broadcastLimit(now time.Time, u *upstream, sent time.Time, stated ratelimit.Observation) {
+	message := permit.LimitReport{Upstream: u.name, Incarnation: u.incarnation, Age: now.Sub(sent)}
+	if named, ok := stated.(ratelimit.NamedLimit); ok {
 		message.Named, message.Limit = true, named.Limit
 	}
-	for _, instance := range c.owners.assignment.All() {
-		if instance != c.owners.self {
-			c.peers.send(instance, message)
+	for _, instance := range p.owners.assignment.All() {
+		if instance != p.owners.self {
+			p.peers.send(instance, message)
 		}
 	}
 }
 
-// receiveLimit applies a limit stated in a response to another instance. c.mu is held.
-func (c *Counter) receiveLimit(now time.Time, m permit.Limited) {
-	u := c.pool.byName[m.Upstream]
+// receiveLimit applies a limit stated in a response to another instance. p.mu is held.
+func (p *Proxy) receiveLimit(now time.Time, m permit.LimitReport) {
+	u := p.pool.byName[m.Upstream]
 	if u == nil || u.incarnation != m.Incarnation {
 		return
 	}
-	var stated ratelimit.Said = ratelimit.Unnamed{}
+	var stated ratelimit.Observation = ratelimit.NoLimit{}
 	if m.Named {
-		stated = ratelimit.Named{Limit: m.Limit}
+		stated = ratelimit.NamedLimit{Limit: m.Limit}
 	}
 	u.applyLimit(now, now.Add(-m.Age), stated)
 }
 
 // logLimit logs a changed limit.
-func (c *Counter) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Said) {
+func (p *Proxy) logLimit(now time.Time, upstream, service string, changed limitChange, stated ratelimit.Observation) {
 	if changed == limitUnchanged {
 		return
 	}
-	named, _ := stated.(ratelimit.Named)
+	named, _ := stated.(ratelimit.NamedLimit)
 	text := changed.String()
-	c.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
+	p.logLine(now, text).Str("upstream", upstream).Str("service", service).Float64("limit", float64(named.Limit)).Msg(text)
 }
 
 // handleRateLimit pauses an upstream whose rate limit allows no request for a while. It reports
 // whether the caller was answered, which happens once the request has met too many rate limits.
 func (t *transaction) handleRateLimit(w http.ResponseWriter, a *upstreamAttempt, wait time.Duration) bool {
-	c := t.counter
-	now := c.options.Now()
-	a.outcome = permit.Over
-	c.mu.Lock()
-	c.metrics.countLimitedSend(t.service)
-	if u := c.pool.byName[a.upstream.name]; u != nil {
+	p := t.proxy
+	now := p.options.Now()
+	a.outcome = permit.RateLimited
+	p.mu.Lock()
+	p.metrics.countLimitedSend(t.service)
+	if u := p.pool.byName[a.upstream.name]; u != nil {
 		u.limit.pause(now, wait)
 	}
-	c.mu.Unlock()
+	p.mu.Unlock()
 	t.rateLimitHits++
 	if t.rateLimitHits < maxRateLimitHits {
 		return false
 	}
-	c.logAttempt(t, a, "held back by rate limit", 0, "limit")
+	p.logAttempt(t, a, "held back by rate limit", 0, "limit")
 	if t.possibleRuns > 0 {
-		c.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "held back after an earlier attempt"})
+		p.refuse(w, t.call, t.route, refusal{status: http.StatusBadGateway, text: "held back after an earlier attempt"})
 		return true
 	}
-	c.refuse(w, t.call, t.route, refusal{
+	p.refuse(w, t.call, t.route, refusal{
 		status: http.StatusServiceUnavailable, text: limitsReached, retryAfter: t.retryAfterWait(now, wait), waited: now.Sub(t.arrived),
 	})
 	return true
@@ -203,14 +203,14 @@
 }
 
 // rejectRateLimited rejects a request that cannot be sent in time because of rate limits. It
-// returns nil if the request may wait. c.mu is held.
-func (c *Counter) rejectRateLimited(now time.Time, w *waiter) *rejection {
+// returns nil if the request may wait. p.mu is held.
+func (p *Proxy) rejectRateLimited(now time.Time, w *waiter) *rejection {
 	req := &w.requirements
-	wait, perSecond, limited := c.pool.limitedFor(now, req.query())
+	wait, perSecond, limited := p.pool.limitedFor(now, req.query())
 	if !limited {
 		return nil
 	}
-	for _, other := range c.queue.waiters {
+	for _, other := range p.queue.waiters {
 		if other != w && other.requirements.target == req.target {
 			wait += time.Duration(float64(time.Second) / perSecond)
 		}
@@ -218,7 +218,7 @@
 	if wait <= req.maxForecast(now) {
 		return nil
 	}
-	return &rejection{reason: permit.Limits, retryAfter: req.retryAfterWait(now, wait), forecastWait: wait}
+	return &rejection{reason: permit.LimitsExhausted, retryAfter: req.retryAfterWait(now, wait), forecastWait: wait}
 }
 
 // limitedUpstreams returns the upstreams that have a rate limit.
@@ -232,13 +232,13 @@
 	return limited
 }
 
-// updateLimitGauges sets the number of rate-limited upstreams of each service. c.mu is held.
-func (c *Counter) updateLimitGauges() {
+// updateLimitMetrics sets the number of rate-limited upstreams of each service. p.mu is held.
+func (p *Proxy) updateLimitMetrics() {
 	counts := map[string]int{}
-	for _, upstream := range c.pool.limitedUpstreams() {
-		counts[c.pool.byName[upstream.Name].service]++
+	for _, upstream := range p.pool.limitedUpstreams() {
+		counts[p.pool.byName[upstream.Name].service]++
 	}
-	for service := range c.pool.byService {
-		c.metrics.scope.Tagged(map[string]string{"service": service}).Gauge("limited_upstreams").Update(float64(counts[service]))
+	for service := range p.pool.byService {
+		p.metrics.scope.Tagged(map[string]string{"service": service}).Gauge("limited_upstreams").Update(float64(counts[service]))
 	}
 }
--- a/internal/counter/metrics.go
+++ b/internal/counter/metrics.go
@@ -22,7 +22,7 @@
 	2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 25 * time.Second,
 }
 
-// metrics holds the metrics of an entry instance. Its methods are called with the Counter's mutex
+// metrics holds the metrics of an entry instance. Its methods are called with the Proxy's mutex
 // held.
 type metrics struct {
 	scope        tally.Scope
@@ -127,19 +127,19 @@
 	return counter
 }
 
-// updateGauges sets the gauges of the instance's state.
-func (c *Counter) updateGauges(now time.Time) {
-	scope := c.metrics.scope
-	scope.Gauge("open").Update(float64(c.active))
-	scope.Gauge("waiting").Update(float64(len(c.queue.waiters)))
-	scope.Gauge("permits").Update(float64(len(c.permits)))
-	quarantined, suspected := c.crashes.Held()
+// updateMetrics sets the gauges of the instance's state.
+func (p *Proxy) updateMetrics(now time.Time) {
+	scope := p.metrics.scope
+	scope.Gauge("open").Update(float64(p.active))
+	scope.Gauge("waiting").Update(float64(len(p.queue.waiters)))
+	scope.Gauge("permits").Update(float64(len(p.permits)))
+	quarantined, suspected := p.crashes.Counts()
 	scope.Gauge("quarantined").Update(float64(quarantined))
 	scope.Gauge("suspected").Update(float64(suspected))
-	scope.Gauge("upstreams").Update(float64(len(c.pool.byName)))
-	c.updateLimitGauges()
-	scope.Gauge("news_age_seconds").Update(now.Sub(c.control.lastSyncSent).Seconds())
-	if table := c.routes.Load(); table != nil {
+	scope.Gauge("upstreams").Update(float64(len(p.pool.byName)))
+	p.updateLimitMetrics()
+	scope.Gauge("news_age_seconds").Update(now.Sub(p.control.lastSyncSent).Seconds())
+	if table := p.routes.Load(); table != nil {
 		scope.Gauge("routes_version").Update(float64(table.Version))
 	}
 }
--- a/internal/counter/options.go
+++ b/internal/counter/options.go
@@ -19,29 +19,29 @@
 	"github.com/lovagelift/lovagelift/internal/routes"
 )
 
-// Options configures a Counter.
+// Options configures a Proxy.
 type Options struct {
-	// Name is the address at which other instances reach this one, over Peers as well.
+	// Name is the address at which other instances reach this one, over PeerConn as well.
 	// CallerAddress is the address at which callers reach it.
 	Name          string
 	CallerAddress string
 	FailureDomain string
-	// Seeds are the inner addresses of the first control instances to contact.
+	// Seeds are the inner addresses of the first control instances to contact, at least one.
 	Seeds []string
 	Dial  courier.Dial
-	// Peers carries the messages that entry instances exchange to share engines. The Counter closes
+	// PeerConn carries the messages that entry instances exchange to share engines. The Proxy closes
 	// it. If it is nil, this instance places all its requests itself.
-	Peers net.PacketConn
+	PeerConn net.PacketConn
 	// UpstreamLease is how long an upstream remains eligible for requests after it was last heard
-	// of.
+	// from.
 	UpstreamLease time.Duration
 	// Retries limits the retries of each service.
 	Retries RetryLimits
-	// Table parses the routes that an operator submitted.
-	Table func(content []byte) (*routes.Table, error)
-	// RoutesWithin is the longest time between the acknowledgement of a route change to the
+	// ParseRoutes parses the routes that an operator submitted.
+	ParseRoutes func(content []byte) (*routes.Table, error)
+	// MaxRouteUpdateDelay is the longest time between the acknowledgement of a route change to the
 	// operator and its effect at an instance that can reach a control instance. Default 2 s.
-	RoutesWithin time.Duration
+	MaxRouteUpdateDelay time.Duration
 	// Dialect is the protocol spoken with upstreams.
 	Dialect Dialect
 	Now     func() time.Time
@@ -53,10 +53,10 @@
 // RetryLimits limits the retries that all entry instances together send to the upstreams of one
 // service.
 type RetryLimits struct {
-	// Share is the number of retries allowed for each new request.
-	Share float64
-	// Slack is the number of additional retries allowed within Window.
-	Slack  float64
+	// Ratio is the number of retries allowed for each new request.
+	Ratio float64
+	// Burst is the number of additional retries allowed within Window.
+	Burst  float64
 	Window time.Duration
 }
 
@@ -64,11 +64,11 @@
 type Dialect interface {
 	// Prepare completes the header of a request to an upstream.
 	Prepare(header http.Header, attempt Attempt)
-	// Judge classifies a response by its status and header.
-	Judge(response *http.Response, requestID string) Judgement
-	// Limit parses the rate limit that a response header states: the requests per second that the
-	// upstream accepts from all senders together.
-	Limit(header http.Header) ratelimit.Said
+	// Classify classifies a response by its status and header.
+	Classify(response *http.Response, requestID string) ResponseClass
+	// ParseLimit parses the rate limit that a response header states: the requests per second that
+	// the upstream accepts from all senders together.
+	ParseLimit(header http.Header) ratelimit.Observation
 }
 
 // Attempt describes one attempt to send a request to an upstream.
@@ -83,12 +83,12 @@
 	Priority uint8
 }
 
-// Judgement classifies an upstream's response.
-type Judgement uint8
+// ResponseClass classifies an upstream's response.
+type ResponseClass uint8
 
 const (
 	// Answered means that the upstream ran the request and this is its response.
-	Answered Judgement = iota + 1
+	Answered ResponseClass = iota + 1
 	// NotRun means that the upstream did not run the request and never will.
 	NotRun
 	// Misdirected is NotRun from a process that is not the intended one, or that has not loaded the
@@ -103,23 +103,23 @@
 	ID string
 	// Caller identifies the sender. It is empty if the headers do not name one.
 	Caller string
-	// Patience is how long the caller waits, 0 if the headers do not state it.
-	Patience time.Duration
-	Model    string
+	// Timeout is how long the caller waits, 0 if the headers do not state it.
+	Timeout time.Duration
+	Model   string
 	// Adapter is empty for the base model.
 	Adapter      string
 	PromptTokens int
-	AnswerTokens int
+	OutputTokens int
 }
 
 // Intervals and timeouts of the calls to control instances and upstreams.
 const (
 	// minSyncInterval is the time between two syncs with a control instance, unless many entry
-	// instances share it. Routes and departing upstreams take effect here well within 1 s.
+	// instances share it. Routes and leaving upstreams take effect here well within 1 s.
 	minSyncInterval = 250 * time.Millisecond
 	// minSyncSpacing is the minimum average time between the syncs that one control instance
 	// serves: a leader with 0.12 of a core has 20 ms of CPU time for 28 syncs. maxSyncInterval
-	// bounds the resulting interval, because a departing upstream must be known within 2 s.
+	// bounds the resulting interval, because a leaving upstream must be known within 2 s.
 	minSyncSpacing  = 6 * time.Millisecond
 	maxSyncInterval = time.Second
 	// syncTimeout is how long a control instance has to reply before another one is tried.
--- a/internal/counter/ownerclient.go
+++ b/internal/counter/ownerclient.go
@@ -43,40 +43,40 @@
 // acquireFromOwner waits for a grant from the owner of the model. It returns errDecideLocally if
 // there is no owner to ask.
 func (t *transaction) acquireFromOwner(ctx context.Context) (grant, error) {
-	c := t.counter
+	p := t.proxy
 	for range maxOwnersAsked {
-		now := c.options.Now()
-		c.mu.Lock()
-		owner, ok := c.remoteOwner(now, &t.requirements)
-		c.mu.Unlock()
+		now := p.options.Now()
+		p.mu.Lock()
+		owner, ok := p.remoteOwner(now, &t.requirements)
+		p.mu.Unlock()
 		if !ok {
 			return grant{}, errDecideLocally
 		}
 		t.owner = owner
 		id, answer, err := t.requestPermit(ctx, owner)
-		c.countOwnerAnswer(ctx, answer)
+		p.countOwnerAnswer(ctx, answer)
 		switch m := answer.(type) {
 		case permit.Granted:
-			return c.grantFrom(t, owner, m)
-		case permit.Refused:
+			return p.grantFrom(t, owner, m)
+		case permit.Rejected:
 			return grant{}, &rejection{
-				reason: m.Reason, retryAfter: m.ComeBack, forecastWait: m.Forecast, survey: survey(m.Survey),
+				reason: m.Reason, retryAfter: m.RetryAfter, forecastWait: m.EstimatedWait, survey: survey(m.Survey),
 			}
-		case permit.Moved:
-			c.avoidOwner(owner, drainingAvoidance)
+		case permit.ShuttingDown:
+			p.avoidOwner(owner, drainingAvoidance)
 			continue
 		}
 		if errors.Is(err, errDecideLocally) {
 			return grant{}, err
 		}
 		// A grant may be in transit.
-		c.peers.send(owner, permit.Ended{ID: id})
+		p.peers.send(owner, permit.Release{ID: id})
 		if ctx.Err() != nil {
 			t.lastMissing = missingCapacity
 			return grant{}, ctx.Err()
 		}
-		c.avoidOwner(owner, unresponsiveAvoidance)
-		c.logLine(c.options.Now(), "owner unresponsive").Err(err).Stringer("owner", owner).Str("request", t.call.ID).
+		p.avoidOwner(owner, unresponsiveAvoidance)
+		p.logLine(p.options.Now(), "owner unresponsive").Err(err).Stringer("owner", owner).Str("request", t.call.ID).
 			Str("model", t.model).Msg("model owner does not answer; using another instance")
 	}
 	return grant{}, errDecideLocally
@@ -85,10 +85,10 @@
 // requestPermit asks an owner for a permit, repeatedly until it decides. The answer is nil if none
 // arrives in time.
 func (t *transaction) requestPermit(ctx context.Context, owner netip.AddrPort) (permit.ID, permit.Message, error) {
-	c := t.counter
-	id, pending := c.startPermitRequest(t, owner)
-	defer c.finishPermitRequest(t, id)
-	if !c.peers.send(owner, t.askMessage(id)) {
+	p := t.proxy
+	id, pending := p.startPermitRequest(t, owner)
+	defer p.finishPermitRequest(t, id)
+	if !p.peers.send(owner, t.askMessage(id)) {
 		// The caller's values exceed the maximum message size. The owner is not at fault.
 		return id, nil, errDecideLocally
 	}
@@ -107,7 +107,7 @@
 				return id, nil, errOwnerTimeout
 			}
 			attempts++
-			c.peers.send(owner, t.askMessage(id))
+			p.peers.send(owner, t.askMessage(id))
 			timer.Reset(ownerTimeout)
 		case <-ctx.Done():
 			return id, nil, ctx.Err()
@@ -116,68 +116,68 @@
 }
 
 // countOwnerAnswer counts the owner's answer by kind, or its absence.
-func (c *Counter) countOwnerAnswer(ctx context.Context, answer permit.Message) {
+func (p *Proxy) countOwnerAnswer(ctx context.Context, answer permit.Message) {
 	name := "none"
 	switch answer.(type) {
 	case permit.Granted:
 		name = "granted"
-	case permit.Refused:
+	case permit.Rejected:
 		name = "refused"
-	case permit.Moved:
+	case permit.ShuttingDown:
 		name = "moved"
 	default:
 		if ctx.Err() != nil {
 			name = "waited in vain"
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.metrics.countOwnerAnswer(name)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.metrics.countOwnerAnswer(name)
 }
 
 // askMessage returns the permit request to send now.
-func (t *transaction) askMessage(id permit.ID) permit.Ask {
-	now := t.counter.options.Now()
-	return permit.Ask{
+func (t *transaction) askMessage(id permit.ID) permit.Request {
+	now := t.proxy.options.Now()
+	return permit.Request{
 		ID: id, Service: t.service, Model: t.model, Adapter: t.adapter,
 		PromptTokens: t.promptTokens, AnswerTokens: t.outputTokens, Priority: t.priority,
-		Objective: t.objective, Gap: t.maxGap, Age: now.Sub(t.arrived), Left: t.deadline.Sub(now), Tried: t.tried,
+		Objective: t.objective, MaxEventGap: t.maxGap, Age: now.Sub(t.arrived), Remaining: t.deadline.Sub(now), Tried: t.tried,
 	}
 }
 
 // startPermitRequest registers a permit request and counts the caller's request as waiting.
-func (c *Counter) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.addWaiting(&t.requirements, 1)
-	return c.expectReply(owner)
+func (p *Proxy) startPermitRequest(t *transaction, owner netip.AddrPort) (permit.ID, *pendingReply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addWaiting(&t.requirements, 1)
+	return p.expectReply(owner)
 }
 
-// expectReply registers a message to another instance that expects a reply. c.mu is held.
-func (c *Counter) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
-	c.lastMessageID++
+// expectReply registers a message to another instance that expects a reply. p.mu is held.
+func (p *Proxy) expectReply(owner netip.AddrPort) (permit.ID, *pendingReply) {
+	p.lastMessageID++
 	pending := &pendingReply{owner: owner, answers: make(chan permit.Message, ownerAttempts+1)}
-	c.pendingReplies[c.lastMessageID] = pending
-	return c.lastMessageID, pending
+	p.pendingReplies[p.lastMessageID] = pending
+	return p.lastMessageID, pending
 }
 
-func (c *Counter) dropReply(id permit.ID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.pendingReplies, id)
+func (p *Proxy) dropReply(id permit.ID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pendingReplies, id)
 }
 
-func (c *Counter) finishPermitRequest(t *transaction, id permit.ID) {
-	c.dropReply(id)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.addWaiting(&t.requirements, -1)
+func (p *Proxy) finishPermitRequest(t *transaction, id permit.ID) {
+	p.dropReply(id)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addWaiting(&t.requirements, -1)
 }
 
-func (c *Counter) avoidOwner(owner netip.AddrPort, duration time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.owners.avoid(c.options.Now(), owner, duration)
+func (p *Proxy) avoidOwner(owner netip.AddrPort, duration time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.owners.avoid(p.options.Now(), owner, duration)
 }
 
 // grantFrom returns the grant that an owner has issued.
@@ -185,24 +185,24 @@
 // An owner that is cut off from the control instances does not learn that an upstream is leaving,
 // and keeps granting it until it is gone. So a grant for an upstream that is known here to be
 // leaving is returned, and grantFrom returns errDecideLocally.
-func (c *Counter) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	u := c.pool.byName[m.Upstream]
+func (p *Proxy) grantFrom(t *transaction, owner netip.AddrPort, m permit.Granted) (grant, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	u := p.pool.byName[m.Upstream]
 	if u != nil && u.Leaving {
-		c.peers.send(owner, permit.Ended{ID: m.ID, Outcome: permit.Absent})
+		p.peers.send(owner, permit.Release{ID: m.ID, Outcome: permit.ModelAbsent})
 		return grant{}, errDecideLocally
 	}
 	if u == nil || u.address != m.Address {
 		// The owner knows the upstream before this instance does.
 		u = &upstream{name: m.Upstream, address: m.Address, service: t.service}
 	}
-	return grant{upstream: u, prefillAhead: m.Unread, owner: owner, id: m.ID}, nil
+	return grant{upstream: u, prefillAhead: m.PrefillBacklog, owner: owner, id: m.ID}, nil
 }
 
-// deliverAnswer passes an owner's answer to the request that waits for it. c.mu is held.
-func (c *Counter) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
-	pending := c.pendingReplies[id]
+// deliverAnswer passes an owner's answer to the request that waits for it. p.mu is held.
+func (p *Proxy) deliverAnswer(from netip.AddrPort, id permit.ID, answer permit.Message) {
+	pending := p.pendingReplies[id]
 	if pending != nil && pending.owner == from {
 		select {
 		case pending.answers <- answer:
@@ -212,6 +212,6 @@
 	}
 	if _, granted := answer.(permit.Granted); granted {
 		// The request no longer waits, so the permit is returned.
-		c.peers.send(from, permit.Ended{ID: id})
+		p.peers.send(from, permit.Release{ID: id})
 	}
 }
--- a/internal/counter/peerload_test.go
+++ b/internal/counter/peerload_test.go
@@ -60,16 +60,16 @@
 		Expect(totalError/float64(samples)).To(BeNumerically("<", 2.5), "requests, of about 16")
 	})
 
-	// An order to an engine got no answer, and the age of its state was reported as the maximum
-	// duration. The load estimate was NaN from then on: the engine never appeared full, and no
-	// boosted request was sent to it.
+	// An order to an engine gets no answer, and the age of its state is reported as the maximum
+	// duration. If the load estimate became NaN, the engine would never appear full, and no boosted
+	// request would be sent to it.
 	It("stays a number whatever age a report is told to have", func() {
 		pool := counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
 		pool.PeerActive(start, "e", 4, 1)
 		for _, age := range []time.Duration{math.MaxInt64, math.MinInt64, 0} {
-			pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
-				Name: "e", Age: age, Running: 20, Models: []courier.HeldModel{{Name: "m"}},
+			pool.ApplyEngineStates(start, courier.EngineStates{Engines: []courier.EngineState{{
+				Name: "e", Age: age, Running: 20, Models: []courier.LoadedModel{{Name: "m"}},
 			}}})
 			Expect(pool.Load(start, "e")).To(And(BeNumerically(">=", 4), BeNumerically("<=", 4+20)), age.String())
 		}
@@ -81,8 +81,8 @@
 	It("is that of the latest report at an instance without messages from peers", func() {
 		pool := counter.NewUpstreamPool("here", lease)
 		pool.Apply(start, engineRecord("e", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{{
-			Name: "e", Running: 64, Queued: 6, Models: []courier.HeldModel{{Name: "m"}},
+		pool.ApplyEngineStates(start, courier.EngineStates{Engines: []courier.EngineState{{
+			Name: "e", Running: 64, Queued: 6, Models: []courier.LoadedModel{{Name: "m"}},
 		}}})
 		_, missing := pool.Send(start, "pool", "m", "", 10)
 		Expect(missing).To(Equal("room"))
--- a/internal/counter/relay.go
+++ b/internal/counter/relay.go
@@ -37,21 +37,21 @@
 	if response.StatusCode >= http.StatusInternalServerError && t.retryFailedAnswer(a, response.StatusCode) {
 		return false
 	}
-	a.outcome = permit.Worked
-	t.counter.crashes.Succeeded(t.digest, response.StatusCode)
+	a.outcome = permit.Succeeded
+	t.proxy.crashes.Succeeded(t.digest, response.StatusCode)
 	copyHeader(w, response)
 	w.WriteHeader(response.StatusCode)
 	if _, err := w.Write(body); err != nil {
-		t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+		t.proxy.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
 		return true
 	}
 	if len(body) > maxBufferedBytes {
 		if _, err := io.Copy(w, response.Body); err != nil {
-			t.counter.logAttempt(t, a, "broken off", response.StatusCode, err.Error())
+			t.proxy.logAttempt(t, a, "broken off", response.StatusCode, err.Error())
 			panic(http.ErrAbortHandler)
 		}
 	}
-	t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+	t.proxy.logAttempt(t, a, "answered", response.StatusCode, "")
 	return true
 }
 
@@ -61,16 +61,16 @@
 	if !t.route.Repeatable() {
 		return false
 	}
-	c := t.counter
-	now := c.options.Now()
-	c.mu.Lock()
+	p := t.proxy
+	now := p.options.Now()
+	p.mu.Lock()
 	verdict := t.verdict(now, outcome.Ran)
-	c.mu.Unlock()
+	p.mu.Unlock()
 	if verdict != retry.Again {
 		return false
 	}
 	t.tried = append(t.tried, a.upstream.name)
-	c.logAttempt(t, a, "failed", status, verdict.String())
+	p.logAttempt(t, a, "failed", status, verdict.String())
 	return true
 }
 
@@ -85,22 +85,22 @@
 		n, readErr := response.Body.Read(buffer)
 		if n > 0 {
 			a.bodyStarted = true
-			t.timing.recordChunk(t.counter.options.Now())
+			t.timing.recordChunk(t.proxy.options.Now())
 			if _, err := w.Write(buffer[:n]); err != nil || controller.Flush() != nil {
 				t.reportCallerLeft(a)
-				t.counter.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
+				t.proxy.logAttempt(t, a, "cannot write to caller", response.StatusCode, "")
 				panic(http.ErrAbortHandler)
 			}
 		}
 		if readErr == io.EOF {
-			a.outcome, a.speed = permit.Worked, t.measuredSpeed()
-			t.counter.crashes.Succeeded(t.digest, response.StatusCode)
-			t.counter.logAttempt(t, a, "answered", response.StatusCode, "")
+			a.outcome, a.speed = permit.Succeeded, t.measuredSpeed()
+			t.proxy.crashes.Succeeded(t.digest, response.StatusCode)
+			t.proxy.logAttempt(t, a, "answered", response.StatusCode, "")
 			return
 		}
 		if readErr != nil && t.request.Context().Err() != nil {
 			t.reportCallerLeft(a)
-			t.counter.logAttempt(t, a, "caller disconnected", response.StatusCode, "the caller left")
+			t.proxy.logAttempt(t, a, "caller disconnected", response.StatusCode, "the caller left")
 			panic(http.ErrAbortHandler)
 		}
 		if readErr != nil {
@@ -108,7 +108,7 @@
 			if ctx.Err() == nil {
 				a.outcome = permit.Failed
 			}
-			t.counter.logAttempt(t, a, "broken off", response.StatusCode, readErr.Error())
+			t.proxy.logAttempt(t, a, "broken off", response.StatusCode, readErr.Error())
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -116,7 +116,7 @@
 
 func copyHeader(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
-	for name, values := range shuttle.Forwardable(response.Header) {
+	for name, values := range shuttle.EndToEndHeader(response.Header) {
 		header[name] = values
 	}
 	if header.Get("Content-Type") == "" {
@@ -126,16 +126,16 @@
 }
 
 // logAttempt logs and counts the result of an attempt.
-func (c *Counter) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
-	now := c.options.Now()
-	c.mu.Lock()
+func (p *Proxy) logAttempt(t *transaction, a *upstreamAttempt, event string, status int, verdict string) {
+	now := p.options.Now()
+	p.mu.Lock()
 	if status != 0 {
-		c.metrics.countAnswer(now, t, status)
+		p.metrics.countAnswer(now, t, status)
 	} else {
-		c.metrics.countFailedSend(verdict)
+		p.metrics.countFailedSend(verdict)
 	}
-	c.mu.Unlock()
-	line := c.logLine(now, event)
+	p.mu.Unlock()
+	line := p.logLine(now, event)
 	if line == nil {
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 	if t.call.Model != "" {
 		line = line.Str("model", t.call.Model).Str("adapter", t.call.Adapter).Int("prompt-tokens", t.call.PromptTokens).
-			Int("answer-tokens", t.call.AnswerTokens)
+			Int("answer-tokens", t.call.OutputTokens)
 	}
 	if a.owner.IsValid() {
 		line = line.Stringer("placed-by", a.owner)
@@ -162,8 +162,8 @@
 }
 
 // logOutcome logs the end of a request that was sent to no upstream.
-func (c *Counter) logOutcome(t *transaction, event, reason string) {
-	now := c.options.Now()
-	c.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
+func (p *Proxy) logOutcome(t *transaction, event, reason string) {
+	now := p.options.Now()
+	p.logLine(now, event).Str("request", t.call.ID).Str("route", t.route.Name).
 		Dur("took", now.Sub(t.arrived)).Str("reason", reason).Msg(event)
 }
--- a/internal/counter/send.go
+++ b/internal/counter/send.go
@@ -28,25 +28,25 @@
 
 // finishAttempt records that the upstream no longer has the request, and returns the permit to the
 // instance that issued it.
-func (c *Counter) finishAttempt(t *transaction, a *upstreamAttempt) {
-	now := c.options.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (p *Proxy) finishAttempt(t *transaction, a *upstreamAttempt) {
+	now := p.options.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	a.upstream.recordOutcome(now, t.target, a.outcome)
-	c.recordSpeed(&t.requirements, a.speed)
+	p.recordSpeed(&t.requirements, a.speed)
 	if !a.owner.IsValid() {
 		a.upstream.release()
 		return
 	}
-	c.peers.send(a.owner, permit.Ended{
-		ID: a.id, Outcome: a.outcome, First: a.speed.firstEvent, Run: a.speed.serviceTime, Events: a.speed.events,
-		Writing: a.speed.streaming,
+	p.peers.send(a.owner, permit.Release{
+		ID: a.id, Outcome: a.outcome, FirstEventTime: a.speed.firstEvent, RunTime: a.speed.serviceTime, Events: a.speed.events,
+		StreamTime: a.speed.streaming,
 	})
 }
 
 // roundTrip sends the request once and waits for the response header.
 func (t *transaction) roundTrip(ctx context.Context, a *upstreamAttempt) (*http.Response, error) {
-	c := t.counter
+	p := t.proxy
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		// From here on bytes may be sent. All earlier steps only connect.
 		GotConn: func(httptrace.GotConnInfo) { a.mayHaveSent.Store(true) },
@@ -59,16 +59,16 @@
 			Path: incoming.URL.Path, RawPath: incoming.URL.RawPath, RawQuery: incoming.URL.RawQuery,
 		},
 		Host:          incoming.Host,
-		Header:        shuttle.Forwardable(incoming.Header),
+		Header:        shuttle.EndToEndHeader(incoming.Header),
 		ContentLength: int64(len(t.body)),
 		// A body that net/http can't rewind, even an empty one, keeps the transport from retrying
 		// the request on its own.
 		Body: io.NopCloser(bytes.NewReader(t.body)),
 	}).WithContext(traced)
-	c.options.Dialect.Prepare(outgoing.Header, Attempt{
+	p.options.Dialect.Prepare(outgoing.Header, Attempt{
 		RequestID: t.call.ID,
 		Upstream:  a.upstream.name,
-		Remaining: t.deadline.Sub(c.options.Now()),
+		Remaining: t.deadline.Sub(p.options.Now()),
 		Priority:  t.route.Priority,
 	})
 	return t.transport().RoundTrip(outgoing)
@@ -79,7 +79,7 @@
 // run twice could then not be retried.
 func (t *transaction) transport() *http.Transport {
 	if t.route.Kind == routes.Idempotent {
-		return t.counter.keepAlive
+		return t.proxy.keepAlive
 	}
-	return t.counter.singleUse
+	return t.proxy.singleUse
 }
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -18,7 +18,7 @@
 
 // transaction is the state of one proxied request.
 type transaction struct {
-	counter *Counter
+	proxy   *Proxy
 	call    Call
 	route   *routes.Route
 	version uint64
@@ -43,38 +43,38 @@
 	lastError error
 }
 
-// Serve handles one request of a caller.
-func (c *Counter) Serve(w http.ResponseWriter, r *http.Request, call Call) {
-	arrived := c.options.Now()
-	if c.waitForRoutes(r.Context(), call) == nil {
-		c.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
+// ServeRequest handles one request of a caller.
+func (p *Proxy) ServeRequest(w http.ResponseWriter, r *http.Request, call Call) {
+	arrived := p.options.Now()
+	if p.waitForRoutes(r.Context(), call) == nil {
+		p.refuse(w, call, nil, refusal{status: http.StatusServiceUnavailable, text: "no routes are known yet", retryAfter: noRoutesRetryAfter})
 		return
 	}
-	table, route := c.matchRoute(w, r, call)
+	table, route := p.matchRoute(w, r, call)
 	if route == nil {
 		return
 	}
 	body, status := readBody(w, r, table.Limits.BodyBytes)
 	if status != 0 {
-		c.refuse(w, call, route, refusal{status: status, text: "body not read"})
+		p.refuse(w, call, route, refusal{status: status, text: "body not read"})
 		return
 	}
 	t := &transaction{
-		counter: c, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
+		proxy: p, call: call, route: route, version: table.Version, request: r, body: body, digest: digestOf(r, call, body),
 		requirements: requirements{
 			target:       target{service: route.Service(rand.Float64()), model: call.Model, adapter: call.Adapter},
-			promptTokens: call.PromptTokens, outputTokens: call.AnswerTokens,
-			priority: route.Priority, objective: route.Objective, maxGap: route.Gap,
+			promptTokens: call.PromptTokens, outputTokens: call.OutputTokens,
+			priority: route.Priority, objective: route.Objective, maxGap: route.MaxEventGap,
 			arrived: arrived, deadline: arrived.Add(timeoutOf(call, route)),
 		},
 	}
-	if c.crashes.Holds(t.digest) {
+	if p.crashes.IsQuarantined(t.digest) {
 		t.refuseQuarantined(w)
 		return
 	}
-	c.trackActive(t, 1)
-	defer c.trackActive(t, -1)
-	ctx, cancel := context.WithTimeout(r.Context(), t.deadline.Sub(c.options.Now()))
+	p.trackActive(t, 1)
+	defer p.trackActive(t, -1)
+	ctx, cancel := context.WithTimeout(r.Context(), t.deadline.Sub(p.options.Now()))
 	defer cancel()
 	t.serve(ctx, w)
 }
@@ -93,14 +93,14 @@
 )
 
 // waitForRoutes returns the routes in force, or nil if there are none in time.
-func (c *Counter) waitForRoutes(ctx context.Context, call Call) *routes.Table {
-	if table := c.routes.Load(); table != nil {
+func (p *Proxy) waitForRoutes(ctx context.Context, call Call) *routes.Table {
+	if table := p.routes.Load(); table != nil {
 		return table
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(call.Patience/routesWaitDivisor, maxRoutesWait))
+	ctx, cancel := context.WithTimeout(ctx, min(call.Timeout/routesWaitDivisor, maxRoutesWait))
 	defer cancel()
 	for pause.For(ctx, routesPollInterval) {
-		if table := c.routes.Load(); table != nil {
+		if table := p.routes.Load(); table != nil {
 			return table
 		}
 	}
@@ -117,25 +117,25 @@
 
 // timeoutOf returns the timeout of a request: the caller's, limited by that of the route.
 func timeoutOf(call Call, route *routes.Route) time.Duration {
-	if call.Patience > 0 {
-		return min(call.Patience, route.Timeout)
+	if call.Timeout > 0 {
+		return min(call.Timeout, route.Timeout)
 	}
 	return route.Timeout
 }
 
 // trackActive updates the counts of requests in flight, and of new requests of each service.
-func (c *Counter) trackActive(t *transaction, change int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.active += change
-	c.demand.addActive(t.target, change)
+func (p *Proxy) trackActive(t *transaction, change int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.active += change
+	p.demand.addActive(t.target, change)
 	if change < 0 {
 		return
 	}
-	c.budgets.Of(t.arrived, t.service).Fresh()
+	p.budgets.Get(t.arrived, t.service).AddRequest()
 	if t.model != "" {
-		c.estimateCost(&t.requirements)
-		c.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
+		p.estimateCost(&t.requirements)
+		p.demand.recordRequest(t.target, t.prefillTime, t.decodeTime)
 	}
 }
 
--- a/internal/counter/upstreampool.go
+++ b/internal/counter/upstreampool.go
@@ -22,7 +22,7 @@
 	// request uses it, and a model is loaded by few of hundreds of upstreams.
 	byModel      map[modelKey][]*upstream
 	byModelStale bool
-	// byAddress maps each address to the upstream last heard of there. A crashed upstream is
+	// byAddress maps each address to the upstream last heard from there. A crashed upstream is
 	// restarted under another name: until the lease of the old one expires, requests for it would
 	// reach the new one, which refuses them. Upstreams of services that no route uses own no
 	// address: such an announcement may come from a foreign program and would take a working
@@ -30,10 +30,10 @@
 	byAddress map[string]*upstream
 	// routedServices are the services of the routes in force, nil before the first routes.
 	routedServices map[string]*routes.Service
-	// lastHeard is the latest time at which any upstream was heard of.
+	// lastHeard is the latest time at which any upstream was heard from.
 	lastHeard time.Time
 	// graceUntil is the time until which no lease expires. After an outage of the control
-	// instances, upstreams are heard of again one after the other.
+	// instances, upstreams are heard from again one after the other.
 	graceUntil time.Time
 }
 
@@ -41,7 +41,7 @@
 type upstream struct {
 	roster.Upstream
 	// name and address never change, so that requests in flight may read them during updates. A
-	// record that only reports a departure has no address.
+	// record that only reports a leave has no address.
 	name        string
 	incarnation uint64
 	address     string
@@ -51,10 +51,10 @@
 	slots  int
 	remote bool
 	// models maps each loaded model to its loaded adapters. loading is the model that will be
-	// available at loadedAt, empty if there is none.
-	models   map[string][]string
-	loading  string
-	loadedAt time.Time
+	// available at loadDoneAt, empty if there is none.
+	models     map[string][]string
+	loading    string
+	loadDoneAt time.Time
 	// active is the number of requests of this instance in flight.
 	active int
 	// reportedAt is the time of the state described by the latest report.
@@ -96,7 +96,7 @@
 		return
 	}
 	for name, u := range p.byName {
-		if p.lastHeard.Sub(u.Heard) > forgetAfterLeases*p.lease && u.active == 0 {
+		if p.lastHeard.Sub(u.LastContact) > forgetAfterLeases*p.lease && u.active == 0 {
 			p.remove(name)
 		}
 	}
@@ -142,8 +142,8 @@
 		}
 		p.byModelStale = true
 	}
-	if known.Heard.After(p.lastHeard) {
-		p.lastHeard = known.Heard
+	if known.LastContact.After(p.lastHeard) {
+		p.lastHeard = known.LastContact
 	}
 }
 
@@ -156,7 +156,7 @@
 	if !p.isRouted(current.service) {
 		return true
 	}
-	return p.isRouted(u.service) && !known.Leaving && known.Heard.After(current.Heard)
+	return p.isRouted(u.service) && !known.Leaving && known.LastContact.After(current.LastContact)
 }
 
 // isRouted reports whether requests may go to a service. All services count as routed before the
@@ -204,10 +204,10 @@
 // reportLag is the approximate age of an engine's report when the engine sends it.
 const reportLag = 100 * time.Millisecond
 
-// applyHoldings applies the engine states known to the leader, which are newer than the engines'
-// own announcements.
-func (p *upstreamPool) applyHoldings(now time.Time, holdings *courier.Holdings) {
-	for _, engine := range holdings.Engines {
+// applyEngineStates applies the engine states known to the leader: the models and the load of each
+// engine. They are newer than the engines' own announcements.
+func (p *upstreamPool) applyEngineStates(now time.Time, states *courier.EngineStates) {
+	for _, engine := range states.Engines {
 		u := p.byName[engine.Name]
 		if u == nil || engine.Incarnation != u.incarnation {
 			continue
@@ -217,7 +217,7 @@
 			u.models[model.Name] = model.Adapters
 		}
 		p.byModelStale = true
-		u.loading, u.loadedAt = engine.Coming, now.Add(engine.ComingIn)
+		u.loading, u.loadDoneAt = engine.NextModel, now.Add(engine.NextModelIn)
 		if age := engine.Age + reportLag; age >= 0 {
 			u.applyReport(now, now.Add(-age), engine.Running+engine.Queued)
 		}
@@ -249,7 +249,7 @@
 		if u.loading != model || model == "" || !p.isAvailable(now, u) {
 			continue
 		}
-		if left := max(u.loadedAt.Sub(now), 0); !ok || left < shortest {
+		if left := max(u.loadDoneAt.Sub(now), 0); !ok || left < shortest {
 			shortest, ok = left, true
 		}
 	}
@@ -258,7 +258,7 @@
 
 // isAvailable reports whether u may receive new requests.
 func (p *upstreamPool) isAvailable(now time.Time, u *upstream) bool {
-	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.Heard) < p.lease || now.Before(p.graceUntil))
+	return !u.Leaving && p.byAddress[u.address] == u && (p.lastHeard.Sub(u.LastContact) < p.lease || now.Before(p.graceUntil))
 }
 
 // canRun reports whether u can run a model, with an adapter unless it is empty.
@@ -287,7 +287,7 @@
 	u.models[model] = adapters
 }
 
-// removeModel records that u lacks a model, or only an adapter of it if one is given.
+// removeModel records that u lacks a model, or only its adapter unless adapter is empty.
 func (u *upstream) removeModel(model, adapter string) {
 	if adapter == "" {
 		delete(u.models, model)
--- a/internal/counter/upstreampool_test.go
+++ b/internal/counter/upstreampool_test.go
@@ -17,7 +17,7 @@
 const lease = 3 * time.Second
 
 func engineRecord(name, domain string, heard time.Time, models ...string) roster.Upstream {
-	u := roster.Upstream{Heard: heard, Announcement: upstreamapi.Announcement{
+	u := roster.Upstream{LastContact: heard, Announcement: upstreamapi.Announcement{
 		Name: name, Address: name + ".test:1", FailureDomain: domain, Services: []string{"pool"},
 		Load: upstreamapi.Load{MaxRunning: 64},
 	}}
@@ -55,9 +55,9 @@
 		Entry("nothing", "m", "", ""),
 	)
 
-	// All control instances are down, so that no upstream is heard of, although the upstreams are
+	// All control instances are down, so that no upstream is heard from, although the upstreams are
 	// running. An instance that expired them would refuse all callers.
-	It("keeps upstreams while none is heard of, and drops one whose lease alone expires", func() {
+	It("keeps upstreams while none is heard from, and drops one whose lease alone expires", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "m"))
 		late := start.Add(time.Minute)
 		name, _ := pool.Send(late, "pool", "m", "", 100)
@@ -73,8 +73,8 @@
 		}
 	})
 
-	// Control instances come back and hear of the upstreams one after the other. Upstreams they
-	// have not heard of yet must not count as lost.
+	// Control instances come back and hear from the upstreams one after the other. Upstreams they
+	// have not heard from yet must not count as lost.
 	It("waits for all upstreams after the control instances were away", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"), engineRecord("b", "here", start, "n"))
 		back := start.Add(time.Minute)
@@ -106,12 +106,12 @@
 		Expect(name).To(Equal("new"))
 	})
 
-	// A request is in flight to an upstream when its departure is reported by an instance that
+	// A request is in flight to an upstream when its leave is reported by an instance that
 	// never knew its address. The fields that the request reads must not change.
 	It("never changes the address of an upstream", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
 		pool.Apply(start, roster.Upstream{
-			Heard: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
+			LastContact: start, Leaving: true, Announcement: upstreamapi.Announcement{Name: "a"},
 		})
 		Expect(pool.Address("a")).To(Equal("a.test:1"))
 		_, lacking := pool.Send(start, "pool", "m", "", 100)
@@ -130,7 +130,7 @@
 
 	// The only upstream has just failed the request. An immediate retry would fail again, while a
 	// later one may find capacity.
-	It("makes a request wait whose only upstream has failed it", func() {
+	It("makes a request wait if its only upstream has failed it", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
 		pool.Fail(start, "a")
 		_, lacking := pool.Send(start, "pool", "m", "", 100, "a")
@@ -143,8 +143,8 @@
 	// half a second.
 	It("fills no engine beyond its slots", func() {
 		pool.Apply(start, engineRecord("a", "here", start, "m"))
-		pool.ApplyHoldings(start, courier.Holdings{Engines: []courier.Holding{
-			{Name: "a", Running: 40, Models: []courier.HeldModel{{Name: "m"}}},
+		pool.ApplyEngineStates(start, courier.EngineStates{Engines: []courier.EngineState{
+			{Name: "a", Running: 40, Models: []courier.LoadedModel{{Name: "m"}}},
 		}})
 		sent, lacking := 0, ""
 		for sent < 64 && lacking == "" {
@@ -163,12 +163,12 @@
 		u.Announcement.Incarnation = 2
 		return u
 	}
-	holdingsOf := func(incarnation uint64, models ...string) courier.Holdings {
-		held := courier.Holding{Name: "e", Incarnation: incarnation, Running: 24}
+	engineStatesOf := func(incarnation uint64, models ...string) courier.EngineStates {
+		held := courier.EngineState{Name: "e", Incarnation: incarnation, Running: 24}
 		for _, model := range models {
-			held.Models = append(held.Models, courier.HeldModel{Name: model})
+			held.Models = append(held.Models, courier.LoadedModel{Name: model})
 		}
-		return courier.Holdings{Engines: []courier.Holding{held}}
+		return courier.EngineStates{Engines: []courier.EngineState{held}}
 	}
 	var pool counter.UpstreamPool
 
@@ -183,14 +183,14 @@
 	// after the new announcement. A request sent on the basis of it would be refused and retried at
 	// the expense of the shared retry budget.
 	It("holds nothing of what the one before held, in either order of the news", func() {
-		pool.ApplyHoldings(start, holdingsOf(1, "m"))
+		pool.ApplyEngineStates(start, engineStatesOf(1, "m"))
 		pool.Apply(start.Add(time.Second), restarted(start.Add(time.Second)))
 		_, missing := pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(1, "m"))
+		pool.ApplyEngineStates(start.Add(time.Second), engineStatesOf(1, "m"))
 		_, missing = pool.Send(start.Add(time.Second), "pool", "m", "", 100)
 		Expect(missing).To(Equal("model"))
-		pool.ApplyHoldings(start.Add(time.Second), holdingsOf(2, "n"))
+		pool.ApplyEngineStates(start.Add(time.Second), engineStatesOf(2, "n"))
 		name, _ := pool.Send(start.Add(time.Second), "pool", "n", "", 100)
 		Expect(name).To(Equal("e"))
 	})
--- a/internal/courier/control.go
+++ b/internal/courier/control.go
@@ -28,8 +28,8 @@
 type Control interface {
 	// Deliver handles a message of another replica.
 	Deliver(message jury.Message)
-	// ProposeHere executes command if this voter is the leader.
-	ProposeHere(ctx context.Context, command []byte) Proposed
+	// ProposeLocally executes command if this voter is the leader.
+	ProposeLocally(ctx context.Context, command []byte) Proposed
 	// Propose executes command, forwarding it to the leader if necessary.
 	Propose(ctx context.Context, command []byte) Proposed
 	// Configuration returns the configuration in force if it is newer than have, and the state of
@@ -39,28 +39,28 @@
 	Lookup(ctx context.Context, key docket.Key) Recorded
 	// ChangeVoters adds or removes an identity if this voter is the leader.
 	ChangeVoters(ctx context.Context, change VotersChange) Proposed
-	// Founding returns the state of this voter that a bootstrap needs.
-	Founding() Founding
+	// BootstrapState returns the state of this voter that a bootstrap needs.
+	BootstrapState() Founding
 	// Bootstrap makes this blank voter a member of a new cluster.
 	Bootstrap(ctx context.Context, charter Charter) error
 }
 
-// Fate is the outcome of a proposed command.
-type Fate uint8
+// ProposalOutcome is the outcome of a proposed command.
+type ProposalOutcome uint8
 
 // Outcomes of a proposed command. With the zero value, the command may or may not have been
 // executed.
 const (
-	FateUnknown Fate = iota
-	FateCarriedOut
-	FateNotAccepted
+	ProposalUnknown ProposalOutcome = iota
+	ProposalExecuted
+	ProposalRejected
 )
 
 // Proposed is the answer to a proposal.
 type Proposed struct {
-	Fate   Fate
+	Fate   ProposalOutcome
 	Result []byte
-	// Leader is the replica to ask instead if Fate is FateNotAccepted. It may be empty.
+	// Leader is the replica to ask instead if Fate is ProposalRejected. It may be empty.
 	Leader jury.Identity
 	// Passing is true if the rejection is temporary: the next leader may accept the command.
 	Passing bool
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), min(args.Timeout, handlerTimeout))
 	defer cancel()
 	if args.Here {
-		*reply = s.control.ProposeHere(ctx, args.Command)
+		*reply = s.control.ProposeLocally(ctx, args.Command)
 		return nil
 	}
 	*reply = s.control.Propose(ctx, args.Command)
@@ -205,7 +205,7 @@
 
 // Founding is the net/rpc method "Control.Founding".
 func (s *ControlService) Founding(_ Empty, reply *Founding) error {
-	*reply = s.control.Founding()
+	*reply = s.control.BootstrapState()
 	return nil
 }
 
@@ -223,7 +223,7 @@
 
 // Propose asks the voter at address to execute command. If here is true, the voter executes it only
 // as the leader and does not forward it. If the command certainly did not reach the voter, the
-// outcome is FateNotAccepted; if the voter's answer was lost, it is FateUnknown.
+// outcome is ProposalRejected; if the voter's answer was lost, it is ProposalUnknown.
 func (p *Pool) Propose(ctx context.Context, address string, command []byte, here bool) Proposed {
 	args := ProposeArgs{Command: command, Timeout: p.remaining(ctx), Here: here}
 	return p.propose(ctx, address, "Control.Propose", args)
@@ -243,9 +243,9 @@
 		return reply
 	}
 	if isNotSent(err) {
-		return Proposed{Fate: FateNotAccepted, Passing: true, Reason: err.Error()}
+		return Proposed{Fate: ProposalRejected, Passing: true, Reason: err.Error()}
 	}
-	return Proposed{Fate: FateUnknown, Reason: err.Error()}
+	return Proposed{Fate: ProposalUnknown, Reason: err.Error()}
 }
 
 // Configuration requests the configuration in force from the voter at address.
@@ -260,8 +260,8 @@
 	return callForReply[Recorded](ctx, p, address, "Control.Lookup", LookupArgs{Key: key, Timeout: p.remaining(ctx)})
 }
 
-// Founding requests the state of the voter at address that a bootstrap needs.
-func (p *Pool) Founding(ctx context.Context, address string) (Founding, error) {
+// BootstrapState requests the state of the voter at address that a bootstrap needs.
+func (p *Pool) BootstrapState(ctx context.Context, address string) (Founding, error) {
 	return callForReply[Founding](ctx, p, address, "Control.Founding", Empty{})
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -157,8 +157,8 @@
 	d.recomputeTotals()
 }
 
-// Sweep removes the upstreams whose lease expired before the given time.
-func (d *Dispatcher) Sweep(before time.Time) {
+// RemoveExpired removes the upstreams whose lease expired before the given time.
+func (d *Dispatcher) RemoveExpired(before time.Time) {
 	for name, u := range d.upstreams {
 		if u.view.LeaseUntil.Before(before) {
 			d.Remove(name)
@@ -184,9 +184,9 @@
 	return perSecond
 }
 
-// Serves reports whether any upstream serves target, even one that accepts no new
+// HasTarget reports whether any upstream serves target, even one that accepts no new
 // requests.
-func (d *Dispatcher) Serves(target Target) bool {
+func (d *Dispatcher) HasTarget(target Target) bool {
 	return d.pools[target] != nil
 }
 
--- a/internal/dispatch/policies_test.go
+++ b/internal/dispatch/policies_test.go
@@ -93,7 +93,7 @@
 	options.Seed = seed
 	d := dispatch.New(options)
 	p := &gatePolicy{
-		sim: sim, dispatcher: d, gate: dispatch.NewGate(d, admission.New(admission.Options{})),
+		sim: sim, dispatcher: d, gate: dispatch.NewGate(d, admission.NewQueue(admission.Options{})),
 		engines: map[string]*engine{}, jobs: map[uint64]*job{},
 	}
 	for _, e := range sim.engines {
@@ -130,7 +130,7 @@
 	answer := p.gate.Arrive(now, &j.arrival)
 	switch {
 	case answer.Start.Arrival != nil:
-		p.send(now, j, answer.Start.Flight, answer.Start.Decision.Chosen.Name)
+		p.send(now, j, answer.Start.Attempt, answer.Start.Decision.Chosen.Name)
 	case answer.Queued:
 		p.jobs[j.arrival.ID] = j
 	default:
@@ -148,15 +148,15 @@
 	}
 }
 
-func (p *gatePolicy) send(now time.Time, j *job, flight dispatch.Flight, name string) {
+func (p *gatePolicy) send(now time.Time, j *job, attempt dispatch.Attempt, name string) {
 	delete(p.jobs, j.arrival.ID)
-	j.flight = flight
+	j.attempt = attempt
 	p.sim.send(now, p.engines[name], j)
 }
 
 func (p *gatePolicy) startWaiting(now time.Time, name string) {
-	for _, s := range p.gate.Freed(now, name, nil) {
-		p.send(now, p.jobs[s.Arrival.ID], s.Flight, s.Decision.Chosen.Name)
+	for _, s := range p.gate.StartWaiting(now, name, nil) {
+		p.send(now, p.jobs[s.Arrival.ID], s.Attempt, s.Decision.Chosen.Name)
 	}
 }
 
@@ -173,19 +173,19 @@
 	p.startWaiting(now, e.name)
 }
 
-func (p *gatePolicy) firstToken(now time.Time, j *job) { p.dispatcher.FirstByte(now, &j.flight) }
+func (p *gatePolicy) firstToken(now time.Time, j *job) { p.dispatcher.FirstByte(now, &j.attempt) }
 
 func (p *gatePolicy) done(now time.Time, j *job) {
 	if j.firstTokenAt.IsZero() {
-		p.dispatcher.Failed(now, &j.flight, dispatch.FailureCanceled)
+		p.dispatcher.Failed(now, &j.attempt, dispatch.FailureCanceled)
 	} else {
-		p.dispatcher.Finished(now, &j.flight)
+		p.dispatcher.Finished(now, &j.attempt)
 	}
 	p.startWaiting(now, j.engine.name)
 }
 
 func (p *gatePolicy) tick(now time.Time) {
-	for _, r := range p.gate.Expired(now, nil) {
+	for _, r := range p.gate.RemoveExpired(now, nil) {
 		p.refuse(p.jobs[r.Ticket.ID], r)
 	}
 }
--- a/internal/docket/answer.go
+++ b/internal/docket/answer.go
@@ -62,8 +62,8 @@
 	// owns the claim, or that the command contradicts the recorded state. Nothing
 	// was changed.
 	VerdictStale
-	// VerdictNone means that the key has no record.
-	VerdictNone
+	// VerdictNotFound means that the key has no record.
+	VerdictNotFound
 )
 
 // String returns the name of the verdict for logs.
@@ -86,7 +86,7 @@
 	// record changes. For VerdictFull, it is the time until the next record
 	// expires.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Response is shared with the docket and must not be modified.
+	// Response is shared with the store and must not be modified.
 	Response *Response `json:"response,omitempty"`
 	// Expired is the number of records that Expire removed.
 	Expired int `json:"expired,omitempty"`
--- a/internal/docket/docket_test.go
+++ b/internal/docket/docket_test.go
@@ -17,20 +17,20 @@
 	bookingFingerprint = docket.FingerprintOf([]byte("POST"), []byte("/confirm"), []byte("seat 4"))
 )
 
-// fixture is a docket with a simulated leader clock.
+// fixture is a store with a simulated leader clock.
 type fixture struct {
-	*docket.Docket
+	*docket.Store
 	now    time.Time
 	limits docket.Limits
 }
 
 func newFixture() *fixture {
-	f := &fixture{Docket: docket.New(), now: startTime, limits: docket.DefaultLimits()}
+	f := &fixture{Store: docket.New(), now: startTime, limits: docket.DefaultLimits()}
 	f.advance(0)
 	return f
 }
 
-// advance advances the time by d, in steps of MaxStep at most so that the docket
+// advance advances the time by d, in steps of MaxStep at most so that the store
 // counts all of it. It returns the total counts of the Expire commands.
 func (f *fixture) advance(d time.Duration) docket.Answer {
 	var total docket.Answer
@@ -69,13 +69,13 @@
 	// through another instance while the first one is in progress. The request
 	// must run once, and both callers must get the same response.
 	It("grants a key once and returns the recorded response to later callers", func() {
-		Expect(f.Lookup(bookingKey)).To(haveVerdict(docket.VerdictNone))
+		Expect(f.Lookup(bookingKey)).To(haveVerdict(docket.VerdictNotFound))
 		granted := f.claim(claimant1)
 		Expect(granted).To(haveVerdict(docket.VerdictGranted))
 		duplicate := f.claim(claimant2)
 		Expect(duplicate).To(haveVerdict(docket.VerdictInProgress))
 		Expect(duplicate.Owner).To(Equal(claimant1))
-		Expect(duplicate.Wait).To(Equal(time.Minute + f.limits.Grace))
+		Expect(duplicate.Wait).To(Equal(time.Minute + f.limits.TimeoutGrace))
 		Expect(f.record(claimant1, granted.Attempt, docket.StateCompleted, response)).To(haveVerdict(docket.VerdictRecorded))
 		Expect(f.claim(claimant2)).To(And(haveVerdict(docket.VerdictCompleted), HaveField("Response", response)))
 		Expect(f.Lookup(bookingKey)).To(And(haveVerdict(docket.VerdictCompleted), HaveField("Response", response)))
@@ -191,7 +191,7 @@
 		return answer
 	}
 
-	// A burst of requests fills the docket. Removing the oldest record could let
+	// A burst of requests fills the store. Removing the oldest record could let
 	// its request run twice. So the newest request is refused, and the answer says
 	// when the next record expires.
 	It("refuse a new key when full, and drop no record before its time", func() {
@@ -201,7 +201,7 @@
 		}
 		Expect(runRequest(3, 10)).To(And(haveVerdict(docket.VerdictFull), HaveField("Wait", f.limits.Retention-3*time.Hour)))
 		Expect(runRequest(0, 10)).To(haveVerdict(docket.VerdictStale))
-		Expect(f.Counters().Refused).To(Equal(uint64(1)))
+		Expect(f.Counters().RefusedFull).To(Equal(uint64(1)))
 		Expect(f.advance(f.limits.Retention - 3*time.Hour)).To(HaveField("Expired", 1))
 		Expect(runRequest(3, 10)).To(haveVerdict(docket.VerdictGranted))
 		Expect(f.Len()).To(Equal(3))
@@ -251,7 +251,7 @@
 	})
 
 	// A leader proposes empty limits because its settings contain none. With a
-	// retention of 0, the docket would remove all records and every resent request
+	// retention of 0, the store would remove all records and every resent request
 	// would run again.
 	It("stay the same when a command has no limits", func() {
 		runRequest(0, 10)
--- a/internal/docket/limits.go
+++ b/internal/docket/limits.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Limits are the limits of a Docket.
+// Limits are the limits of a Store.
 type Limits struct {
 	// Retention is the time that a record is kept after its last change. It must
 	// exceed the longest time after which a caller may resend a request, because
 	// a key without a record counts as a new request.
 	Retention time.Duration `json:"retention"`
-	// Grace is added to the timeout of a claim. The claim counts as unknown after
+	// TimeoutGrace is added to the timeout of a claim. The claim counts as unknown after
 	// both.
-	Grace time.Duration `json:"grace"`
+	TimeoutGrace time.Duration `json:"grace"`
 	// MaxTimeout is the maximum timeout of a claim. Longer ones are shortened.
 	MaxTimeout time.Duration `json:"max-timeout"`
-	// MaxStep is the maximum time by which one Expire advances the docket's clock.
+	// MaxStep is the maximum time by which one Expire advances the store's clock.
 	MaxStep time.Duration `json:"max-step"`
 	// MaxRecords is the maximum number of records. When it is reached, new keys
 	// are refused. Records are never removed before the end of their retention.
@@ -30,11 +30,11 @@
 const maxDuration = 20 * 365 * 24 * time.Hour
 
 // Valid reports whether the limits for responses are not negative, all others are
-// positive, and no duration exceeds 20 years. A Docket ignores invalid limits in
+// positive, and no duration exceeds 20 years. A Store ignores invalid limits in
 // an Expire. With a retention of 0, all records would expire at once and every
 // resent request would run again.
 func (l Limits) Valid() bool {
-	for _, d := range []time.Duration{l.Retention, l.Grace, l.MaxTimeout, l.MaxStep} {
+	for _, d := range []time.Duration{l.Retention, l.TimeoutGrace, l.MaxTimeout, l.MaxStep} {
 		if d <= 0 || d > maxDuration {
 			return false
 		}
@@ -46,12 +46,12 @@
 //
 // Retention is four days, because a web page that is left open over a weekend
 // with a holiday may resend its request after up to 88 hours (Friday 17:00 to
-// Tuesday 09:00). The other limits keep the docket of a voter below 64 MB. See
+// Tuesday 09:00). The other limits keep the store of a voter below 64 MB. See
 // docs/MEASURES.md for the bytes per record.
 func DefaultLimits() Limits {
 	return Limits{
 		Retention:        96 * time.Hour,
-		Grace:            10 * time.Second,
+		TimeoutGrace:     10 * time.Second,
 		MaxTimeout:       15 * time.Minute,
 		MaxStep:          5 * time.Second,
 		MaxRecords:       100_000,
--- a/internal/docket/property_test.go
+++ b/internal/docket/property_test.go
@@ -11,11 +11,11 @@
 	"github.com/lovagelift/lovagelift/internal/docket"
 )
 
-// simulation delivers commands to a docket late, more than once and out of order.
+// simulation delivers commands to a store late, more than once and out of order.
 // Some answers to claims are lost.
 type simulation struct {
 	random  *rand.Rand
-	docket  *docket.Docket
+	store   *docket.Store
 	now     time.Time
 	limits  docket.Limits
 	pending []docket.Command
@@ -38,7 +38,7 @@
 		s.startRequest()
 	case 2:
 		s.now = s.now.Add(time.Duration(s.random.IntN(40)) * time.Second)
-		s.docket.Apply(docket.Expire{Now: s.now, Limits: s.limits})
+		s.store.Apply(docket.Expire{Now: s.now, Limits: s.limits})
 	case 3:
 		s.abandonRequest()
 	default:
@@ -83,7 +83,7 @@
 	index := s.random.IntN(len(s.pending))
 	command := s.pending[index]
 	s.pending = append(s.pending[:index], s.pending[index+1:]...)
-	answer := s.docket.Apply(command)
+	answer := s.store.Apply(command)
 	claim, ok := command.(docket.Claim)
 	if !ok || answer.Verdict != docket.VerdictGranted || s.random.IntN(4) == 0 {
 		return
@@ -113,7 +113,7 @@
 		for seed := range uint64(300) {
 			s := &simulation{
 				random: rand.New(rand.NewPCG(seed, 3)),
-				docket: docket.New(),
+				store:  docket.New(),
 				now:    startTime,
 				limits: docket.DefaultLimits(),
 				sends:  map[docket.Key]int{},
@@ -147,9 +147,9 @@
 	})
 
 	It("rejects a snapshot without records that has an invalid clock or limits", func() {
-		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.ClearLimits} {
+		for _, corrupt := range []func(*docket.Store){docket.SetMaxClock, docket.ClearLimits} {
 			f := newFixture()
-			corrupt(f.Docket)
+			corrupt(f.Store)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).To(MatchError(ContainSubstring("impossible times")))
 		}
@@ -159,12 +159,12 @@
 	// its last change, so Expire would never return. A duplicate key would lose a
 	// record.
 	It("rejects a snapshot with an impossible state", func() {
-		for _, corrupt := range []func(*docket.Docket){docket.SetMaxClock, docket.SetFutureChange, docket.DuplicateLastRecord} {
+		for _, corrupt := range []func(*docket.Store){docket.SetMaxClock, docket.SetFutureChange, docket.DuplicateLastRecord} {
 			f := newFixture()
 			f.claim(claimant1)
 			_, err := docket.Restore(f.Snapshot(nil))
 			Expect(err).NotTo(HaveOccurred())
-			corrupt(f.Docket)
+			corrupt(f.Store)
 			_, err = docket.Restore(f.Snapshot(nil))
 			Expect(err).To(HaveOccurred())
 		}
--- a/internal/docket/snapshot.go
+++ b/internal/docket/snapshot.go
@@ -10,82 +10,82 @@
 
 const snapshotFormatVersion = 1
 
-// Snapshot appends the encoded state of the docket to buffer. Equal dockets have
+// Snapshot appends the encoded state of the store to buffer. Equal stores have
 // equal encodings.
-func (d *Docket) Snapshot(buffer []byte) []byte {
+func (s *Store) Snapshot(buffer []byte) []byte {
 	buffer = parcel.AppendUint(buffer, snapshotFormatVersion)
-	buffer = appendLimits(buffer, d.limits)
-	buffer = parcel.AppendUint(buffer, uint64(d.clock))
-	buffer = parcel.AppendUint(buffer, unixNanoseconds(d.leaderTime))
-	for _, counter := range d.counters.inSnapshotOrder() {
+	buffer = appendLimits(buffer, s.limits)
+	buffer = parcel.AppendUint(buffer, uint64(s.clock))
+	buffer = parcel.AppendUint(buffer, unixNanoseconds(s.leaderTime))
+	for _, counter := range s.counters.inSnapshotOrder() {
 		buffer = parcel.AppendUint(buffer, *counter)
 	}
-	buffer = parcel.AppendUint(buffer, uint64(len(d.records)))
-	for r := d.byLastChange.first; r != nil; r = r.next {
+	buffer = parcel.AppendUint(buffer, uint64(len(s.records)))
+	for r := s.byLastChange.first; r != nil; r = r.next {
 		buffer = appendRecord(buffer, r)
 	}
 	return buffer
 }
 
-// Restore returns the docket that Snapshot encoded as data. It returns an error if
+// Restore returns the store that Snapshot encoded as data. It returns an error if
 // data has another format version or is damaged.
-func Restore(data []byte) (*Docket, error) {
+func Restore(data []byte) (*Store, error) {
 	reader := parcel.NewReader(data)
 	if format := reader.Uint(); format != snapshotFormatVersion {
 		return nil, errors.Newf("docket: snapshot format %d, of which this program knows %d", format, snapshotFormatVersion)
 	}
-	d := &Docket{limits: readLimits(reader)}
-	d.clock = time.Duration(reader.Uint())
-	d.leaderTime = unixTime(reader.Uint())
-	for _, counter := range d.counters.inSnapshotOrder() {
+	s := &Store{limits: readLimits(reader)}
+	s.clock = time.Duration(reader.Uint())
+	s.leaderTime = unixTime(reader.Uint())
+	for _, counter := range s.counters.inSnapshotOrder() {
 		*counter = reader.Uint()
 	}
 	count := reader.Count()
-	d.records = make(map[Key]*storedRecord, count)
+	s.records = make(map[Key]*storedRecord, count)
 	for range count {
 		r := readRecord(reader)
-		if !d.isValidNext(r) {
+		if !s.isValidNext(r) {
 			reader.Fail()
 			break
 		}
-		d.records[r.key] = r
-		d.byLastChange.pushBack(r)
+		s.records[r.key] = r
+		s.byLastChange.pushBack(r)
 		if r.response != nil {
-			d.withResponse = append(d.withResponse, r)
-			d.responseBytes += r.response.size()
+			s.withResponse = append(s.withResponse, r)
+			s.responseBytes += r.response.size()
 		}
 	}
 	if err := reader.End(); err != nil {
 		return nil, errors.Wrap(err, "docket: snapshot")
 	}
-	if !d.limits.Valid() || d.clock < 0 || d.clock > maxDuration*4 {
+	if !s.limits.Valid() || s.clock < 0 || s.clock > maxDuration*4 {
 		return nil, errors.New("docket: snapshot with impossible times")
 	}
-	return d, nil
+	return s, nil
 }
 
 // isValidNext reports whether r is a valid next record of the snapshot that is
 // being restored.
-func (d *Docket) isValidNext(r *storedRecord) bool {
-	if _, duplicate := d.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
+func (s *Store) isValidNext(r *storedRecord) bool {
+	if _, duplicate := s.records[r.key]; duplicate || r.state < StateInFlight || r.state > StateUnknown {
 		return false
 	}
 	minChangedAt := time.Duration(0)
-	if d.byLastChange.last != nil {
-		minChangedAt = d.byLastChange.last.changedAt
+	if s.byLastChange.last != nil {
+		minChangedAt = s.byLastChange.last.changedAt
 	}
-	return r.changedAt >= minChangedAt && r.changedAt <= d.clock && r.unknownAfter >= 0 && r.unknownAfter <= d.clock+2*maxDuration
+	return r.changedAt >= minChangedAt && r.changedAt <= s.clock && r.unknownAfter >= 0 && r.unknownAfter <= s.clock+2*maxDuration
 }
 
 // inSnapshotOrder returns pointers to the counters in the order in which the
 // snapshot encodes them.
 func (c *Counters) inSnapshotOrder() []*uint64 {
-	return []*uint64{&c.Granted, &c.Refused, &c.Expired, &c.Overdue, &c.ResponsesDropped}
+	return []*uint64{&c.Granted, &c.RefusedFull, &c.Expired, &c.Overdue, &c.ResponsesDropped}
 }
 
 func appendLimits(buffer []byte, l Limits) []byte {
 	buffer = parcel.AppendUint(buffer, uint64(l.Retention))
-	buffer = parcel.AppendUint(buffer, uint64(l.Grace))
+	buffer = parcel.AppendUint(buffer, uint64(l.TimeoutGrace))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxTimeout))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxStep))
 	buffer = parcel.AppendUint(buffer, uint64(l.MaxRecords))
@@ -96,7 +96,7 @@
 func readLimits(reader *parcel.Reader) Limits {
 	return Limits{
 		Retention:        time.Duration(reader.Uint()),
-		Grace:            time.Duration(reader.Uint()),
+		TimeoutGrace:     time.Duration(reader.Uint()),
 		MaxTimeout:       time.Duration(reader.Uint()),
 		MaxStep:          time.Duration(reader.Uint()),
 		MaxRecords:       int(reader.Uint()),
@@ -130,8 +130,8 @@
 
 func readRecord(reader *parcel.Reader) *storedRecord {
 	r := &storedRecord{}
-	copy(r.key[:], reader.Fixed(len(r.key)))
-	copy(r.fingerprint[:], reader.Fixed(len(r.fingerprint)))
+	copy(r.key[:], reader.Take(len(r.key)))
+	copy(r.fingerprint[:], reader.Take(len(r.fingerprint)))
 	r.claimant = internInstance(Claimant{Instance: reader.String(), Incarnation: reader.Uint(), Request: reader.Uint()})
 	r.attempt = uint32(reader.Uint())
 	r.state = State(reader.Byte())
--- a/internal/foreman/export_test.go
+++ b/internal/foreman/export_test.go
@@ -8,15 +8,15 @@
 	"github.com/lovagelift/lovagelift/internal/roster"
 )
 
-// NewWithoutLoop returns a Foreman without its control loop: it acts only in Reconcile.
-func NewWithoutLoop(options Options) *Foreman {
-	return newForeman(options)
+// NewWithoutLoop returns a Controller without its control loop: it acts only in Reconcile.
+func NewWithoutLoop(options Options) *Controller {
+	return newController(options)
 }
 
 // Reconcile runs one reconciliation at now and waits for its calls to engines.
-func (f *Foreman) Reconcile(now time.Time) {
-	f.reconcile(now)
-	f.inFlight.Wait()
+func (c *Controller) Reconcile(now time.Time) {
+	c.reconcile(now)
+	c.inFlight.Wait()
 }
 
 // ImmediateResends returns the ids of the orders that are sent again in the given state without a
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -40,14 +40,14 @@
 type Cluster interface {
 	// Upstreams returns the upstreams with a valid announcement lease.
 	Upstreams(now time.Time) []roster.Upstream
-	// Issue returns the active configuration.
-	Issue() *gazette.Issue
+	// Configuration returns the active configuration.
+	Configuration() *gazette.Configuration
 }
 
-// Options configures a Foreman.
+// Options configures a Controller.
 type Options struct {
-	Register ReplicatedState
-	World    Cluster
+	State   ReplicatedState
+	Cluster Cluster
 	// Demand returns the current demand estimates. If it is nil, models are placed by minimum
 	// copies and failure tolerance alone.
 	Demand func(now time.Time) []demand.Estimate
@@ -57,15 +57,15 @@
 	WeightOfMoves float64
 	// Client calls engines. It must not follow redirects.
 	Client *http.Client
-	// OrderFlight is the longest time that an order can be in flight.
-	OrderFlight time.Duration
+	// OrderTimeout is the longest time that an order can be in flight.
+	OrderTimeout time.Duration
 	// UpstreamLease is the duration of the announcement lease. A new leader does not plan before it
 	// has passed: engines that have not yet announced themselves to it would count as lost.
 	UpstreamLease time.Duration
-	// Every is the interval of the control loop. 0 means DefaultInterval.
-	Every time.Duration
-	Now   func() time.Time
-	Log   zerolog.Logger
+	// Interval is the interval of the control loop. 0 means DefaultInterval.
+	Interval time.Duration
+	Now      func() time.Time
+	Log      zerolog.Logger
 }
 
 // Intervals and limits without a setting.
@@ -95,8 +95,8 @@
 	maxOrdersPerPlan = 32
 )
 
-// Foreman issues orders while its instance holds the order right. It is safe for concurrent use.
-type Foreman struct {
+// Controller issues orders while its instance holds the order right. It is safe for concurrent use.
+type Controller struct {
 	options Options
 	engines engineClient
 	ctx     context.Context
@@ -124,21 +124,21 @@
 	plan      placement.Plan
 }
 
-// New starts a Foreman.
-func New(options Options) *Foreman {
-	f := newForeman(options)
-	f.loop.Go(f.run)
-	return f
+// New starts a Controller.
+func New(options Options) *Controller {
+	c := newController(options)
+	c.loop.Go(c.run)
+	return c
 }
 
-func newForeman(options Options) *Foreman {
-	if options.Every == 0 {
-		options.Every = DefaultInterval
+func newController(options Options) *Controller {
+	if options.Interval == 0 {
+		options.Interval = DefaultInterval
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Foreman{
+	return &Controller{
 		options:            options,
-		engines:            engineClient{client: options.Client, timeout: options.OrderFlight},
+		engines:            engineClient{client: options.Client, timeout: options.OrderTimeout},
 		ctx:                ctx,
 		cancel:             cancel,
 		orderCalls:         map[string]orderCall{},
@@ -149,89 +149,89 @@
 
 // Close stops the control loop and cancels the calls in progress. Their orders are recorded, so the
 // next leader queries their state.
-func (f *Foreman) Close() {
-	f.cancel()
-	f.loop.Wait()
-	f.inFlight.Wait()
+func (c *Controller) Close() {
+	c.cancel()
+	c.loop.Wait()
+	c.inFlight.Wait()
 }
 
-func (f *Foreman) run() {
-	ticker := time.NewTicker(f.options.Every)
+func (c *Controller) run() {
+	ticker := time.NewTicker(c.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-f.ctx.Done():
+		case <-c.ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		f.reconcile(f.options.Now())
+		c.reconcile(c.options.Now())
 	}
 }
 
 // reconcile performs everything that is due at now.
-func (f *Foreman) reconcile(now time.Time) {
-	rightTerm, _, held := f.options.Register.OrderRight(now)
+func (c *Controller) reconcile(now time.Time) {
+	rightTerm, _, held := c.options.State.OrderRight(now)
 	if !held {
-		f.resetTerm()
+		c.resetTerm()
 		return
 	}
 	term := uint64(rightTerm)
-	state := f.options.Register.Manifest()
+	state := c.options.State.Manifest()
 	switch {
 	case state.Term > term:
 		return
 	case state.Term < term:
 		// Once this command is applied here, so are all commands that earlier leaders committed.
-		if !f.propose(manifest.Lead{Term: term}) {
+		if !c.propose(manifest.NewLeader{Term: term}) {
 			return
 		}
 	}
-	f.beginTerm(now, term)
-	live := f.liveEngines(now)
-	f.recordReports(live)
-	f.logContradictions()
-	f.removeGoneEngines(now, live)
-	f.followUpOrders(now, term, live)
-	f.updatePlacement(now, term, live)
+	c.beginTerm(now, term)
+	live := c.liveEngines(now)
+	c.recordReports(live)
+	c.logContradictions()
+	c.removeGoneEngines(now, live)
+	c.followUpOrders(now, term, live)
+	c.updatePlacement(now, term, live)
 }
 
 // resetTerm clears the state that is bound to an order right that has ended.
-func (f *Foreman) resetTerm() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.term, f.termStart = 0, time.Time{}
-	f.plan, f.planState, f.lastPlanned = placement.Plan{}, placement.State{}, time.Time{}
+func (c *Controller) resetTerm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.term, c.termStart = 0, time.Time{}
+	c.plan, c.planState, c.lastPlanned = placement.Plan{}, placement.State{}, time.Time{}
 }
 
 // beginTerm initializes the state of a term, unless this process already acts in it.
-func (f *Foreman) beginTerm(now time.Time, term uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.term == term {
+func (c *Controller) beginTerm(now time.Time, term uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.term == term {
 		return
 	}
-	f.term, f.termStart = term, now
-	f.planState, f.lastPlanned = placement.State{}, time.Time{}
-	f.missingSince = map[string]time.Time{}
-	f.loggedIncarnations = map[string]uint64{}
-	f.options.Log.Info().Uint64("term", term).Msg("order right acquired; issuing orders to engines")
+	c.term, c.termStart = term, now
+	c.planState, c.lastPlanned = placement.State{}, time.Time{}
+	c.missingSince = map[string]time.Time{}
+	c.loggedIncarnations = map[string]uint64{}
+	c.options.Log.Info().Uint64("term", term).Msg("order right acquired; issuing orders to engines")
 }
 
 // propose proposes a command and reports whether it was accepted.
-func (f *Foreman) propose(command manifest.Command) bool {
-	ctx, cancel := context.WithTimeout(f.ctx, proposeTimeout)
+func (c *Controller) propose(command manifest.Command) bool {
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
-	result, err := f.options.Register.Propose(ctx, command)
+	result, err := c.options.State.Propose(ctx, command)
 	switch {
 	case err != nil:
-		f.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
+		c.options.Log.Warn().Err(err).Type("command", command).Msg("placement command not committed")
 		return false
 	case result.Manifest == nil || !result.Manifest.Accepted:
 		reason := ""
 		if result.Manifest != nil {
 			reason = result.Manifest.Reason
 		}
-		f.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement command rejected")
+		c.options.Log.Info().Type("command", command).Str("reason", reason).Msg("placement command rejected")
 		return false
 	}
 	return true
@@ -241,7 +241,7 @@
 //
 // It is checked immediately before each send: the order right may have expired while the order was
 // being recorded, and another leader may rely on no order being sent.
-func (f *Foreman) maySend(fencing uint64) bool {
-	currentTerm, _, held := f.options.Register.OrderRight(f.options.Now())
+func (c *Controller) maySend(fencing uint64) bool {
+	currentTerm, _, held := c.options.State.OrderRight(c.options.Now())
 	return held && uint64(currentTerm) == fencing
 }
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -10,7 +10,7 @@
 	"github.com/lovagelift/lovagelift/internal/gauge"
 )
 
-var _ = Describe("Gauges", func() {
+var _ = Describe("Metrics", func() {
 	It("serve the counters of their own instance only", func() {
 		a := gauge.New("a")
 		b := gauge.New("b")
@@ -23,8 +23,8 @@
 	})
 })
 
-func scrape(g *gauge.Gauges) string {
+func scrape(m *gauge.Metrics) string {
 	recorder := httptest.NewRecorder()
-	g.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	m.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return recorder.Body.String()
 }
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -10,9 +10,9 @@
 
 // Engine is the recorded state of one engine. It is an immutable value.
 type Engine struct {
-	// Announced is the last recorded announcement without the inventory, which is in
+	// Announcement is the last recorded announcement without the inventory, which is in
 	// Ledger, and without the load, which is in the roster, except Load.MaxRunning.
-	Announced upstreamapi.Announcement `json:"announced"`
+	Announcement upstreamapi.Announcement `json:"announced"`
 	// Ledger is the account of the engine's memory, including the open orders.
 	Ledger ledger.Ledger `json:"ledger"`
 	// Orders are the open orders and the last maxClosedOrders closed ones, in the
@@ -27,12 +27,12 @@
 	Model   string                `json:"model,omitempty"`
 	Version string                `json:"version,omitempty"`
 	Adapter string                `json:"adapter,omitempty"`
-	// Why and At are copied from Record.
-	Why   string    `json:"why"`
-	At    time.Time `json:"at"`
-	State State     `json:"state"`
-	// Reason is the engine's reason for a refused order, truncated to MaxWhyBytes.
-	Reason string `json:"reason,omitempty"`
+	// PlacementReason and At are copied from Record.
+	PlacementReason string    `json:"why"`
+	At              time.Time `json:"at"`
+	State           State     `json:"state"`
+	// RefusalReason is the engine's reason for a refused order, truncated to MaxReasonBytes.
+	RefusalReason string `json:"reason,omitempty"`
 }
 
 // State is the state of an order.
@@ -67,18 +67,18 @@
 // maxClosedOrders limits the number of closed orders kept for each engine.
 const maxClosedOrders = 16
 
-// Learns reports whether the announcement changes the recorded state of the engine,
+// ChangedByAnnouncement reports whether the announcement changes the recorded state of the engine,
 // so that a Reports command should be proposed.
 //
 // Most announcements contain nothing new and are dismissed by their revision alone:
 // an announcement with a revision that is already recorded can't close an order that
 // was recorded later.
-func (e Engine) Learns(a upstreamapi.Announcement) bool {
+func (e Engine) ChangedByAnnouncement(a upstreamapi.Announcement) bool {
 	revisionKnown := a.Incarnation == e.Ledger.Incarnation() && a.Revision <= e.Ledger.Revision()
-	if revisionKnown && ledger.GuaranteesOf(a) == ledger.GuaranteesOf(e.Announced) {
+	if revisionKnown && ledger.GuaranteesOf(a) == ledger.GuaranteesOf(e.Announcement) {
 		return false
 	}
-	return a.Incarnation > e.Announced.Incarnation || e.Ledger.ChangedByReport(e.withRecordedClock(a))
+	return a.Incarnation > e.Announcement.Incarnation || e.Ledger.ChangedByReport(e.withRecordedClock(a))
 }
 
 // withRecordedClock returns the announcement with the last recorded time of the
@@ -141,7 +141,7 @@
 		return e
 	}
 	e.Orders = slices.Clone(e.Orders)
-	e.Orders[i].State, e.Orders[i].Reason = state, reason
+	e.Orders[i].State, e.Orders[i].RefusalReason = state, reason
 	return e
 }
 
@@ -172,9 +172,9 @@
 	}
 }
 
-// LearnsFrom reports whether the answer changes the recorded state of the engine in
+// ChangedByAnswer reports whether the answer changes the recorded state of the engine in
 // more than its clock, so that an Answer command should be proposed.
-func (e Engine) LearnsFrom(answer upstreamapi.OrderAnswer) bool {
+func (e Engine) ChangedByAnswer(answer upstreamapi.OrderResponse) bool {
 	i := slices.IndexFunc(e.Orders, func(entry OrderEntry) bool { return entry.ID == answer.ID })
 	running := i >= 0 && e.Orders[i].State == StateRunning
 	return e.Ledger.ChangedByAnswer(answer) || answer.State == upstreamapi.OrderRunning && !running
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -62,12 +62,12 @@
 
 const (
 	existingSpec  = "Budget is separate for each service"
-	existingTable = "Budget keeps from trying again"
+	existingTable = "Budget denies another attempt"
 )
 
 var _ = Describe("Check", func() {
 	It("accepts a complete page", func() {
-		for _, test := range []string{existingSpec, existingTable, existingTable + " a begun answer", "TestRetry"} {
+		for _, test := range []string{existingSpec, existingTable, existingTable + " after the answer has begun", "TestRetry"} {
 			findings := matrix.Check("page", completePage(test), packages)
 			Expect(findings.Err()).NotTo(HaveOccurred())
 		}
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -34,8 +34,8 @@
 	currentlyServed float64
 	problems        []Problem
 	unmetSince      map[need]time.Time
-	// avoided is Input.Avoid as a set.
-	avoided map[Avoided]bool
+	// avoided is Input.AvoidedLoads as a set.
+	avoided map[AvoidedLoad]bool
 }
 
 // rankedMove is a move with its urgency. Moves are ordered by tier, priority
@@ -128,9 +128,9 @@
 		modelIndex:    map[string]int{},
 		weightOfMoves: in.Preset.WeightOfMoves,
 		unmetSince:    map[need]time.Time{},
-		avoided:       make(map[Avoided]bool, len(in.Avoid)),
+		avoided:       make(map[AvoidedLoad]bool, len(in.AvoidedLoads)),
 	}
-	for _, a := range in.Avoid {
+	for _, a := range in.AvoidedLoads {
 		d.avoided[a] = true
 	}
 	if d.weightOfMoves < 0 {
@@ -311,11 +311,11 @@
 	return indexes
 }
 
-// isAvoided reports whether Input.Avoid lists the load. Without that list, an
+// isAvoided reports whether Input.AvoidedLoads lists the load. Without that list, an
 // engine on which a load always fails would be ordered to repeat it every
 // second, while another engine could do it.
 func (d *draft) isAvoided(engine int, model, adapterName string) bool {
-	return len(d.avoided) > 0 && d.avoided[Avoided{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
+	return len(d.avoided) > 0 && d.avoided[AvoidedLoad{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
 }
 
 // isDue reports whether a need has persisted long enough to be met, and records
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -52,18 +52,18 @@
 
 // Defaults of Options.
 const (
-	DefaultPatience          = 20 * time.Second
-	DefaultHorizon           = 10 * time.Minute
-	DefaultLoadTime          = 30 * time.Second
-	DefaultTargetUtilization = 0.8
+	DefaultStabilizationWindow = 20 * time.Second
+	DefaultHorizon             = 10 * time.Minute
+	DefaultLoadTime            = 30 * time.Second
+	DefaultTargetUtilization   = 0.8
 )
 
 // WeightStore limits the loads from the weight store.
 type WeightStore struct {
 	// LoadsPerSecond is the rate at which loads may start. 0 means no limit.
 	LoadsPerSecond float64
-	// Concurrent is how many loads may run at once. 0 means no limit.
-	Concurrent int
+	// MaxConcurrentLoads is how many loads may run at once. 0 means no limit.
+	MaxConcurrentLoads int
 }
 
 // Input is the state that a plan is computed from.
@@ -81,16 +81,16 @@
 	WeightStore WeightStore
 	// WeightOfMoves is used if Preset does not set it.
 	WeightOfMoves float64
-	// Avoid lists loads that must not be planned yet because a recent one
+	// AvoidedLoads lists loads that must not be planned yet because a recent one
 	// failed. The caller decides for how long.
-	Avoid []Avoided
+	AvoidedLoads []AvoidedLoad
 	// Previous is the Next of the previous plan. A leader that has not planned
 	// yet passes the zero State.
 	Previous State
 }
 
-// Avoided is a load that failed on an engine.
-type Avoided struct {
+// AvoidedLoad is a load that failed on an engine.
+type AvoidedLoad struct {
 	Engine string
 	Model  string
 	// Adapter is empty for the model itself.
@@ -123,10 +123,10 @@
 	// Moves can be ordered now, the most urgent first. Each is valid whatever
 	// becomes of the others and of the orders that are already open.
 	Moves []Move
-	// Waiting are moves that cannot be ordered yet: they need memory that is
+	// Deferred are moves that cannot be ordered yet: they need memory that is
 	// not free yet, or the weight store allows no more loads now. Later plans
 	// decide on them again.
-	Waiting []Move
+	Deferred []Move
 	// Unreachable are the models and adapters that no engine serves now,
 	// sorted.
 	Unreachable []demand.Target
@@ -148,8 +148,8 @@
 type Problem struct {
 	Model  string
 	Reason Reason
-	// Text describes the shortfall with its memory figures, for operators.
-	Text string
+	// Description describes the shortfall with its memory figures, for operators.
+	Description string
 }
 
 // Planner makes plans. It is immutable and safe for concurrent use.
@@ -160,7 +160,7 @@
 // New returns a Planner with the given options.
 func New(options Options) Planner {
 	if options.StabilizationWindow == 0 {
-		options.StabilizationWindow = DefaultPatience
+		options.StabilizationWindow = DefaultStabilizationWindow
 	}
 	if options.Horizon == 0 {
 		options.Horizon = DefaultHorizon
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -2,10 +2,10 @@
 // names a limit in its answers: a number of requests a second from all senders together,
 // in force until the upstream changes or ends it.
 //
-// One sender owns the limit and paces the requests of all (Pace); the others ask it for
+// One sender owns the limit and paces the requests of all (TokenBucket); the others ask it for
 // each request. A sender that can't reach the owner sends a share that keeps to the limit
-// even if all others do the same (Share). Answers may arrive out of order, so the limit
-// in force depends on when their requests were sent and when the answers arrived (Known).
+// even if all others do the same (ShareRate). Answers may arrive out of order, so the limit
+// in force depends on when their requests were sent and when the answers arrived (State).
 //
 // The package is pure: it takes the present time as an argument and does no I/O.
 package ratelimit
@@ -35,38 +35,39 @@
 	Slack     = 5
 )
 
-// Allowed returns the number of requests that an upstream tolerates within Window.
-func Allowed(l Limit) float64 {
+// MaxRequests returns the number of requests that an upstream tolerates within Window.
+func MaxRequests(l Limit) float64 {
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
-// Said is what an answer says about the limit of its upstream: Named, Unnamed or Unclear.
-type Said interface {
-	said()
+// Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or
+// InvalidLimit.
+type Observation interface {
+	isObservation()
 }
 
-// Named means that the answer names a valid limit.
-type Named struct {
+// NamedLimit means that the answer names a valid limit.
+type NamedLimit struct {
 	Limit Limit
 }
 
-// Unnamed means that the answer names no limit: the upstream needs none.
-type Unnamed struct{}
+// NoLimit means that the answer names no limit: the upstream needs none.
+type NoLimit struct{}
 
-// Unclear means that the answer names an invalid limit. It leaves the limit in force
+// InvalidLimit means that the answer names an invalid limit. It leaves the limit in force
 // unchanged.
-type Unclear struct {
+type InvalidLimit struct {
 	// Text is the start of the invalid value.
 	Text string
 }
 
-func (Named) said()   {}
-func (Unnamed) said() {}
-func (Unclear) said() {}
+func (NamedLimit) isObservation()   {}
+func (NoLimit) isObservation()      {}
+func (InvalidLimit) isObservation() {}
 
-// Known is the limit in force at an upstream, according to its answers. It is immutable;
+// State is the limit in force at an upstream, according to its answers. It is immutable;
 // the zero value has no limit in force.
-type Known struct {
+type State struct {
 	limit Limit
 	// setAt is the arrival time of the newest answer that set the limit, and zero if no
 	// limit is in force.
@@ -74,30 +75,30 @@
 }
 
 // Limit returns the limit in force, and false if there is none.
-func (k Known) Limit() (Limit, bool) {
-	return k.limit, !k.setAt.IsZero()
+func (state State) Limit() (Limit, bool) {
+	return state.limit, !state.setAt.IsZero()
 }
 
 // With returns the state after an answer that arrived at now to a request that was sent
 // at sent. Answers may arrive out of order, so one that raises or ends the limit counts
 // only if its request was sent after the limit was last set. A lower limit counts at
 // once.
-func (k Known) With(now, sent time.Time, said Said) Known {
-	limit, inForce := k.Limit()
-	sentLater := sent.After(k.setAt)
-	switch s := said.(type) {
-	case Named:
+func (state State) With(now, sent time.Time, observation Observation) State {
+	limit, inForce := state.Limit()
+	sentLater := sent.After(state.setAt)
+	switch s := observation.(type) {
+	case NamedLimit:
 		if inForce && s.Limit > limit && !sentLater {
-			return k
+			return state
 		}
-		return Known{limit: s.Limit, setAt: now}
-	case Unnamed:
+		return State{limit: s.Limit, setAt: now}
+	case NoLimit:
 		if inForce && !sentLater {
-			return k
+			return state
 		}
-		return Known{}
+		return State{}
 	default:
-		return k
+		return state
 	}
 }
 
@@ -116,18 +117,18 @@
 	return time.Duration(math.Ceil(float64(time.Second) / l.rate()))
 }
 
-// Probes returns the rate in requests a second at which each sender may send whatever the
-// limit, so that it notices the end of the limit. The senders should use NewPhasedPace,
+// ProbeRate returns the rate in requests a second at which each sender may send whatever the
+// limit, so that it notices the end of the limit. The senders should use NewPhasedTokenBucket,
 // so that they don't send at the same time.
-func Probes(senders int) float64 {
+func ProbeRate(senders int) float64 {
 	return minRate / float64(max(senders, 1))
 }
 
-// Share returns the rate in requests a second at which each sender may send without an
+// ShareRate returns the rate in requests a second at which each sender may send without an
 // owner. It is 0 if the upstream does not tolerate one more request from each sender at
 // once.
-func Share(l Limit, senders int) float64 {
-	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > Allowed(l) {
+func ShareRate(l Limit, senders int) float64 {
+	if senders < 1 || l.rate()*Window.Seconds()+float64(senders) > MaxRequests(l) {
 		return 0
 	}
 	return l.rate() / float64(senders)
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -32,7 +32,7 @@
 	}
 	defer log.Close()
 	r := registry.New()
-	first, err := declareChange("first", 0, "ordinary peak").Prepare(validateDeclarations)
+	first, err := declareChange("first", 0, "ordinary peak").Validated(validateDeclarations)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// BenchmarkSnapshot encodes a state with a full docket.
+// BenchmarkSnapshot encodes a state with a full set of idempotency records.
 func BenchmarkSnapshot(b *testing.B) {
 	r := registry.New()
 	limits := docket.DefaultLimits()
--- a/internal/registry/change.go
+++ b/internal/registry/change.go
@@ -35,7 +35,7 @@
 	// current ones remain.
 	Declarations []byte `json:"declarations,omitempty"`
 	// Presets are the names of the presets in Declarations, the default first.
-	// Prepare sets them.
+	// Validated sets them.
 	Presets []string `json:"presets,omitempty"`
 	// Preset is the preset to activate. If empty, the active preset remains, or
 	// the default one becomes active if there is none.
@@ -54,14 +54,14 @@
 // lists every problem. It must be a pure function.
 type DeclarationsValidator func(declarations []byte) (presets []string, err error)
 
-// Prepare validates c and returns it ready to be encoded and proposed. It
+// Validated validates c and returns it ready to be encoded and proposed. It
 // returns an error if the declarations are invalid, the ID is missing, or the
 // ID or the operator's name is too long. A Summary that is too long is truncated.
 //
 // Validation happens once, before the change is proposed. Replicas don't repeat
 // it when they apply the change: replicas that run different versions could
 // come to different results, and their states would diverge.
-func (c Change) Prepare(validate DeclarationsValidator) (Change, error) {
+func (c Change) Validated(validate DeclarationsValidator) (Change, error) {
 	switch {
 	case c.ID == "" || len(c.ID) > MaxChangeIDBytes:
 		return c, errors.Newf("registry: the change id has %d bytes, not 1 to %d", len(c.ID), MaxChangeIDBytes)
@@ -99,13 +99,13 @@
 	// VerdictApplied means that the change was applied.
 	VerdictApplied Verdict = iota + 1
 	// VerdictConflict means that Change.Expected is not the current revision.
-	// Answer.Since lists the changes applied since.
+	// ChangeResult.ChangesSince lists the changes applied since.
 	VerdictConflict
 	// VerdictRefused means that the change is invalid in the current state, for the
-	// reason in Answer.Reason.
+	// reason in ChangeResult.Reason.
 	VerdictRefused
-	// VerdictReused means that the ID belongs to a different change.
-	VerdictReused
+	// VerdictIDReused means that the ID belongs to a different change.
+	VerdictIDReused
 )
 
 // String returns the verdict's name in logs.
@@ -117,23 +117,23 @@
 	return names[v]
 }
 
-// Answer is the result of a Change.
-type Answer struct {
+// ChangeResult is the result of a Change.
+type ChangeResult struct {
 	Verdict Verdict `json:"verdict"`
 	// Revision is the current revision after the decision. If the change was
 	// applied, it is the revision that the change created.
 	Revision Revision `json:"revision"`
 	// Preset is the active preset after the decision.
 	Preset string `json:"preset"`
-	// Since lists, for VerdictConflict, up to maxConflictChanges retained changes
+	// ChangesSince lists, for VerdictConflict, up to maxConflictChanges retained changes
 	// that were applied after Change.Expected, newest first.
-	Since []Applied `json:"since,omitempty"`
+	ChangesSince []AppliedChange `json:"since,omitempty"`
 	// Reason explains in one sentence why the change was not applied.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Applied is the audit record of an applied change.
-type Applied struct {
+// AppliedChange is the audit record of an applied change.
+type AppliedChange struct {
 	Revision Revision  `json:"revision"`
 	ID       string    `json:"id"`
 	By       string    `json:"by"`
@@ -142,6 +142,6 @@
 }
 
 // String formats the change in one line.
-func (a Applied) String() string {
+func (a AppliedChange) String() string {
 	return fmt.Sprintf("revision %d by %s at %s: %s", a.Revision, a.By, a.At.UTC().Format(time.RFC3339), a.Summary)
 }
