--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
 // Package registry is the replicated state machine. Its state consists of
 //   - the current configuration,
 //   - the edition, a document whose version numbers operators assign,
-//   - the docket, the idempotency records of non-idempotent requests,
+//   - the idempotency records of non-idempotent requests,
 //   - the manifest, the contents of the engines and the orders to them,
 //   - the leases of upstreams, and
 //   - the crash records of requests that were in flight at upstreams that crashed.
@@ -32,7 +32,7 @@
 	// applied is the log index of the last applied command.
 	applied       jury.Index
 	configuration *configuration
-	docket        *docket.Docket
+	store         *docket.Store
 	manifest      *manifest.Manifest
 	// view is the view of configuration for lock-free readers.
 	view atomic.Pointer[View]
@@ -45,7 +45,7 @@
 
 // New returns a replica with the empty state.
 func New() *Registry {
-	r := &Registry{configuration: newConfiguration(), docket: docket.New(), manifest: manifest.New()}
+	r := &Registry{configuration: newConfiguration(), store: docket.New(), manifest: manifest.New()}
 	r.view.Store(r.configuration.view())
 	r.edition.Store(&edition.Edition{})
 	r.crashRecords.Store(&quarantine.Records{})
@@ -62,24 +62,24 @@
 	return r.view.Load()
 }
 
-// Lookup returns the docket's record of a non-idempotent request.
-func (r *Registry) Lookup(key docket.Key) docket.Answer {
+// LookupRequest returns the idempotency store's record of a non-idempotent request.
+func (r *Registry) LookupRequest(key docket.Key) docket.Answer {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return r.docket.Lookup(key)
+	return r.store.Lookup(key)
 }
 
-// Docket returns the counters of the docket, its number of records and the size
+// DocketStats returns the counters of the idempotency store, its number of records and the size
 // of its stored responses in bytes.
-func (r *Registry) Docket() (counters docket.Counters, records int, responseBytes int64) {
+func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return r.docket.Counters(), r.docket.Len(), r.docket.ResponseBytes()
+	return r.store.Counters(), r.store.Len(), r.store.ResponseBytes()
 }
 
-// Crashes returns the records of requests that were in flight at upstreams that
+// CrashRecords returns the records of requests that were in flight at upstreams that
 // crashed, without locking.
-func (r *Registry) Crashes() quarantine.Records {
+func (r *Registry) CrashRecords() quarantine.Records {
 	return *r.crashRecords.Load()
 }
 
@@ -97,8 +97,8 @@
 	return r.manifest.View()
 }
 
-// Applied returns the log index of the last applied command.
-func (r *Registry) Applied() jury.Index {
+// AppliedIndex returns the log index of the last applied command.
+func (r *Registry) AppliedIndex() jury.Index {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.applied
@@ -127,13 +127,13 @@
 		}
 		return Result{Change: &answer}, nil
 	case docket.Command:
-		answer := r.docket.Apply(c)
+		answer := r.store.Apply(c)
 		return Result{Docket: &answer}, nil
 	case manifest.Command:
 		result := r.manifest.Apply(c)
 		return Result{Manifest: &result}, nil
 	case edition.Put:
-		next, result := r.edition.Load().With(c)
+		next, result := r.edition.Load().Apply(c)
 		r.edition.Store(&next)
 		return Result{Edition: &result}, nil
 	case lease.Take:
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -28,9 +28,9 @@
 	Next          Cursor
 }
 
-// Source is the state of pulling from one instance: the cursor, and the members behind its handles.
-// The zero value has pulled nothing. It is not safe for concurrent use.
-type Source struct {
+// PullState is the state of pulling from one instance: the cursor, and the members behind its
+// handles. The zero value has pulled nothing. It is not safe for concurrent use.
+type PullState struct {
 	cursor    Cursor
 	upstreams map[uint32]memberKey
 	instances map[uint32]memberKey
@@ -44,20 +44,20 @@
 
 // Cursor returns the cursor for the next pull. If direct is true, it requests only members that
 // report to the source themselves. If direct differs from the last pull, the pull starts over.
-func (s *Source) Cursor(direct bool) Cursor {
-	if s.cursor.Direct != direct {
+func (p *PullState) Cursor(direct bool) Cursor {
+	if p.cursor.Direct != direct {
 		return Cursor{Direct: direct}
 	}
-	return s.cursor
+	return p.cursor
 }
 
 // advance stores the cursor of an answer. If the pull started over, it discards the handles: those
 // of a restarted source refer to other members.
-func (s *Source) advance(next Cursor) {
-	if s.upstreams == nil || next.Direct != s.cursor.Direct || next.Incarnation != s.cursor.Incarnation {
-		s.upstreams, s.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
+func (p *PullState) advance(next Cursor) {
+	if p.upstreams == nil || next.Direct != p.cursor.Direct || next.Incarnation != p.cursor.Incarnation {
+		p.upstreams, p.instances = map[uint32]memberKey{}, map[uint32]memberKey{}
 	}
-	s.cursor = next
+	p.cursor = next
 }
 
 // Since returns the changes after cursor.
@@ -90,7 +90,7 @@
 //
 // Ages are subtracted from the time of the request, not of the answer's arrival: otherwise an
 // answer that was delayed on its way would make a lost member look alive for as long as the delay.
-func (r *Roster) Merge(requestedAt time.Time, source *Source, changes Changes) {
+func (r *Roster) Merge(requestedAt time.Time, source *PullState, changes Changes) {
 	if !changes.UpstreamBeats.wellFormed() || !changes.InstanceBeats.wellFormed() {
 		return
 	}
@@ -124,7 +124,7 @@
 	if !allKnown {
 		// A renewal of a member that was evicted here is useless without the full record. The
 		// source would not send that again on its own, and the member would stay unknown for good.
-		*source = Source{}
+		*source = PullState{}
 	}
 }
 
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -32,8 +32,8 @@
 type Upstream struct {
 	// Announcement is the most recent one. Its slices must not be changed.
 	Announcement upstreamapi.Announcement
-	// Heard is the latest time at which the announcement can have been made.
-	Heard time.Time
+	// LastContact is the latest time at which the announcement can have been made.
+	LastContact time.Time
 	// Leaving is true if the upstream has announced that it is leaving.
 	Leaving bool
 }
@@ -65,7 +65,7 @@
 	Name string
 	InstanceStatic
 	InstanceBeat
-	Heard time.Time
+	LastContact time.Time
 }
 
 // upstreamStatic is an announcement without the fields that change with each renewal.
@@ -88,9 +88,9 @@
 	Static InstanceStatic
 	// Lease is how long a member counts as alive after it was last heard from.
 	Lease time.Duration
-	// Restarts makes an announcement with a higher incarnation and another address count as a
-	// restart of the same upstream. Without it, the address of a live name can't change.
-	Restarts bool
+	// AllowRestartElsewhere makes an announcement with a higher incarnation and another address
+	// count as a restart of the same upstream. Without it, the address of a live name can't change.
+	AllowRestartElsewhere bool
 }
 
 // Roster is the membership state of one instance. It is not safe for concurrent use.
@@ -110,8 +110,8 @@
 	}
 }
 
-// Beat renews this instance's own record.
-func (r *Roster) Beat(now time.Time, beat InstanceBeat) {
+// Heartbeat renews this instance's own record.
+func (r *Roster) Heartbeat(now time.Time, beat InstanceBeat) {
 	r.sequence++
 	record := InstanceRecord{
 		Name:        r.options.Self,
@@ -125,9 +125,9 @@
 	r.instances.Put(record, Provenance{At: now, Direct: true})
 }
 
-// Introduction returns this instance's own record, to be sent to an instance that may not know it.
-// It returns nil before the first Beat.
-func (r *Roster) Introduction(now time.Time) *InstanceRecord {
+// SelfRecord returns this instance's own record, to be sent to an instance that may not know it.
+// It returns nil before the first Heartbeat.
+func (r *Roster) SelfRecord(now time.Time) *InstanceRecord {
 	row, known := r.instances.rows[r.options.Self]
 	if !known {
 		return nil
@@ -136,11 +136,11 @@
 	return &record
 }
 
-// Introduce stores the record that another instance sent about itself with a pull. The record may
+// Discover stores the record that another instance sent about itself with a pull. The record may
 // have been delayed on its way, so its age can't be trusted, but it is sufficient to start pulling
 // from the sender. The record is ignored unless the sender is unknown, its lease has expired or the
 // record has a higher incarnation.
-func (r *Roster) Introduce(now time.Time, record InstanceRecord) {
+func (r *Roster) Discover(now time.Time, record InstanceRecord) {
 	row, known := r.instances.rows[record.Name]
 	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastHeard) < r.options.Lease {
 		return
@@ -148,9 +148,9 @@
 	r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 }
 
-// Hear stores the record that another instance has just sent about itself. Unlike Introduce it
+// Renew stores the record that another instance has just sent about itself. Unlike Discover it
 // renews a known member: the caller guarantees that the record was not delayed for long.
-func (r *Roster) Hear(now time.Time, record InstanceRecord) {
+func (r *Roster) Renew(now time.Time, record InstanceRecord) {
 	if record.Name != r.options.Self {
 		r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
 	}
@@ -161,9 +161,9 @@
 //
 // If the name is taken by an upstream at another address, Announce returns an error that wraps
 // ErrNameTaken and changes nothing. A name is taken while its upstream is alive, unless
-// Options.Restarts is set and the new incarnation is higher. After the upstream has left or
-// expired, an announcement still needs a higher incarnation to take over the name. If only the
-// leave of an upstream is known, its address is unknown and its name is free.
+// Options.AllowRestartElsewhere is set and the new incarnation is higher. After the upstream has
+// left or expired, an announcement still needs a higher incarnation to take over the name. If only
+// the leave of an upstream is known, its address is unknown and its name is free.
 //
 // If the incarnation was announced before with other services, the announcement does not come from
 // the upstream itself, and Announce returns an error that wraps ErrServicesMismatch.
@@ -175,7 +175,7 @@
 			announcement.Name, row.static.Services, announcement.Services)
 	}
 	if known && row.static.Address != "" && row.static.Address != announcement.Address {
-		restarted := r.options.Restarts && row.incarnation < announcement.Incarnation
+		restarted := r.options.AllowRestartElsewhere && row.incarnation < announcement.Incarnation
 		alive := !row.left && now.Sub(row.lastHeard) < r.options.Lease && !restarted
 		if alive || row.incarnation >= announcement.Incarnation {
 			return errors.Wrapf(ErrNameTaken, "%q is announced from %s, this announcement gives %s",
@@ -197,9 +197,9 @@
 	return nil
 }
 
-// Load stores a load report that an upstream sent between two announcements. If the upstream is
-// unknown, has another incarnation or has already reported a later load, Load does nothing.
-func (r *Roster) Load(now time.Time, report upstreamapi.LoadReport) {
+// ReportLoad stores a load report that an upstream sent between two announcements. If the upstream is
+// unknown, has another incarnation or has already reported a later load, ReportLoad does nothing.
+func (r *Roster) ReportLoad(now time.Time, report upstreamapi.LoadReport) {
 	row, known := r.upstreams.rows[report.Name]
 	if !known {
 		return
@@ -237,8 +237,8 @@
 // maxSequence is higher than the sequence of any renewal.
 const maxSequence = ^uint64(0)
 
-// Sweep removes members whose leases expired long ago.
-func (r *Roster) Sweep(now time.Time) {
+// EvictExpired removes members whose leases expired long ago.
+func (r *Roster) EvictExpired(now time.Time) {
 	cutoff := now.Add(-retentionLeases * r.options.Lease)
 	r.upstreams.Evict(cutoff)
 	r.instances.Evict(cutoff)
@@ -294,7 +294,7 @@
 			Name:           name,
 			InstanceStatic: row.static,
 			InstanceBeat:   row.beat,
-			Heard:          row.lastHeard,
+			LastContact:    row.lastHeard,
 		})
 	}
 	return alive
@@ -305,7 +305,7 @@
 	announcement.Incarnation = row.incarnation
 	announcement.Sequence = row.sequence
 	announcement.Load = row.beat
-	return Upstream{Announcement: announcement, Heard: row.lastHeard, Leaving: row.left}
+	return Upstream{Announcement: announcement, LastContact: row.lastHeard, Leaving: row.left}
 }
 
 func staticPart(announcement upstreamapi.Announcement) upstreamStatic {
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Site is the position of an instance in the cluster.
-type Site struct {
+// Location is the position of an instance in the cluster.
+type Location struct {
 	Name          string
 	FailureDomain string
 	Voter         bool
@@ -17,8 +17,8 @@
 type Sources struct {
 	// All are pulled from in every round.
 	All []string
-	// FirstOf are alternatives: only the first that answers is pulled from.
-	FirstOf []string
+	// Alternatives are the instances of which only the first that answers is pulled from.
+	Alternatives []string
 	// Direct are pulled from for the members that report to them directly.
 	Direct []string
 }
@@ -32,14 +32,14 @@
 	pullersPerInstance = 2
 )
 
-// SourcesOf returns the instances that self pulls from. others are the other live instances.
+// SelectSources returns the instances that self pulls from. others are the other live instances.
 //
 // In a small cluster, all instances pull from each other. In a large one, a non-voter pulls from
 // one voter; a voter pulls from the other voters and from the non-voters assigned to it. A change
 // then reaches every instance in three pulls, and the bytes per instance grow with the number of
 // members, not with members times instances.
-func SourcesOf(self Site, others []Site) Sources {
-	var voters, nonVoters []Site
+func SelectSources(self Location, others []Location) Sources {
+	var voters, nonVoters []Location
 	for _, other := range others {
 		if other.Voter {
 			voters = append(voters, other)
@@ -48,12 +48,12 @@
 		}
 	}
 	if len(others) < maxMeshSize || len(voters) == 0 {
-		return Sources{All: siteNames(others)}
+		return Sources{All: locationNames(others)}
 	}
 	if !self.Voter {
-		return Sources{FirstOf: siteNames(rankVoters(self, voters))}
+		return Sources{Alternatives: locationNames(rankVoters(self, voters))}
 	}
-	sources := Sources{All: siteNames(voters)}
+	sources := Sources{All: locationNames(voters)}
 	for _, other := range nonVoters {
 		pullers := rankVoters(other, append(slices.Clone(voters), self))
 		if slices.Contains(pullers[:min(pullersPerInstance, len(pullers))], self) {
@@ -66,9 +66,9 @@
 // rankVoters returns the voters in the order in which an instance prefers them: those in its own
 // failure domain first, then by rendezvous hashing, which distributes the instances evenly and
 // reassigns few of them when a voter is lost.
-func rankVoters(instance Site, voters []Site) []Site {
+func rankVoters(instance Location, voters []Location) []Location {
 	ranked := slices.Clone(voters)
-	slices.SortFunc(ranked, func(a, b Site) int {
+	slices.SortFunc(ranked, func(a, b Location) int {
 		if byDistance := cmp.Compare(distance(instance, a), distance(instance, b)); byDistance != 0 {
 			return byDistance
 		}
@@ -80,7 +80,7 @@
 	return ranked
 }
 
-func distance(a, b Site) int {
+func distance(a, b Location) int {
 	if a.FailureDomain == b.FailureDomain {
 		return 0
 	}
@@ -105,10 +105,10 @@
 	return x
 }
 
-func siteNames(sites []Site) []string {
-	names := make([]string, 0, len(sites))
-	for _, site := range sites {
-		names = append(names, site.Name)
+func locationNames(locations []Location) []string {
+	names := make([]string, 0, len(locations))
+	for _, location := range locations {
+		names = append(names, location.Name)
 	}
 	return names
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -18,7 +18,7 @@
 // replaced days before they expire, so a delay of seconds is harmless.
 const DefaultCheckInterval = 10 * time.Second
 
-// Options configures a Seal.
+// Options configures a Reloader.
 type Options struct {
 	// Files must be set, see settings.KeyPair.IsSet.
 	Files settings.KeyPair
@@ -27,17 +27,17 @@
 	CheckInterval time.Duration
 	// Now returns the current time.
 	Now func() time.Time
-	// Failed is called for replaced files that cannot be used. The previous ones stay in use. It is
-	// called with a lock held and must not call methods of the Seal.
-	Failed func(err error)
+	// OnError is called for replaced files that cannot be used. The previous ones stay in use. It is
+	// called with a lock held and must not call methods of the Reloader.
+	OnError func(err error)
 }
 
-// Seal holds a certificate with its key, and optionally the CA certificates that verify the peer.
+// Reloader holds a certificate with its key, and optionally the CA certificates that verify the peer.
 // It is safe for concurrent use.
 //
 // It checks its files when a connection is made, so it needs no goroutine, and a process without
 // connections does no work.
-type Seal struct {
+type Reloader struct {
 	options Options
 
 	mu        sync.Mutex
@@ -66,31 +66,31 @@
 	size     int64
 }
 
-// New returns a Seal that has loaded the files. If they cannot be used, New returns an error.
-func New(options Options) (*Seal, error) {
+// New returns a Reloader that has loaded the files. If they cannot be used, New returns an error.
+func New(options Options) (*Reloader, error) {
 	if options.CheckInterval == 0 {
 		options.CheckInterval = DefaultCheckInterval
 	}
-	s := &Seal{options: options, lastCheck: options.Now()}
+	r := &Reloader{options: options, lastCheck: options.Now()}
 	// The versions are determined before the files are read. If the files are replaced in between,
 	// the next check finds other versions and reads them again.
 	var err error
-	if s.versions, err = versionsOf(options.Files); err != nil {
+	if r.versions, err = versionsOf(options.Files); err != nil {
 		return nil, err
 	}
-	if s.current, err = loadCredentials(options.Files); err != nil {
+	if r.current, err = loadCredentials(options.Files); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return r, nil
 }
 
 // Server returns the configuration of a listener. If there is a CA file, clients must present a
 // certificate that it verifies.
-func (s *Seal) Server() *tls.Config {
+func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.latest().server, nil
+			return r.latest().server, nil
 		},
 	}
 }
@@ -98,8 +98,8 @@
 // Client returns the configuration for one connection that is made now. It does not follow later
 // replacements of the files. With a CA file, only its certificates verify the server; without one,
 // those of the system do.
-func (s *Seal) Client() *tls.Config {
-	latest := s.latest()
+func (r *Reloader) Client() *tls.Config {
+	latest := r.latest()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		Certificates: []tls.Certificate{latest.certificate},
@@ -108,32 +108,32 @@
 }
 
 // latest checks the files if that is due, and returns their contents, or the last usable ones.
-func (s *Seal) latest() credentials {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.options.Now()
-	if now.Sub(s.lastCheck) < s.options.CheckInterval {
-		return s.current
+func (r *Reloader) latest() credentials {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.options.Now()
+	if now.Sub(r.lastCheck) < r.options.CheckInterval {
+		return r.current
 	}
-	s.lastCheck = now
-	versions, err := versionsOf(s.options.Files)
-	if err == nil && versions == s.versions {
-		return s.current
+	r.lastCheck = now
+	versions, err := versionsOf(r.options.Files)
+	if err == nil && versions == r.versions {
+		return r.current
 	}
 	if err != nil {
-		s.options.Failed(err)
-		return s.current
+		r.options.OnError(err)
+		return r.current
 	}
 	// Certificate and key are two files that are replaced one after the other. In between they do
 	// not match and loading fails. The versions are not updated then, so the next check tries
 	// again.
-	loaded, err := loadCredentials(s.options.Files)
+	loaded, err := loadCredentials(r.options.Files)
 	if err != nil {
-		s.options.Failed(err)
-		return s.current
+		r.options.OnError(err)
+		return r.current
 	}
-	s.versions, s.current = versions, loaded
-	return s.current
+	r.versions, r.current = versions, loaded
+	return r.current
 }
 
 func loadCredentials(files settings.KeyPair) (credentials, error) {
--- a/internal/shuttle/header.go
+++ b/internal/shuttle/header.go
@@ -18,8 +18,8 @@
 	"Upgrade",
 }
 
-// Forwardable returns a copy of header without hop-by-hop headers.
-func Forwardable(header http.Header) http.Header {
+// EndToEndHeader returns a copy of header without hop-by-hop headers.
+func EndToEndHeader(header http.Header) http.Header {
 	copied := header.Clone()
 	if copied == nil {
 		copied = http.Header{}
--- a/internal/shuttle/idempotent_test.go
+++ b/internal/shuttle/idempotent_test.go
@@ -22,7 +22,7 @@
 func idempotentRequest(id string) shuttle.Request {
 	return shuttle.Request{
 		ID: id, Method: http.MethodPost, Target: "/v1/completions", Header: http.Header{},
-		Body: []byte(`{"model":"m"}`), Idempotent: true, AskAfter: true, Remaining: time.Minute,
+		Body: []byte(`{"model":"m"}`), Idempotent: true, SupportsStatusQuery: true, Remaining: time.Minute,
 	}
 }
 
@@ -55,21 +55,21 @@
 }
 
 var _ = Describe("a kept connection that goes silent", func() {
-	var s *shuttle.Shuttle
+	var p *shuttle.Proxy
 
 	BeforeEach(func() {
-		s = shuttle.New(shuttle.Options{SilenceTime: 20 * time.Millisecond})
-		DeferCleanup(s.Close)
+		p = shuttle.New(shuttle.Options{StatusQueryDelay: 20 * time.Millisecond})
+		DeferCleanup(p.Close)
 	})
 
 	warmUp := func(ctx SpecContext, upstream *scriptedUpstream) {
-		response, err := s.Send(ctx, upstream.address(), idempotentRequest("warm"))
+		response, err := p.Send(ctx, upstream.address(), idempotentRequest("warm"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(shuttle.Prefetch(response, 10)).To(Succeed())
 		Expect(response.Body.Close()).To(Succeed())
 	}
 	expectResponse := func(ctx SpecContext, upstream *scriptedUpstream) {
-		response, err := s.Send(ctx, upstream.address(), idempotentRequest("r"))
+		response, err := p.Send(ctx, upstream.address(), idempotentRequest("r"))
 		Expect(err).NotTo(HaveOccurred())
 		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -139,7 +139,7 @@
 			go func() {
 				defer GinkgoRecover()
 				warmUp(ctx, upstream)
-				_, err := s.Send(ctx, upstream.address(), idempotentRequest("r"))
+				_, err := p.Send(ctx, upstream.address(), idempotentRequest("r"))
 				results <- err
 			}()
 		}
@@ -160,7 +160,7 @@
 				reply(conn, "HTTP/1.1 503 Busy\r\nLovagelift-Refused: not-run\r\nContent-Length: 0\r\n\r\n")
 			})
 		warmUp(ctx, upstream)
-		_, err := s.Send(ctx, upstream.address(), idempotentRequest("r"))
+		_, err := p.Send(ctx, upstream.address(), idempotentRequest("r"))
 		Expect(outcomeOf(err)).To(Equal(outcome.Unknown))
 	})
 
@@ -170,8 +170,8 @@
 		upstream := newScriptedUpstream(replyOnce(upstreamapi.RequestNeverSeen))
 		warmUp(ctx, upstream)
 		request := idempotentRequest("r")
-		request.AskAfter = false
-		response, err := s.Send(ctx, upstream.address(), request)
+		request.SupportsStatusQuery = false
+		response, err := p.Send(ctx, upstream.address(), request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
 		_, received := upstream.counts()
@@ -186,7 +186,7 @@
 			upstream.listener.Close()
 			_, _ = io.Copy(io.Discard, in)
 		})
-		_, err := s.Send(ctx, upstream.address(), idempotentRequest("r"))
+		_, err := p.Send(ctx, upstream.address(), idempotentRequest("r"))
 		Expect(outcomeOf(err)).To(Equal(outcome.Unknown))
 	})
 })
@@ -200,12 +200,12 @@
 			reply(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			_, _ = io.Copy(io.Discard, in)
 		})
-		s := shuttle.New(shuttle.Options{BodySilence: 50 * time.Millisecond})
-		defer s.Close()
-		response, err := s.Send(ctx, upstream.address(), nonIdempotentRequest())
+		p := shuttle.New(shuttle.Options{BodyIdleTimeout: 50 * time.Millisecond})
+		defer p.Close()
+		response, err := p.Send(ctx, upstream.address(), nonIdempotentRequest())
 		Expect(err).NotTo(HaveOccurred())
 		err = shuttle.Prefetch(response, 100)
-		Expect(errors.Is(err, shuttle.ErrCutOff)).To(BeTrue())
+		Expect(errors.Is(err, shuttle.ErrTruncated)).To(BeTrue())
 		Expect(outcomeOf(err)).To(Equal(outcome.Ran))
 	})
 })
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -53,9 +53,9 @@
 	meanWeight = 0.02
 )
 
-// Speed holds the estimates for the engines of one service. It is not safe for
+// Estimator holds the estimates for the engines of one service. It is not safe for
 // concurrent use.
-type Speed struct {
+type Estimator struct {
 	// allModels estimates prefill over all models, and models for each model: prefill of
 	// a larger model takes three times as long.
 	allModels regression
@@ -69,81 +69,81 @@
 	requestSeconds float64
 }
 
-// New returns a Speed that holds the priors. tokensPerEvent is the number of tokens in
+// New returns an Estimator that holds the priors. tokensPerEvent is the number of tokens in
 // one event of a stream, 0 if unknown.
-func New(tokensPerEvent int) *Speed {
+func New(tokensPerEvent int) *Estimator {
 	event := time.Duration(max(tokensPerEvent, 1)) * priorDecodeStep
-	s := &Speed{
+	estimator := &Estimator{
 		models: map[string]*regression{}, eventSeconds: event.Seconds(), priorEventTime: event,
 		tokenSeconds: priorDecodeStep.Seconds(), requestSeconds: priorRequestTime.Seconds(),
 	}
-	s.allModels.addPrior(1.0/priorPrefillTokensPerSecond, priorOverhead.Seconds(), priorSamples)
-	return s
+	estimator.allModels.addPrior(1.0/priorPrefillTokensPerSecond, priorOverhead.Seconds(), priorSamples)
+	return estimator
 }
 
-// Read records one prefill: the prompt's length in tokens, and the time from the start
+// ObservePrefill records one prefill: the prompt's length in tokens, and the time from the start
 // of the prefill to the first token.
-func (s *Speed) Read(model string, promptTokens int, duration time.Duration) {
+func (e *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
 	if promptTokens <= 0 || duration <= 0 {
 		return
 	}
-	s.allModels.observe(float64(promptTokens), duration.Seconds())
-	prefill := s.models[model]
+	e.allModels.observe(float64(promptTokens), duration.Seconds())
+	prefill := e.models[model]
 	if prefill == nil {
 		// The prior of a model is the estimate over all models.
 		prefill = &regression{}
-		slope, intercept := s.allModels.fit()
+		slope, intercept := e.allModels.fit()
 		prefill.addPrior(slope, intercept, modelPriorSamples)
-		s.models[model] = prefill
+		e.models[model] = prefill
 	}
 	prefill.observe(float64(promptTokens), duration.Seconds())
 }
 
-// Reading returns the estimated prefill time of a prompt. It stores nothing for a model
+// PrefillTime returns the estimated prefill time of a prompt. It stores nothing for a model
 // without an answer so far, because callers may name any model.
-func (s *Speed) Reading(model string, promptTokens int) time.Duration {
-	prefill := s.models[model]
+func (e *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
+	prefill := e.models[model]
 	if prefill == nil {
-		prefill = &s.allModels
+		prefill = &e.allModels
 	}
 	slope, _ := prefill.fit()
 	return time.Duration(float64(promptTokens) * slope * float64(time.Second))
 }
 
-// Wrote records a complete stream: the number of answer tokens that its request declared,
+// ObserveStream records a complete stream: the number of answer tokens that its request declared,
 // the number of events, and the time from the first event to the last.
-func (s *Speed) Wrote(declaredTokens, events int, duration time.Duration) {
+func (e *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
 	if events < 2 || declaredTokens <= 0 || duration <= 0 {
 		return
 	}
 	gap := duration.Seconds() / float64(events-1)
-	if gap > s.eventSeconds {
-		s.eventSeconds *= math.Exp(eventStepSize * eventQuantile)
+	if gap > e.eventSeconds {
+		e.eventSeconds *= math.Exp(eventStepSize * eventQuantile)
 	} else {
-		s.eventSeconds *= math.Exp(-eventStepSize * (1 - eventQuantile))
+		e.eventSeconds *= math.Exp(-eventStepSize * (1 - eventQuantile))
 	}
-	s.eventSeconds = min(max(s.eventSeconds, s.priorEventTime.Seconds()/maxPriorRatio), s.priorEventTime.Seconds()*maxPriorRatio)
-	s.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - s.tokenSeconds)
+	e.eventSeconds = min(max(e.eventSeconds, e.priorEventTime.Seconds()/maxPriorRatio), e.priorEventTime.Seconds()*maxPriorRatio)
+	e.tokenSeconds += meanWeight * (min(duration.Seconds()/float64(declaredTokens), priorDecodeStep.Seconds()*maxPriorRatio) - e.tokenSeconds)
 }
 
-// Ran records the time that a request spent at an engine.
-func (s *Speed) Ran(duration time.Duration) {
-	s.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - s.requestSeconds)
+// ObserveRequest records the time that a request spent at an engine.
+func (e *Estimator) ObserveRequest(duration time.Duration) {
+	e.requestSeconds += meanWeight * (min(duration.Seconds(), priorRequestTime.Seconds()*maxPriorRatio) - e.requestSeconds)
 }
 
-// RunTime returns the estimated time that a request spends at an engine.
-func (s *Speed) RunTime() time.Duration {
-	return time.Duration(s.requestSeconds * float64(time.Second))
+// RequestTime returns the estimated time that a request spends at an engine.
+func (e *Estimator) RequestTime() time.Duration {
+	return time.Duration(e.requestSeconds * float64(time.Second))
 }
 
-// EventTime returns the estimated time between two events of a stream while the engine
+// EventInterval returns the estimated time between two events of a stream while the engine
 // prefills few prompts.
-func (s *Speed) EventTime() time.Duration {
-	return time.Duration(s.eventSeconds * float64(time.Second))
+func (e *Estimator) EventInterval() time.Duration {
+	return time.Duration(e.eventSeconds * float64(time.Second))
 }
 
-// Answering returns the estimated time to generate the answer to a request that declared
+// AnswerTime returns the estimated time to generate the answer to a request that declared
 // this number of answer tokens.
-func (s *Speed) Answering(declaredTokens int) time.Duration {
-	return time.Duration(float64(declaredTokens) * s.tokenSeconds * float64(time.Second))
+func (e *Estimator) AnswerTime(declaredTokens int) time.Duration {
+	return time.Duration(float64(declaredTokens) * e.tokenSeconds * float64(time.Second))
 }
--- a/internal/stocking/stocking.go
+++ b/internal/stocking/stocking.go
@@ -21,33 +21,33 @@
 	// Demand is the requested work, in engines: 1 keeps one engine busy.
 	Demand float64
 	// Waiting is the number of requests that find no engine that holds the model.
-	// Missing is how long requests have found none.
-	Waiting int
-	Missing time.Duration
+	// MissingFor is how long requests have found none.
+	Waiting    int
+	MissingFor time.Duration
 	// Idle reports that the model has had no requests for a while.
 	Idle bool
-	// Load is the time of a load from the weight store, WarmLoad from the engine's
-	// memory and DiskLoad from its disk.
-	Load, WarmLoad, DiskLoad time.Duration
+	// LoadTime is the time of a load from the weight store, MemoryLoadTime from the engine's
+	// memory and DiskLoadTime from its disk.
+	LoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 }
 
 // Engine describes an engine to the planner.
 type Engine struct {
 	Name      string
 	Megabytes float64
-	// Used is the memory of weights and adapters, in megabytes.
-	Used float64
-	// Holds lists the loaded models. Coming is the model that is being loaded, or
+	// UsedMegabytes is the memory of weights and adapters, in megabytes.
+	UsedMegabytes float64
+	// Loaded lists the loaded models. Loading is the model that is being loaded, or
 	// empty.
-	Holds  []string
-	Coming string
-	// Closed reports that the engine can take no order now.
-	Closed bool
+	Loaded  []string
+	Loading string
+	// Unavailable reports that the engine can take no order now.
+	Unavailable bool
 	// Leaving reports that the engine takes no more requests.
 	Leaving bool
-	// Narrow reports that the engine limits itself to few requests. Its copies count
+	// Throttled reports that the engine limits itself to few requests. Its copies count
 	// only for models without demand, and it gets no new ones.
-	Narrow bool
+	Throttled bool
 	// InMemory and OnDisk list models that the engine can load without the weight
 	// store.
 	InMemory []string
@@ -58,13 +58,13 @@
 type Move struct {
 	Engine string
 	Model  string
-	// Unload reports that the model is unloaded to make room for For. Otherwise it is
+	// Unload reports that the model is unloaded to make room for MakesRoomFor. Otherwise it is
 	// loaded.
-	Unload bool
-	For    string
-	// Fetch reports that the load reads from the weight store.
-	Fetch  bool
-	Reason Reason
+	Unload       bool
+	MakesRoomFor string
+	// FromStore reports that the load reads from the weight store.
+	FromStore bool
+	Reason    Reason
 	// Load is the load of the least loaded copy before the move, in engines. It is 0
 	// unless Reason is Demand.
 	Load float64
@@ -85,16 +85,16 @@
 
 // Options configures a plan.
 type Options struct {
-	// Busy is the load, as a share of an engine's capacity, above which the models of
+	// MaxLoad is the load, as a share of an engine's capacity, above which the models of
 	// an engine get another copy.
-	Busy float64
-	// Gain is the minimum relief by a copy for an overloaded model: an engine gets one
+	MaxLoad float64
+	// MinGain is the minimum relief by a copy for an overloaded model: an engine gets one
 	// only if its load is lower than that of the least loaded copy by this share.
-	Gain float64
-	// Orders is the maximum number of moves in a plan.
-	Orders int
-	// Fetches is the number of loads from the weight store that may start now.
-	Fetches int
+	MinGain float64
+	// MaxMoves is the maximum number of moves in a plan.
+	MaxMoves int
+	// MaxFetches is the number of loads from the weight store that may start now.
+	MaxFetches int
 }
 
 // Plan returns the moves to order now, the most urgent first.
--- a/internal/upstreamapi/announcement.go
+++ b/internal/upstreamapi/announcement.go
@@ -149,8 +149,8 @@
 	MemoryBytes int64 `json:"memory-bytes,omitempty"`
 }
 
-// Welcome is the response to an Announcement.
-type Welcome struct {
+// AnnounceResponse is the response to an Announcement.
+type AnnounceResponse struct {
 	// RenewEvery is the interval between announcements, in nanoseconds.
 	RenewEvery time.Duration `json:"renew-every"`
 	// Lease is how long the announcement is valid without a renewal, in
