--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -22,8 +22,8 @@
 type drainEstimator struct {
 	count     float64
 	updatedAt time.Time
-	// capacity is the rate that the dispatcher last computed from limits and holding
-	// times, in tickets per second, 0 if unknown.
+	// capacity is the rate that the dispatcher last computed from limits and the time that
+	// requests are open, in tickets per second, 0 if unknown.
 	capacity float64
 	// backlogSince is zero if no tickets wait.
 	backlogSince time.Time
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -4,19 +4,19 @@
 	"time"
 )
 
-// A Limit changes by additive increase and multiplicative decrease; docs/DISPATCH.md has
-// the measurement.
+// Parameters of the additive increase and multiplicative decrease of a Limit, see
+// docs/DISPATCH.md.
 const (
 	minLimit = 1.0
 	// limitDecreaseFactor multiplies the limit when a first token misses its goal.
 	limitDecreaseFactor = 0.9
-	// limitIncreasePerRound is the growth over a round, in which as many requests are
-	// answered as the limit allows.
+	// limitIncreasePerRound is the growth over a round, in which as many requests finish
+	// as the limit allows.
 	limitIncreasePerRound = 1.0
 	// minUsedShare is the share of the limit that must be in use for it to grow.
 	minUsedShare = 0.8
-	// maxGoalShare is the share of its goal within which a first token must come for
-	// the limit to grow.
+	// maxGoalShare is the largest ratio of the time to the first token to its goal at
+	// which the limit grows.
 	maxGoalShare = 0.8
 	// priorityReserveShare is the share of the limit by which requests of priority 0
 	// may exceed it, and by which all others must stay under it.
@@ -26,9 +26,9 @@
 // Limit is an adaptive concurrency limit: the number of requests that this instance
 // keeps open at one upstream.
 //
-// It grows by about one for each round of answers, while first tokens come well within
+// It grows by about one for each round of responses, while first tokens come well within
 // the goal and the limit is in use. It shrinks by a fixed share when a first token misses
-// the goal, at most once a round, because answers to requests sent before the last
+// the goal, at most once a round, because responses to requests sent before the last
 // decrease say nothing about the limit after it.
 //
 // A Limit is an immutable value.
@@ -56,9 +56,9 @@
 	return max(l.value, minLimit)
 }
 
-// StableFor reports whether the last decrease of the limit is longer ago than since.
-func (l Limit) StableFor(now time.Time, since time.Duration) bool {
-	return now.Sub(l.decreasedAt) > since
+// StableFor reports whether the limit has not decreased for longer than period.
+func (l Limit) StableFor(now time.Time, period time.Duration) bool {
+	return now.Sub(l.decreasedAt) > period
 }
 
 // Allows reports whether a request of the given priority may be added to inFlight open ones.
@@ -91,8 +91,8 @@
 	return l
 }
 
-// WithAnswer returns the Limit after an answer from an upstream without a queue. It is for
-// answers whose time to the first token is unknown or has no goal.
+// WithAnswer returns the Limit after a response of an upstream without a queue. It is for
+// responses whose time to the first token is unknown or has no goal.
 func (l Limit) WithAnswer(inFlight int) Limit {
 	if float64(inFlight) >= l.value*minUsedShare {
 		l.value = min(l.value+limitIncreasePerRound/l.value, l.ceiling)
--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -89,11 +89,11 @@
 		refusal.RetryAfter = maxRetryAfter
 		return refusal
 	}
-	free := now.Add(max(wait-max(t.StartBy.Sub(now), 0), 0))
-	if free.Before(p.retryAt) {
-		free = p.retryAt
+	earliest := now.Add(max(wait-max(t.StartBy.Sub(now), 0), 0))
+	if earliest.Before(p.retryAt) {
+		earliest = p.retryAt
 	}
-	p.retryAt = free.Add(time.Duration(float64(time.Second) / rate))
+	p.retryAt = earliest.Add(time.Duration(float64(time.Second) / rate))
 	if p.retryAt.Sub(now) > maxRetryAfter {
 		p.retryAt = now.Add(maxRetryAfter)
 	}
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -45,7 +45,7 @@
 	return work / weight
 }
 
-// Cause says why a request was refused.
+// Cause is the reason for a Refusal.
 type Cause uint8
 
 // The causes of a refusal.
@@ -68,7 +68,7 @@
 	}
 }
 
-// Refusal is the final answer to a request that was not sent to any upstream. Its outcome
+// Refusal is the final result of a request that was not sent to any upstream. Its outcome
 // is not-run, and the caller should get it at once.
 type Refusal struct {
 	Ticket Ticket
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,7 +9,7 @@
 	// limits and ejection take effect.
 	minBias = 0.5
 	maxBias = 4.0
-	// overheadRiseWeight is the weight of a slower answer in the overhead.
+	// overheadRiseWeight is the weight of an observation above the current overhead.
 	overheadRiseWeight = 0.002
 	// minPredictionSeconds is the shortest prediction that updates the bias.
 	minPredictionSeconds = 0.002
@@ -59,7 +59,7 @@
 	return attempt
 }
 
-// FirstByte records the arrival of the first token, or of the answer of a plain service.
+// FirstByte records the arrival of the first token, or of the response of a plain service.
 func (d *Dispatcher) FirstByte(now time.Time, attempt *Attempt) {
 	u := attempt.upstream
 	attempt.firstTokenAt = now
@@ -76,7 +76,7 @@
 	u.health.succeeded()
 }
 
-// Finished records the end of a complete answer. If the request has no goal, or FirstByte
+// Finished records the end of a complete response. If the request has no goal, or FirstByte
 // was not called, the limit may grow if the upstream reports an empty queue.
 func (d *Dispatcher) Finished(now time.Time, attempt *Attempt) {
 	u := attempt.upstream
@@ -117,7 +117,7 @@
 	u.overheadSeconds += overheadRiseWeight * (seconds - u.overheadSeconds)
 }
 
-// Failure is the reason for an incomplete answer.
+// Failure is the reason for an incomplete response.
 type Failure uint8
 
 // The kinds of failure.
@@ -125,14 +125,14 @@
 	// FailureOverloaded means that the upstream rejected the request because it was full.
 	FailureOverloaded Failure = iota + 1
 	// FailureError means that the upstream was unreachable, closed the connection early,
-	// timed out or answered with an error.
+	// timed out or responded with an error.
 	FailureError
 	// FailureCanceled means that the caller disconnected. It doesn't affect the health of
 	// the upstream.
 	FailureCanceled
 )
 
-// Failed records that a request ended without a complete answer. It reports whether this
+// Failed records that a request ended without a complete response. It reports whether this
 // ejected the upstream.
 func (d *Dispatcher) Failed(now time.Time, attempt *Attempt, failure Failure) bool {
 	u := attempt.upstream
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -36,9 +36,9 @@
 }
 
 // predictFirstToken predicts the time to the first token of r from a few candidates, with
-// or without room. idle is the shortest time if the candidate ran no other request. loaded
-// is the time at the candidate of least cost, after one of its requests has finished. It
-// doesn't include the wait in the admission queue.
+// or without room. idle is the shortest time at a candidate without other requests. loaded
+// is the time at the candidate of least cost, after one of its requests has finished.
+// Neither includes the wait in the admission queue.
 func (d *Dispatcher) predictFirstToken(now time.Time, r *Request) (idle, loaded time.Duration) {
 	p := d.pools[r.Target]
 	if p == nil {
--- a/internal/dispatch/decision.go
+++ b/internal/dispatch/decision.go
@@ -13,7 +13,8 @@
 	// ReasonLeastCost means that the chosen upstream had the least cost among the
 	// evaluated candidates.
 	ReasonLeastCost Reason = iota + 1
-	// ReasonPrefixCached means the same, for the upstream whose cache holds the prefix.
+	// ReasonPrefixCached means that the chosen upstream also had the least cost, and that
+	// its cache holds a prefix of the prompt.
 	ReasonPrefixCached
 	// ReasonOnlyCandidate means that only one candidate was evaluated.
 	ReasonOnlyCandidate
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -223,7 +223,7 @@
 
 // initialLimit returns the initial limit for an upstream that runs maxRunning requests at
 // once. If maxRunning is 0, which means unknown, the limit then adapts to the upstream's
-// answers up to maxUnreportedLimit.
+// responses up to maxUnreportedLimit.
 func (d *Dispatcher) initialLimit(maxRunning int) admission.Limit {
 	if maxRunning <= 0 {
 		return admission.NewLimit(assumedMaxRunning, maxUnreportedLimit)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -349,7 +349,7 @@
 
 		It("expects fewer cached tokens after a gap in the cache events", func() {
 			// An event was lost. It may have evicted the prefix, so the prefix counts for less
-			// from then on. A wrong estimate doesn't change the answer.
+			// from then on. A wrong estimate doesn't change the response.
 			var events []upstreamapi.CacheEvent
 			for _, block := range request.Blocks {
 				events = append(events, upstreamapi.CacheEvent{Kind: upstreamapi.CacheStored, Prefix: dispatch.BlockName(block)})
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -10,8 +10,8 @@
 // time to the first token. Predictions are off by about as much.
 const predictionMargin = 0.25
 
-// maxSkipped is the maximum number of waiting requests that a call of StartWaiting skips because
-// they can't use the free slot.
+// maxSkipped is the maximum number of waiting requests that a call of StartWaiting skips
+// because they can't use the free slot.
 const maxSkipped = 8
 
 // maxDefaultWait is the maximum wait of a request without goal and deadline.
@@ -26,8 +26,8 @@
 	// of that service among those of the same priority.
 	Service string
 	Weight  float64
-	// At is the time of arrival. Deadline is the time from which the answer is useless; the
-	// zero time means none.
+	// At is the time of arrival. Deadline is the time from which the response is useless;
+	// the zero time means none.
 	At       time.Time
 	Deadline time.Time
 }
@@ -46,19 +46,19 @@
 	Start Start
 	// Reason is the reason of the decision.
 	Reason Reason
-	// Queued is set if the request waits. StartWaiting returns it later, or RemoveExpired does so by
-	// StartBy.
+	// Queued is set if the request waits. StartWaiting or RemoveExpired returns it later.
+	// StartBy is the latest useful start, after which RemoveExpired returns it.
 	Queued  bool
 	StartBy time.Time
-	// Refusal is set, with a Cause, if the request is rejected.
+	// Refusal is set, with a Cause, if the request is refused.
 	Refusal admission.Refusal
 	// Displaced is set, with a Cause, if another request was removed from the full queue
-	// and is rejected.
+	// and is refused.
 	Displaced admission.Refusal
 }
 
 // Gate is the admission control in front of a Dispatcher: it sends a request to an
-// upstream, queues it or rejects it.
+// upstream, queues it or refuses it.
 //
 // A Gate is not safe for concurrent use.
 type Gate struct {
@@ -73,7 +73,7 @@
 	return &Gate{dispatcher: dispatcher, queue: queue, waiting: map[uint64]*Arrival{}}
 }
 
-// Arrive starts, queues or rejects a. The Gate keeps a reference to a while it waits.
+// Arrive starts, queues or refuses a. The Gate keeps a reference to a while it waits.
 func (g *Gate) Arrive(now time.Time, a *Arrival) ArriveResult {
 	a.Waited = now.Sub(a.At)
 	pool := g.dispatcher.poolName(a.Target)
@@ -104,8 +104,8 @@
 	}
 }
 
-// StartWaiting starts waiting requests for which the named upstream may have room, and appends
-// them to dst. Call it after each Finished, Failed and Update of the upstream.
+// StartWaiting starts waiting requests for which the named upstream may have room, and
+// appends them to dst. Call it after each Finished, Failed and Update of the upstream.
 func (g *Gate) StartWaiting(now time.Time, name string, dst []Start) []Start {
 	u := g.dispatcher.upstreams[name]
 	if u == nil || g.queue.Size() == 0 || !u.available(now) {
@@ -142,8 +142,8 @@
 	return dst
 }
 
-// RemoveExpired removes the waiting requests that can no longer start in time, and appends their
-// refusals to dst. The caller answers each of them immediately.
+// RemoveExpired removes the waiting requests that can no longer start in time, and appends
+// their refusals to dst. The caller should respond to each of them immediately.
 func (g *Gate) RemoveExpired(now time.Time, dst []admission.Refusal) []admission.Refusal {
 	if g.queue.Size() == 0 {
 		return dst
@@ -177,7 +177,7 @@
 	return Start{Arrival: a, Decision: decision, Attempt: attempt}
 }
 
-// ticket returns the ticket of a. If even an idle upstream can't meet the goal, a rejection
+// ticket returns the ticket of a. If even an idle upstream can't meet the goal, a refusal
 // would not help, and StartBy follows from the deadline only.
 func (g *Gate) ticket(now time.Time, a *Arrival, pool string) admission.Ticket {
 	idle, loaded := g.dispatcher.predictFirstToken(now, &a.Request)
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -30,8 +30,8 @@
 // full by chance while the shares of others are empty. There are two signs of a free slot.
 // The first is a fresh report with a quarter of the slots free; an older report doesn't
 // count, because all instances would take the same slot. The second is that this
-// instance's limits together are far from reached, and the limit for u was not reduced
-// lately.
+// instance's open requests are well below the sum of its limits, and the limit for u was
+// not reduced recently.
 func (d *Dispatcher) hasRoom(now time.Time, u *upstream, priority uint8) bool {
 	if u.limit.Allows(u.inFlight, priority) {
 		return true
--- a/internal/dispatch/predict.go
+++ b/internal/dispatch/predict.go
@@ -81,13 +81,13 @@
 }
 
 func (u *upstream) predictService(requests int) prediction {
-	answerSeconds := u.firstTokenSeconds
-	if answerSeconds <= 0 {
-		answerSeconds = assumedServiceSeconds
+	responseSeconds := u.firstTokenSeconds
+	if responseSeconds <= 0 {
+		responseSeconds = assumedServiceSeconds
 	}
 	maxRunning := max(u.view.Load.MaxRunning, 1)
 	rounds := 1 + float64(requests)/float64(maxRunning)
-	return prediction{firstTokenSeconds: answerSeconds * rounds}
+	return prediction{firstTokenSeconds: responseSeconds * rounds}
 }
 
 // expectedDecodeSeconds returns the expected time from the first token to the last.
--- a/internal/dispatch/prefix.go
+++ b/internal/dispatch/prefix.go
@@ -58,7 +58,7 @@
 // set-associative table of fixed size with LRU replacement in each set.
 //
 // The estimate can be wrong in both directions. It affects only the choice of the
-// upstream, which checks its own cache: an error costs time and never changes the answer.
+// upstream, which checks its own cache: an error costs time and never changes the response.
 type prefixIndex struct {
 	sets [][prefixWays]prefixEntry
 	// clock is the number of calls of add.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -4,8 +4,8 @@
 
 // Goal is the latency objective of a service, for 95 % of its requests.
 type Goal struct {
-	// FirstToken is the time to the first token, or to the answer of a plain service. 0
-	// means no goal.
+	// FirstToken is the time to the first token, or to the response of a plain service.
+	// 0 means no goal.
 	FirstToken time.Duration
 	// TokenInterval is the time between tokens. 0 means no goal.
 	TokenInterval time.Duration
@@ -15,8 +15,8 @@
 type Request struct {
 	Target Target
 	Goal   Goal
-	// Waited is the time since the arrival of the request, which counts against
-	// Goal.FirstToken.
+	// Waited is the time from the arrival of the request to the last choice of an upstream
+	// for it.
 	Waited time.Duration
 	// Priority is the priority of the service, where 0 is the highest.
 	Priority     uint8
--- a/internal/dispatch/upstream.go
+++ b/internal/dispatch/upstream.go
@@ -41,7 +41,7 @@
 	overheadSeconds float64
 	overheadKnown   bool
 	// firstTokenSeconds is the moving mean of the time to the first token, 0 before the
-	// first answer. It is the basis of predictions for plain services, which report no
+	// first response. It is the basis of predictions for plain services, which report no
 	// speed.
 	firstTokenSeconds float64
 	// cacheGapUntil is the end of the reduced cache confidence after a gap in the cache
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -42,8 +42,9 @@
 	AnswerTokens int
 	// Priority is that of the route; 0 is the most urgent.
 	Priority uint8
-	// Objective is the longest time to the first event, and MaxEventGap the longest pause between
-	// events, within which an answer is on time. 0 means that there is no such objective.
+	// Objective is the longest time to the first event, and MaxEventGap the longest pause
+	// between events, for a response that is on time. 0 means that there is no such
+	// objective.
 	Objective   time.Duration
 	MaxEventGap time.Duration
 	// Age is the time since the request arrived, and Remaining the time that its caller still
@@ -60,8 +61,8 @@
 	Upstream string
 	// Address is included because the requesting instance may not know the upstream yet.
 	Address string
-	// PrefillBacklog is the time that the engine needs to prefill the prompts that it has before
-	// this one.
+	// PrefillBacklog is the time that the engine needs to prefill the prompts ahead of this
+	// one.
 	PrefillBacklog time.Duration
 }
 
@@ -82,8 +83,8 @@
 	Survey        Survey
 }
 
-// Survey counts the upstreams that could run a request, by the reason why they did not
-// get it.
+// Survey counts the upstreams that could run a request, by the reason for which
+// they were not chosen.
 type Survey struct {
 	// Holders is the number of live upstreams that hold the model and the adapter.
 	Holders int
@@ -107,8 +108,8 @@
 	Outcome Outcome
 	// FirstEventTime is the time to the first event without the prefill of earlier prompts, RunTime
 	// the time that the engine had the request, and Events the number of events after the
-	// first, which arrived over StreamTime. All are 0 unless the first attempt got the whole
-	// answer.
+	// first, which arrived over StreamTime. All are 0 unless the first attempt got the
+	// complete response.
 	FirstEventTime time.Duration
 	RunTime        time.Duration
 	Events         int
@@ -124,17 +125,17 @@
 	ActiveRequests int
 }
 
-// LimitReport reports to all instances what an answer of an upstream says about its rate
-// limit.
+// LimitReport reports to all instances the rate limit that a response of an upstream
+// states.
 type LimitReport struct {
 	Upstream string
 	// Incarnation is that of the upstream. The limit doesn't apply to another process of
 	// the same name.
 	Incarnation uint64
-	// Named is true if the answer names Limit, and false if it names no limit.
+	// Named is true if the response states Limit, and false if it states no limit.
 	Named bool
 	Limit ratelimit.Limit
-	// Age is the time since the request behind the answer was sent.
+	// Age is the time since the request for that response was sent.
 	Age time.Duration
 }
 
@@ -170,10 +171,10 @@
 func (SendAllowed) message()  {}
 func (SendDelayed) message()  {}
 
-// Reason is why a permit request is refused.
+// Reason is the reason for which a permit request is rejected.
 type Reason uint8
 
-// Reasons of a refusal.
+// Reasons for a rejection.
 const (
 	// WaitTooLong means that the request would wait too long in the queue.
 	WaitTooLong Reason = iota + 1
@@ -190,13 +191,13 @@
 const (
 	// Unused means that nothing was sent, or that the caller disconnected.
 	Unused Outcome = iota
-	// Succeeded means that the upstream answered properly.
+	// Succeeded means that the upstream sent a proper response.
 	Succeeded
 	// Full means that the upstream had no room.
 	Full
 	// ModelAbsent means that the upstream doesn't hold the model or the adapter.
 	ModelAbsent
-	// Failed means that the upstream was unreachable or didn't answer properly.
+	// Failed means that the upstream was unreachable or sent no proper response.
 	Failed
 	// RateLimited means that nothing was sent, because of the rate limit of the upstream.
 	RateLimited
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,11 +1,12 @@
 // Package ratelimit is the distributed rate limiting of requests to an upstream that
-// names a limit in its answers: a number of requests a second from all senders together,
-// in force until the upstream changes or ends it.
+// states a limit in its responses: a number of requests a second from all senders
+// together, in force until the upstream changes or ends it.
 //
-// One sender owns the limit and paces the requests of all (TokenBucket); the others ask it for
-// each request. A sender that can't reach the owner sends a share that keeps to the limit
-// even if all others do the same (ShareRate). Answers may arrive out of order, so the limit
-// in force depends on when their requests were sent and when the answers arrived (State).
+// One sender owns the limit and paces the requests of all (TokenBucket); the others ask it
+// for permission for each request. A sender that can't reach the owner sends at its share
+// of the limit, which is safe even if all others do the same (ShareRate). Responses may
+// arrive out of order, so the limit in force depends on when their requests were sent and
+// when the responses arrived (State).
 //
 // The package is pure: it takes the present time as an argument and does no I/O.
 package ratelimit
@@ -19,7 +20,7 @@
 // finite and not negative.
 type Limit float64
 
-// maxPlausible is above every plausible limit.
+// maxPlausible is the largest plausible limit.
 const maxPlausible Limit = 1e6
 
 // Valid reports whether l is a plausible limit.
@@ -40,21 +41,21 @@
 	return Tolerance*float64(l)*Window.Seconds() + Slack
 }
 
-// Observation is what an answer says about the limit of its upstream: NamedLimit, NoLimit or
-// InvalidLimit.
+// Observation is the information in a response about the limit of its upstream: NamedLimit,
+// NoLimit or InvalidLimit.
 type Observation interface {
 	isObservation()
 }
 
-// NamedLimit means that the answer names a valid limit.
+// NamedLimit means that the response states a valid limit.
 type NamedLimit struct {
 	Limit Limit
 }
 
-// NoLimit means that the answer names no limit: the upstream needs none.
+// NoLimit means that the response states no limit: the upstream needs none.
 type NoLimit struct{}
 
-// InvalidLimit means that the answer names an invalid limit. It leaves the limit in force
+// InvalidLimit means that the response states an invalid limit. It leaves the limit in force
 // unchanged.
 type InvalidLimit struct {
 	// Text is the start of the invalid value.
@@ -65,12 +66,12 @@
 func (NoLimit) isObservation()      {}
 func (InvalidLimit) isObservation() {}
 
-// State is the limit in force at an upstream, according to its answers. It is immutable;
+// State is the limit in force at an upstream, according to its responses. It is immutable;
 // the zero value has no limit in force.
 type State struct {
 	limit Limit
-	// setAt is the arrival time of the newest answer that set the limit, and zero if no
-	// limit is in force.
+	// setAt is the arrival time of the newest response that set the limit, and zero if
+	// no limit is in force.
 	setAt time.Time
 }
 
@@ -79,8 +80,8 @@
 	return state.limit, !state.setAt.IsZero()
 }
 
-// With returns the state after an answer that arrived at now to a request that was sent
-// at sent. Answers may arrive out of order, so one that raises or ends the limit counts
+// With returns the state after a response that arrived at now to a request that was sent
+// at sent. Responses may arrive out of order, so one that raises or ends the limit counts
 // only if its request was sent after the limit was last set. A lower limit counts at
 // once.
 func (state State) With(now, sent time.Time, observation Observation) State {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -35,8 +35,8 @@
 			Expect(float64(got)).To(Equal(limit))
 		},
 		Entry("a later answer without a limit ends it", 4.0, 3.0, ratelimit.NoLimit{}, 0.0, false),
-		// A long answer may start before the limit and end after it. It says nothing
-		// about the present.
+		// A long response may start before the limit is set and end after that. It says
+		// nothing about the current limit.
 		Entry("an answer to an earlier request does not end it", 4.0, 1.5, ratelimit.NoLimit{}, 1.1, true),
 		Entry("a later answer raises it", 4.0, 3.0, named(5), 5.0, true),
 		Entry("an answer to an earlier request does not raise it", 4.0, 1.5, named(5), 1.1, true),
--- a/internal/ratelimit/read.go
+++ b/internal/ratelimit/read.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// maxUnclearBytes is the largest number of bytes kept of an invalid value.
-const maxUnclearBytes = 64
+// maxInvalidBytes is the largest number of bytes kept of an invalid value.
+const maxInvalidBytes = 64
 
-// ParseHeader parses the values of the header by which upstreams name their limits. values has
-// one element for each occurrence of the header in the answer. A valid answer has one, a
-// decimal number of requests a second.
+// ParseHeader parses the values of the header in which upstreams state their limits. values has
+// one element for each occurrence of the header in the response. A valid response has one,
+// a decimal number of requests a second.
 func ParseHeader(values []string) Observation {
 	if len(values) == 0 {
 		return NoLimit{}
@@ -20,5 +20,5 @@
 		return NamedLimit{Limit: limit}
 	}
 	text := strings.Join(values, ", ")
-	return InvalidLimit{Text: text[:min(len(text), maxUnclearBytes)]}
+	return InvalidLimit{Text: text[:min(len(text), maxInvalidBytes)]}
 }
--- a/internal/ratelimit/tokenbucket.go
+++ b/internal/ratelimit/tokenbucket.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// startDelay is the time for which a new TokenBucket allows no request, because the previous
-	// owner may have sent requests until the change of owner.
+	// startDelay is the time for which a new TokenBucket allows no request, because the
+	// previous owner may have sent requests until the change of owner.
 	startDelay = time.Second
 	// burstDuration bounds the requests that may be sent at once after a pause to those of
 	// this time, but to no fewer than one.
@@ -16,7 +16,8 @@
 	waitForever = time.Duration(math.MaxInt64)
 )
 
-// TokenBucket is a token bucket. It is not safe for concurrent use.
+// TokenBucket is a token bucket whose rate may change with each call of Take. It is not
+// safe for concurrent use.
 type TokenBucket struct {
 	// tokens are the requests that may be sent, as of filledAt. filledAt is in the future
 	// until startDelay has passed.
@@ -29,9 +30,9 @@
 	return &TokenBucket{filledAt: now.Add(startDelay)}
 }
 
-// NewPhasedTokenBucket returns a TokenBucket that holds phase tokens, from 0 to 1, and starts to fill
-// one second after now. With random phases, senders that start at the same time send
-// their first requests at different times.
+// NewPhasedTokenBucket returns a TokenBucket that holds phase tokens, from 0 to 1, and
+// starts to fill one second after now. With random phases, senders that start at the same
+// time send their first requests at different times.
 func NewPhasedTokenBucket(now time.Time, phase float64) *TokenBucket {
 	return &TokenBucket{tokens: phase, filledAt: now.Add(startDelay)}
 }
