--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -22,7 +22,7 @@
 type Tracker[K comparable] struct {
 	options Options
 	// unserved holds the keys that were requested since they were last served, at most
-	// options.Keys of them.
+	// options.MaxKeys of them.
 	unserved map[K]requestTimes
 }
 
--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -36,8 +36,8 @@
 	Metrics tally.Scope
 }
 
-// CrashDetector detects the upstreams that ended while they had requests, and reports them. It
-// is safe for concurrent use. It calls Status and Report without holding its lock.
+// CrashDetector detects the upstreams that ended while they had requests, and reports
+// them. It is safe for concurrent use. It calls Status and Report without holding its lock.
 type CrashDetector struct {
 	options Options
 	crashes tally.Counter
@@ -45,7 +45,7 @@
 	mu    sync.Mutex
 	watch *quarantine.Watch
 
-	// probes holds the upstreams to probe, because their answers were interrupted.
+	// probes holds the upstreams to probe, because their responses were interrupted.
 	// reportSignal holds a token if there may be something to report.
 	probes       chan quarantine.Endpoint
 	reportSignal chan struct{}
@@ -128,19 +128,19 @@
 	d.wakeReporter()
 }
 
-// Review calls contact for each upstream whose answers were interrupted, and records the
-// result. contact is like Options.Status, and is called with the lock of the CrashDetector
+// Review calls status for each upstream whose responses were interrupted, and records the
+// result. status is like Options.Status, and is called with the lock of the CrashDetector
 // held.
-func (d *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
+func (d *CrashDetector) Review(status func(quarantine.Endpoint) quarantine.Status) {
 	now := d.options.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watch.Review(now, contact)
+	d.watch.Review(now, status)
 	d.wakeReporter()
 }
 
-// Succeeded records that an upstream gave a whole answer to a request. It ignores answers
-// with an error status.
+// Succeeded records that an upstream sent a complete response to a request. It ignores
+// responses with an error status.
 func (d *CrashDetector) Succeeded(digest quarantine.Digest, status int) {
 	if status >= http.StatusBadRequest {
 		return
@@ -160,8 +160,8 @@
 	d.watch.Abandoned(now, endpoint, suspect)
 }
 
-// Interrupted records that the answer of an upstream to a request was interrupted, or did not
-// arrive.
+// Interrupted records that the response of an upstream to a request was interrupted, or
+// did not arrive.
 func (d *CrashDetector) Interrupted(endpoint quarantine.Endpoint, suspect quarantine.Suspect) {
 	now := d.options.Now()
 	d.mu.Lock()
@@ -177,19 +177,19 @@
 	d.wakeReporter()
 }
 
-// ConnectionFailed records why a connection to an upstream failed. Only a refused connection
-// counts.
+// ConnectionFailed records that a connection to an upstream failed for the given cause.
+// Only a refused connection counts.
 func (d *CrashDetector) ConnectionFailed(endpoint quarantine.Endpoint, cause error) {
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := d.options.Status(endpoint)
-	if contact != quarantine.StatusLeaving {
-		contact = quarantine.StatusRefused
+	status := d.options.Status(endpoint)
+	if status != quarantine.StatusLeaving {
+		status = quarantine.StatusRefused
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watch.Observe(endpoint.Lifetime, contact)
+	d.watch.Observe(endpoint.Lifetime, status)
 	d.wakeReporter()
 }
 
@@ -227,7 +227,7 @@
 	d.ConnectionFailed(endpoint, err)
 }
 
-// runReporter reports what is pending after each signal, until ctx ends.
+// runReporter calls reportPending after each signal, until ctx ends.
 func (d *CrashDetector) runReporter(ctx context.Context) {
 	for {
 		select {
--- a/internal/coroner/coroner_test.go
+++ b/internal/coroner/coroner_test.go
@@ -23,12 +23,11 @@
 // fakeInstance implements the options of a CrashDetector.
 type fakeInstance struct {
 	mu sync.Mutex
-	// contact is what is known about all upstreams, and dialErr the error of connecting
-	// to them.
-	contact quarantine.Status
+	// status is the status of all upstreams, and dialErr the error of connecting to them.
+	status  quarantine.Status
 	dialErr error
-	// refusals is the number of reports that fail before one is recorded.
-	refusals int
+	// failures is the number of reports that fail before one is recorded.
+	failures int
 	recorded quarantine.Update
 	// reportedAt is the time in the last recorded report.
 	reportedAt time.Time
@@ -39,13 +38,13 @@
 		Status: func(quarantine.Endpoint) quarantine.Status {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.contact
+			return f.status
 		},
 		Report: func(_ context.Context, update quarantine.Update) bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if f.refusals > 0 {
-				f.refusals--
+			if f.failures > 0 {
+				f.failures--
 				return false
 			}
 			f.reportedAt = update.Now
@@ -101,7 +100,7 @@
 	// The voters may have no leader for a moment, or their reply may be lost. A crash
 	// that is not counted allows the request to crash one more engine.
 	It("repeats the report of an upstream that refuses connections until it is recorded", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		fake.dialErr, fake.refusals = errRefused, 3
+		fake.dialErr, fake.failures = errRefused, 3
 		c.Interrupted(endpoint, suspect("a"))
 		c.Interrupted(endpoint, suspect("b"))
 		Eventually(ctx, recorded).Should(Equal(1))
@@ -116,7 +115,7 @@
 	It("reports no upstream that accepts connections or has announced its shutdown", SpecTimeout(specTimeout), func(_ SpecContext) {
 		c.Interrupted(endpoint, suspect("a"))
 		fake.mu.Lock()
-		fake.contact, fake.dialErr = quarantine.StatusLeaving, errRefused
+		fake.status, fake.dialErr = quarantine.StatusLeaving, errRefused
 		fake.mu.Unlock()
 		leaving := quarantine.Endpoint{Lifetime: quarantine.Lifetime{Upstream: "e2"}, Address: "e2:80"}
 		c.Interrupted(leaving, suspect("a"))
--- a/internal/edition/edition.go
+++ b/internal/edition/edition.go
@@ -31,7 +31,7 @@
 	Stored Verdict = iota + 1
 	// AlreadyInForce means that the same document is already in force.
 	AlreadyInForce
-	// Superseded means that a higher version is in force. An operator who got no answer
+	// Superseded means that a higher version is in force. An operator who got no response
 	// to a change may send it again after a later one has taken effect.
 	Superseded
 	// Conflict means that another document is in force under the same version.
--- a/internal/edition/edition_test.go
+++ b/internal/edition/edition_test.go
@@ -20,7 +20,7 @@
 			Expect(string(after.Content)).To(Equal(content))
 		},
 		Entry("a higher version", put(9, "nine"), edition.Stored, uint64(9), "nine"),
-		// The answer to a change was lost, and the operator sends the change again.
+		// The response to a change was lost, and the operator sends the change again.
 		Entry("the same document again", put(7, "seven"), edition.AlreadyInForce, uint64(7), "seven"),
 		// The operator sends a change again that a later one has replaced.
 		Entry("a lower version", put(3, "three"), edition.Superseded, uint64(7), "seven"),
--- a/internal/edition/proof.go
+++ b/internal/edition/proof.go
@@ -24,7 +24,7 @@
 }
 
 // With returns the proof for a copy with version heldVersion, after the named replica
-// answered a request that was sent at sentAt with reading. The answer may have been
+// responded with reading to a request that was sent at sentAt. The response may have been
 // delayed, so the age of the reading is counted back from sentAt. If reading proves nothing
 // newer, With returns p.
 func (p Proof) With(sentAt time.Time, replica string, heldVersion uint64, reading Reading) Proof {
--- a/internal/edition/proof_test.go
+++ b/internal/edition/proof_test.go
@@ -39,7 +39,7 @@
 		Entry("after a reading that is not confirmed", time.Minute, uint64(7), edition.Reading{Version: 7}),
 		// The newer routes could not be decoded here.
 		Entry("after a reading with a newer version than the copy", time.Minute, uint64(7), confirmed(8, 0)),
-		// Two answers arrived in the reverse order, or another replica is behind.
+		// Two responses arrived in the reverse order, or another replica is behind.
 		Entry("after an older confirmation", time.Second, uint64(7), confirmed(7, 3*time.Second)),
 	)
 
--- a/internal/entries/entries.go
+++ b/internal/entries/entries.go
@@ -56,7 +56,7 @@
 // instances are not among them.
 //
 // It uses weighted rendezvous hashing: a caller gets the same instances as long as they
-// are there, and when one leaves, its callers spread over all others. Each further
+// are available, and when one leaves, its callers spread over all others. Each further
 // instance is of a failure domain that is not yet in the answer, if there is one, so that
 // after the loss of a domain a caller still has an address to use at once.
 func Choose(now time.Time, caller string, instances []Instance, options Options) Answer {
@@ -79,7 +79,7 @@
 	score float64
 }
 
-// rank returns the instances that are not leaving, by falling score.
+// rank returns the instances that are not leaving, by descending score.
 func rank(caller string, instances []Instance) []scoredInstance {
 	ranked := make([]scoredInstance, 0, len(instances))
 	mean := meanOpen(instances)
@@ -141,8 +141,8 @@
 	return max(mean/float64(open), minWeight)
 }
 
-// keepTime returns the keep time of an answer: longest, shortened by the jitter.
-func keepTime(now time.Time, caller string, longest time.Duration) time.Duration {
+// keepTime returns the keep time of an answer: maxTTL, shortened by the jitter.
+func keepTime(now time.Time, caller string, maxTTL time.Duration) time.Duration {
 	random := fraction(hash(caller, now.Format(time.RFC3339Nano)))
-	return time.Duration(float64(longest) * (1 - keepJitter*random))
+	return time.Duration(float64(maxTTL) * (1 - keepJitter*random))
 }
--- a/internal/lease/observations.go
+++ b/internal/lease/observations.go
@@ -4,7 +4,7 @@
 
 // Observations holds the times at which a replica last saw other instances take
 // leases, by its own clock. A replica sees a lease only after it was taken, so a
-// wait that starts at the sighting is never too short. It is not safe for
+// wait that starts at the observation is never too short. It is not safe for
 // concurrent use.
 type Observations struct {
 	self string
@@ -30,7 +30,7 @@
 	}
 }
 
-// Reset replaces the sightings after leases were restored from a snapshot. The
+// Reset replaces the observations after leases were restored from a snapshot. The
 // snapshot does not say when each lease was taken, so each is treated as taken at
 // now.
 func (o *Observations) Reset(now time.Time, leases Leases) {
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -13,7 +13,7 @@
 // cryptographic hash, so that no caller can construct two requests with the same digest.
 type Digest [sha256.Size]byte
 
-// Identity is what all attempts at a request have in common.
+// Identity holds the parts of a request that are the same in all its attempts.
 type Identity struct {
 	// Caller is empty if the caller is unknown.
 	Caller string
--- a/internal/quarantine/falsecrash.go
+++ b/internal/quarantine/falsecrash.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// FalseCrashDetector finds upstreams that were reported as ended but are still alive, for example
-// behind a link that refuses connections. It is not safe for concurrent use. The zero
-// value is ready for use.
+// FalseCrashDetector finds upstreams that were reported as ended but are still alive, for
+// example behind a link that refuses connections. It is not safe for concurrent use. The
+// zero value is ready for use.
 type FalseCrashDetector struct {
 	// firstSeen is when this instance first saw each crash in the records.
 	firstSeen map[Lifetime]time.Time
@@ -23,9 +23,9 @@
 )
 
 // Alive returns the upstreams that are alive although the records hold a crash of them.
-// lastHeard returns the time of the newest liveness report of a lifetime, and false if
+// lastContact returns the time of the newest liveness report of a lifetime, and false if
 // there is none.
-func (d *FalseCrashDetector) Alive(now time.Time, records Records, lastHeard func(Lifetime) (time.Time, bool)) []Lifetime {
+func (d *FalseCrashDetector) Alive(now time.Time, records Records, lastContact func(Lifetime) (time.Time, bool)) []Lifetime {
 	if records.Revision() != d.revision {
 		d.revision = records.Revision()
 		d.refresh(now, records)
@@ -35,14 +35,14 @@
 		if now.Sub(at) > retractionWindow {
 			continue
 		}
-		if heardAt, known := lastHeard(lifetime); known && heardAt.Sub(at) > maxReportDelay {
+		if contactAt, known := lastContact(lifetime); known && contactAt.Sub(at) > maxReportDelay {
 			alive = append(alive, lifetime)
 		}
 	}
 	return slices.SortedFunc(slices.Values(alive), compareLifetimes)
 }
 
-// refresh takes the crashes from the records.
+// refresh updates firstSeen to the crashes in the records.
 func (d *FalseCrashDetector) refresh(now time.Time, records Records) {
 	previous := d.firstSeen
 	d.firstSeen = map[Lifetime]time.Time{}
--- a/internal/quarantine/follow.go
+++ b/internal/quarantine/follow.go
@@ -57,7 +57,7 @@
 	return false
 }
 
-// clearIfSucceeded clears a request that ended with a whole answer at this instance.
+// clearIfSucceeded clears a request that ended with a complete response at this instance.
 func (w *Watch) clearIfSucceeded(now time.Time, digest Digest) {
 	if w.successes.contains(now, digest) {
 		w.cleared[digest] = true
--- a/internal/quarantine/investigations.go
+++ b/internal/quarantine/investigations.go
@@ -12,7 +12,7 @@
 	Address string
 }
 
-// Status is what an instance knows about an upstream whose answers were interrupted.
+// Status is what an instance knows about an upstream whose responses were interrupted.
 type Status uint8
 
 // Values of Status.
@@ -30,12 +30,12 @@
 )
 
 const (
-	// investigationTime is how long after the last interrupted answer a crash may be
+	// investigationTime is how long after the last interrupted response a crash may be
 	// detected. An upstream restarts some seconds after a crash and is then found to be
 	// replaced.
 	investigationTime = 10 * time.Second
-	// gatherTime is how long requests that are interrupted together are collected into
-	// one report.
+	// gatherTime is the time in which requests that are interrupted together are collected
+	// into one report.
 	gatherTime = 50 * time.Millisecond
 	// interruptionSpread is the largest difference between the times at which a crash
 	// interrupts the requests of an upstream. It also applies to requests that their
@@ -49,7 +49,7 @@
 	maxSuspects       = 256
 )
 
-// investigation is an upstream whose answers were interrupted and that may have crashed.
+// investigation is an upstream whose responses were interrupted and that may have crashed.
 type investigation struct {
 	endpoint Endpoint
 	// requests are the interrupted and the abandoned ones. While crashed is false, only
@@ -57,7 +57,7 @@
 	// reported already.
 	requests      []interruptedRequest
 	reportedCount int
-	// lastInterrupted is when the last answer was interrupted, and zero if all requests
+	// lastInterrupted is when the last response was interrupted, and zero if all requests
 	// were abandoned by their callers.
 	lastInterrupted time.Time
 	// openedAt is the start of the investigation, and probedAt the time of the last
@@ -95,7 +95,7 @@
 	return opened
 }
 
-// interrupted records a request whose answer was interrupted, and reports whether the
+// interrupted records a request whose response was interrupted, and reports whether the
 // upstream should be probed.
 func (i *investigations) interrupted(now time.Time, endpoint Endpoint, suspect Suspect) bool {
 	inv := i.getOrOpen(now, endpoint)
@@ -139,12 +139,12 @@
 }
 
 // observe records what is known about an upstream.
-func (i *investigations) observe(lifetime Lifetime, contact Status) {
+func (i *investigations) observe(lifetime Lifetime, status Status) {
 	inv := i.byLifetime[lifetime]
 	if inv == nil {
 		return
 	}
-	switch contact {
+	switch status {
 	case StatusLeaving:
 		delete(i.byLifetime, lifetime)
 	case StatusRefused, StatusReplaced:
--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -18,7 +18,7 @@
 	Mark        uint64
 	Quarantined []Entry
 	// Suspected are the requests that one more crash may bring into quarantine. An
-	// instance that knows of a whole answer to one reports it.
+	// instance that knows of a complete response to one reports it.
 	Suspected []Digest
 }
 
@@ -51,8 +51,8 @@
 
 const (
 	// clearanceTime is the time between the first news of a request and its quarantine,
-	// in which other instances can report a whole answer to it. It matters if several
-	// upstreams end at once with requests that have succeeded elsewhere. Entry instances
+	// in which other instances can report a complete response to it. It matters if
+	// several upstreams end at once with requests that have succeeded elsewhere. Entry instances
 	// poll the news at least once a second.
 	clearanceTime = 1500 * time.Millisecond
 	// propagationTime is the time after its last crash within which all instances have
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -3,14 +3,14 @@
 //
 // A request is identified by its Digest, independent of the ids of its attempts. Each
 // instance keeps a Watch, which records the requests that an upstream had when it ended,
-// and those that ended with a whole answer. The reports of all instances are collected in
+// and those that ended with a complete response. The reports of all instances are collected in
 // Records, a replicated state machine, so that crashes are counted across all instances
 // and the counts survive restarts. A Publisher turns the records into the news that
 // informs the instances of the decisions.
 //
 // An upstream that ends interrupts all of its requests. A crash counts against a request
-// only if no other request at that upstream was at more crashes. One whole answer at any
-// instance clears a request.
+// only if no other request at that upstream was involved in more crashes. One complete
+// response at any instance clears a request.
 package quarantine
 
 import (
@@ -68,7 +68,7 @@
 	Digest Digest `json:"digest"`
 	// Request is the id of the attempt.
 	Request string `json:"request"`
-	// Answering is true if a part of the answer had arrived.
+	// Answering is true if part of the response had arrived.
 	Answering bool `json:"answering,omitempty"`
 }
 
--- a/internal/quarantine/records.go
+++ b/internal/quarantine/records.go
@@ -13,7 +13,7 @@
 	At time.Time `json:"at"`
 	// Request is the id of the attempt at that upstream.
 	Request string `json:"request"`
-	// Answering is true if a part of the answer had arrived.
+	// Answering is true if part of the response had arrived.
 	Answering bool `json:"answering,omitempty"`
 }
 
--- a/internal/quarantine/records_test.go
+++ b/internal/quarantine/records_test.go
@@ -80,8 +80,8 @@
 		Expect(c.quarantined("bad")).To(BeEmpty())
 	})
 
-	// A harmless request that is repeated after each crash may meet the harmful one at
-	// several upstreams.
+	// A harmless request that is repeated after each crash may run at the same upstream as
+	// the harmful one several times.
 	It("hold responsible who was at more of the crashes, and nobody else", func() {
 		c.crash("e1", suspect("bad"), suspect("unlucky"))
 		c.crash("e2", suspect("bad"))
@@ -114,7 +114,7 @@
 		Expect(c.quarantined("bad", "worse")).To(Equal([]string{"bad", "worse"}))
 	})
 
-	// Upstreams that end for other reasons interrupt answers that have run for seconds,
+	// Upstreams that end for other reasons interrupt responses that have run for seconds,
 	// whereas a request that crashes them has usually just started.
 	It("give half the weight to a request whose answer has started", func() {
 		for n := range 5 {
@@ -125,8 +125,8 @@
 		Expect(c.quarantined("long")).To(Equal([]string{"long"}))
 	})
 
-	// Many callers repeat the same request, such as a status check. It is at each
-	// upstream that ends for another reason, and succeeds everywhere else.
+	// Many callers repeat the same request, such as a status check. It is interrupted at
+	// each upstream that ends for another reason, and succeeds everywhere else.
 	It("clear a request that has ended well", func() {
 		for n := range 20 {
 			c.crash(fmt.Sprint("e", n), suspect("status check"))
@@ -420,14 +420,14 @@
 		c.crash("e1", suspect("a"))
 		c.crash("e2", suspect("a"))
 		var detector quarantine.FalseCrashDetector
-		heard := map[string]time.Duration{"e1": 500 * time.Millisecond, "e2": 1500 * time.Millisecond}
+		contactAfter := map[string]time.Duration{"e1": 500 * time.Millisecond, "e2": 1500 * time.Millisecond}
 		start := c.now
-		lastHeard := func(l quarantine.Lifetime) (time.Time, bool) {
-			after, known := heard[l.Upstream]
+		lastContact := func(l quarantine.Lifetime) (time.Time, bool) {
+			after, known := contactAfter[l.Upstream]
 			return start.Add(after), known
 		}
-		Expect(detector.Alive(c.now, c.records, lastHeard)).To(Equal([]quarantine.Lifetime{lifetime("e2")}), "its liveness report is too late to be from before its end")
-		delete(heard, "e2")
-		Expect(detector.Alive(c.now.Add(time.Second), c.records, lastHeard)).To(BeEmpty())
+		Expect(detector.Alive(c.now, c.records, lastContact)).To(Equal([]quarantine.Lifetime{lifetime("e2")}), "its liveness report is too late to be from before its end")
+		delete(contactAfter, "e2")
+		Expect(detector.Alive(c.now.Add(time.Second), c.records, lastContact)).To(BeEmpty())
 	})
 })
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// successes is a bounded set of the requests that recently ended with a whole answer. The
-// oldest are removed first. The zero value is empty.
+// successes is a bounded set of the requests that recently ended with a complete response.
+// The oldest are removed first. The zero value is empty.
 type successes struct {
 	// newer holds the requests since startedAt, and older those of the period before.
 	newer, older map[Digest]struct{}
@@ -11,7 +11,7 @@
 }
 
 const (
-	// successRetention is the least time that a request is kept, unless maxSuccesses
+	// successRetention is the minimum time for which a request is kept, unless maxSuccesses
 	// newer ones are added before.
 	successRetention = time.Minute
 	maxSuccesses     = 4096
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -11,7 +11,7 @@
 	// Now is the time at the instance that proposes the update.
 	Now     time.Time `json:"now"`
 	Reports []Report  `json:"reports,omitempty"`
-	// Succeeded are requests that ended with a whole answer.
+	// Succeeded are requests that ended with a complete response.
 	Succeeded []Digest `json:"succeeded,omitempty"`
 	// Alive are upstreams that were reported as ended by mistake.
 	Alive []Lifetime `json:"alive,omitempty"`
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -6,7 +6,7 @@
 )
 
 // Weights of a crash against a request. When an upstream ends, most of its requests are
-// in the middle of their answers, but a request that crashes it has usually just started.
+// in the middle of their responses, but a request that crashes it has usually just started.
 const (
 	weightNoOutput  = 2
 	weightAnswering = 1
@@ -57,9 +57,9 @@
 const outageWindow = time.Second
 
 // isSameOutage reports whether a crash has the same cause as one that is already counted.
-// That is assumed if an upstream that did not have the request ended at the same time,
-// and no repeated request explains that. A caller that repeats a request at once may have
-// it at several upstreams of an outage.
+// This is assumed if an upstream without the request ended at the same time, and that
+// crash isn't attributable to a request of its own. A caller that sends a request several
+// times at once may have it at several upstreams that an outage ends.
 func (c Case) isSameOutage(crash Crash, counted []Crash, summaries map[Lifetime]crashSummary) bool {
 	isNear := func(other Crash) bool { return crash.At.Sub(other.At).Abs() <= outageWindow }
 	if !slices.ContainsFunc(counted, isNear) {
@@ -74,7 +74,7 @@
 	return false
 }
 
-// weight returns the weight of all crashes at which the request was.
+// weight returns the total weight of the crashes in which the request was involved.
 func (c Case) weight() int {
 	sum := 0
 	for _, crash := range c.Crashes {
@@ -104,15 +104,15 @@
 	return s
 }
 
-// isAttributable reports whether the upstream had a request that was also at other
-// crashes and may have caused this one.
+// isAttributable reports whether the upstream had a request that was also involved in
+// other crashes and may have caused this one.
 func (s crashSummary) isAttributable() bool {
 	return s.maxWeight > weightNoOutput
 }
 
 // jointBlameFactor is the multiple of the needed weight at which two requests that were
-// at the same crashes are both held responsible. Below it, the next crash may show which
-// one is.
+// involved in the same crashes are both held responsible. Below it, the next crash may
+// show which one causes them.
 const jointBlameFactor = 2
 
 // judge returns the verdicts on the requests that are suspected or quarantined.
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Watch holds what one instance knows of requests: those whose answers were interrupted,
+// Watch holds the state of requests at one instance: those whose responses were interrupted,
 // those that succeeded, and those in quarantine according to the news. It is not safe for
 // concurrent use.
 type Watch struct {
@@ -20,8 +20,8 @@
 	quarantinedFrom map[Digest]time.Time
 	// suspected are the requests that one more crash may bring into quarantine.
 	suspected map[Digest]bool
-	// cleared are requests in the news that ended with a whole answer here. They are not
-	// reported yet.
+	// cleared are requests in the news that ended with a complete response here. They are
+	// not reported yet.
 	cleared map[Digest]bool
 }
 
@@ -36,8 +36,8 @@
 	return len(w.quarantinedFrom), len(w.suspected)
 }
 
-// Succeeded records that a request ended with a whole, successful answer. Failures don't
-// count, because an upstream may answer with one without running the request.
+// Succeeded records that a request ended with a complete, successful response. Error
+// responses don't count, because an upstream may send one without running the request.
 func (w *Watch) Succeeded(now time.Time, digest Digest) {
 	w.successes.add(now, digest)
 	if _, found := w.quarantinedFrom[digest]; found || w.suspected[digest] {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Interrupted records that the answer to a request was interrupted, and reports whether
+// Interrupted records that the response to a request was interrupted, and reports whether
 // the upstream should be probed, because it may have ended.
 func (w *Watch) Interrupted(now time.Time, endpoint Endpoint, suspect Suspect) bool {
 	return w.investigations.interrupted(now, endpoint, suspect)
@@ -56,18 +56,18 @@
 	w.investigations.abandoned(now, endpoint, suspect)
 }
 
-// Observe records what is known about an upstream.
-func (w *Watch) Observe(lifetime Lifetime, contact Status) {
-	w.investigations.observe(lifetime, contact)
+// Observe records the status of an upstream.
+func (w *Watch) Observe(lifetime Lifetime, status Status) {
+	w.investigations.observe(lifetime, status)
 }
 
-// Review calls contact for each upstream under investigation that is not known to have
+// Review calls status for each upstream under investigation that is not known to have
 // ended, and records the result.
-func (w *Watch) Review(now time.Time, contact func(Endpoint) Status) {
+func (w *Watch) Review(now time.Time, status func(Endpoint) Status) {
 	w.investigations.removeExpired(now)
 	for lifetime, inv := range w.investigations.byLifetime {
 		if !inv.crashed {
-			w.investigations.observe(lifetime, contact(inv.endpoint))
+			w.investigations.observe(lifetime, status(inv.endpoint))
 		}
 	}
 }
--- a/internal/quarantine/watch_test.go
+++ b/internal/quarantine/watch_test.go
@@ -63,7 +63,7 @@
 		Expect(watch.TakeDue(after(6 * time.Second)).Reports).To(HaveLen(1))
 	})
 
-	// A reset connection, an interrupted answer or a broken link is no crash.
+	// A reset connection, an interrupted response or a broken link is no crash.
 	It("reports nothing of an upstream that lives on or is cut off", func() {
 		watch.Interrupted(now, endpoint("e1"), suspect("a"))
 		for second := range 20 {
@@ -75,7 +75,7 @@
 		Expect(watch.TakeDue(after(time.Minute)).Reports).To(BeEmpty())
 	})
 
-	// An upstream interrupts an answer and later ends for another reason. The interrupted
+	// An upstream interrupts a response and later ends for another reason. The interrupted
 	// request did not cause that.
 	It("reports those that broke off together at the end alone", func() {
 		Expect(watch.Interrupted(now, endpoint("e1"), suspect("lost"))).To(BeTrue())
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous ranks candidates for a key (rendezvous hashing). Callers that know
-// the same candidates agree on the first one. Adding or removing a candidate affects only
+// Package rendezvous implements rendezvous hashing: it ranks candidates for a key. Callers
+// that know the same candidates agree on the first one. Adding or removing a candidate affects only
 // the keys for which it ranks first.
 package rendezvous
 
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -25,7 +25,7 @@
 	Again Verdict = iota + 1
 	// MayHaveRun means that the request is not idempotent and may have run.
 	MayHaveRun
-	// AnswerBegun means that the caller already has part of the answer.
+	// AnswerBegun means that the caller already has part of the response.
 	AnswerBegun
 	// AttemptsSpent means that the request has had all its attempts.
 	AttemptsSpent
@@ -67,11 +67,11 @@
 	Outcome outcome.Outcome
 	// Idempotent reports that the request may run more than once without harm.
 	Idempotent bool
-	// AnswerBegun reports that part of the answer was sent to the caller.
+	// AnswerBegun reports that part of the response was sent to the caller.
 	AnswerBegun bool
 	// IsRetry reports that the request arrived with AttemptHeader.
 	IsRetry bool
-	// Deadline is the time from which the answer is useless. Zero means no deadline.
+	// Deadline is the time from which the response is useless. Zero means no deadline.
 	Deadline time.Time
 	// MinDuration is the shortest time in which another attempt can end.
 	MinDuration time.Duration
@@ -161,7 +161,7 @@
 	switch {
 	case !a.Idempotent && a.Outcome != outcome.NotRun:
 		// The request may have run or may still be running. Another attempt could run
-		// it a second time, for example charge a rider twice.
+		// it a second time, for example charge a customer twice.
 		return MayHaveRun
 	case a.AnswerBegun:
 		return AnswerBegun
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,8 +19,8 @@
 		budget = retry.NewBudget(now, retry.Options{})
 	})
 
-	// The connection of a booking breaks after the request was sent. It may have run, so
-	// another attempt could charge the rider twice.
+	// The connection of a payment breaks after the request was sent. It may have run, so
+	// another attempt could charge the customer twice.
 	DescribeTable("tries again only what did not run or is idempotent",
 		func(o outcome.Outcome, idempotent bool, verdict retry.Verdict) {
 			Expect(budget.Decide(now, retry.Attempt{Number: 1, Outcome: o, Idempotent: idempotent})).To(Equal(verdict))
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
 // Package routes is the routing table of requests: it maps a host and path prefix to
-// services, with the operator's requirements for the answers.
+// services, with the operator's requirements for the responses.
 //
 // A Table is immutable and safe for concurrent use.
 package routes
@@ -18,7 +18,7 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Stream requests are answered by a stream of events. They run at most once, unless
+	// Stream requests have a stream of events as the response. They run at most once, unless
 	// the route is resumable.
 	Stream
 )
@@ -51,13 +51,13 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request waits for its answer. It is above 0.
+	// Timeout is the longest time that a request waits for its response. It is above 0.
 	Timeout time.Duration
-	// Objective is the target time for an answer, or for the first event of a stream. 0
+	// Objective is the target time for a response, or for the first event of a stream. 0
 	// means no target.
 	Objective time.Duration
-	// MaxEventGap is the target for the longest pause between two events of a stream. 0 means no
-	// target.
+	// MaxEventGap is the target for the longest pause between two events of a stream. 0
+	// means no target.
 	MaxEventGap time.Duration
 	// Priority is the priority of the requests, 0 being the most urgent.
 	Priority uint8
@@ -98,8 +98,8 @@
 	Megabytes        float64
 	AdapterMegabytes float64
 	Adapters         int
-	// LoadTime is the time of a load from the weight store, MemoryLoadTime from the engine's
-	// memory and DiskLoadTime from its disk.
+	// LoadTime is the time of a load from the weight store, MemoryLoadTime from the
+	// engine's memory and DiskLoadTime from its disk.
 	LoadTime       time.Duration
 	MemoryLoadTime time.Duration
 	DiskLoadTime   time.Duration
@@ -132,7 +132,7 @@
 	return Model{}, false
 }
 
-// Service is a set of upstreams that answer the same requests.
+// Service is a set of upstreams that serve the same requests.
 type Service struct {
 	Name string
 	// HealthPath is the path that shows whether an upstream accepts work.
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -1,5 +1,5 @@
 // Package speed is the online estimation of service times: it estimates the prefill
-// and decode speeds of a service's engines from the answers observed so far.
+// and decode speeds of a service's engines from the responses observed so far.
 //
 // Engine speeds differ by deployment and by service, and engines don't report them.
 // Decisions based on a fixed speed leave a third of a faster engine idle, or make the
@@ -81,8 +81,8 @@
 	return estimator
 }
 
-// ObservePrefill records one prefill: the prompt's length in tokens, and the time from the start
-// of the prefill to the first token.
+// ObservePrefill records one prefill: the prompt's length in tokens, and the time from the
+// start of the prefill to the first token.
 func (e *Estimator) ObservePrefill(model string, promptTokens int, duration time.Duration) {
 	if promptTokens <= 0 || duration <= 0 {
 		return
@@ -100,7 +100,7 @@
 }
 
 // PrefillTime returns the estimated prefill time of a prompt. It stores nothing for a model
-// without an answer so far, because callers may name any model.
+// that has no observation, because callers may name any model.
 func (e *Estimator) PrefillTime(model string, promptTokens int) time.Duration {
 	prefill := e.models[model]
 	if prefill == nil {
@@ -110,8 +110,8 @@
 	return time.Duration(float64(promptTokens) * slope * float64(time.Second))
 }
 
-// ObserveStream records a complete stream: the number of answer tokens that its request declared,
-// the number of events, and the time from the first event to the last.
+// ObserveStream records a complete stream: the number of answer tokens that its request
+// declared, the number of events, and the time from the first event to the last.
 func (e *Estimator) ObserveStream(declaredTokens, events int, duration time.Duration) {
 	if events < 2 || declaredTokens <= 0 || duration <= 0 {
 		return
