--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -56,7 +56,7 @@
 	return max(l.value, minLimit)
 }
 
-// StableFor reports whether the limit has not decreased for longer than period.
+// StableFor reports whether the last decrease of the limit is longer ago than period.
 func (l Limit) StableFor(now time.Time, period time.Duration) bool {
 	return now.Sub(l.decreasedAt) > period
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -43,7 +43,7 @@
 	})
 
 	It("shares a priority fairly between services, whatever their number of requests", func() {
-		// A burst of drafts waits when two summaries come. Without fair shares, the
+		// A burst of drafts waits when two summaries arrive. Without fair shares, the
 		// summaries would wait for the whole burst.
 		for id := range uint64(6) {
 			q.Offer(start, ticket(id, "drafts", 2, time.Second), 0)
@@ -54,7 +54,7 @@
 	})
 
 	It("takes one ticket in seventeen from a lower priority", func() {
-		// Pings come continuously. With strict priorities, the draft would wait until
+		// Pings arrive continuously. With strict priorities, the draft would wait until
 		// it is too late.
 		q.Offer(start, ticket(1000, "drafts", 5, time.Minute), 0)
 		takes := 0
@@ -83,9 +83,9 @@
 	})
 
 	It("refuses at once a ticket that an earlier one of its service makes too late", func() {
-		// Two requests wait, and both can start in time. A third that must start before
-		// them comes. One of the two can no longer start in time, and is refused now, not
-		// when its StartBy has passed.
+		// Two requests wait, and both can start in time. A third one arrives that must
+		// start before them. One of the two can no longer start in time, and is refused
+		// now, not when its StartBy has passed.
 		q.Offer(start, ticket(1, "drafts", 2, 900*time.Millisecond), 2)
 		q.Offer(start, ticket(2, "drafts", 2, 1100*time.Millisecond), 2)
 		result := q.Offer(start, ticket(3, "drafts", 2, 600*time.Millisecond), 2)
@@ -97,7 +97,7 @@
 
 	It("tells refused callers to come back one after the other", func() {
 		// Many callers are refused at the same moment. With the same retry time, they
-		// would come back in one burst, and most would be refused again.
+		// would retry in one burst, and most would be refused again.
 		var last time.Duration
 		for id := range uint64(20) {
 			result := q.Offer(start, ticket(id, "drafts", 2, 0), 2)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -408,7 +408,7 @@
 
 	It("neither queues a request without a possible upstream nor lets it block those behind it", func() {
 		// The only engine is busy, and a request that it has already failed arrives while
-		// others wait. It is rejected immediately instead of waiting in vain. With a second
+		// others wait. It ends immediately instead of waiting in vain. With a second
 		// engine, it waits for that one without blocking the others.
 		d := dispatch.New(dispatch.Options{})
 		g := dispatch.NewGate(d, admission.NewQueue(admission.Options{}))
@@ -433,8 +433,8 @@
 
 	It("says at once when nothing can run the request", func() {
 		g := dispatch.NewGate(dispatch.New(dispatch.Options{}), admission.NewQueue(admission.Options{}))
-		answer := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
-		Expect(answer.Reason).To(Equal(dispatch.ReasonNoCandidate))
-		Expect(answer.Queued).To(BeFalse())
+		result := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
+		Expect(result.Reason).To(Equal(dispatch.ReasonNoCandidate))
+		Expect(result.Queued).To(BeFalse())
 	})
 })
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -49,7 +49,7 @@
 
 	// An instance takes a lease right after another instance, restarts and restores a
 	// snapshot that names itself as the holder. The other instance may have sent an
-	// order just before, so without a wait both would be ordering the upstream.
+	// order just before, so without a wait the upstream could get orders from both.
 	It("make an instance wait for all upstreams after a restart", func() {
 		leases := lease.Leases{}.
 			With(lease.Take{Holder: "a", Upstreams: []string{"e1"}}).
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -161,7 +161,7 @@
 	switch {
 	case !a.Idempotent && a.Outcome != outcome.NotRun:
 		// The request may have run or may still be running. Another attempt could run
-		// it a second time, for example charge a customer twice.
+		// it a second time, for example charge a card twice.
 		return MayHaveRun
 	case a.AnswerBegun:
 		return AnswerBegun
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -20,7 +20,7 @@
 	})
 
 	// The connection of a payment breaks after the request was sent. It may have run, so
-	// another attempt could charge the customer twice.
+	// another attempt could charge the card twice.
 	DescribeTable("tries again only what did not run or is idempotent",
 		func(o outcome.Outcome, idempotent bool, verdict retry.Verdict) {
 			Expect(budget.Decide(now, retry.Attempt{Number: 1, Outcome: o, Idempotent: idempotent})).To(Equal(verdict))
