--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -349,7 +349,7 @@
 
 		It("expects fewer cached tokens after a gap in the cache events", func() {
 			// An event was lost. It may have evicted the prefix, so the prefix counts for less
-			// from then on. A wrong estimate doesn't change the answer.
+			// from then on. A wrong estimate doesn't change the response.
 			var events []upstreamapi.CacheEvent
 			for _, block := range request.Blocks {
 				events = append(events, upstreamapi.CacheEvent{Kind: upstreamapi.CacheStored, Prefix: dispatch.BlockName(block)})
@@ -408,7 +408,7 @@
 
 	It("neither queues a request without a possible upstream nor lets it block those behind it", func() {
 		// The only engine is busy, and a request that it has already failed arrives while
-		// others wait. It is rejected immediately instead of waiting in vain. With a second
+		// others wait. It ends immediately instead of waiting in vain. With a second
 		// engine, it waits for that one without blocking the others.
 		d := dispatch.New(dispatch.Options{})
 		g := dispatch.NewGate(d, admission.NewQueue(admission.Options{}))
@@ -433,8 +433,8 @@
 
 	It("says at once when nothing can run the request", func() {
 		g := dispatch.NewGate(dispatch.New(dispatch.Options{}), admission.NewQueue(admission.Options{}))
-		answer := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
-		Expect(answer.Reason).To(Equal(dispatch.ReasonNoCandidate))
-		Expect(answer.Queued).To(BeFalse())
+		result := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
+		Expect(result.Reason).To(Equal(dispatch.ReasonNoCandidate))
+		Expect(result.Queued).To(BeFalse())
 	})
 })
