--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -153,8 +153,8 @@
 	return false
 }
 
-// evaluate returns the candidate with its score, or false if the engine has not
-// enough memory.
+// evaluate returns the candidate with its score, or false if the engine lacks
+// the memory.
 func (d *draft) evaluate(engine int, f footprint, needsUnloads bool, t tier) (candidate, bool) {
 	s := &d.engines[engine]
 	totalBytes := f.bytes * int64(f.layout.Accelerators)
--- a/internal/placement/draft.go
+++ b/internal/placement/draft.go
@@ -311,9 +311,9 @@
 	return indexes
 }
 
-// isAvoided reports whether Input.AvoidedLoads lists the load. Without that list, an
-// engine on which a load always fails would be ordered to repeat it every
-// second, while another engine could do it.
+// isAvoided reports whether Input.AvoidedLoads lists the load. Without that
+// list, an engine on which a load always fails would be ordered to repeat it
+// every second, while another engine could do it.
 func (d *draft) isAvoided(engine int, model, adapterName string) bool {
 	return len(d.avoided) > 0 && d.avoided[AvoidedLoad{Engine: d.engines[engine].name, Model: model, Adapter: adapterName}]
 }
--- a/internal/placement/finish.go
+++ b/internal/placement/finish.go
@@ -8,7 +8,7 @@
 )
 
 // finish returns the plan with its moves sorted by urgency. Loads beyond the
-// limits of the weight store become waiting moves.
+// limits of the weight store become deferred moves.
 func (d *draft) finish() Plan {
 	plan := Plan{
 		Unreachable: d.unreachable(),
@@ -20,15 +20,15 @@
 	slices.SortStableFunc(d.moves, func(a, b rankedMove) int {
 		return cmp.Or(cmp.Compare(a.tier, b.tier), cmp.Compare(a.priority, b.priority), cmp.Compare(a.rank, b.rank))
 	})
-	tokens, slots := d.loadAllowance()
+	tokens, concurrent := d.loadAllowance()
 	for _, ranked := range d.moves {
 		m := ranked.move
 		if m.isLoad() && m.WaitsFor == "" {
-			if tokens < 1 || slots < 1 {
+			if tokens < 1 || concurrent < 1 {
 				m.WaitsFor = WaitWeightStore
 			} else {
 				tokens--
-				slots--
+				concurrent--
 			}
 		}
 		if m.WaitsFor == "" {
@@ -47,8 +47,8 @@
 
 // loadAllowance returns how many loads may start now: by the rate of the weight
 // store (token bucket), and by its limit on concurrent loads.
-func (d *draft) loadAllowance() (tokens float64, slots int) {
-	tokens, slots = unlimited, unlimited
+func (d *draft) loadAllowance() (tokens float64, concurrent int) {
+	tokens, concurrent = unlimited, unlimited
 	if rate := d.input.WeightStore.LoadsPerSecond; rate > 0 {
 		// The bucket holds the loads of one second, plus one for the fraction
 		// of a load that is left over between plans one second apart.
@@ -59,14 +59,14 @@
 		}
 	}
 	if maxConcurrent := d.input.WeightStore.MaxConcurrentLoads; maxConcurrent > 0 {
-		slots = maxConcurrent
+		concurrent = maxConcurrent
 		for i := range d.engines {
 			if d.engines[i].status != Lost {
-				slots -= d.engines[i].openLoads
+				concurrent -= d.engines[i].openLoads
 			}
 		}
 	}
-	return tokens, slots
+	return tokens, concurrent
 }
 
 // unreachable returns the models and adapters that no engine serves now.
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -99,7 +99,7 @@
 	c.ledgers[name] = l
 }
 
-// plannedMoves returns the moves of one plan, including the waiting ones, in
+// plannedMoves returns the moves of one plan, including the deferred ones, in
 // the form "load-model e1 a".
 func (c *cluster) plannedMoves() []string {
 	c.observe()
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -230,7 +230,7 @@
 var _ = Describe("alternating demand", func() {
 	// Two models are busy in turn for 90 s each, and there is memory for one
 	// more copy. A planner that follows the demand of the last ten seconds
-	// would load and unload the same two copies all day.
+	// would load and unload the same two copies again and again.
 	It("does not load and unload the same copies repeatedly", func() {
 		moves := func(options placement.Options, weight float64, estimates func([]demand.Estimate) []demand.Estimate) int {
 			c := newTestCluster(smallDeclarations(noRedundancy, map[string]int{"a": 10, "b": 10}),
