--- a/internal/jury/event.go
+++ b/internal/jury/event.go
@@ -35,9 +35,9 @@
 
 // Compact reports that the replicated state machine has applied all entries up
 // to Index and that Data is its encoded state. The member persists a snapshot
-// and drops entries that it covers, except the last Options.KeptEntries, from memory.
-// The event has no effect if Index is not committed or not above the index of
-// the member's snapshot.
+// and drops the entries that it covers from memory, except the last
+// Options.KeptEntries. The event has no effect if Index is not committed or not
+// above the index of the member's snapshot.
 type Compact struct {
 	Index Index
 	Data  []byte
--- a/internal/jury/export_test.go
+++ b/internal/jury/export_test.go
@@ -1,6 +1,6 @@
 package jury
 
-// Mutation is a set of safety mechanisms to disable.
+// Mutation is a set of safeguards to disable.
 type Mutation = mutation
 
 // The mutations.
@@ -20,7 +20,7 @@
 	IgnoreClockDrift        = ignoreClockDrift
 )
 
-// SetMutations disables the safety mechanisms in mutations.
+// SetMutations disables the safeguards in mutations.
 func (m *Member) SetMutations(mutations Mutation) {
 	m.mutations = mutations
 }
--- a/internal/jury/mutation.go
+++ b/internal/jury/mutation.go
@@ -1,7 +1,7 @@
 package jury
 
-// mutation is a set of safety mechanisms to disable. Tests use it to verify that
-// the invariant checks detect the absence of each mechanism.
+// mutation is a set of safeguards to disable. Tests use it to verify that the
+// invariant checks detect the absence of each safeguard.
 type mutation uint32
 
 const (
--- a/internal/jury/options.go
+++ b/internal/jury/options.go
@@ -57,8 +57,8 @@
 	// MaxUncommittedBytes limits the data in the uncommitted entries of a
 	// leader's term. A single larger entry is still accepted.
 	MaxUncommittedBytes int
-	// KeptEntries is how many of the entries that a snapshot covers stay in memory, for
-	// members that are slightly behind.
+	// KeptEntries is how many of the entries that a snapshot covers stay in
+	// memory, for members that are slightly behind.
 	KeptEntries int
 }
 
--- a/internal/jury/scenario_test.go
+++ b/internal/jury/scenario_test.go
@@ -375,7 +375,8 @@
 	// An operator removes a voter, which answered recently or has been partitioned
 	// for a while, just as another voter loses its disk. The change could then be
 	// neither committed nor reverted, so that no leader was elected again and
-	// configuration changes waited forever (found by the storm with seed 812).
+	// configuration changes waited forever (found by the simulation of
+	// all faults with seed 812).
 	DescribeTable("does not stand still when a voter is removed while another one is lost",
 		func(isolatedSteps int) {
 			for seed := range uint64(10) {
@@ -399,7 +400,7 @@
 	// voter receives the entry. One of the others loses its disk. The remaining
 	// two then need the vote of the former leader, but its longer log prevents it
 	// from voting for them. If it does not campaign either, no leader is ever
-	// elected again (found by the storm with seed 1172).
+	// elected again (found by the simulation of all faults with seed 1172).
 	It("does not stand still when a leader that removed itself is needed", func() {
 		for seed := range uint64(10) {
 			sim, leader := startCluster(seed, 4, 0)
--- a/internal/jury/schedule_test.go
+++ b/internal/jury/schedule_test.go
@@ -9,10 +9,10 @@
 	"github.com/lovagelift/lovagelift/internal/jury"
 )
 
-// stormSeeds is the number of storms, which are simulations with all faults.
-const stormSeeds = 60
+// allFaultsSeeds is the number of seeds for which all faults are simulated.
+const allFaultsSeeds = 60
 
-func runStorm(seed uint64, mutations jury.Mutation) error {
+func runWithAllFaults(seed uint64, mutations jury.Mutation) error {
 	sim := newSimulation(seed, 3+int(seed%3), allFaults, mutations)
 	sim.bootstrapCount = 3
 	if err := sim.run(3000); err != nil {
@@ -27,8 +27,8 @@
 	// pause, are partitioned in one or both directions, and lose their disks,
 	// each after the repair of the previous one.
 	It("keeps its invariants in storms of faults, and goes on after them", func() {
-		for seed := range uint64(stormSeeds) {
-			Expect(runStorm(seed, 0)).To(Succeed(), fmt.Sprintf("seed %d", seed))
+		for seed := range uint64(allFaultsSeeds) {
+			Expect(runWithAllFaults(seed, 0)).To(Succeed(), fmt.Sprintf("seed %d", seed))
 		}
 	})
 
@@ -37,8 +37,8 @@
 	// Without the safeguard, the simulation with this seed shows the fault.
 	DescribeTable("shows the fault that a safeguard is there for",
 		func(mutations jury.Mutation, seed int, violation string) {
-			Expect(runStorm(uint64(seed), mutations)).To(MatchError(ContainSubstring(violation)))
-			Expect(runStorm(uint64(seed), 0)).To(Succeed())
+			Expect(runWithAllFaults(uint64(seed), mutations)).To(MatchError(ContainSubstring(violation)))
+			Expect(runWithAllFaults(uint64(seed), 0)).To(Succeed())
 		},
 		Entry("answers wait for the sync", jury.AckBeforeSync, 0, "voters have synced"),
 		Entry("a leader counts only its synced entries", jury.CountUnsyncedEntries, 0, "voters have synced"),
--- a/internal/jury/status.go
+++ b/internal/jury/status.go
@@ -30,8 +30,8 @@
 type PeerStatus struct {
 	ID Identity
 	// Active reports whether the peer has answered a message that the leader
-	// sent within the last election timeout. LastContact is when the leader sent the
-	// latest message that the peer answered, or zero if there is none.
+	// sent within the last election timeout. LastContact is when the leader sent
+	// the latest message that the peer answered, or zero if there is none.
 	Active      bool
 	LastContact time.Time
 	// CaughtUp reports whether the peer has synced all committed entries.
