--- a/internal/clerk/errors.go
+++ b/internal/clerk/errors.go
@@ -35,7 +35,7 @@
 // RejectedError means that a command was not applied and never will be, unless it is proposed
 // again.
 type RejectedError struct {
-	// Leader is the current leader, to which the caller can turn. It is empty if unknown.
+	// Leader is the current leader, to which the command can be sent. It is empty if unknown.
 	Leader jury.Identity
 	// Retryable reports whether the current or next leader may accept the command.
 	Retryable bool
--- a/internal/clerk/replica.go
+++ b/internal/clerk/replica.go
@@ -1,6 +1,6 @@
-// Package clerk is a replica of a Raft-like replicated log. It drives a member of the consensus
-// protocol (package jury): it persists the log, exchanges messages with peers and applies committed
-// entries to the state machine.
+// Package clerk is a replica of the Raft log. It drives a member of the consensus protocol (package
+// jury): it persists the log, exchanges messages with peers and applies committed entries to the
+// state machine.
 package clerk
 
 import (
@@ -53,8 +53,8 @@
 	Store        Store
 	Transport    Transport
 	StateMachine StateMachine
-	// Peers returns the known replicas. While the replica knows no leader, it asks them to let it
-	// join. Peers must be safe for concurrent use.
+	// Peers returns the known replicas. While the replica knows no leader, it sends each of them a
+	// jury.Join. Peers must be safe for concurrent use.
 	Peers func() []jury.Identity
 	Now   func() time.Time
 	// Ticks drives the protocol's timers, with a period of at most a third of the heartbeat
--- a/internal/clerk/replica_test.go
+++ b/internal/clerk/replica_test.go
@@ -197,8 +197,8 @@
 		Expect(errors.As(err, &rejected)).To(BeTrue())
 	})
 
-	// The leader applies a forwarded change, but its reply is lost. The caller must not be told
-	// that the change was rejected.
+	// The leader applies a forwarded change, but its reply is lost. The caller must not get the
+	// error that the change was rejected.
 	It("says unknown when the reply of the leader is lost", func() {
 		c := newCluster(3)
 		leader := c.bootstrap()
--- a/internal/clerk/view.go
+++ b/internal/clerk/view.go
@@ -17,7 +17,7 @@
 	changed chan struct{}
 }
 
-// orderRight is the permission to send orders to upstreams, as of one event. It ends at until.
+// orderRight is the right to send orders to upstreams, as of one event. It ends at until.
 type orderRight struct {
 	held  bool
 	term  jury.Term
@@ -39,8 +39,8 @@
 	return r.Status().Leader
 }
 
-// OrderRight reports whether this replica may send orders (to load or unload models) to upstreams at
-// now. It returns the fencing number term and the latest time at which the permission ends. Callers
+// OrderRight reports whether this replica may send orders (to load or unload models) to upstreams
+// at now. It returns the fencing number term and the latest time at which the right ends. Callers
 // must check it immediately before each send, with the time of their monotonic clock.
 //
 // The result is as of the member's last event. That is safe: the lease seen at that event does not
