--- a/internal/electorate/electorate.go
+++ b/internal/electorate/electorate.go
@@ -1,8 +1,8 @@
 // Package electorate decides the membership of the consensus group: it plans which
 // replicas vote, so that a lost voter is replaced without an operator.
 //
-// It is pure: it takes the current time and the knowledge of the leader, and returns at
-// most one change. The consensus protocol itself rejects unsafe changes (package jury);
+// It is pure: it takes the current time and the leader's view of the replicas, and returns
+// at most one change. The consensus protocol itself rejects unsafe changes (package jury);
 // this package only proposes them.
 package electorate
 
@@ -17,7 +17,7 @@
 	// MinVoters is the minimum number of voters. With more replicas there are more voters:
 	// the largest odd number that is not above the number of replicas. Any majority of
 	// the replicas then holds a majority of the voters, so that it keeps working when
-	// the rest is cut off.
+	// the others are partitioned from it.
 	MinVoters int
 	// SilenceTimeout is how long a voter must be silent before another replica takes its
 	// place. It must be above the election timeout, or every lost packet would cause a
@@ -48,7 +48,8 @@
 
 // Decide returns the next change that the leader self should propose, given the current
 // voters and its peers. leaderSince is the start of its leadership: silence before that
-// time does not count, so a new leader takes no voter for silent until SilenceTimeout has passed.
+// time does not count, so a new leader treats no voter as silent until SilenceTimeout has
+// passed.
 func Decide(
 	now time.Time, self jury.Identity, voters []jury.Identity, peers []jury.PeerStatus, leaderSince time.Time, options Options,
 ) Change {
@@ -99,11 +100,11 @@
 	for _, voter := range voters {
 		votes[voter] = true
 		byInstance[voter.Instance()] = voter
-		lastHeard := statuses[voter].LastContact
-		if lastHeard.Before(leaderSince) {
-			lastHeard = leaderSince
+		lastContact := statuses[voter].LastContact
+		if lastContact.Before(leaderSince) {
+			lastContact = leaderSince
 		}
-		if voter != self && g.silent == "" && now.Sub(lastHeard) >= options.SilenceTimeout {
+		if voter != self && g.silent == "" && now.Sub(lastContact) >= options.SilenceTimeout {
 			g.silent = voter
 		}
 	}
--- a/internal/electorate/electorate_test.go
+++ b/internal/electorate/electorate_test.go
@@ -88,8 +88,8 @@
 		Expect(decide(three, long, silent(b1, time.Second), answering(c1), answering(d1))).To(Equal(electorate.Change{}))
 	})
 
-	// The leader has just been elected and has not heard from b yet. Without the start of
-	// the leadership as a bound, b would be replaced at once.
+	// The leader has just been elected and has had no contact with b yet. Without the start
+	// of the leadership as a bound, b would be replaced at once.
 	It("counts silence from the start of the leadership at the earliest", func() {
 		peers := []jury.PeerStatus{{ID: b1}, answering(c1), answering(d1)}
 		Expect(decide(three, time.Second, peers...)).To(Equal(electorate.Change{}))
