--- a/internal/registry/change.go
+++ b/internal/registry/change.go
@@ -37,8 +37,8 @@
 	// Presets are the names of the presets in Declarations, the default first.
 	// Validated sets them.
 	Presets []string `json:"presets,omitempty"`
-	// Preset is the preset to activate. If empty, the active preset remains, or
-	// the default one becomes active if there is none.
+	// Preset is the preset to put in force. If empty, the preset in force remains,
+	// or the default one comes into force if there is none.
 	Preset string `json:"preset,omitempty"`
 	// By is the operator's name.
 	By string `json:"by"`
@@ -123,10 +123,10 @@
 	// Revision is the current revision after the decision. If the change was
 	// applied, it is the revision that the change created.
 	Revision Revision `json:"revision"`
-	// Preset is the active preset after the decision.
+	// Preset is the preset in force after the decision.
 	Preset string `json:"preset"`
-	// ChangesSince lists, for VerdictConflict, up to maxConflictChanges retained changes
-	// that were applied after Change.Expected, newest first.
+	// ChangesSince lists, for VerdictConflict, up to maxConflictChanges retained
+	// changes that were applied after Change.Expected, newest first.
 	ChangesSince []AppliedChange `json:"since,omitempty"`
 	// Reason explains in one sentence why the change was not applied.
 	Reason string `json:"reason,omitempty"`
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -64,11 +64,11 @@
 		if c.ID == "" || len(c.Declarations) > 0 && len(c.Presets) == 0 {
 			return nil, errors.AssertionFailedf("registry: change %q was not prepared", c.ID)
 		}
-		packed, err := Compress(c.Declarations)
+		compressed, err := Compress(c.Declarations)
 		if err != nil {
 			return nil, err
 		}
-		c.Declarations = packed
+		c.Declarations = compressed
 		e.Change = &c
 	case docket.Claim:
 		e.Claim = &c
@@ -85,11 +85,11 @@
 		}
 		e.Format, e.Manifest = manifestCommandFormat, encoded
 	case edition.Put:
-		packed, err := Compress(c.Content)
+		compressed, err := Compress(c.Content)
 		if err != nil {
 			return nil, err
 		}
-		c.Content = packed
+		c.Content = compressed
 		e.Format, e.Edition = editionCommandFormat, &c
 	case lease.Take:
 		e.Format, e.Lease = leaseCommandFormat, &c
--- a/internal/registry/pack.go
+++ b/internal/registry/compress.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// packedMarker is the first byte of compressed data. The canonical encoding of
+	// compressedMarker is the first byte of compressed data. The canonical encoding of
 	// declarations, which is JSON, never begins with this byte.
-	packedMarker = 0x01
-	// minPackBytes is the minimum size of data that Compress compresses.
-	minPackBytes = 4 << 10
-	// maxUnpackedBytes limits the size of decompressed data. The declarations of
+	compressedMarker = 0x01
+	// minCompressBytes is the minimum size of data that Compress compresses.
+	minCompressBytes = 4 << 10
+	// maxDecompressedBytes limits the size of decompressed data. The declarations of
 	// 1,700 models with five adapters each take 2 MB.
-	maxUnpackedBytes = 32 << 20
+	maxDecompressedBytes = 32 << 20
 )
 
-// Compress returns data compressed, or unchanged if it is smaller than minPackBytes.
+// Compress returns data compressed, or unchanged if it is smaller than
+// minCompressBytes.
 //
 // Declarations repeat the same keys many times. With 1,700 models and 1,000
 // changes a day, uncompressed declarations alone would use up a node's network
@@ -27,12 +28,12 @@
 // encodings of commands and views are compressed. Replicas store and compare the
 // uncompressed bytes, so that two versions may compress differently.
 func Compress(data []byte) ([]byte, error) {
-	if len(data) < minPackBytes {
+	if len(data) < minCompressBytes {
 		return data, nil
 	}
-	var packed bytes.Buffer
-	packed.WriteByte(packedMarker)
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	compressed.WriteByte(compressedMarker)
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: pack")
 	}
@@ -42,22 +43,22 @@
 	if err := writer.Close(); err != nil {
 		return nil, errors.Wrap(err, "registry: pack")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// Decompress is the inverse of Compress. It returns an error if data is truncated or
-// corrupt, or would decompress to more than maxUnpackedBytes.
+// Decompress is the inverse of Compress. It returns an error if data is truncated
+// or corrupt, or would decompress to more than maxDecompressedBytes.
 func Decompress(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packedMarker {
+	if len(data) == 0 || data[0] != compressedMarker {
 		return data, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(data[1:]))
-	unpacked, err := io.ReadAll(io.LimitReader(reader, maxUnpackedBytes+1))
+	decompressed, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: unpack")
 	}
-	if len(unpacked) > maxUnpackedBytes {
-		return nil, errors.Newf("registry: unpack: more than %d bytes", maxUnpackedBytes)
+	if len(decompressed) > maxDecompressedBytes {
+		return nil, errors.Newf("registry: unpack: more than %d bytes", maxDecompressedBytes)
 	}
-	return unpacked, nil
+	return decompressed, nil
 }
--- a/internal/registry/pack_test.go
+++ b/internal/registry/compress_test.go
@@ -24,14 +24,14 @@
 
 var _ = Describe("large declarations", func() {
 	It("are compressed in the log and decoded unchanged", func() {
-		prepared, err := declareChange("one", 0, paddedDeclarations(50_000)).Validated(validateDeclarations)
+		validated, err := declareChange("one", 0, paddedDeclarations(50_000)).Validated(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
-		data, err := registry.Encode(prepared)
+		data, err := registry.Encode(validated)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(len(data)).To(BeNumerically("<", len(prepared.Declarations)/2))
+		Expect(len(data)).To(BeNumerically("<", len(validated.Declarations)/2))
 		decoded, err := registry.Decode(data)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(decoded).To(Equal(prepared))
+		Expect(decoded).To(Equal(validated))
 	})
 
 	It("are sent to other instances unchanged, as are small ones", func() {
@@ -53,24 +53,24 @@
 	})
 
 	It("are rejected when truncated at any byte", func() {
-		prepared, err := declareChange("one", 0, paddedDeclarations(6_000)).Validated(validateDeclarations)
+		validated, err := declareChange("one", 0, paddedDeclarations(6_000)).Validated(validateDeclarations)
 		Expect(err).NotTo(HaveOccurred())
-		data, err := registry.Encode(prepared)
+		data, err := registry.Encode(validated)
 		Expect(err).NotTo(HaveOccurred())
 		for cut := range data {
 			_, err := registry.Decode(data[:cut])
 			Expect(err).To(HaveOccurred(), "cut at %d", cut)
 		}
-		packed, err := registry.Compress(prepared.Declarations)
+		compressed, err := registry.Compress(validated.Declarations)
 		Expect(err).NotTo(HaveOccurred())
-		for cut := 1; cut < len(packed); cut++ {
-			_, err := registry.Decompress(packed[:cut])
+		for cut := 1; cut < len(compressed); cut++ {
+			_, err := registry.Decompress(compressed[:cut])
 			Expect(err).To(HaveOccurred(), "cut at %d", cut)
 		}
 	})
 
 	It("are rejected when they would decompress beyond the size limit", func() {
-		zeros, err := registry.Compress(make([]byte, registry.MaxUnpackedBytes+1))
+		zeros, err := registry.Compress(make([]byte, registry.MaxDecompressedBytes+1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(zeros)).To(BeNumerically("<", 1<<20))
 		_, err = registry.Decompress(zeros)
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -103,7 +103,7 @@
 	return c.answer(VerdictApplied, "")
 }
 
-// undeclaredPresetReason explains why preset can't become active.
+// undeclaredPresetReason explains why preset can't come into force.
 func undeclaredPresetReason(preset string, presets []string, change Change) string {
 	if len(presets) == 0 {
 		return "there are no declarations yet, so there is no preset"
--- a/internal/registry/configuration_test.go
+++ b/internal/registry/configuration_test.go
@@ -48,11 +48,11 @@
 	return result
 }
 
-// change prepares and applies a change.
+// change validates and applies a change.
 func (r *replica) change(c registry.Change) registry.ChangeResult {
-	prepared, err := c.Validated(validateDeclarations)
+	validated, err := c.Validated(validateDeclarations)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
-	return *r.apply(prepared).Change
+	return *r.apply(validated).Change
 }
 
 // restoredCopy returns a new replica restored from a snapshot of r.
--- a/internal/registry/export_test.go
+++ b/internal/registry/export_test.go
@@ -12,5 +12,5 @@
 	return len(r.configuration.answers)
 }
 
-// MaxUnpackedBytes is maxUnpackedBytes.
-const MaxUnpackedBytes = maxUnpackedBytes
+// MaxDecompressedBytes is maxDecompressedBytes.
+const MaxDecompressedBytes = maxDecompressedBytes
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry is the replicated state machine. Its state consists of
 //   - the current configuration,
-//   - the edition, a document whose version numbers operators assign,
+//   - the edition, a version of the routes whose number operators assign,
 //   - the idempotency records of non-idempotent requests,
 //   - the manifest, the contents of the engines and the orders to them,
 //   - the leases of upstreams, and
@@ -69,16 +69,16 @@
 	return r.store.Lookup(key)
 }
 
-// DocketStats returns the counters of the idempotency store, its number of records and the size
-// of its stored responses in bytes.
+// DocketStats returns the counters of the idempotency store, its number of
+// records and the size of its stored responses in bytes.
 func (r *Registry) DocketStats() (counters docket.Counters, records int, responseBytes int64) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	return r.store.Counters(), r.store.Len(), r.store.ResponseBytes()
 }
 
-// CrashRecords returns the records of requests that were in flight at upstreams that
-// crashed, without locking.
+// CrashRecords returns the records of requests that were in flight at upstreams
+// that crashed, without locking.
 func (r *Registry) CrashRecords() quarantine.Records {
 	return *r.crashRecords.Load()
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -38,8 +38,8 @@
 	if random.IntN(2) == 0 {
 		c.Preset = []string{"<ordinary>", "peak", "none"}[random.IntN(3)]
 	}
-	prepared, _ := c.Validated(validateDeclarations)
-	return prepared
+	validated, _ := c.Validated(validateDeclarations)
+	return validated
 }
 
 var _ = Describe("Registry", func() {
@@ -128,8 +128,8 @@
 })
 
 var _ = Describe("a restart after hundreds of changes", func() {
-	// A machine restarts after 600 changes with compactions in between. The instance
-	// must recover the same revision and still recognize retried changes.
+	// An instance restarts after 600 changes with compactions in between. It must
+	// recover the same revision and still recognize retried changes.
 	It("comes back at the same revision", func() {
 		options := archive.Options{Folder: GinkgoT().TempDir(), SegmentBytes: 4096}
 		r := newReplica()
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -20,8 +20,8 @@
 	ChangeID string    `json:"change-id"`
 	By       string    `json:"by"`
 	At       time.Time `json:"at"`
-	// encoded caches the result of GobEncode, because every instance without a disk
-	// fetches each revision.
+	// encoded caches the result of GobEncode, because every follower fetches each
+	// revision.
 	encoded atomic.Pointer[[]byte]
 }
 
