--- a/internal/manifest/command.go
+++ b/internal/manifest/command.go
@@ -10,10 +10,10 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// Command is a state machine command of a Manifest: a NewLeader, Reports, Record, Resend,
-// Answer, AnswerLost, Withdraw or RemoveEngine. Every command may be proposed again while it is
-// unknown whether it was committed. If it was, applying it again changes nothing and
-// either returns the same result or is rejected.
+// Command is a state machine command of a Manifest: a NewLeader, Reports, Record,
+// Resend, Answer, AnswerLost, Withdraw or RemoveEngine. Every command may be proposed
+// again while it is unknown whether it was committed. If it was, applying it again
+// changes nothing and either returns the same result or is rejected.
 type Command interface {
 	command()
 }
@@ -59,8 +59,8 @@
 	ID     string `json:"id"`
 }
 
-// Withdraw closes an order of which the leader with the fencing number Term, which
-// recorded it, knows that no byte was sent and none will be.
+// Withdraw closes an order of which the leader that recorded it has sent no byte and
+// will send none. Term is the fencing number of that leader.
 type Withdraw struct {
 	Engine string `json:"engine"`
 	ID     string `json:"id"`
--- a/internal/manifest/engine.go
+++ b/internal/manifest/engine.go
@@ -11,7 +11,7 @@
 // Engine is the recorded state of one engine. It is an immutable value.
 type Engine struct {
 	// Announcement is the last recorded announcement without the inventory, which is in
-	// Ledger, and without the load, which is in the roster, except Load.MaxRunning.
+	// Ledger, and without the load, which package roster keeps, except Load.MaxRunning.
 	Announcement upstreamapi.Announcement `json:"announced"`
 	// Ledger is the account of the engine's memory, including the open orders.
 	Ledger ledger.Ledger `json:"ledger"`
@@ -31,7 +31,8 @@
 	PlacementReason string    `json:"why"`
 	At              time.Time `json:"at"`
 	State           State     `json:"state"`
-	// RefusalReason is the engine's reason for a refused order, truncated to MaxReasonBytes.
+	// RefusalReason is the engine's reason for a refused order, truncated to
+	// MaxReasonBytes.
 	RefusalReason string `json:"reason,omitempty"`
 }
 
@@ -67,8 +68,8 @@
 // maxClosedOrders limits the number of closed orders kept for each engine.
 const maxClosedOrders = 16
 
-// ChangedByAnnouncement reports whether the announcement changes the recorded state of the engine,
-// so that a Reports command should be proposed.
+// ChangedByAnnouncement reports whether the announcement changes the recorded state
+// of the engine, so that a Reports command should be proposed.
 //
 // Most announcements contain nothing new and are dismissed by their revision alone:
 // an announcement with a revision that is already recorded can't close an order that
@@ -84,9 +85,9 @@
 // withRecordedClock returns the announcement with the last recorded time of the
 // engine's clock, unless it is of another incarnation than the recorded one.
 //
-// Announcements arrive through the roster, which combines an engine's last inventory
-// with the load and the clock of a later message. With that clock, an order that
-// started between the two would count as expired and not running, and its memory
+// Announcements arrive through package roster, which combines an engine's last
+// inventory with the load and the clock of a later message. With that clock, an order
+// that started between the two would count as expired and not running, and its memory
 // would be allocated twice. Answers to orders come directly from the engine with the
 // clock at the time of their inventory, so only answers can prove expiry.
 func (e Engine) withRecordedClock(a upstreamapi.Announcement) upstreamapi.Announcement {
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -59,8 +59,8 @@
 type View struct {
 	// Term is the fencing number of the current leader.
 	Term uint64
-	// HighestNumber is the highest recorded order number. Numbers are never reused, not even
-	// those of orders to removed engines.
+	// HighestNumber is the highest recorded order number. Numbers are never reused,
+	// not even those of orders to removed engines.
 	HighestNumber uint64
 	// Engines are sorted by name. They must not be modified.
 	Engines []*Engine
@@ -95,7 +95,7 @@
 	var err error
 	switch c := command.(type) {
 	case NewLeader:
-		m.applyLead(c)
+		m.applyNewLeader(c)
 	case Reports:
 		err = m.applyReports(c)
 	case Record:
@@ -105,11 +105,11 @@
 	case Answer:
 		err = m.applyAnswer(c)
 	case AnswerLost:
-		err = m.applyLost(c)
+		err = m.applyAnswerLost(c)
 	case Withdraw:
 		err = m.applyWithdraw(c)
 	case RemoveEngine:
-		err = m.applyForget(c)
+		err = m.applyRemoveEngine(c)
 	default:
 		err = errors.AssertionFailedf("manifest: command %T", command)
 	}
@@ -119,7 +119,7 @@
 	return Result{Accepted: true}
 }
 
-func (m *Manifest) applyLead(c NewLeader) {
+func (m *Manifest) applyNewLeader(c NewLeader) {
 	if c.Term <= m.leaderTerm {
 		return
 	}
@@ -240,7 +240,7 @@
 	return text[:min(len(text), MaxReasonBytes)]
 }
 
-func (m *Manifest) applyLost(c AnswerLost) error {
+func (m *Manifest) applyAnswerLost(c AnswerLost) error {
 	e, err := m.engine(c.Engine)
 	if err != nil {
 		return err
@@ -262,7 +262,7 @@
 	return nil
 }
 
-func (m *Manifest) applyForget(c RemoveEngine) error {
+func (m *Manifest) applyRemoveEngine(c RemoveEngine) error {
 	i, known := findEngine(m.engines, c.Engine)
 	if !known {
 		return nil
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -96,9 +96,9 @@
 		Expect(m.Apply(manifest.Resend{Engine: "e1", ID: "order-1", Term: 1}).Accepted).To(BeFalse())
 	})
 
-	// The roster combines an engine's inventory with the clock of a later load report.
-	// The order started between the two. With that clock it would count as expired and
-	// not running, and its memory would be allocated twice.
+	// Package roster combines an engine's inventory with the clock of a later load
+	// report. The order started between the two. With that clock it would count as
+	// expired and not running, and its memory would be allocated twice.
 	It("does not accept a clock later than the inventory as proof of expiry", func() {
 		m := newManifestWithEngine()
 		m.Apply(recordOrder("e1", loadOrder(1, 1, 1, "letters", 60)))
