--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -31,8 +31,8 @@
 }
 
 // WithAnswer returns the account updated by the engine's answer to an order or to
-// a status query. A final answer closes the order: the engine remembers the order
-// and does not execute it again.
+// a status query. A final answer closes the order: the engine keeps its ID and
+// does not execute it again.
 func (l Ledger) WithAnswer(answer upstreamapi.OrderResponse) Ledger {
 	if answer.Incarnation != l.incarnation {
 		return l
--- a/internal/ledger/orders.go
+++ b/internal/ledger/orders.go
@@ -114,9 +114,9 @@
 }
 
 // WithWithdrawn closes an order of which the leader with the given fencing number
-// knows that no byte was sent. It returns an error if the order is not open, or if
-// another leader has recorded the order or taken over, because that leader may
-// have sent it.
+// has sent no byte. It returns an error if the order is not open, or if another
+// leader has recorded the order or taken over, because that leader may have sent
+// it.
 func (l Ledger) WithWithdrawn(id string, fencing uint64) (Ledger, error) {
 	i := l.openIndex(id)
 	switch {
