--- a/internal/chamber/chamber.go
+++ b/internal/chamber/chamber.go
@@ -19,8 +19,8 @@
 	"github.com/lovagelift/lovagelift/internal/registry"
 )
 
-// ControlPlane is the control plane of an instance, a *Voter or a *Follower. Its methods are safe for
-// concurrent use.
+// ControlPlane is the control plane of an instance, a *Voter or a *Follower. Its methods are safe
+// for concurrent use.
 type ControlPlane interface {
 	// ConfigCache returns the cache of the configuration in force.
 	ConfigCache() *gazette.Cache
@@ -43,8 +43,8 @@
 	ChangeVoters(ctx context.Context, change courier.VotersChange) error
 	// Identity returns the identity of a voter. It is empty on a follower.
 	Identity() jury.Identity
-	// Close shuts the control plane down. A leader transfers its leadership first, unless ctx ends
-	// before.
+	// Close shuts the control plane down. A leader transfers its leadership before that, unless ctx
+	// ends first.
 	Close(ctx context.Context)
 }
 
--- a/internal/chamber/follower.go
+++ b/internal/chamber/follower.go
@@ -150,7 +150,7 @@
 	return f.quarantineNews.Aged(now.Sub(f.quarantineNewsAt))
 }
 
-// bindCluster binds the follower to the first cluster that it hears of. If all voters lost their
+// bindCluster binds the follower to the first cluster that a voter reports. If all voters lost their
 // disks and a new cluster was created, following it would silently reset the configuration.
 // Instead, the follower stays stale until an operator restarts it.
 func (f *Follower) bindCluster(cluster string) error {
--- a/internal/chamber/leases.go
+++ b/internal/chamber/leases.go
@@ -38,13 +38,13 @@
 // orders for a limited time after it called TakeLeases; the wait that other instances use must
 // include that time.
 //
-// The same command deletes the leases of the upstreams in gone.
-func (v *Voter) TakeLeases(ctx context.Context, upstreams []string, wait time.Duration, gone []string) ([]string, error) {
+// The same command deletes the leases of the upstreams in removed.
+func (v *Voter) TakeLeases(ctx context.Context, upstreams []string, wait time.Duration, removed []string) ([]string, error) {
 	free := v.freeUpstreams(upstreams, wait)
 	if len(free) == 0 {
 		return nil, nil
 	}
-	command, err := registry.Encode(lease.Take{Holder: v.options.Self, Upstreams: free, Forget: gone})
+	command, err := registry.Encode(lease.Take{Holder: v.options.Self, Upstreams: free, Forget: removed})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/chamber/quarantine.go
+++ b/internal/chamber/quarantine.go
@@ -46,13 +46,13 @@
 	return err
 }
 
-// RetractFalseCrashes retracts the recorded crashes of upstreams that have since shown signs of
-// life. It does so only if this voter is the leader. lastHeard returns when the process of an
-// upstream last showed a sign of life, and false if it never did. RetractFalseCrashes must be
-// called from a single goroutine, about twice a second.
-func (v *Voter) RetractFalseCrashes(ctx context.Context, lastHeard func(quarantine.Lifetime) (time.Time, bool)) {
+// RetractFalseCrashes retracts the recorded crashes of upstreams that were in contact afterwards.
+// It does so only if this voter is the leader. lastContact returns the time of the last contact of
+// the process of an upstream, and false if there was none. RetractFalseCrashes must be called from
+// a single goroutine, about twice a second.
+func (v *Voter) RetractFalseCrashes(ctx context.Context, lastContact func(quarantine.Lifetime) (time.Time, bool)) {
 	now := v.options.Now()
-	alive := v.falseCrashDetector.Alive(now, v.registry.CrashRecords(), lastHeard)
+	alive := v.falseCrashDetector.Alive(now, v.registry.CrashRecords(), lastContact)
 	if _, leads := v.IsLeader(now); !leads || len(alive) == 0 {
 		return
 	}
--- a/internal/chamber/voter.go
+++ b/internal/chamber/voter.go
@@ -73,7 +73,7 @@
 const ticksPerHeartbeat = 4
 
 // NewVoter opens the data folder and starts the replica. If the folder is damaged or in use by
-// another process, NewVoter returns an error that tells the operator what to do.
+// another process, NewVoter returns an error with the remedy for the operator.
 func NewVoter(options VoterOptions) (*Voter, error) {
 	store, loaded, err := archive.Open(archive.Options{Folder: options.Folder})
 	if err != nil {
@@ -127,7 +127,7 @@
 	return v, nil
 }
 
-// logOpened logs the state of the data folder for operators.
+// logDataFolder logs the state of the data folder for operators.
 func logDataFolder(log zerolog.Logger, loaded archive.Loaded) {
 	log.Info().Bool("fresh", loaded.NewFolder).Str("cluster-id", loaded.ClusterID).
 		Uint64("snapshot-index", uint64(loaded.Snapshot.Index)).Int("entries", len(loaded.Entries)).Msg("data folder opened")
@@ -221,15 +221,15 @@
 	return ok && published && now.Sub(asOf) < v.options.ConfigLease
 }
 
-// Edition returns the operator-versioned document according to this replica.
+// Edition returns the edition of the routes according to this replica.
 func (v *Voter) Edition() edition.Edition {
 	return v.registry.Edition()
 }
 
-// EditionWithAge returns the operator-versioned document according to this replica, and how current
-// it is known to be.
+// EditionWithAge returns the edition of the routes according to this replica, and how current it is
+// known to be.
 func (v *Voter) EditionWithAge() (edition.Edition, edition.Reading) {
-	// Read the freshness before the document: the document then includes everything that the
+	// Read the freshness before the edition: the edition then includes everything that the
 	// freshness covers.
 	age, confirmed := v.stateAge()
 	current := v.registry.Edition()
@@ -246,8 +246,8 @@
 	return max(0, v.options.Now().Sub(asOf)), true
 }
 
-// ConfirmedEdition returns the operator-versioned document as of the time of the call or later. It
-// returns false if the voter can't confirm before ctx ends that its state is up to date.
+// ConfirmedEdition returns the edition of the routes as of the time of the call or later. It returns
+// false if the voter can't confirm before ctx ends that its state is up to date.
 func (v *Voter) ConfirmedEdition(ctx context.Context) (edition.Edition, bool) {
 	if !v.awaitFresh(ctx, v.options.Now()) {
 		return edition.Edition{}, false
@@ -268,7 +268,7 @@
 }
 
 // runDocketClock advances the idempotency store's clock periodically while this voter is the
-// leader, and reports the idempotency store's metrics.
+// leader, and reports the store's metrics.
 func (v *Voter) runDocketClock(ctx context.Context) {
 	ticker := time.NewTicker(v.options.Docket.MaxStep / 2)
 	defer ticker.Stop()
