--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -88,7 +88,7 @@
 
 // policyResult is the outcome of one policy, by phase or in total.
 type policyResult struct {
-	attained, offered          map[string]float64
+	served, offered            map[string]float64
 	loads, unloads, otherMoves int
 	unreachable                int
 }
@@ -117,7 +117,7 @@
 	c.moves, c.loads, c.unloads = 0, 0, 0
 	t := newTrace(set, seed, 100)
 	estimator := demand.New(c.now)
-	r := policyResult{attained: map[string]float64{}, offered: map[string]float64{}}
+	r := policyResult{served: map[string]float64{}, offered: map[string]float64{}}
 	sequence := uint64(0)
 	for _, phase := range tracePhases {
 		if phase.name == "peak preset" {
@@ -142,7 +142,7 @@
 			c.step()
 			c.observe()
 			outcome := referencePlanner.Plan(c.now, placement.Input{Declarations: set, Preset: c.input.Preset, Engines: c.input.Engines, Demand: trueDemand})
-			r.attained[phase.name] += outcome.Served
+			r.served[phase.name] += outcome.Served
 			r.offered[phase.name] += outcome.Offered
 			r.unreachable += len(outcome.Unreachable)
 		}
@@ -206,23 +206,23 @@
 	for _, name := range []string{"kingston", "lagos"} {
 		for _, p := range policies {
 			var sum policyResult
-			sum.attained, sum.offered = map[string]float64{}, map[string]float64{}
+			sum.served, sum.offered = map[string]float64{}, map[string]float64{}
 			for _, seed := range []uint64{11, 12} {
 				r := runPolicy(name, seed, p.options, p.weight, p.estimates)
 				for phase := range r.offered {
-					sum.attained[phase] += r.attained[phase]
+					sum.served[phase] += r.served[phase]
 					sum.offered[phase] += r.offered[phase]
 				}
 				sum.loads, sum.unloads, sum.otherMoves = sum.loads+r.loads, sum.unloads+r.unloads, sum.otherMoves+r.otherMoves
 				sum.unreachable += r.unreachable
 			}
 			row := fmt.Sprintf("| %s | %s |", name, p.name)
-			attained, offered := 0.0, 0.0
+			served, offered := 0.0, 0.0
 			for _, phase := range tracePhases {
-				row += fmt.Sprintf(" %.3f |", sum.attained[phase.name]/sum.offered[phase.name])
-				attained, offered = attained+sum.attained[phase.name], offered+sum.offered[phase.name]
+				row += fmt.Sprintf(" %.3f |", sum.served[phase.name]/sum.offered[phase.name])
+				served, offered = served+sum.served[phase.name], offered+sum.offered[phase.name]
 			}
-			fmt.Printf("%s %.3f | %d | %d | %d | %d |\n", row, attained/offered, sum.loads, sum.unloads, sum.otherMoves, sum.unreachable)
+			fmt.Printf("%s %.3f | %d | %d | %d | %d |\n", row, served/offered, sum.loads, sum.unloads, sum.otherMoves, sum.unreachable)
 		}
 	}
 }
