--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -128,14 +128,14 @@
 	d.wakeReporter()
 }
 
-// Review calls contact for each upstream whose answers were interrupted, and records the
-// result. contact is like Options.Status, and is called with the lock of the CrashDetector
+// Review calls statusOf for each upstream whose answers were interrupted, and records the
+// result. statusOf is like Options.Status, and is called with the lock of the CrashDetector
 // held.
-func (d *CrashDetector) Review(contact func(quarantine.Endpoint) quarantine.Status) {
+func (d *CrashDetector) Review(statusOf func(quarantine.Endpoint) quarantine.Status) {
 	now := d.options.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watch.Review(now, contact)
+	d.watch.Review(now, statusOf)
 	d.wakeReporter()
 }
 
@@ -183,13 +183,13 @@
 	if !errors.Is(cause, syscall.ECONNREFUSED) {
 		return
 	}
-	contact := d.options.Status(endpoint)
-	if contact != quarantine.StatusLeaving {
-		contact = quarantine.StatusRefused
+	status := d.options.Status(endpoint)
+	if status != quarantine.StatusLeaving {
+		status = quarantine.StatusRefused
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watch.Observe(endpoint.Lifetime, contact)
+	d.watch.Observe(endpoint.Lifetime, status)
 	d.wakeReporter()
 }
 
--- a/internal/coroner/coroner_test.go
+++ b/internal/coroner/coroner_test.go
@@ -23,9 +23,9 @@
 // fakeInstance implements the options of a CrashDetector.
 type fakeInstance struct {
 	mu sync.Mutex
-	// contact is what is known about all upstreams, and dialErr the error of connecting
+	// status is what is known about all upstreams, and dialErr the error of connecting
 	// to them.
-	contact quarantine.Status
+	status  quarantine.Status
 	dialErr error
 	// refusals is the number of reports that fail before one is recorded.
 	refusals int
@@ -39,7 +39,7 @@
 		Status: func(quarantine.Endpoint) quarantine.Status {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.contact
+			return f.status
 		},
 		Report: func(_ context.Context, update quarantine.Update) bool {
 			f.mu.Lock()
@@ -116,7 +116,7 @@
 	It("reports no upstream that accepts connections or has announced its shutdown", SpecTimeout(specTimeout), func(_ SpecContext) {
 		c.Interrupted(endpoint, suspect("a"))
 		fake.mu.Lock()
-		fake.contact, fake.dialErr = quarantine.StatusLeaving, errRefused
+		fake.status, fake.dialErr = quarantine.StatusLeaving, errRefused
 		fake.mu.Unlock()
 		leaving := quarantine.Endpoint{Lifetime: quarantine.Lifetime{Upstream: "e2"}, Address: "e2:80"}
 		c.Interrupted(leaving, suspect("a"))
--- a/internal/quarantine/investigations.go
+++ b/internal/quarantine/investigations.go
@@ -139,12 +139,12 @@
 }
 
 // observe records what is known about an upstream.
-func (i *investigations) observe(lifetime Lifetime, contact Status) {
+func (i *investigations) observe(lifetime Lifetime, status Status) {
 	inv := i.byLifetime[lifetime]
 	if inv == nil {
 		return
 	}
-	switch contact {
+	switch status {
 	case StatusLeaving:
 		delete(i.byLifetime, lifetime)
 	case StatusRefused, StatusReplaced:
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -57,17 +57,17 @@
 }
 
 // Observe records what is known about an upstream.
-func (w *Watch) Observe(lifetime Lifetime, contact Status) {
-	w.investigations.observe(lifetime, contact)
+func (w *Watch) Observe(lifetime Lifetime, status Status) {
+	w.investigations.observe(lifetime, status)
 }
 
-// Review calls contact for each upstream under investigation that is not known to have
+// Review calls statusOf for each upstream under investigation that is not known to have
 // ended, and records the result.
-func (w *Watch) Review(now time.Time, contact func(Endpoint) Status) {
+func (w *Watch) Review(now time.Time, statusOf func(Endpoint) Status) {
 	w.investigations.removeExpired(now)
 	for lifetime, inv := range w.investigations.byLifetime {
 		if !inv.crashed {
-			w.investigations.observe(lifetime, contact(inv.endpoint))
+			w.investigations.observe(lifetime, statusOf(inv.endpoint))
 		}
 	}
 }
