--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -18,42 +18,42 @@
 var _ = Describe("Tracker", func() {
 	start := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
-	var ages *aging.Tracker[string]
+	var tracker *aging.Tracker[string]
 	starved := func(seconds int, key string) bool {
-		_, starves := ages.Starved(at(seconds), key)
+		_, starves := tracker.Starved(at(seconds), key)
 		return starves
 	}
 
 	BeforeEach(func() {
-		ages = aging.New[string](aging.Options{StarvedAfter: 3 * time.Second, ForgetAfter: 10 * time.Second, MaxKeys: 2})
+		tracker = aging.New[string](aging.Options{StarvedAfter: 3 * time.Second, ForgetAfter: 10 * time.Second, MaxKeys: 2})
 	})
 
 	It("measures the time from the first request for a key since it was last served", func() {
-		ages.Requested(at(0), "a")
-		ages.Requested(at(2), "a")
+		tracker.Requested(at(0), "a")
+		tracker.Requested(at(2), "a")
 		Expect(starved(2, "a")).To(BeFalse())
 		Expect(starved(3, "a")).To(BeTrue())
-		ages.Served("a")
+		tracker.Served("a")
 		Expect(starved(3, "a")).To(BeFalse())
-		ages.Requested(at(9), "a")
+		tracker.Requested(at(9), "a")
 		Expect(starved(9, "a")).To(BeFalse(), "it was served after every earlier request")
 	})
 
 	It("forgets a key that is no longer requested", func() {
-		ages.Requested(at(0), "a")
+		tracker.Requested(at(0), "a")
 		Expect(starved(11, "a")).To(BeFalse())
-		ages.Requested(at(11), "a")
+		tracker.Requested(at(11), "a")
 		Expect(starved(13, "a")).To(BeFalse())
 	})
 
 	// Callers may name any model, so the memory must not grow with the number of names.
 	It("tracks a bounded number of keys, those that were requested first", func() {
-		ages.Requested(at(0), "a")
-		ages.Requested(at(0), "b")
-		ages.Requested(at(0), "c")
+		tracker.Requested(at(0), "a")
+		tracker.Requested(at(0), "b")
+		tracker.Requested(at(0), "c")
 		Expect(starved(5, "b")).To(BeTrue())
 		Expect(starved(5, "c")).To(BeFalse())
-		ages.Requested(at(11), "c")
+		tracker.Requested(at(11), "c")
 		Expect(starved(14, "c")).To(BeTrue(), "the other keys are no longer requested")
 	})
 })
--- a/internal/chamber/chamber_test.go
+++ b/internal/chamber/chamber_test.go
@@ -38,8 +38,8 @@
 
 	It("is in force everywhere, and after a restart of all voters", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		for n := range 20 {
-			answer := proposeChange(ctx, c.nodes["f"], newChange(fmt.Sprintf("change-%d", n), registry.Revision(n)))
-			Expect(answer.Verdict).To(Equal(registry.VerdictApplied))
+			result := proposeChange(ctx, c.nodes["f"], newChange(fmt.Sprintf("change-%d", n), registry.Revision(n)))
+			Expect(result.Verdict).To(Equal(registry.VerdictApplied))
 		}
 		Eventually(ctx, revisionEverywhere(20)).Should(BeTrue())
 		for _, name := range []string{"a", "b", "c"} {
@@ -99,13 +99,13 @@
 		goroutines.Wait()
 		close(answers)
 		accepted := 0
-		for answer := range answers {
-			if answer.Verdict == registry.VerdictApplied {
+		for result := range answers {
+			if result.Verdict == registry.VerdictApplied {
 				accepted++
 				continue
 			}
-			Expect(answer.Verdict).To(Equal(registry.VerdictConflict))
-			Expect(answer.ChangesSince).To(HaveLen(1))
+			Expect(result.Verdict).To(Equal(registry.VerdictConflict))
+			Expect(result.ChangesSince).To(HaveLen(1))
 		}
 		Expect(accepted).To(Equal(1))
 	})
--- a/internal/command/ask.go
+++ b/internal/command/ask.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	start := time.Now()
 	var output askOutput
-	answer, err := caller.New(options).Complete(ctx, flags.request, func(piece string) {
+	response, err := caller.New(options).Complete(ctx, flags.request, func(piece string) {
 		if output.FirstTokenMilliseconds == 0 {
 			output.FirstTokenMilliseconds = time.Since(start).Milliseconds()
 		}
@@ -78,7 +78,7 @@
 		}
 	})
 	output.TotalMilliseconds = time.Since(start).Milliseconds()
-	output.Answer, output.Instance, output.Attempts = answer.Text, answer.Entry.Name, answer.Attempts
+	output.Answer, output.Instance, output.Attempts = response.Text, response.Entry.Name, response.Attempts
 	output.Outcome = outcome.Ran
 	if err != nil {
 		output.Error = err.Error()
--- a/internal/command/fakes_test.go
+++ b/internal/command/fakes_test.go
@@ -22,7 +22,7 @@
 // fakeInstance is an instance with a replicated state machine, but without a log,
 // a disk or peers.
 type fakeInstance struct {
-	publisher *gazette.Cache
+	cache *gazette.Cache
 
 	mu       sync.Mutex
 	registry *registry.Registry
@@ -36,10 +36,10 @@
 }
 
 func newFakeInstance() *fakeInstance {
-	f := &fakeInstance{publisher: gazette.New(), registry: registry.New()}
+	f := &fakeInstance{cache: gazette.New(), registry: registry.New()}
 	handler := registrar.New(registrar.Options{
 		ConfigStore: registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
-			ConfigCache: f.publisher, Propose: f.propose,
+			ConfigCache: f.cache, Propose: f.propose,
 			NotAccepted:    func(error) bool { return false },
 			HasConfigLease: func(time.Time) bool { return !f.isStale() },
 		}),
@@ -84,13 +84,13 @@
 	if err != nil {
 		return result, err
 	}
-	return result, f.publisher.Publish(f.registry.View())
+	return result, f.cache.Publish(f.registry.View())
 }
 
 func (f *fakeInstance) Status(time.Time) registrar.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	active := f.publisher.Latest()
+	active := f.cache.Latest()
 	return registrar.Status{
 		Name: "a", FailureDomain: "kgn-a", Version: "1", Revision: uint64(active.Revision), Preset: active.Preset.Name,
 		HasConfigLease: !f.stale, Draining: f.drained, ActiveRequests: 2, Leader: "b", Term: 5,
--- a/internal/command/operator_test.go
+++ b/internal/command/operator_test.go
@@ -66,7 +66,7 @@
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(MatchJSON(`{"revision": 1, "fresh": true, "preset": "ordinary", "new-preset": "peak", "changes": [
 			{"change": "change", "item": "preset ordinary", "fields": [{"name": "reserve-percent", "before": "10", "after": "12"}]}]}`))
-		Expect(instance.publisher.Latest().Revision).To(BeEquivalentTo(1))
+		Expect(instance.cache.Latest().Revision).To(BeEquivalentTo(1))
 	})
 
 	It("rejects a change that would overwrite another operator's, with a distinct exit code", func() {
@@ -97,8 +97,8 @@
 		code, out, _ = runOperator("apply", "--expect", "1", "--json", folder)
 		Expect(code).To(Equal(command.ExitOK))
 		Expect(out).To(ContainSubstring("\"revision\": 2,\n  \"in-force\": 3,\n  \"changed\": true"))
-		Expect(instance.publisher.Latest().Revision).To(BeEquivalentTo(3))
-		Expect(instance.publisher.Latest().Declarations.InitialPreset().ReservePercent).To(Equal(14))
+		Expect(instance.cache.Latest().Revision).To(BeEquivalentTo(3))
+		Expect(instance.cache.Latest().Declarations.InitialPreset().ReservePercent).To(Equal(14))
 	})
 
 	It("rejects invalid declarations without contacting an instance", func() {
@@ -144,7 +144,7 @@
 			Expect(code).To(Equal(command.ExitBadInput))
 			Expect(errOut).To(HavePrefix("--expect: the revision that the change was made for is missing"))
 		}
-		Expect(instance.publisher.Latest().Revision).To(BeZero())
+		Expect(instance.cache.Latest().Revision).To(BeZero())
 	})
 
 	It("leaves the decision to the replicated state if the instance may be outdated", func() {
--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -15,10 +15,10 @@
 // newCrashDetector returns the detector of upstreams that crash while running requests.
 func (p *Proxy) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
-		Status: func(place quarantine.Endpoint) quarantine.Status {
+		Status: func(endpoint quarantine.Endpoint) quarantine.Status {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.pool.contact(place)
+			return p.pool.contact(endpoint)
 		},
 		Report:      p.reportCrashes,
 		NewLogEvent: func(kind string) *zerolog.Event { return p.logLine(p.options.Now(), kind) },
@@ -58,11 +58,11 @@
 
 // reportBroken reports a failed or incomplete response to the crash detector.
 func (t *transaction) reportBroken(a *upstreamAttempt, cause error) {
-	place := a.upstream.place()
+	endpoint := a.upstream.place()
 	if a.mayHaveSent.Load() {
-		t.proxy.crashes.Interrupted(place, t.suspect(a))
+		t.proxy.crashes.Interrupted(endpoint, t.suspect(a))
 	}
-	t.proxy.crashes.ConnectionFailed(place, cause)
+	t.proxy.crashes.ConnectionFailed(endpoint, cause)
 }
 
 // reportCallerLeft reports that the caller disconnected while its request was at an upstream.
@@ -73,15 +73,15 @@
 }
 
 // contact returns the state of an upstream for the crash detector.
-func (p *upstreamPool) contact(place quarantine.Endpoint) quarantine.Status {
-	known := p.byName[place.Upstream]
-	current := p.byAddress[place.Address]
+func (p *upstreamPool) contact(endpoint quarantine.Endpoint) quarantine.Status {
+	known := p.byName[endpoint.Upstream]
+	current := p.byAddress[endpoint.Address]
 	switch {
-	case known != nil && known.incarnation == place.Incarnation && known.Leaving:
+	case known != nil && known.incarnation == endpoint.Incarnation && known.Leaving:
 		return quarantine.StatusLeaving
-	case known != nil && known.incarnation > place.Incarnation:
+	case known != nil && known.incarnation > endpoint.Incarnation:
 		return quarantine.StatusReplaced
-	case current != nil && current.name != place.Upstream && known != nil && current.LastContact.After(known.LastContact):
+	case current != nil && current.name != endpoint.Upstream && known != nil && current.LastContact.After(known.LastContact):
 		return quarantine.StatusReplaced
 	default:
 		return quarantine.StatusUnknown
--- a/internal/counter/estimators.go
+++ b/internal/counter/estimators.go
@@ -9,20 +9,20 @@
 
 // speedOf returns the speed estimate of a service's engines. p.mu is held.
 func (p *Proxy) speedOf(service *routes.Service) *speed.Estimator {
-	known := p.estimators[service.Name]
-	if known == nil {
-		known = speed.New(service.Engine.TokensPerEvent)
-		p.estimators[service.Name] = known
+	estimator := p.estimators[service.Name]
+	if estimator == nil {
+		estimator = speed.New(service.Engine.TokensPerEvent)
+		p.estimators[service.Name] = estimator
 	}
-	return known
+	return estimator
 }
 
 // estimateCost sets the pacing and the expected engine time of a request. p.mu is held.
 func (p *Proxy) estimateCost(req *requirements) {
-	engineSpeed := p.speedByName(req.service)
-	req.pacing = pacingFor(req.maxGap, engineSpeed)
-	req.prefillTime = engineSpeed.PrefillTime(req.model, req.promptTokens)
-	req.decodeTime = engineSpeed.AnswerTime(req.outputTokens)
+	estimator := p.speedByName(req.service)
+	req.pacing = pacingFor(req.maxGap, estimator)
+	req.prefillTime = estimator.PrefillTime(req.model, req.promptTokens)
+	req.decodeTime = estimator.AnswerTime(req.outputTokens)
 }
 
 // speedByName returns the speed estimate of a service by name, or the default estimate if no route
@@ -62,11 +62,11 @@
 
 // recordSpeed updates the speed estimate of a service with a measurement. p.mu is held.
 func (p *Proxy) recordSpeed(req *requirements, s speedSample) {
-	engineSpeed := p.estimators[req.service]
-	if engineSpeed == nil || s.serviceTime <= 0 {
+	estimator := p.estimators[req.service]
+	if estimator == nil || s.serviceTime <= 0 {
 		return
 	}
-	engineSpeed.ObservePrefill(req.model, req.promptTokens, s.firstEvent)
-	engineSpeed.ObserveRequest(s.serviceTime)
-	engineSpeed.ObserveStream(req.outputTokens, s.events, s.streaming)
+	estimator.ObservePrefill(req.model, req.promptTokens, s.firstEvent)
+	estimator.ObserveRequest(s.serviceTime)
+	estimator.ObserveStream(req.outputTokens, s.events, s.streaming)
 }
--- a/internal/counter/limits.go
+++ b/internal/counter/limits.go
@@ -50,8 +50,8 @@
 func (p *Proxy) observeLimit(t *transaction, a *upstreamAttempt, header http.Header) {
 	stated := p.options.Dialect.ParseLimit(header)
 	now := p.options.Now()
-	if unclear, ok := stated.(ratelimit.InvalidLimit); ok {
-		p.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", unclear.Text).
+	if invalid, ok := stated.(ratelimit.InvalidLimit); ok {
+		p.logLine(now, "unparsable limit").Str("upstream", a.upstream.name).Str("limit", invalid.Text).
 			Msg("cannot parse the rate limit that an upstream states")
 		return
 	}
--- a/internal/counter/pacing.go
+++ b/internal/counter/pacing.go
@@ -40,12 +40,12 @@
 
 // pacingFor returns the pacing for engines of a given speed whose streams may pause for up to
 // maxGap.
-func pacingFor(maxGap time.Duration, engineSpeed *speed.Estimator) pacing {
+func pacingFor(maxGap time.Duration, estimator *speed.Estimator) pacing {
 	if maxGap <= 0 {
 		maxGap = defaultMaxGap
 	}
-	share := max((maxGap-engineSpeed.EventInterval()-gapMargin).Seconds()/maxGap.Seconds(), minPrefillShare)
-	return pacing{prefillShare: share, serviceTime: engineSpeed.RequestTime()}
+	share := max((maxGap-estimator.EventInterval()-gapMargin).Seconds()/maxGap.Seconds(), minPrefillShare)
+	return pacing{prefillShare: share, serviceTime: estimator.RequestTime()}
 }
 
 // promptBacklog is the prefill time of the prompts that an engine has received but not yet
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -433,8 +433,8 @@
 
 	It("says at once when nothing can run the request", func() {
 		g := dispatch.NewGate(dispatch.New(dispatch.Options{}), admission.NewQueue(admission.Options{}))
-		answer := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
-		Expect(answer.Reason).To(Equal(dispatch.ReasonNoCandidate))
-		Expect(answer.Queued).To(BeFalse())
+		result := g.Arrive(start, &dispatch.Arrival{Request: dispatch.Request{Target: dispatch.Target{Model: "m"}}})
+		Expect(result.Reason).To(Equal(dispatch.ReasonNoCandidate))
+		Expect(result.Queued).To(BeFalse())
 	})
 })
--- a/internal/dispatch/policies_test.go
+++ b/internal/dispatch/policies_test.go
@@ -127,17 +127,17 @@
 		}
 		return
 	}
-	answer := p.gate.Arrive(now, &j.arrival)
+	result := p.gate.Arrive(now, &j.arrival)
 	switch {
-	case answer.Start.Arrival != nil:
-		p.send(now, j, answer.Start.Attempt, answer.Start.Decision.Chosen.Name)
-	case answer.Queued:
+	case result.Start.Arrival != nil:
+		p.send(now, j, result.Start.Attempt, result.Start.Decision.Chosen.Name)
+	case result.Queued:
 		p.jobs[j.arrival.ID] = j
 	default:
-		p.refuse(j, answer.Refusal)
+		p.refuse(j, result.Refusal)
 	}
-	if answer.Displaced.Cause != 0 {
-		p.refuse(p.jobs[answer.Displaced.Ticket.ID], answer.Displaced)
+	if result.Displaced.Cause != 0 {
+		p.refuse(p.jobs[result.Displaced.Ticket.ID], result.Displaced)
 	}
 }
 
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -239,9 +239,9 @@
 }
 
 // run reconciles each Controller every 250 ms. After each round it checks the invariants.
-func (c *testCluster) run(d time.Duration, foremen ...*foreman.Controller) {
+func (c *testCluster) run(d time.Duration, controllers ...*foreman.Controller) {
 	for range d / (250 * time.Millisecond) {
-		for _, c := range foremen {
+		for _, c := range controllers {
 			c.Reconcile(time.Now())
 		}
 		time.Sleep(250 * time.Millisecond)
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -33,14 +33,14 @@
 }
 
 // upstreamContact returns the roster's evidence on whether an upstream has terminated.
-func (i *Instance) upstreamContact(place quarantine.Endpoint) quarantine.Status {
-	known, found := i.Upstream(place.Upstream)
+func (i *Instance) upstreamContact(endpoint quarantine.Endpoint) quarantine.Status {
+	known, found := i.Upstream(endpoint.Upstream)
 	switch {
 	case !found:
 		return quarantine.StatusUnknown
 	case known.Leaving:
 		return quarantine.StatusLeaving
-	case known.Announcement.Incarnation > place.Incarnation:
+	case known.Announcement.Incarnation > endpoint.Incarnation:
 		return quarantine.StatusReplaced
 	default:
 		return quarantine.StatusUnknown
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -26,11 +26,11 @@
 
 var _ = Describe("Known", func() {
 	named := func(limit ratelimit.Limit) ratelimit.Observation { return ratelimit.NamedLimit{Limit: limit} }
-	known := ratelimit.State{}.With(at(2), at(1), named(1.1))
+	state := ratelimit.State{}.With(at(2), at(1), named(1.1))
 
 	DescribeTable("follows what the upstream says last",
 		func(now, sent float64, observation ratelimit.Observation, limit float64, inForce bool) {
-			got, ok := known.With(at(now), at(sent), observation).Limit()
+			got, ok := state.With(at(now), at(sent), observation).Limit()
 			Expect(ok).To(Equal(inForce))
 			Expect(float64(got)).To(Equal(limit))
 		},
--- a/internal/registrar/fakes_test.go
+++ b/internal/registrar/fakes_test.go
@@ -34,11 +34,11 @@
 
 // voter is the replicated state machine of one process, without a log or a disk.
 type voter struct {
-	mu         sync.Mutex
-	registry   *registry.Registry
-	publisher  *gazette.Cache
-	index      jury.Index
-	lastChange registry.Change
+	mu          sync.Mutex
+	registry    *registry.Registry
+	configCache *gazette.Cache
+	index       jury.Index
+	lastChange  registry.Change
 	// failure, if set, is returned by propose, which then applies nothing.
 	failure error
 	// blockProposals makes propose wait until its context ends.
@@ -46,7 +46,7 @@
 }
 
 func newVoter() *voter {
-	return &voter{registry: registry.New(), publisher: gazette.New()}
+	return &voter{registry: registry.New(), configCache: gazette.New()}
 }
 
 func (v *voter) propose(ctx context.Context, command []byte) (registry.Result, error) {
@@ -68,7 +68,7 @@
 	if err != nil {
 		return registry.Result{}, err
 	}
-	return result, v.publisher.Publish(v.registry.View())
+	return result, v.configCache.Publish(v.registry.View())
 }
 
 // restart restores the state from its own snapshot.
@@ -79,13 +79,13 @@
 	Expect(err).NotTo(HaveOccurred())
 	v.registry = registry.New()
 	Expect(v.registry.Restore(snapshot)).To(Succeed())
-	v.publisher = gazette.New()
-	Expect(v.publisher.Publish(v.registry.View())).To(Succeed())
+	v.configCache = gazette.New()
+	Expect(v.configCache.Publish(v.registry.View())).To(Succeed())
 }
 
 func (v *voter) configStore() *registrar.ReplicatedConfigStore {
 	return registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
-		ConfigCache:    v.publisher,
+		ConfigCache:    v.configCache,
 		Propose:        v.propose,
 		NotAccepted:    func(err error) bool { return errors.Is(err, errNoQuorum) },
 		HasConfigLease: func(now time.Time) bool { return now.Equal(testTime) },
