--- a/internal/counter/crashes.go
+++ b/internal/counter/crashes.go
@@ -18,7 +18,7 @@
 		Status: func(endpoint quarantine.Endpoint) quarantine.Status {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.pool.contact(endpoint)
+			return p.pool.upstreamStatus(endpoint)
 		},
 		Report:      p.reportCrashes,
 		NewLogEvent: func(kind string) *zerolog.Event { return p.logLine(p.options.Now(), kind) },
@@ -50,7 +50,7 @@
 	return quarantine.Suspect{Digest: t.digest, Request: t.call.ID, Answering: a.bodyStarted}
 }
 
-func (u *upstream) place() quarantine.Endpoint {
+func (u *upstream) endpoint() quarantine.Endpoint {
 	return quarantine.Endpoint{
 		Lifetime: quarantine.Lifetime{Upstream: u.name, Incarnation: u.incarnation}, Address: u.address,
 	}
@@ -58,7 +58,7 @@
 
 // reportBroken reports a failed or incomplete response to the crash detector.
 func (t *transaction) reportBroken(a *upstreamAttempt, cause error) {
-	endpoint := a.upstream.place()
+	endpoint := a.upstream.endpoint()
 	if a.mayHaveSent.Load() {
 		t.proxy.crashes.Interrupted(endpoint, t.suspect(a))
 	}
@@ -68,12 +68,12 @@
 // reportCallerLeft reports that the caller disconnected while its request was at an upstream.
 func (t *transaction) reportCallerLeft(a *upstreamAttempt) {
 	if a.mayHaveSent.Load() {
-		t.proxy.crashes.Abandoned(a.upstream.place(), t.suspect(a))
+		t.proxy.crashes.Abandoned(a.upstream.endpoint(), t.suspect(a))
 	}
 }
 
-// contact returns the state of an upstream for the crash detector.
-func (p *upstreamPool) contact(endpoint quarantine.Endpoint) quarantine.Status {
+// upstreamStatus returns the state of an upstream for the crash detector.
+func (p *upstreamPool) upstreamStatus(endpoint quarantine.Endpoint) quarantine.Status {
 	known := p.byName[endpoint.Upstream]
 	current := p.byAddress[endpoint.Address]
 	switch {
--- a/internal/counter/sync.go
+++ b/internal/counter/sync.go
@@ -162,7 +162,7 @@
 		p.recordProof(now, askedAt, address, table.Version, reply.Reading)
 	}
 	p.pool.apply(now, changed)
-	p.crashes.Review(p.pool.contact)
+	p.crashes.Review(p.pool.upstreamStatus)
 	p.applyEngineStates(now, reply)
 	p.control.leader = reply.Leader
 	if next := p.control.afterReply(now, p.options.Name, reply.Reading, p.options.denyProofMaxAge()); next != p.control.current {
--- a/internal/desk/crashes.go
+++ b/internal/desk/crashes.go
@@ -19,8 +19,8 @@
 	}.Digest()
 }
 
-// placeOf returns the upstream process that a slot belongs to.
-func (s *Server) placeOf(slot *slot) quarantine.Endpoint {
+// endpointOf returns the upstream process that a slot belongs to.
+func (s *Server) endpointOf(slot *slot) quarantine.Endpoint {
 	chosen := &slot.decision.Chosen
 	lifetime := quarantine.Lifetime{Upstream: chosen.Name}
 	if known, found := s.options.Instance.Upstream(chosen.Name); found {
@@ -36,7 +36,7 @@
 }
 
 func (s *Server) newCrashEvidence(task task, slot *slot) crashEvidence {
-	return crashEvidence{endpoint: s.placeOf(slot), suspect: quarantine.Suspect{Digest: task.digest, Request: task.id}}
+	return crashEvidence{endpoint: s.endpointOf(slot), suspect: quarantine.Suspect{Digest: task.digest, Request: task.id}}
 }
 
 // reportFailedAttempt reports an attempt that got no response to crash attribution.
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -17,7 +17,7 @@
 // process requests.
 func (i *Instance) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
-		Status:      i.upstreamContact,
+		Status:      i.upstreamStatus,
 		Report:      i.reportCrashes,
 		NewLogEvent: func(string) *zerolog.Event { return i.options.Log.Warn() },
 		Now:         i.options.Now,
@@ -32,8 +32,8 @@
 	return i.roster.Upstream(name)
 }
 
-// upstreamContact returns the roster's evidence on whether an upstream has terminated.
-func (i *Instance) upstreamContact(endpoint quarantine.Endpoint) quarantine.Status {
+// upstreamStatus returns the roster's evidence on whether an upstream has terminated.
+func (i *Instance) upstreamStatus(endpoint quarantine.Endpoint) quarantine.Status {
 	known, found := i.Upstream(endpoint.Upstream)
 	switch {
 	case !found:
@@ -81,7 +81,7 @@
 	defer ticker.Stop()
 	for {
 		i.crashDetector.ApplyNews(i.controlPlane.Quarantine(i.options.Now()))
-		i.crashDetector.Review(i.upstreamContact)
+		i.crashDetector.Review(i.upstreamStatus)
 		if voter, ok := i.controlPlane.(*chamber.Voter); ok {
 			voter.RetractFalseCrashes(ctx, i.lastHeard)
 		}
