--- a/internal/desk/ratelimits.go
+++ b/internal/desk/ratelimits.go
@@ -43,7 +43,7 @@
 		if limit == nil {
 			limit = &upstreamLimit{tokenBucket: ratelimit.NewPhasedTokenBucket(now, rand.Float64())}
 			l.byUpstream[upstream] = limit
-			l.log.Info().Str("upstream", upstream).Float64("limit", float64(stated.Limit)).Msg("upstream states a rate limit")
+			l.log.Info().Str("upstream", upstream).Float64("limit", float64(stated.Limit)).Msg("an upstream names its limit")
 		}
 	case ratelimit.InvalidLimit:
 		l.log.Debug().Str("upstream", upstream).Str("limit", stated.Text).Msg("cannot parse the rate limit that an upstream states")
@@ -58,7 +58,7 @@
 	limit.state = limit.state.With(now, sentAt, statement)
 	if _, ok := limit.state.Limit(); !ok {
 		delete(l.byUpstream, upstream)
-		l.log.Info().Str("upstream", upstream).Msg("upstream no longer states a rate limit")
+		l.log.Info().Str("upstream", upstream).Msg("the limit of an upstream ends")
 	}
 }
 
