--- a/internal/desk/attempts.go
+++ b/internal/desk/attempts.go
@@ -66,7 +66,7 @@
 	if len(arrival.Blocks) > 0 {
 		task.request.Header.Set(upstreamapi.PrefixHeader, prefixHeader(arrival))
 	}
-	s.router.countFresh(arrival.Service)
+	s.router.countNewRequest(arrival.Service)
 	var reported error
 	for attempt := 1; ; attempt++ {
 		slot, err := s.router.routeWithinRateLimits(ctx, &arrival)
--- a/internal/desk/crashes.go
+++ b/internal/desk/crashes.go
@@ -19,8 +19,8 @@
 	}.Digest()
 }
 
-// placeOf returns the upstream process that a slot belongs to.
-func (s *Server) placeOf(slot *slot) quarantine.Endpoint {
+// endpointOf returns the upstream process that a slot belongs to.
+func (s *Server) endpointOf(slot *slot) quarantine.Endpoint {
 	chosen := &slot.decision.Chosen
 	lifetime := quarantine.Lifetime{Upstream: chosen.Name}
 	if known, found := s.options.Instance.Upstream(chosen.Name); found {
@@ -31,12 +31,12 @@
 
 // crashEvidence identifies an attempt for crash attribution.
 type crashEvidence struct {
-	place   quarantine.Endpoint
-	suspect quarantine.Suspect
+	endpoint quarantine.Endpoint
+	suspect  quarantine.Suspect
 }
 
 func (s *Server) newCrashEvidence(task task, slot *slot) crashEvidence {
-	return crashEvidence{place: s.placeOf(slot), suspect: quarantine.Suspect{Digest: task.digest, Request: task.id}}
+	return crashEvidence{endpoint: s.endpointOf(slot), suspect: quarantine.Suspect{Digest: task.digest, Request: task.id}}
 }
 
 // reportFailedAttempt reports an attempt that got no response to crash attribution.
@@ -45,12 +45,12 @@
 	switch {
 	case !errors.As(err, &failure) || failure.Refused:
 	case failure.Outcome == outcome.NotRun:
-		s.options.CrashDetector.ConnectionFailed(evidence.place, err)
+		s.options.CrashDetector.ConnectionFailed(evidence.endpoint, err)
 	case errors.Is(ctx.Err(), context.Canceled):
-		s.options.CrashDetector.Abandoned(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Abandoned(evidence.endpoint, evidence.suspect)
 	default:
 		evidence.suspect.Answering = errors.Is(err, shuttle.ErrTruncated)
-		s.options.CrashDetector.Interrupted(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Interrupted(evidence.endpoint, evidence.suspect)
 	}
 }
 
@@ -62,9 +62,9 @@
 		s.options.CrashDetector.Succeeded(evidence.suspect.Digest, status)
 	case errors.As(err, &cutOff):
 		evidence.suspect.Answering = true
-		s.options.CrashDetector.Interrupted(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Interrupted(evidence.endpoint, evidence.suspect)
 	default:
-		s.options.CrashDetector.Abandoned(evidence.place, evidence.suspect)
+		s.options.CrashDetector.Abandoned(evidence.endpoint, evidence.suspect)
 	}
 }
 
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -27,13 +27,13 @@
 // Instance gives the server access to the state of its instance. Its methods are called
 // concurrently.
 type Instance interface {
-	// CheckAdmission returns nil if the instance accepts new requests. It returns a refusal while the
-	// instance is draining or cannot confirm its configuration.
+	// CheckAdmission returns nil if the instance accepts new requests. It returns a refusal while
+	// the instance is draining or cannot confirm its configuration.
 	CheckAdmission(now time.Time) *RefusalError
 	// Entries returns the addresses that the named caller may connect to, the preferred one
 	// first.
 	Entries(now time.Time, caller string) Entries
-	// Configuration returns the configuration in force. Each request reads it once and uses no other.
+	// Configuration returns the configuration in force. Each request reads it only once.
 	Configuration() *gazette.Configuration
 	// Propose and Lookup behave like the methods of chamber.ControlPlane.
 	Propose(ctx context.Context, command registry.Command) (registry.Result, error)
--- a/internal/desk/router.go
+++ b/internal/desk/router.go
@@ -165,8 +165,8 @@
 	return model
 }
 
-// countFresh counts a new request of a service for its retry budget.
-func (r *router) countFresh(service string) {
+// countNewRequest counts a new request of a service for its retry budget.
+func (r *router) countNewRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryBudgets.Get(r.now(), service).AddRequest()
@@ -195,26 +195,26 @@
 	r.lastArrivalID++
 	a.ID = r.lastArrivalID
 	now := r.now()
-	answer := r.gate.Arrive(now, a)
-	r.deliverRefusal(answer.Displaced)
-	if !answer.Queued {
+	result := r.gate.Arrive(now, a)
+	r.deliverRefusal(result.Displaced)
+	if !result.Queued {
 		r.mu.Unlock()
-		return r.resolve(answer)
+		return r.resolve(result)
 	}
 	results := make(chan queueResult, 1)
 	r.waiting[a.ID] = results
 	r.mu.Unlock()
-	return r.awaitResult(ctx, a, results, answer.StartBy.Sub(now))
+	return r.awaitResult(ctx, a, results, result.StartBy.Sub(now))
 }
 
 // resolve returns the slot or the error for a request that was not queued.
-func (r *router) resolve(answer dispatch.ArriveResult) (*slot, error) {
+func (r *router) resolve(result dispatch.ArriveResult) (*slot, error) {
 	switch {
-	case answer.Start.Arrival != nil:
-		return r.newSlot(answer.Start), nil
-	case answer.Refusal.Cause != 0:
-		return nil, overloadRefusal(answer.Refusal)
-	case answer.Reason == dispatch.ReasonNoCandidate:
+	case result.Start.Arrival != nil:
+		return r.newSlot(result.Start), nil
+	case result.Refusal.Cause != 0:
+		return nil, overloadRefusal(result.Refusal)
+	case result.Reason == dispatch.ReasonNoCandidate:
 		return nil, errNoCandidate
 	default:
 		return nil, &RefusalError{
--- a/internal/desk/slot.go
+++ b/internal/desk/slot.go
@@ -23,7 +23,7 @@
 
 	firstByteOnce sync.Once
 	releaseOnce   sync.Once
-	// flight is guarded by the router's mutex.
+	// attempt is guarded by the router's mutex.
 	attempt dispatch.Attempt
 }
 
