--- a/internal/desk/claims_test.go
+++ b/internal/desk/claims_test.go
@@ -84,13 +84,13 @@
 			status:      502, outcome: "unknown", resendOutcome: "unknown", runs: 0,
 		}),
 		Entry("the upstream dies after its complete response", SpecTimeout(specTimeout), faultCase{
-			injectFault: handle(answerThenClose), status: 200, outcome: "ran", resendOutcome: "ran", runs: 1,
+			injectFault: handle(respondThenClose), status: 200, outcome: "ran", resendOutcome: "ran", runs: 1,
 		}),
 		Entry("the upstream dies before it responds", SpecTimeout(specTimeout), faultCase{
-			injectFault: handle(closeWithoutAnswer), status: 502, outcome: "unknown", resendOutcome: "unknown", runs: 1,
+			injectFault: handle(closeWithoutResponse), status: 502, outcome: "unknown", resendOutcome: "unknown", runs: 1,
 		}),
 		Entry("the upstream dies in the middle of its answer", SpecTimeout(specTimeout), faultCase{
-			injectFault: handle(closeMidAnswer), status: 502, outcome: "ran", resendOutcome: "ran", runs: 1,
+			injectFault: handle(closeMidResponse), status: 502, outcome: "ran", resendOutcome: "ran", runs: 1,
 		}),
 		Entry("recording the outcome fails", SpecTimeout(specTimeout), faultCase{
 			injectFault: func() {
@@ -193,7 +193,7 @@
 
 	It("is sent to only one upstream if it has no key", SpecTimeout(specTimeout), func(ctx SpecContext) {
 		second := newFakeUpstream(nil)
-		upstream.handler = closeWithoutAnswer
+		upstream.handler = closeWithoutResponse
 		first.setUpstreams(upstream.address(), second.address())
 		reply := first.book(ctx, "", "two seats")
 		Expect(reply.outcome).To(Equal("unknown"))
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -64,7 +64,7 @@
 	// The first engine dies before it responds. A completion may run twice, so another engine
 	// serves it, and the caller sees no error.
 	It("is answered by another engine when one dies", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		dying, living := newFakeUpstream(closeWithoutAnswer), newFakeUpstream(nil)
+		dying, living := newFakeUpstream(closeWithoutResponse), newFakeUpstream(nil)
 		server.setUpstreams(dying.address(), living.address())
 		reply := complete(ctx, `{"model":"m"}`)
 		Expect(reply.status).To(Equal(http.StatusOK))
@@ -90,7 +90,7 @@
 	// configuration once, when it is admitted, so that its goal and its limits do not come from
 	// different presets.
 	It("takes one configuration, however often it is tried", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		first, second, third := newFakeUpstream(closeWithoutAnswer), newFakeUpstream(closeWithoutAnswer), newFakeUpstream(nil)
+		first, second, third := newFakeUpstream(closeWithoutResponse), newFakeUpstream(closeWithoutResponse), newFakeUpstream(nil)
 		server.setUpstreams(first.address(), second.address(), third.address())
 		Expect(complete(ctx, `{"model":"m"}`).status).To(Equal(http.StatusOK))
 		Expect(server.configurationReads.Load()).To(BeEquivalentTo(1))
--- a/internal/desk/fakes_test.go
+++ b/internal/desk/fakes_test.go
@@ -316,13 +316,13 @@
 	u.handler = nil
 }
 
-// closeWithoutAnswer closes the connection without a response.
-func closeWithoutAnswer(http.ResponseWriter, *http.Request) {
+// closeWithoutResponse closes the connection without a response.
+func closeWithoutResponse(http.ResponseWriter, *http.Request) {
 	panic(http.ErrAbortHandler)
 }
 
-// closeMidAnswer closes the connection in the middle of the response.
-func closeMidAnswer(w http.ResponseWriter, _ *http.Request) {
+// closeMidResponse closes the connection in the middle of the response.
+func closeMidResponse(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, "boo")
 	_ = http.NewResponseController(w).Flush()
@@ -343,8 +343,8 @@
 	return listener.Addr().String()
 }
 
-// answerThenClose closes the connection after the complete response.
-func answerThenClose(w http.ResponseWriter, _ *http.Request) {
+// respondThenClose closes the connection after the complete response.
+func respondThenClose(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/desk/overload_test.go
+++ b/internal/desk/overload_test.go
@@ -127,7 +127,7 @@
 	// tried last, the outcome must be unknown, as the engine that died may have run the
 	// request.
 	It("tells what may have run, whichever attempt came last", SpecTimeout(specTimeout), func(ctx SpecContext) {
-		dying := newFakeUpstream(closeWithoutAnswer)
+		dying := newFakeUpstream(closeWithoutResponse)
 		server.setUpstreams(dying.address(), closedAddress())
 		for range 4 {
 			Expect(complete(ctx).outcome).To(Equal("unknown"))
