--- a/internal/shuttle/idempotent.go
+++ b/internal/shuttle/idempotent.go
@@ -93,9 +93,8 @@
 	}
 }
 
-// waitAsRetry returns the header of the response to a request that was sent before on a connection
-// that was lost. It replaces the outcome NotRun by Unknown, because the earlier attempt may have
-// run.
+// waitAsRetry is wait for a request that was sent before on a connection that was lost. It replaces
+// the outcome NotRun by Unknown, because the earlier attempt may have run.
 func (a *attempt) waitAsRetry() (*Response, error) {
 	response, err := a.wait()
 	var failure *Error
@@ -200,8 +199,8 @@
 	watchdog *watchdog
 }
 
-// newIdleTimeoutBody cancels the attempt if a read of its body takes longer than timeout. Otherwise
-// the read would block until the deadline.
+// newIdleTimeoutBody returns body with an idle timeout: cancel is called if a read takes longer than
+// timeout. Otherwise the read would block until the deadline.
 func newIdleTimeoutBody(body io.ReadCloser, cancel context.CancelFunc, timeout time.Duration) io.ReadCloser {
 	return &idleTimeoutBody{ReadCloser: body, cancel: cancel, watchdog: newWatchdog(timeout, cancel)}
 }
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -214,7 +214,7 @@
 	return a
 }
 
-// wait returns the header of the response.
+// wait blocks until the header of the response has arrived, and returns the response or the error.
 func (a *attempt) wait() (*Response, error) {
 	<-a.done
 	return a.response, a.err
