--- a/internal/foreman/client.go
+++ b/internal/foreman/client.go
@@ -15,8 +15,8 @@
 	"github.com/lovagelift/lovagelift/internal/upstreamapi"
 )
 
-// maxAnswerBytes limits the body of an engine's answer.
-const maxAnswerBytes = 4 << 20
+// maxResponseBytes limits the body of an engine's response.
+const maxResponseBytes = 4 << 20
 
 // engineClient calls engines.
 type engineClient struct {
@@ -60,13 +60,13 @@
 		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: send request")
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: read answer")
+		return upstreamapi.OrderResponse{}, errors.Wrap(err, "foreman: read response")
 	}
 	var answer upstreamapi.OrderResponse
 	if err := json.Unmarshal(data, &answer); err != nil || answer.ID == "" || answer.State == "" {
-		return upstreamapi.OrderResponse{}, errors.Newf("foreman: body of status %d is not an order answer", response.StatusCode)
+		return upstreamapi.OrderResponse{}, errors.Newf("foreman: body of status %d is not an order response", response.StatusCode)
 	}
 	return answer, nil
 }
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -215,8 +215,8 @@
 	return result, err
 }
 
-// newForeman returns a Controller at the replica that leads in the given term.
-func (c *testCluster) newForeman(term uint64) *foreman.Controller {
+// newController returns a Controller at the replica that leads in the given term.
+func (c *testCluster) newController(term uint64) *foreman.Controller {
 	return foreman.NewWithoutLoop(foreman.Options{
 		State:         replica{c, term},
 		Cluster:       c,
@@ -239,9 +239,9 @@
 }
 
 // run reconciles each Controller every 250 ms. After each round it checks the invariants.
-func (c *testCluster) run(d time.Duration, foremen ...*foreman.Controller) {
+func (c *testCluster) run(d time.Duration, controllers ...*foreman.Controller) {
 	for range d / (250 * time.Millisecond) {
-		for _, c := range foremen {
+		for _, c := range controllers {
 			c.Reconcile(time.Now())
 		}
 		time.Sleep(250 * time.Millisecond)
--- a/internal/foreman/enginereports.go
+++ b/internal/foreman/enginereports.go
@@ -22,9 +22,9 @@
 	return live
 }
 
-// acceptsOrders reports whether the engine is recorded and receives orders. An engine without the
-// capability loads models on its own decision. One that requires a bearer token would refuse our
-// orders, because the settings contain no token for engines.
+// acceptsOrders reports whether the upstream is an engine that accepts orders. Only such engines are
+// recorded. An engine without the capability decides itself which models to load. One that requires
+// a bearer token would refuse every order, because the settings contain no token for engines.
 func acceptsOrders(a upstreamapi.Announcement) bool {
 	return a.Kind == upstreamapi.KindEngine && a.Has(upstreamapi.CapabilityOrders) &&
 		a.OrderAuthorization != upstreamapi.AuthorizationBearer
--- a/internal/foreman/faults_test.go
+++ b/internal/foreman/faults_test.go
@@ -51,7 +51,7 @@
 		c.startEngine("e1", 1)
 		c.startEngine("e2", 1)
 		c.declare(map[string]int{"letters": 6, "fares": 6})
-		c.run(10*time.Second, c.newForeman(1))
+		c.run(10*time.Second, c.newController(1))
 		Expect(c.hasModel("e1", "letters") || c.hasModel("e2", "letters")).To(BeTrue())
 		Expect(c.hasModel("e1", "fares") || c.hasModel("e2", "fares")).To(BeTrue())
 		Expect(c.net.sendCounts()).To(HaveLen(2))
@@ -73,7 +73,7 @@
 			}
 			return nil
 		}
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(10*time.Second, leader)
 		Expect(c.net.sentOrders).To(BeEmpty())
 		c.beforePropose = nil
@@ -94,13 +94,13 @@
 				c.grantRight(0)
 			}
 		}
-		old := c.newForeman(1)
+		old := c.newController(1)
 		c.run(10*time.Second, old)
 		Expect(c.net.sentOrders).To(BeEmpty())
 		Expect(c.openOrders("e1")).To(HaveLen(1))
 		c.afterApply = nil
 		c.grantRight(2)
-		c.run(10*time.Second, old, c.newForeman(2))
+		c.run(10*time.Second, old, c.newController(2))
 		Expect(c.hasModel("e1", "letters")).To(BeTrue())
 		Expect(c.net.sendCounts()).To(HaveLen(1))
 		Expect(c.net.sentOrders[0].Fencing).To(Equal(uint64(2)))
@@ -114,7 +114,7 @@
 	forEachEngineKind(t, func(c *testCluster) {
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		committed := false
 		c.beforePropose = func(command manifest.Command) error {
 			record, ok := command.(manifest.Record)
@@ -149,7 +149,7 @@
 			lapsed = true
 			return orderDelayed
 		}
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(3250*time.Millisecond, leader)
 		Expect(c.net.delayed["e1"]).To(HaveLen(1))
 		Expect(c.orderStates("e1")).To(HaveExactElements(manifest.StateRecorded))
@@ -172,7 +172,7 @@
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
 		c.net.faultFor = firstOrderOnly(orderLost)
-		c.run(10*time.Second, c.newForeman(1))
+		c.run(10*time.Second, c.newController(1))
 		Expect(c.hasModel("e1", "letters")).To(BeTrue())
 		Expect(c.net.sendCounts()).To(HaveLen(1))
 		if c.kind.orderStatus {
@@ -188,7 +188,7 @@
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
 		c.net.faultFor = func(upstreamapi.Order) fault { return notConnected }
-		c.run(20*time.Second, c.newForeman(1))
+		c.run(20*time.Second, c.newController(1))
 		Expect(len(c.net.sendCounts())).To(BeNumerically(">", 1))
 		Expect(c.openOrders("e1")).To(BeEmpty())
 	})
@@ -207,7 +207,7 @@
 			}
 			return noFault
 		}
-		c.run(15*time.Second, c.newForeman(1))
+		c.run(15*time.Second, c.newController(1))
 		Expect(c.net.sendCounts()).To(HaveLen(2))
 		Expect(c.net.sentTo[1:]).NotTo(ContainElement(c.net.sentTo[0]))
 		Expect(c.hasModel(c.net.sentTo[1], "letters")).To(BeTrue())
@@ -222,7 +222,7 @@
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
 		c.net.faultFor = firstOrderOnly(answerLost)
-		c.run(10*time.Second, c.newForeman(1))
+		c.run(10*time.Second, c.newController(1))
 		Expect(c.hasModel("e1", "letters")).To(BeTrue())
 		Expect(c.net.sendCounts()).To(HaveLen(1))
 		Expect(c.openOrders("e1")).To(BeEmpty())
@@ -246,7 +246,7 @@
 			}
 			return noFault
 		}
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(5*time.Second, leader)
 		Expect(c.net.delayed).NotTo(BeEmpty())
 		c.declare(map[string]int{"fares": 6})
@@ -271,7 +271,7 @@
 		c.startEngine("e2", 1)
 		c.declare(map[string]int{"letters": 4, "fares": 4})
 		c.net.faultFor = firstOrderOnly(answerLost)
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(3500*time.Millisecond, leader)
 		Expect(c.net.sendCounts()).NotTo(BeEmpty())
 		c.preset = "peak"
@@ -296,11 +296,11 @@
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
 		c.net.faultFor = firstOrderOnly(orderDelayed)
-		old := c.newForeman(1)
+		old := c.newController(1)
 		c.run(3500*time.Millisecond, old)
 		Expect(c.net.delayed["e1"]).To(HaveLen(1))
 		c.grantRight(2)
-		leader := c.newForeman(2)
+		leader := c.newController(2)
 		c.run(2*time.Second, old, leader)
 		c.net.deliverDelayed("e1")
 		c.run(10*time.Second, old, leader)
@@ -318,7 +318,7 @@
 	forEachEngineKind(t, func(c *testCluster) {
 		c.startEngine("e1", 1)
 		c.declare(map[string]int{"letters": 6})
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(4*time.Second, leader)
 		Expect(c.net.sentOrders).To(HaveLen(1))
 		c.startEngine("e1", 2)
@@ -339,7 +339,7 @@
 		c.startEngine("e2", 1)
 		c.declare(map[string]int{"letters": 6})
 		c.net.faultFor = firstOrderOnly(orderLost)
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(3500*time.Millisecond, leader)
 		first, second := "e1", "e2"
 		if len(c.openOrders("e1")) == 0 {
@@ -362,7 +362,7 @@
 		c.startEngine("e1", 1)
 		c.startEngine("e2", 1)
 		c.declare(map[string]int{"letters": 4})
-		leader := c.newForeman(1)
+		leader := c.newController(1)
 		c.run(8*time.Second, leader)
 		c.net.delayed["e1"] = []upstreamapi.Order{{
 			ID: "foreign", Number: 99, Fencing: 1, Incarnation: 1, Kind: upstreamapi.OrderLoadModel, Model: "stray",
@@ -397,10 +397,10 @@
 			}
 			maxLoading = max(maxLoading, loading)
 		}
-		old := c.newForeman(1)
+		old := c.newController(1)
 		c.run(4*time.Second, old)
 		c.grantRight(2)
-		c.run(40*time.Second, old, c.newForeman(2))
+		c.run(40*time.Second, old, c.newController(2))
 		for _, model := range []string{"a", "b", "c", "d", "f"} {
 			Expect(c.hasModel("e1", model) || c.hasModel("e2", model)).To(BeTrue(), model)
 		}
--- a/internal/foreman/foreman.go
+++ b/internal/foreman/foreman.go
@@ -1,10 +1,10 @@
 // Package foreman is the placement controller: a control loop that issues load and unload orders to
 // engines.
 //
-// It acts only while its instance holds the order right, which belongs to the leader. It records
-// the engines' reports, plans, records each order before sending it, and records the order's
-// result. State that it keeps outside the replicated state can be lost at any time: the next leader
-// continues from the replicated state.
+// It acts only while its instance holds the order right: the permission to send orders, which only
+// the leader has and only until its lease ends. It records the engines' reports, plans, records
+// each order before sending it, and records the order's result. State that it keeps outside the
+// replicated state can be lost at any time: the next leader continues from the replicated state.
 package foreman
 
 import (
@@ -110,7 +110,7 @@
 	// reconciliation in that term. Both are zero without the order right.
 	term      uint64
 	termStart time.Time
-	// orderCalls is keyed by order id. It is kept when the order right lapses and returns in the
+	// orderCalls is keyed by order ID. It is kept when the order right lapses and returns in the
 	// same term: an order without an entry counts as never sent.
 	orderCalls map[string]orderCall
 	// missingSince is when each recorded engine was first absent from liveEngines.
--- a/internal/foreman/randomfaults_test.go
+++ b/internal/foreman/randomfaults_test.go
@@ -93,7 +93,7 @@
 func runRandomFaults(c *testCluster, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 31))
 	f := &faultInjector{
-		testCluster: c, seed: seed, random: random, term: 1, lastIncarnation: 1, leaders: []*foreman.Controller{c.newForeman(1)},
+		testCluster: c, seed: seed, random: random, term: 1, lastIncarnation: 1, leaders: []*foreman.Controller{c.newController(1)},
 		drawCounts: map[string]int{},
 	}
 	for _, name := range []string{"e1", "e2", "e3"} {
@@ -127,7 +127,7 @@
 		f.missing[name] = !f.missing[name]
 	case 2:
 		f.term++
-		f.leaders = append(f.leaders[max(0, len(f.leaders)-2):], f.newForeman(f.term))
+		f.leaders = append(f.leaders[max(0, len(f.leaders)-2):], f.newController(f.term))
 		f.grantRight(f.term)
 	case 3:
 		f.grantRight(0)
