--- a/internal/archive/identity.go
+++ b/internal/archive/identity.go
@@ -18,7 +18,7 @@
 // folder. A folder that was lost and created again has another number.
 type identity struct {
 	Format int `json:"format"`
-	// FolderNumber is a random number in hexadecimal.
+	// Number is a random number in hexadecimal.
 	Number string `json:"number"`
 	// ClusterID is empty until the voter joins a cluster. It never changes
 	// afterwards.
