--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -125,8 +125,8 @@
 	abandonRetryDelay     = time.Second
 )
 
-// configurationState returns the operators' access to the replicated configuration.
-func (i *Instance) configurationState() registrar.ConfigStore {
+// newConfigStore returns the operators' access to the replicated configuration.
+func (i *Instance) newConfigStore() registrar.ConfigStore {
 	return registrar.NewReplicatedConfigStore(registrar.ReplicatedConfigStoreOptions{
 		ConfigCache:    i.controlPlane.ConfigCache(),
 		Propose:        i.proposeEncoded,
@@ -158,7 +158,7 @@
 }
 
 // Voters returns the voters as known to this instance. Live instances that run a
-// replica but are not voters of the cluster yet are listed as waiting.
+// replica but are not voters of the cluster yet are listed as non-voting.
 func (i *Instance) Voters(time.Time) registrar.Voters {
 	leader, term := i.controlPlane.Leader()
 	set := registrar.Voters{Leader: leader.Instance(), Term: uint64(term), Voters: []string{}, NonVoting: []string{}}
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -17,7 +17,7 @@
 // process requests.
 func (i *Instance) newCrashDetector() *coroner.CrashDetector {
 	return coroner.New(coroner.Options{
-		Status:      i.upstreamContact,
+		Status:      i.upstreamStatus,
 		Report:      i.reportCrashes,
 		NewLogEvent: func(string) *zerolog.Event { return i.options.Log.Warn() },
 		Now:         i.options.Now,
@@ -32,15 +32,15 @@
 	return i.roster.Upstream(name)
 }
 
-// upstreamContact returns the roster's evidence on whether an upstream has terminated.
-func (i *Instance) upstreamContact(place quarantine.Endpoint) quarantine.Status {
-	known, found := i.Upstream(place.Upstream)
+// upstreamStatus returns the roster's evidence on whether an upstream has terminated.
+func (i *Instance) upstreamStatus(endpoint quarantine.Endpoint) quarantine.Status {
+	known, found := i.Upstream(endpoint.Upstream)
 	switch {
 	case !found:
 		return quarantine.StatusUnknown
 	case known.Leaving:
 		return quarantine.StatusLeaving
-	case known.Announcement.Incarnation > place.Incarnation:
+	case known.Announcement.Incarnation > endpoint.Incarnation:
 		return quarantine.StatusReplaced
 	default:
 		return quarantine.StatusUnknown
@@ -81,9 +81,9 @@
 	defer ticker.Stop()
 	for {
 		i.crashDetector.ApplyNews(i.controlPlane.Quarantine(i.options.Now()))
-		i.crashDetector.Review(i.upstreamContact)
+		i.crashDetector.Review(i.upstreamStatus)
 		if voter, ok := i.controlPlane.(*chamber.Voter); ok {
-			voter.RetractFalseCrashes(ctx, i.lastHeard)
+			voter.RetractFalseCrashes(ctx, i.lastContact)
 		}
 		select {
 		case <-ctx.Done():
@@ -93,9 +93,9 @@
 	}
 }
 
-// lastHeard returns when an upstream was last heard of. It returns false if the known
-// incarnation of the upstream is not that of lifetime.
-func (i *Instance) lastHeard(lifetime quarantine.Lifetime) (time.Time, bool) {
+// lastContact returns the time of the last contact with an upstream. It returns false if
+// the known incarnation of the upstream is not that of lifetime.
+func (i *Instance) lastContact(lifetime quarantine.Lifetime) (time.Time, bool) {
 	known, found := i.Upstream(lifetime.Upstream)
 	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -188,7 +188,7 @@
 		Log:             i.options.Log,
 	}))
 	i.operatorServer = i.startHTTPServer("operators", i.options.Listeners.Operator, registrar.New(registrar.Options{
-		ConfigStore:     i.configurationState(),
+		ConfigStore:     i.newConfigStore(),
 		Instance:        operatorTarget{i},
 		Metrics:         i.metrics,
 		QuarantineStore: i,
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -15,7 +15,7 @@
 // CheckAdmission returns the refusal of new requests while the instance is shutting down
 // or cannot confirm that its configuration is in force, and nil otherwise.
 func (i *Instance) CheckAdmission(now time.Time) *desk.RefusalError {
-	fresh := i.controlPlane.HasConfigLease(now)
+	hasLease := i.controlPlane.HasConfigLease(now)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	refusal := &desk.RefusalError{Status: http.StatusServiceUnavailable, Outcome: outcome.NotRun}
@@ -23,7 +23,7 @@
 	case i.refusingRequests:
 		refusal.Code = desk.CodeDraining
 		refusal.Message = "this instance is stopping; use another"
-	case !fresh:
+	case !hasLease:
 		refusal.Code = desk.CodeConfigurationNotConfirmed
 		refusal.Message = "this instance can't confirm its configuration; use another"
 		refusal.RetryAfter = i.options.Settings.Timing.ConfigurationRenewal
@@ -94,7 +94,7 @@
 	return entries
 }
 
-// Upstreams returns the upstreams that may receive new work.
+// Upstreams returns the upstreams that may receive new requests.
 func (i *Instance) Upstreams(now time.Time) []roster.Upstream {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 }
 
-// renew renews this instance's own record if due, and removes members from the
-// roster that have not been heard of for long.
+// renew renews this instance's own record if due, and evicts members from the roster
+// whose last contact is too long ago.
 func (i *Instance) renew() {
 	now := i.options.Now()
 	i.mu.Lock()
--- a/internal/instance/options.go
+++ b/internal/instance/options.go
@@ -54,16 +54,15 @@
 	// pullInterval is the time between two roster pulls from the same instance. All
 	// instances know that an upstream is leaving after two pulls.
 	pullInterval = 250 * time.Millisecond
-	// remoteDomainDelay is the approximate one-way latency to another failure domain, as
-	// specified by users. Among otherwise equal upstreams, it favors those in the
-	// instance's own domain.
+	// remoteDomainDelay is the approximate one-way latency to another failure domain.
+	// Among otherwise equal upstreams, it favors those in the instance's own domain.
 	remoteDomainDelay = time.Millisecond
 	// callTimeout limits one RPC between instances.
 	callTimeout = time.Second
 )
 
-// tokenHolder returns a function that looks up the holder of a token in book. If
-// book is nil, every token is valid and its holder is anonymous.
+// tokenHolder returns a function that looks up the holder of a token. If tokens is nil,
+// every token is valid and its holder is anonymous.
 func tokenHolder(tokens *badge.Tokens, anonymous string) func(token string) (string, bool) {
 	if tokens == nil {
 		return func(string) (string, bool) { return anonymous, true }
