--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -19,7 +19,7 @@
 // Options configures a Caller.
 type Options struct {
 	// Seeds are seed addresses of instances (IP address and port), used to fetch the
-	// entries when no cached instance answers.
+	// entries when no cached instance responds.
 	Seeds []string
 	// Client sends the requests. Nil means a new client that uses TLS as set below.
 	Client *http.Client
@@ -71,7 +71,7 @@
 const lookupTimeout = 2 * time.Second
 
 // Entries returns the instances that accept requests. It fetches them only if the
-// cached list has expired. If no instance answers with a nonempty list, Entries
+// cached list has expired. If no instance responds with a nonempty list, Entries
 // returns the cached list regardless of its age, or an error if there is none.
 func (c *Caller) Entries(ctx context.Context) ([]Entry, error) {
 	c.mu.Lock()
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -74,9 +74,9 @@
 		instance := newFakeInstance(respondComplete)
 		client := caller.New(caller.Options{Seeds: []string{instance.address()}})
 		for range 3 {
-			answer, err := client.Complete(ctx, request, discardText)
+			response, err := client.Complete(ctx, request, discardText)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Text).To(Equal("in ten minutes"))
+			Expect(response.Text).To(Equal("in ten minutes"))
 		}
 		Expect(instance.lookups.Load()).To(BeEquivalentTo(1))
 	})
@@ -99,10 +99,10 @@
 		serving := newFakeInstance(respondComplete)
 		draining := newFakeInstance(respondDraining, serving)
 		client := caller.New(caller.Options{Seeds: []string{draining.address()}})
-		answer, err := client.Complete(ctx, request, discardText)
+		response, err := client.Complete(ctx, request, discardText)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Entry.Address).To(Equal(serving.address()))
-		Expect(answer.Attempts).To(Equal(2))
+		Expect(response.Entry.Address).To(Equal(serving.address()))
+		Expect(response.Attempts).To(Equal(2))
 	})
 
 	// The response breaks off after the first chunk, which was already delivered. The
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -27,7 +27,7 @@
 
 // Response is a complete response.
 type Response struct {
-	// Entry is the instance that answered.
+	// Entry is the instance that responded.
 	Entry Entry
 	Text  string
 	// Attempts is the number of times the request was sent.
