--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -42,8 +42,8 @@
 	// upstreams that terminated while they processed another request with the same
 	// digest, and lines about the quarantine itself. They are sorted by time.
 	QuarantineLines []Line
-	// LineCount is the number of nonempty lines, and UnparsedCount the number of those that could not
-	// be parsed.
+	// LineCount is the number of nonempty lines, and UnparsedCount the number of those
+	// that could not be parsed.
 	LineCount     int
 	UnparsedCount int
 }
