--- a/internal/instance/drain_test.go
+++ b/internal/instance/drain_test.go
@@ -99,16 +99,16 @@
 			Addresses: []netip.AddrPort{stopping.settings.Advertise.Operator}, Timeout: 10 * time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		answers := make(chan error, 3)
+		results := make(chan error, 3)
 		requestDrain := func() {
 			_, err := client.Drain(ctx)
-			answers <- err
+			results <- err
 		}
 		requestDrain()
 		go requestDrain()
 		go requestDrain()
 		for range 3 {
-			Eventually(ctx, answers).Should(Receive(BeNil()))
+			Eventually(ctx, results).Should(Receive(BeNil()))
 		}
 		Expect(stopping.DrainRequested()).To(BeClosed())
 		Expect(stopping.Drain(ctx)).To(Succeed())
