--- a/internal/desk/router.go
+++ b/internal/desk/router.go
@@ -165,8 +165,8 @@
 	return model
 }
 
-// countFresh counts a new request of a service for its retry budget.
-func (r *router) countFresh(service string) {
+// countNewRequest counts a new request of a service for its retry budget.
+func (r *router) countNewRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryBudgets.Get(r.now(), service).AddRequest()
--- a/internal/foreman/cluster_test.go
+++ b/internal/foreman/cluster_test.go
@@ -215,8 +215,8 @@
 	return result, err
 }
 
-// newForeman returns a Controller at the replica that leads in the given term.
-func (c *testCluster) newForeman(term uint64) *foreman.Controller {
+// newController returns a Controller at the replica that leads in the given term.
+func (c *testCluster) newController(term uint64) *foreman.Controller {
 	return foreman.NewWithoutLoop(foreman.Options{
 		State:         replica{c, term},
 		Cluster:       c,
--- a/internal/instance/crashes.go
+++ b/internal/instance/crashes.go
@@ -83,7 +83,7 @@
 		i.crashDetector.ApplyNews(i.controlPlane.Quarantine(i.options.Now()))
 		i.crashDetector.Review(i.upstreamStatus)
 		if voter, ok := i.controlPlane.(*chamber.Voter); ok {
-			voter.RetractFalseCrashes(ctx, i.lastHeard)
+			voter.RetractFalseCrashes(ctx, i.lastContact)
 		}
 		select {
 		case <-ctx.Done():
@@ -93,9 +93,9 @@
 	}
 }
 
-// lastHeard returns when an upstream was last heard of. It returns false if the known
-// incarnation of the upstream is not that of lifetime.
-func (i *Instance) lastHeard(lifetime quarantine.Lifetime) (time.Time, bool) {
+// lastContact returns the time of the last contact with an upstream. It returns false if
+// the known incarnation of the upstream is not that of lifetime.
+func (i *Instance) lastContact(lifetime quarantine.Lifetime) (time.Time, bool) {
 	known, found := i.Upstream(lifetime.Upstream)
 	return known.LastContact, found && known.Announcement.Incarnation == lifetime.Incarnation
 }
