--- a/internal/courier/control.go
+++ b/internal/courier/control.go
@@ -56,7 +56,7 @@
 	ProposalRejected
 )
 
-// Proposed is the answer to a proposal.
+// Proposed is the reply to a proposal.
 type Proposed struct {
 	Fate   ProposalOutcome
 	Result []byte
@@ -74,14 +74,14 @@
 	View *registry.View
 	// Confirmed is true if Age is known.
 	Confirmed bool
-	// Age is the time before the answer at which the voter had everything that was committed in the
-	// cluster.
+	// Age is the age of the configuration: at this time before the reply, the voter had everything
+	// that was committed in the cluster.
 	Age time.Duration
 	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
 }
 
-// Recorded is the answer to a lookup.
+// Recorded is the reply to a lookup.
 type Recorded struct {
 	// Known is false if the voter could not confirm that it is up to date.
 	Known  bool
@@ -113,8 +113,7 @@
 	Term  jury.Term
 }
 
-// handlerTimeout limits the work for one call on the side that answers it. After this time the
-// caller has given up.
+// handlerTimeout limits the callee's work for one call. After this time the caller has given up.
 const handlerTimeout = 10 * time.Second
 
 // ControlService serves the calls of other instances to a voter.
@@ -223,7 +222,7 @@
 
 // Propose asks the voter at address to execute command. If here is true, the voter executes it only
 // as the leader and does not forward it. If the command certainly did not reach the voter, the
-// outcome is ProposalRejected; if the voter's answer was lost, it is ProposalUnknown.
+// outcome is ProposalRejected; if the voter's reply was lost, it is ProposalUnknown.
 func (p *Pool) Propose(ctx context.Context, address string, command []byte, here bool) Proposed {
 	args := ProposeArgs{Command: command, Timeout: p.remaining(ctx), Here: here}
 	return p.propose(ctx, address, "Control.Propose", args)
--- a/internal/courier/enginestates.go
+++ b/internal/courier/enginestates.go
@@ -70,7 +70,7 @@
 // error.
 func DecodeEngineStates(data []byte) (EngineStates, error) {
 	reader := parcel.NewReader(data)
-	holdings := EngineStates{Revision: reader.Uint()}
+	states := EngineStates{Revision: reader.Uint()}
 	for range reader.Count() {
 		engine := EngineState{
 			Name: reader.String(), Incarnation: reader.Uint(), NextModel: reader.String(), NextModelIn: time.Duration(reader.Uint()), Age: time.Duration(reader.Uint()),
@@ -83,7 +83,7 @@
 			}
 			engine.Models = append(engine.Models, model)
 		}
-		holdings.Engines = append(holdings.Engines, engine)
+		states.Engines = append(states.Engines, engine)
 	}
-	return holdings, errors.Wrap(reader.End(), "courier: decoding holdings")
+	return states, errors.Wrap(reader.End(), "courier: decoding holdings")
 }
--- a/internal/courier/enginestates_bench_test.go
+++ b/internal/courier/enginestates_bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// holdingsOf returns holdings of the given number of engines, each with two models of two adapters.
-func holdingsOf(engines int) courier.EngineStates {
-	holdings := courier.EngineStates{Revision: 1<<32 + 1}
+// statesOf returns the states of the given number of engines, each with two models of two adapters.
+func statesOf(engines int) courier.EngineStates {
+	states := courier.EngineStates{Revision: 1<<32 + 1}
 	for i := range engines {
-		holdings.Engines = append(holdings.Engines, courier.EngineState{
+		states.Engines = append(states.Engines, courier.EngineState{
 			Name: fmt.Sprintf("i-%010x", i), Age: 100 * time.Millisecond, Running: 9, Queued: 1, KVUsed: 40_000,
 			Models: []courier.LoadedModel{
 				{Name: fmt.Sprintf("model%05d", i), Adapters: []string{"a1", "a2"}},
@@ -22,25 +22,25 @@
 			},
 		})
 	}
-	return holdings
+	return states
 }
 
-// BenchmarkHoldings encodes the holdings of 140 engines in their own format, and with gob for
+// BenchmarkHoldings encodes the states of 140 engines in their own format, and with gob for
 // comparison.
 func BenchmarkHoldings(b *testing.B) {
-	holdings := holdingsOf(140)
+	states := statesOf(140)
 	b.Run("once", func(b *testing.B) {
 		for b.Loop() {
-			holdings.Encode()
+			states.Encode()
 		}
-		b.ReportMetric(float64(len(holdings.Encode())), "bytes")
+		b.ReportMetric(float64(len(states.Encode())), "bytes")
 	})
 	b.Run("gob", func(b *testing.B) {
 		var buffer bytes.Buffer
 		encoder := gob.NewEncoder(&buffer)
 		for b.Loop() {
 			buffer.Reset()
-			if err := encoder.Encode(holdings); err != nil {
+			if err := encoder.Encode(states); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/courier/enginestates_test.go
+++ b/internal/courier/enginestates_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("EngineStates", func() {
-	holdings := courier.EngineStates{Revision: 7<<32 + 3, Engines: []courier.EngineState{
+	states := courier.EngineStates{Revision: 7<<32 + 3, Engines: []courier.EngineState{
 		{Name: "e1", Age: 120 * time.Millisecond, Running: 3, Queued: 1, KVUsed: 4100, Models: []courier.LoadedModel{
 			{Name: "a", Adapters: []string{"a1", "a2"}}, {Name: "b"},
 		}},
@@ -18,13 +18,13 @@
 	}}
 
 	It("are unchanged by encoding and decoding", func() {
-		decoded, err := courier.DecodeEngineStates(holdings.Encode())
+		decoded, err := courier.DecodeEngineStates(states.Encode())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(decoded).To(Equal(holdings))
+		Expect(decoded).To(Equal(states))
 	})
 
 	It("are rejected wherever they are truncated", func() {
-		data := holdings.Encode()
+		data := states.Encode()
 		for length := range data {
 			_, err := courier.DecodeEngineStates(data[:length])
 			Expect(err).To(HaveOccurred(), "cut after %d bytes", length)
--- a/internal/courier/feed.go
+++ b/internal/courier/feed.go
@@ -24,17 +24,17 @@
 	Edition uint64
 	// Members is the revision of the caller's member list.
 	Members uint64
-	// Holdings is the revision of the caller's holdings, as numbered by the leader.
+	// Holdings is the revision of the caller's EngineStates, as numbered by the leader.
 	Holdings uint64
 	// Quarantine is the mark of the caller's quarantine state.
 	Quarantine uint64
-	// Demand is the demand since the last call that was answered.
+	// Demand is the demand since the last call that received a reply.
 	Demand []Demand
-	// Limited are the upstreams that report a rate limit.
+	// Limited are the upstreams that state a rate limit.
 	Limited []LimitedUpstream
 }
 
-// LimitedUpstream is an upstream that reports a rate limit in its responses.
+// LimitedUpstream is an upstream that states a rate limit in its responses.
 type LimitedUpstream struct {
 	Name  string
 	Limit ratelimit.Limit
@@ -58,7 +58,7 @@
 	Answering time.Duration
 }
 
-// SyncReply is the answer to SyncArgs.
+// SyncReply is the reply to SyncArgs.
 type SyncReply struct {
 	// Leader is the inner address of the instance that sends commands to the engines. It is empty
 	// if none is known.
@@ -69,16 +69,16 @@
 	// Edition is nil if the caller has the newest routes that the callee knows. Its content is
 	// packed (registry.Compress).
 	Edition *edition.Edition
-	// Reading tells how recent the callee's routes are known to be. It is determined before
+	// Reading states how recent the callee's routes are known to be. It is determined before
 	// Edition.
 	Reading edition.Reading
 	Changes roster.Changes
 	// Quarantine is nil if the caller already has this state.
 	Quarantine *quarantine.News
 	// Holdings is an encoded EngineStates. It is empty if the caller already has this revision. It
-	// was encoded HoldingsAge ago, once for all callers: the holdings of 140 engines take 50 us to
+	// was encoded HoldingsAge ago, once for all callers: the states of 140 engines take 50 us to
 	// encode, and 86 callers get 344 replies a second. Encoding them for each reply would take a
-	// seventh of the processor time that a leader is granted.
+	// seventh of the processor time that a leader may use.
 	Holdings    []byte
 	HoldingsAge time.Duration
 }
@@ -100,13 +100,13 @@
 type GatherArgs struct {
 	// Told is the demand that entry instances reported since the last call, by entry instance.
 	Told map[string][]Demand
-	// Limited are the upstreams that report a rate limit.
+	// Limited are the upstreams that state a rate limit.
 	Limited []LimitedUpstream
-	// Holdings is the revision of the caller's holdings.
+	// Holdings is the revision of the caller's EngineStates.
 	Holdings uint64
 }
 
-// GatherReply is the answer to GatherArgs.
+// GatherReply is the reply to GatherArgs.
 type GatherReply struct {
 	// Holdings and Age are as in SyncReply. Revision is that of EngineStates, or 0 if there are none.
 	Holdings []byte
@@ -120,12 +120,12 @@
 	Model   string
 	// Adapter is empty for the model itself.
 	Adapter string
-	// Timeout limits the time until the callee answers. The caller waits longer, because it closes
+	// Timeout limits the time until the callee replies. The caller waits longer, because it closes
 	// the connection of a call that times out.
 	Timeout time.Duration
 }
 
-// WantReply is the answer to WantArgs.
+// WantReply is the reply to WantArgs.
 type WantReply struct {
 	// Engine is the engine that holds the model now. It is empty if there is none and none can load
 	// it now.
@@ -142,7 +142,7 @@
 	Update quarantine.Update
 }
 
-// NoteReply is the answer to NoteArgs.
+// NoteReply is the reply to NoteArgs.
 type NoteReply struct {
 	// Recorded is true if the voters have recorded the update. If it is false, they may or may not
 	// have.
@@ -216,7 +216,7 @@
 }
 
 // ReportDemand reports the demand of entry instances to the leader at address and requests the
-// holdings of the engines.
+// EngineStates.
 func (p *Pool) ReportDemand(ctx context.Context, address string, args GatherArgs) (GatherReply, error) {
 	return callForReply[GatherReply](ctx, p, address, "Feed.Gather", args)
 }
--- a/internal/courier/feed_test.go
+++ b/internal/courier/feed_test.go
@@ -33,7 +33,7 @@
 
 var _ = Describe("Want", func() {
 	// Loading a model takes longer than a request may wait. If the caller timed out, it would close
-	// the connection and abort all other calls in progress on it. So the callee answers first.
+	// the connection and abort all other calls in progress on it. So the callee replies first.
 	It("is answered before the caller times out", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/courier/pool.go
+++ b/internal/courier/pool.go
@@ -111,7 +111,7 @@
 	if ok {
 		return client, nil
 	}
-	// A host that is down does not answer at all: connecting must not take up all the time of a
+	// A host that is down does not respond at all: connecting must not take up all the time of a
 	// long call.
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
--- a/internal/courier/roster.go
+++ b/internal/courier/roster.go
@@ -11,7 +11,7 @@
 	changesSince func(roster.Cursor, *roster.InstanceRecord) roster.Changes
 }
 
-// NewRosterService returns a service that answers with the result of changesSince, which is called
+// NewRosterService returns a service that replies with the result of changesSince, which is called
 // concurrently.
 func NewRosterService(changesSince func(roster.Cursor, *roster.InstanceRecord) roster.Changes) *RosterService {
 	return &RosterService{changesSince: changesSince}
@@ -24,7 +24,7 @@
 	From *roster.InstanceRecord
 }
 
-// PullReply is the answer to PullArgs.
+// PullReply is the reply to PullArgs.
 type PullReply struct {
 	Changes roster.Changes
 }
--- a/internal/courier/sync_test.go
+++ b/internal/courier/sync_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagelift/lovagelift/internal/pause"
 )
 
-// slowFeed answers with a long list at about the time when its callers time out.
+// slowFeed replies with a long list at about the time when its callers time out.
 type slowFeed struct {
 	blockingFeed
 	entries []string
--- a/internal/registrar/replicated.go
+++ b/internal/registrar/replicated.go
@@ -103,16 +103,16 @@
 	return &RefusedError{Reason: err.Error()}
 }
 
-func changeResult(answer registry.ChangeResult) (ChangeResult, error) {
-	switch answer.Verdict {
+func changeResult(result registry.ChangeResult) (ChangeResult, error) {
+	switch result.Verdict {
 	case registry.VerdictApplied:
-		return ChangeResult{Revision: uint64(answer.Revision)}, nil
+		return ChangeResult{Revision: uint64(result.Revision)}, nil
 	case registry.VerdictConflict:
-		return ChangeResult{}, &ConflictError{Revision: uint64(answer.Revision), ChangesSince: answer.ChangesSince}
+		return ChangeResult{}, &ConflictError{Revision: uint64(result.Revision), ChangesSince: result.ChangesSince}
 	case registry.VerdictRefused, registry.VerdictIDReused:
-		return ChangeResult{}, &RefusedError{Reason: answer.Reason}
+		return ChangeResult{}, &RefusedError{Reason: result.Reason}
 	default:
 		// A newer leader may return verdicts that this version does not support.
-		return ChangeResult{}, errors.Newf("registrar: verdict %d is not known to this program", answer.Verdict)
+		return ChangeResult{}, errors.Newf("registrar: verdict %d is not known to this program", result.Verdict)
 	}
 }
--- a/internal/roster/pull.go
+++ b/internal/roster/pull.go
@@ -14,12 +14,12 @@
 	Incarnation uint64
 	Upstreams   uint64
 	Instances   uint64
-	// Direct limits the answer to members that reported to the callee themselves. Voters set it to
+	// Direct limits the reply to members that reported to the callee themselves. Voters set it to
 	// pull from a non-voter, which has everything else from the voters.
 	Direct bool
 }
 
-// Changes is the answer to a pull.
+// Changes is the reply to a pull.
 type Changes struct {
 	Upstreams     []UpstreamRecord
 	UpstreamBeats UpstreamBeats
@@ -51,7 +51,7 @@
 	return p.cursor
 }
 
-// advance stores the cursor of an answer. If the pull started over, it discards the handles: those
+// advance stores the cursor of a reply. If the pull started over, it discards the handles: those
 // of a restarted source refer to other members.
 func (p *PullState) advance(next Cursor) {
 	if p.upstreams == nil || next.Direct != p.cursor.Direct || next.Incarnation != p.cursor.Incarnation {
@@ -71,7 +71,7 @@
 			changes.Upstreams = append(changes.Upstreams, row.record(now, name))
 		},
 		func(_ string, row *upstreamRow) {
-			changes.UpstreamBeats.add(row.handle, row.sequence, now.Sub(row.lastHeard))
+			changes.UpstreamBeats.add(row.handle, row.sequence, now.Sub(row.lastContact))
 			changes.UpstreamBeats.addLoad(row.beat)
 		})
 	changes.Next.Instances = r.instances.since(cursor.Instances, cursor.Direct,
@@ -79,17 +79,17 @@
 			changes.Instances = append(changes.Instances, row.record(now, name))
 		},
 		func(_ string, row *instanceRow) {
-			changes.InstanceBeats.add(row.handle, row.sequence, now.Sub(row.lastHeard))
+			changes.InstanceBeats.add(row.handle, row.sequence, now.Sub(row.lastContact))
 			changes.InstanceBeats.addState(row.beat)
 		})
 	return changes
 }
 
-// Merge applies the answer to a pull from source that was requested at requestedAt. An answer whose
+// Merge applies the reply to a pull from source that was requested at requestedAt. A reply whose
 // columns differ in length is discarded as a whole, and the next pull requests the same again.
 //
-// Ages are subtracted from the time of the request, not of the answer's arrival: otherwise an
-// answer that was delayed on its way would make a lost member look alive for as long as the delay.
+// Ages are subtracted from the time of the request, not of the reply's arrival: otherwise a
+// reply that was delayed on its way would make a lost member look alive for as long as the delay.
 func (r *Roster) Merge(requestedAt time.Time, source *PullState, changes Changes) {
 	if !changes.UpstreamBeats.wellFormed() || !changes.InstanceBeats.wellFormed() {
 		return
--- a/internal/roster/pull_test.go
+++ b/internal/roster/pull_test.go
@@ -88,15 +88,15 @@
 	)
 })
 
-// pullRound makes every instance pull once. All answers reflect the state before the round.
+// pullRound makes every instance pull once. All replies reflect the state before the round.
 func pullRound(
 	now time.Time, all []roster.Location, rosters map[string]*roster.Roster, sources map[string]map[string]*roster.PullState,
 ) {
-	type answer struct {
+	type reply struct {
 		to, from string
 		changes  roster.Changes
 	}
-	var answers []answer
+	var replies []reply
 	for _, location := range all {
 		targets := roster.SelectSources(location, without(all, location.Name))
 		pull := func(from string, direct bool) {
@@ -104,7 +104,7 @@
 				sources[location.Name][from] = &roster.PullState{}
 			}
 			cursor := sources[location.Name][from].Cursor(direct)
-			answers = append(answers, answer{location.Name, from, rosters[from].Since(now, cursor)})
+			replies = append(replies, reply{location.Name, from, rosters[from].Since(now, cursor)})
 		}
 		for _, from := range append(targets.All, targets.Alternatives[:min(1, len(targets.Alternatives))]...) {
 			pull(from, false)
@@ -113,8 +113,8 @@
 			pull(from, true)
 		}
 	}
-	for _, a := range answers {
-		rosters[a.to].Merge(now, sources[a.to][a.from], a.changes)
+	for _, r := range replies {
+		rosters[r.to].Merge(now, sources[r.to][r.from], r.changes)
 	}
 }
 
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,9 +1,9 @@
 // Package roster is the cluster membership of an instance: the instances and the upstreams that it
-// believes to be alive.
+// considers alive.
 //
 // Instances pull changes from one another, so that all of them learn of an upstream that announced
-// itself to one. A member that was not heard from for the length of its lease receives no new work,
-// whatever the reason.
+// itself to one. A member whose last contact is a lease or more ago receives no new work, whatever
+// the reason.
 package roster
 
 import (
@@ -86,7 +86,7 @@
 	Incarnation uint64
 	// Static describes this instance.
 	Static InstanceStatic
-	// Lease is how long a member counts as alive after it was last heard from.
+	// Lease is how long a member counts as alive after its last contact.
 	Lease time.Duration
 	// AllowRestartElsewhere makes an announcement with a higher incarnation and another address
 	// count as a restart of the same upstream. Without it, the address of a live name can't change.
@@ -142,7 +142,7 @@
 // record has a higher incarnation.
 func (r *Roster) Discover(now time.Time, record InstanceRecord) {
 	row, known := r.instances.rows[record.Name]
-	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastHeard) < r.options.Lease {
+	if record.Name == r.options.Self || known && row.incarnation >= record.Incarnation && now.Sub(row.lastContact) < r.options.Lease {
 		return
 	}
 	r.instances.Put(record, Provenance{At: now, Direct: true, Full: true})
@@ -176,7 +176,7 @@
 	}
 	if known && row.static.Address != "" && row.static.Address != announcement.Address {
 		restarted := r.options.AllowRestartElsewhere && row.incarnation < announcement.Incarnation
-		alive := !row.left && now.Sub(row.lastHeard) < r.options.Lease && !restarted
+		alive := !row.left && now.Sub(row.lastContact) < r.options.Lease && !restarted
 		if alive || row.incarnation >= announcement.Incarnation {
 			return errors.Wrapf(ErrNameTaken, "%q is announced from %s, this announcement gives %s",
 				announcement.Name, row.static.Address, announcement.Address)
@@ -249,7 +249,7 @@
 	var alive []Upstream
 	for _, name := range r.upstreams.sortedNames() {
 		row := r.upstreams.rows[name]
-		if row.left || now.Sub(row.lastHeard) >= r.options.Lease {
+		if row.left || now.Sub(row.lastContact) >= r.options.Lease {
 			continue
 		}
 		alive = append(alive, upstreamOf(row))
@@ -287,14 +287,14 @@
 	var alive []Instance
 	for _, name := range r.instances.sortedNames() {
 		row := r.instances.rows[name]
-		if row.left || now.Sub(row.lastHeard) >= r.options.Lease {
+		if row.left || now.Sub(row.lastContact) >= r.options.Lease {
 			continue
 		}
 		alive = append(alive, Instance{
 			Name:           name,
 			InstanceStatic: row.static,
 			InstanceBeat:   row.beat,
-			LastContact:    row.lastHeard,
+			LastContact:    row.lastContact,
 		})
 	}
 	return alive
@@ -305,7 +305,7 @@
 	announcement.Incarnation = row.incarnation
 	announcement.Sequence = row.sequence
 	announcement.Load = row.beat
-	return Upstream{Announcement: announcement, LastContact: row.lastHeard, Leaving: row.left}
+	return Upstream{Announcement: announcement, LastContact: row.lastContact, Leaving: row.left}
 }
 
 func staticPart(announcement upstreamapi.Announcement) upstreamStatic {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -136,8 +136,8 @@
 		Expect(third.UpstreamBeats.Handles).To(BeEmpty())
 	})
 
-	// The answer to a pull is delayed for a minute, and the upstream in it was lost in the
-	// meantime. Counted from the arrival of the answer it would look alive; counted from the
+	// The reply to a pull is delayed for a minute, and the upstream in it was lost in the
+	// meantime. Counted from the arrival of the reply it would look alive; counted from the
 	// request its lease has expired.
 	It("takes no lost upstream for a live one because its record came late", func() {
 		a, b := newRoster("a"), newRoster("b")
@@ -192,7 +192,7 @@
 		Expect(b.Upstreams(at(2))[0].Announcement.Load.Running).To(Equal(7))
 	})
 
-	It("discards an answer whose columns differ in length", func() {
+	It("discards a reply whose columns differ in length", func() {
 		a, b := newRoster("a"), newRoster("b")
 		var source roster.PullState
 		Expect(a.Announce(at(0), announcement(1))).To(Succeed())
--- a/internal/roster/table.go
+++ b/internal/roster/table.go
@@ -14,7 +14,7 @@
 	// higher sequence.
 	Incarnation uint64
 	Sequence    uint64
-	// Age is the time between the last sign of life of the member and the sending of the record.
+	// Age is the time between the last contact with the member and the sending of the record.
 	Age time.Duration
 	// Left is true if the member has announced that it is leaving.
 	Left bool
@@ -32,8 +32,9 @@
 	changeCount uint64
 	// nextHandle is the handle of the next new row. Handles are not reused.
 	nextHandle uint32
-	// lease orders two incarnations of a member: if they were heard from at least a lease apart, the
-	// one heard later is the newer. Otherwise, or if lease is 0, the one with the higher number is.
+	// lease orders two incarnations of a member: if their last contacts are at least a lease apart,
+	// the one with the later contact is the newer. Otherwise, or if lease is 0, the one with the higher
+	// number is.
 	lease time.Duration
 }
 
@@ -41,12 +42,12 @@
 	handle      uint32
 	incarnation uint64
 	sequence    uint64
-	lastHeard   time.Time
-	// heardDirectly is true if the latest record came from the member itself.
-	heardDirectly bool
-	left          bool
-	static        S
-	beat          B
+	lastContact time.Time
+	// direct is true if the latest record came from the member itself.
+	direct bool
+	left   bool
+	static S
+	beat   B
 	// lastChange and lastFullChange are the values of changeCount at the last change of the row,
 	// and at its last change that a renewal does not carry. lastChange is never below
 	// lastFullChange.
@@ -54,15 +55,15 @@
 	lastFullChange uint64
 }
 
-// NewTable returns an empty table. If lease is above 0, an incarnation that was heard from at least
-// a lease after another is the newer one, whatever its number.
+// NewTable returns an empty table. If lease is above 0, an incarnation whose last contact is at
+// least a lease after that of another is the newer one, whatever its number.
 func NewTable[S, B any](lease time.Duration) *Table[S, B] {
 	return &Table[S, B]{rows: map[string]*memberRow[S, B]{}, lease: lease}
 }
 
 // Provenance describes how a record was received and how it is passed on.
 type Provenance struct {
-	// At is the time of the member's last sign of life.
+	// At is the time of the last contact with the member.
 	At time.Time
 	// Direct is true if the record came from the member itself, not through another instance.
 	Direct bool
@@ -93,8 +94,8 @@
 	t.changeCount++
 	row.incarnation = record.Incarnation
 	row.sequence = record.Sequence
-	row.lastHeard = provenance.At
-	row.heardDirectly = provenance.Direct
+	row.lastContact = provenance.At
+	row.direct = provenance.Direct
 	row.beat = record.Beat
 	row.lastChange = t.changeCount
 	if provenance.Full || record.Static != nil || row.left != record.Left {
@@ -110,7 +111,7 @@
 // applyRenewal applies a renewal that another instance passed on, and reports whether its member is
 // known. The renewal belongs to the incarnation in key. If another incarnation is stored, the
 // renewal is ignored. update computes the new state from the previous one.
-func (t *Table[S, B]) applyRenewal(key memberKey, sequence uint64, heard time.Time, update func(previous B) B) bool {
+func (t *Table[S, B]) applyRenewal(key memberKey, sequence uint64, lastContact time.Time, update func(previous B) B) bool {
 	row, known := t.rows[key.name]
 	if !known {
 		return false
@@ -122,7 +123,7 @@
 			Sequence:    sequence,
 			Left:        row.left,
 			Beat:        update(row.beat),
-		}, Provenance{At: heard})
+		}, Provenance{At: lastContact})
 	}
 	return true
 }
@@ -138,7 +139,7 @@
 	}
 	var rows []namedRow
 	for name, row := range t.rows {
-		if row.lastChange > cursor && (row.heardDirectly || !directOnly) {
+		if row.lastChange > cursor && (row.direct || !directOnly) {
 			rows = append(rows, namedRow{name, row})
 		}
 	}
@@ -161,17 +162,17 @@
 		Handle:      r.handle,
 		Incarnation: r.incarnation,
 		Sequence:    r.sequence,
-		Age:         now.Sub(r.lastHeard),
+		Age:         now.Sub(r.lastContact),
 		Left:        r.left,
 		Static:      &static,
 		Beat:        r.beat,
 	}
 }
 
-// Evict removes the members that were last heard from before cutoff.
+// Evict removes the members whose last contact was before cutoff.
 func (t *Table[S, B]) Evict(cutoff time.Time) {
 	for name, row := range t.rows {
-		if row.lastHeard.Before(cutoff) {
+		if row.lastContact.Before(cutoff) {
 			delete(t.rows, name)
 		}
 	}
@@ -186,17 +187,17 @@
 	return names
 }
 
-// supersedes reports whether a record of a member that was heard from at heard replaces the row.
+// supersedes reports whether a record of a member with the given last contact replaces the row.
 //
 // A member takes its incarnation from its clock, which may have stepped back across a restart. By
 // number alone, the running process would count as the former one and would receive no work until
-// the former one was evicted. A member's renewals are always less than a lease apart, so if two
-// incarnations were heard from at least a lease apart, the earlier one had ended.
-func (t *Table[S, B]) supersedes(record Record[S, B], heard time.Time, row *memberRow[S, B]) bool {
+// the former one was evicted. A member's renewals are always less than a lease apart, so if the
+// last contacts of two incarnations are at least a lease apart, the earlier one had ended.
+func (t *Table[S, B]) supersedes(record Record[S, B], lastContact time.Time, row *memberRow[S, B]) bool {
 	if record.Incarnation == row.incarnation {
 		return record.Sequence > row.sequence
 	}
-	gap := heard.Sub(row.lastHeard)
+	gap := lastContact.Sub(row.lastContact)
 	if t.lease > 0 && gap.Abs() >= t.lease {
 		return gap > 0
 	}
--- a/internal/roster/topology.go
+++ b/internal/roster/topology.go
@@ -17,7 +17,7 @@
 type Sources struct {
 	// All are pulled from in every round.
 	All []string
-	// Alternatives are the instances of which only the first that answers is pulled from.
+	// Alternatives are the instances of which only the first that replies is pulled from.
 	Alternatives []string
 	// Direct are pulled from for the members that report to them directly.
 	Direct []string
