--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,8 +101,8 @@
 	// UpstreamLease is how long an upstream receives new work after an
 	// announcement.
 	UpstreamLease time.Duration
-	// StatusQueryDelay is how long an idempotent request waits for an answer on a
-	// connection before the upstream is probed over a second one.
+	// StatusQueryDelay is how long an idempotent request waits for a response on a
+	// connection before a status query is sent to the upstream over a second one.
 	StatusQueryDelay time.Duration
 	// OrderTimeout is the timeout of the call that sends an order to an engine.
 	// No order is in flight for longer.
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -142,7 +142,7 @@
 		if a.post(ctx, instance+upstreamapi.AnnouncePath, a.nextAnnouncement(), &response) != nil {
 			continue
 		}
-		a.recordWelcome(instance, response)
+		a.recordAccepted(instance, response)
 		if response.RenewEvery > 0 {
 			return response.RenewEvery
 		}
@@ -161,11 +161,12 @@
 	return announcement
 }
 
-// recordWelcome orders the known instances: first the one that answered, then
+// recordAccepted counts an accepted announcement and orders the known instances:
+// first the one that responded, then
 // those in its response, then the configured ones. The configured ones are never
 // removed, because all instances in the response may have been replaced when
 // they are needed.
-func (a *announcer) recordWelcome(instance string, response upstreamapi.AnnounceResponse) {
+func (a *announcer) recordAccepted(instance string, response upstreamapi.AnnounceResponse) {
 	instances := []string{instance}
 	for _, other := range slices.Concat(response.Instances, a.options.To) {
 		if !slices.Contains(instances, baseURL(other)) {
--- a/internal/standin/cache_test.go
+++ b/internal/standin/cache_test.go
@@ -43,9 +43,9 @@
 
 func exportKV(engine *standin.Engine, body string) (upstreamapi.KVExported, int) {
 	w := post(engine, upstreamapi.KVExportsPath, "", body)
-	var answer upstreamapi.KVExported
-	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed())
-	return answer, w.Code
+	var exported upstreamapi.KVExported
+	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), &exported)).To(Succeed())
+	return exported, w.Code
 }
 
 func importKV(engine *standin.Engine, token string) int {
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -79,9 +79,9 @@
 			}
 		case 2, 3:
 			if len(sentOrders) > 0 {
-				answer := sendOrder(engine, sentOrders[random.IntN(len(sentOrders))])
+				response := sendOrder(engine, sentOrders[random.IntN(len(sentOrders))])
 				if random.IntN(2) == 0 {
-					account = account.WithAnswer(answer)
+					account = account.WithAnswer(response)
 				}
 			}
 		case 4:
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -36,12 +36,12 @@
 		}
 		return respondProblem(c, http.StatusUnprocessableEntity, lines...)
 	}
-	answer := e.acceptOrder(order)
+	response := e.acceptOrder(order)
 	e.announcer.Trigger()
-	if loseAnswer := e.options.Faults.LoseOrderAnswer; loseAnswer != nil && loseAnswer(order) {
+	if loseResponse := e.options.Faults.LoseOrderAnswer; loseResponse != nil && loseResponse(order) {
 		abortConnection()
 	}
-	return c.JSON(orderStatusCode(answer.State), answer)
+	return c.JSON(orderStatusCode(response.State), response)
 }
 
 // orderStatus handles a status query for an order.
@@ -54,9 +54,9 @@
 			state: upstreamapi.OrderUnknown,
 		}
 	}
-	answer := e.orderAnswer(entry)
+	response := e.orderResponse(entry)
 	e.mu.Unlock()
-	return c.JSON(orderStatusCode(answer.State), answer)
+	return c.JSON(orderStatusCode(response.State), response)
 }
 
 // orderStatusCode returns the HTTP status code for a state.
@@ -81,7 +81,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known := e.orders.Find(order.ID); known != nil {
-		return e.orderAnswer(known)
+		return e.orderResponse(known)
 	}
 	entry := &orderEntry{order: order}
 	entry.state, entry.reason = e.checkOrder(order)
@@ -91,7 +91,7 @@
 		e.startOrder(entry)
 	}
 	e.orders.Add(entry)
-	return e.orderAnswer(entry)
+	return e.orderResponse(entry)
 }
 
 // checkOrder returns OrderRunning if the order may start, provided there is
@@ -310,7 +310,7 @@
 	})
 }
 
-func (e *Engine) orderAnswer(entry *orderEntry) upstreamapi.OrderResponse {
+func (e *Engine) orderResponse(entry *orderEntry) upstreamapi.OrderResponse {
 	accelerators, residents := e.memory.inventory()
 	return upstreamapi.OrderResponse{
 		ID:              entry.order.ID,
--- a/internal/standin/orders_test.go
+++ b/internal/standin/orders_test.go
@@ -34,24 +34,24 @@
 func sendOrder(handler http.Handler, order upstreamapi.Order) upstreamapi.OrderResponse {
 	body, err := json.Marshal(order)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
-	var answer upstreamapi.OrderResponse
+	var response upstreamapi.OrderResponse
 	w := post(handler, upstreamapi.OrdersPath, "", string(body))
-	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed(), w.Body.String())
-	return answer
+	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), &response)).To(Succeed(), w.Body.String())
+	return response
 }
 
-func get(handler http.Handler, path string, answer any) int {
+func get(handler http.Handler, path string, response any) int {
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
-	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), answer)).To(Succeed(), w.Body.String())
+	ExpectWithOffset(1, json.Unmarshal(w.Body.Bytes(), response)).To(Succeed(), w.Body.String())
 	return w.Code
 }
 
 // orderState queries the state of an order.
 func orderState(handler http.Handler, id string) upstreamapi.OrderState {
-	var answer upstreamapi.OrderResponse
-	get(handler, upstreamapi.OrdersPath+"/"+id, &answer)
-	return answer.State
+	var response upstreamapi.OrderResponse
+	get(handler, upstreamapi.OrdersPath+"/"+id, &response)
+	return response.State
 }
 
 func usedBytes(engine *standin.Engine) int64 {
@@ -103,9 +103,9 @@
 		Expect(sendOrder(engine, order).State).To(Equal(upstreamapi.OrderRunning))
 		finishOrder()
 		Eventually(orderState).WithArguments(engine, "o1").Should(Equal(upstreamapi.OrderDone))
-		answer := sendOrder(engine, order)
-		Expect(answer.State).To(Equal(upstreamapi.OrderDone))
-		Expect(answer.Resident).To(HaveLen(2))
+		response := sendOrder(engine, order)
+		Expect(response.State).To(Equal(upstreamapi.OrderDone))
+		Expect(response.Resident).To(HaveLen(2))
 		Expect(usedBytes(engine)).To(BeEquivalentTo(100))
 		Expect(bytesInProgress(engine)).To(BeZero())
 		Expect(engine.Overcommits()).To(BeZero())
@@ -118,9 +118,9 @@
 	It("refuses a stale fencing number if it checks", func() {
 		Expect(sendOrder(engine, unloadOrder("o0", "nothing")).State).To(Equal(upstreamapi.OrderDone))
 		Expect(sendOrder(engine, loadOrder("o1", 5, "summons", 10)).State).To(Equal(upstreamapi.OrderRunning))
-		answer := sendOrder(engine, loadOrder("o2", 4, "old", 10))
-		Expect(answer.State).To(Equal(upstreamapi.OrderRefusedStaleFencing))
-		Expect(answer.HighestFencing).To(BeEquivalentTo(5))
+		response := sendOrder(engine, loadOrder("o2", 4, "old", 10))
+		Expect(response.State).To(Equal(upstreamapi.OrderRefusedStaleFencing))
+		Expect(response.HighestFencing).To(BeEquivalentTo(5))
 		Expect(sendOrder(engine, loadOrder("o1", 1, "summons", 10)).State).To(Equal(upstreamapi.OrderRunning))
 	})
 
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -295,7 +295,7 @@
 			options.Faults.SilentAfter = 2
 		})
 
-		It("stays open without events while the answer is made", func() {
+		It("stays open without events while the answer is generated", func() {
 			first, reader := startStream()
 			defer first.Body.Close()
 			readEvents(reader, 2)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if len(body) == 0 {
-		return c.JSON(http.StatusOK, serviceAnswer{
+		return c.JSON(http.StatusOK, serviceResponse{
 			Upstream: s.options.Name,
 			Method:   c.Request().Method,
 			Path:     c.Request().URL.Path,
@@ -140,8 +140,8 @@
 	return c.Blob(http.StatusOK, c.Request().Header.Get(echo.HeaderContentType), body)
 }
 
-// serviceAnswer is the response to a request without a body.
-type serviceAnswer struct {
+// serviceResponse is the response to a request without a body.
+type serviceResponse struct {
 	Upstream string `json:"upstream"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
--- a/internal/upstreamapi/order.go
+++ b/internal/upstreamapi/order.go
@@ -21,7 +21,7 @@
 )
 
 // Order instructs an engine to change its models, adapters or role. Orders are
-// idempotent: an engine answers a repeated ID with the current state of that
+// idempotent: the response to a repeated ID is the current state of that
 // order.
 type Order struct {
 	// ID is unique among all orders to the engine.
@@ -79,7 +79,8 @@
 	// OrderRefusedInvalid cannot be carried out in the current state of the
 	// engine.
 	OrderRefusedInvalid OrderState = "refused-invalid"
-	// OrderUnknown is the answer to a query for an order that has not arrived.
+	// OrderUnknown is the response to a status query for an order that has not
+	// arrived.
 	// It may still arrive.
 	OrderUnknown OrderState = "unknown-order"
 )
@@ -110,17 +111,17 @@
 	UnderWay        []OrderUnderWay `json:"under-way,omitempty"`
 }
 
-// Inventory returns the engine's inventory as of the answer.
-func (a OrderResponse) Inventory() Inventory {
+// Inventory returns the engine's inventory as of the response.
+func (r OrderResponse) Inventory() Inventory {
 	return Inventory{
-		Incarnation:     a.Incarnation,
-		Revision:        a.Revision,
-		Clock:           a.Clock,
-		Accelerators:    a.Accelerators,
-		Resident:        a.Resident,
-		Role:            a.Role,
-		RoleMemoryBytes: a.RoleMemoryBytes,
-		HighestFencing:  a.HighestFencing,
-		UnderWay:        a.UnderWay,
+		Incarnation:     r.Incarnation,
+		Revision:        r.Revision,
+		Clock:           r.Clock,
+		Accelerators:    r.Accelerators,
+		Resident:        r.Resident,
+		Role:            r.Role,
+		RoleMemoryBytes: r.RoleMemoryBytes,
+		HighestFencing:  r.HighestFencing,
+		UnderWay:        r.UnderWay,
 	}
 }
