--- a/internal/command/fakes_test.go
+++ b/internal/command/fakes_test.go
@@ -29,10 +29,10 @@
 	index    jury.Index
 	stale    bool
 	drained  bool
-	// loseAnswers makes the instance process each POST request and then close the
+	// loseResponses makes the instance process each POST request and then close the
 	// connection without a response.
-	loseAnswers bool
-	address     string
+	loseResponses bool
+	address       string
 }
 
 func newFakeInstance() *fakeInstance {
@@ -47,7 +47,7 @@
 		OperatorByToken: func(token string) (string, bool) { return "kim", token == validToken },
 	})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodPost && f.losesAnswers() {
+		if r.Method == http.MethodPost && f.losesResponses() {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -58,16 +58,16 @@
 	return f
 }
 
-func (f *fakeInstance) losesAnswers() bool {
+func (f *fakeInstance) losesResponses() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.loseAnswers
+	return f.loseResponses
 }
 
-func (f *fakeInstance) setLoseAnswers(lose bool) {
+func (f *fakeInstance) setLoseResponses(lose bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseAnswers = lose
+	f.loseResponses = lose
 }
 
 func (f *fakeInstance) isStale() bool {
--- a/internal/command/quarantine_test.go
+++ b/internal/command/quarantine_test.go
@@ -57,7 +57,7 @@
 	})
 
 	It("reports an unknown outcome if the response is lost", func() {
-		instance.setLoseAnswers(true)
+		instance.setLoseResponses(true)
 		code, _, _ := runOperator("quarantine", "--lift", digest.String())
 		Expect(code).To(Equal(command.ExitUnknown))
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,7 +135,7 @@
 	// idempotency records.
 	IdempotencyRecords int
 	IdempotencyBytes   int64
-	// IdempotencyAnswerBytes bounds the answer stored in one idempotency record. It is
+	// IdempotencyAnswerBytes bounds the response stored in one idempotency record. It is
 	// at most IdempotencyBytes.
 	IdempotencyAnswerBytes int64
 	// IdempotencyRetention is how long an idempotency record is kept.
