--- a/internal/courier/enginestates_bench_test.go
+++ b/internal/courier/enginestates_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/lovagelift/lovagelift/internal/courier"
 )
 
-// holdingsOf returns holdings of the given number of engines, each with two models of two adapters.
-func holdingsOf(engines int) courier.EngineStates {
+// statesOf returns the states of the given number of engines, each with two models of two adapters.
+func statesOf(engines int) courier.EngineStates {
 	states := courier.EngineStates{Revision: 1<<32 + 1}
 	for i := range engines {
 		states.Engines = append(states.Engines, courier.EngineState{
@@ -25,10 +25,10 @@
 	return states
 }
 
-// BenchmarkHoldings encodes the holdings of 140 engines in their own format, and with gob for
+// BenchmarkHoldings encodes the states of 140 engines in their own format, and with gob for
 // comparison.
 func BenchmarkHoldings(b *testing.B) {
-	states := holdingsOf(140)
+	states := statesOf(140)
 	b.Run("once", func(b *testing.B) {
 		for b.Loop() {
 			states.Encode()
