--- a/internal/backoffice/models.go
+++ b/internal/backoffice/models.go
@@ -32,7 +32,7 @@
 		if e.withdrawn == "" || e.unloading || e.orderPending || now.Sub(e.withdrawnAt) < withdrawalNotice {
 			continue
 		}
-		if _, ok := o.fencingToken(); !ok || !o.leases.isFree(now, e.Name) || e.stale || e.report.Busy || o.neededAgain(now, e) {
+		if _, ok := o.fencingNumber(); !ok || !o.leases.isFree(now, e.Name) || e.stale || e.report.Busy || o.neededAgain(now, e) {
 			e.withdrawn = ""
 			o.markChanged()
 			continue
@@ -60,7 +60,7 @@
 
 // placeModels orders models onto the engines where they are needed.
 func (o *orchestrator) placeModels(ctx context.Context, now time.Time) {
-	if _, ok := o.fencingToken(); !ok {
+	if _, ok := o.fencingNumber(); !ok {
 		return
 	}
 	o.mu.Lock()
--- a/internal/backoffice/options.go
+++ b/internal/backoffice/options.go
@@ -116,9 +116,9 @@
 	// that is carried out late, after another one, could take memory that is no longer
 	// free.
 	ExpectedSequence uint64
-	// Holder is the instance that sends the order, and FencingToken its fencing token.
-	Holder       string
-	FencingToken uint64
+	// Holder is the instance that sends the order, and FencingNumber its fencing number.
+	Holder        string
+	FencingNumber uint64
 }
 
 // OrderAnswer is an engine's answer to an order.
--- a/internal/backoffice/orchestrator.go
+++ b/internal/backoffice/orchestrator.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// fencingToken returns the fencing token of this instance's orders. ok is false if it
+// fencingNumber returns the fencing number of this instance's orders. ok is false if it
 // may not send orders. Each order also needs the lease of its engine.
-func (o *orchestrator) fencingToken() (fence uint64, ok bool) {
+func (o *orchestrator) fencingNumber() (fence uint64, ok bool) {
 	term, ok := o.instance.voter.IsLeader(o.instance.options.Now())
 	return uint64(term), ok
 }
@@ -321,7 +321,7 @@
 // sendOrder sends an order to e, whose orderPending was set by the caller. It reports
 // whether the engine carries out the order.
 func (o *orchestrator) sendOrder(ctx context.Context, e *engine, order Order) bool {
-	fence, allowed := o.fencingToken()
+	fence, allowed := o.fencingNumber()
 	answer := Refused
 	var err error
 	if allowed {
@@ -329,7 +329,7 @@
 		allowed = err == nil
 	}
 	if allowed {
-		order.Holder, order.FencingToken = o.instance.options.Address, fence
+		order.Holder, order.FencingNumber = o.instance.options.Address, fence
 		o.mu.Lock()
 		order.ExpectedSequence = e.report.Sequence
 		e.orderSent(o.instance.options.Now(), order)
@@ -380,6 +380,6 @@
 		kind = "unload"
 	}
 	o.instance.options.Log.Info().Err(err).Str("engine", e.Name).Str("order", kind).Str("model", order.Model).
-		Str("adapter", order.Adapter).Uint64("expected", order.ExpectedSequence).Uint64("fence", order.FencingToken).
+		Str("adapter", order.Adapter).Uint64("expected", order.ExpectedSequence).Uint64("fence", order.FencingNumber).
 		Bool("right", allowed).Stringer("answer", answer).Msg("order to an engine")
 }
--- a/internal/jury/event.go
+++ b/internal/jury/event.go
@@ -69,7 +69,7 @@
 	Data []byte
 	// Index and Term are the log position of Data if it was recovered from a
 	// cluster that lost its majority. The new log continues after Index and its
-	// terms after Term, because upstreams compare terms as fencing tokens. Both
+	// terms after Term, because upstreams compare terms as fencing numbers. Both
 	// are 0 for a new cluster.
 	Index Index
 	Term  Term
--- a/internal/jury/lease.go
+++ b/internal/jury/lease.go
@@ -52,7 +52,7 @@
 }
 
 // OrderRight reports whether the member may send orders (commands) to upstreams
-// at now, with term as the fencing token. Unless the lease is extended, the right
+// at now, with term as the fencing number. Unless the lease is extended, the right
 // ends at until or earlier.
 //
 // The caller must check OrderRight immediately before each send. At most one
--- a/internal/jury/member_test.go
+++ b/internal/jury/member_test.go
@@ -73,7 +73,7 @@
 	})
 
 	// Two of three voters are lost for good, and the operator bootstraps a new
-	// cluster with the state of the third. Upstreams know the fencing tokens of
+	// cluster with the state of the third. Upstreams know the fencing numbers of
 	// the former leaders, so those of the new leaders must be higher.
 	It("continues after the index and the term of a recovered cluster", func() {
 		sim := newSimulation(1, 3, noFaults, 0)
--- a/internal/jury/types.go
+++ b/internal/jury/types.go
@@ -13,7 +13,7 @@
 type Index uint64
 
 // Term is a Raft term. Each term has at most one leader, so a leader uses its
-// term as the fencing token of its orders to upstreams.
+// term as the fencing number of its orders to upstreams.
 type Term uint64
 
 // Identity identifies a member by its instance and its data folder. It consists
--- a/internal/registrar/types.go
+++ b/internal/registrar/types.go
@@ -139,7 +139,7 @@
 	ActiveRequests int `json:"streams"`
 	// Leader is the instance that leads the voters, or empty if unknown.
 	Leader string `json:"leader"`
-	// Term is the leader's term, which serves as a fencing token.
+	// Term is the leader's term, which serves as a fencing number.
 	Term      uint64           `json:"term"`
 	Instances []InstanceStatus `json:"instances"`
 	Upstreams []UpstreamStatus `json:"upstreams"`
