--- a/internal/docket/docket.go
+++ b/internal/docket/docket.go
@@ -1,5 +1,5 @@
-// Package docket is the deduplication store of non-idempotent requests. It keeps
-// an idempotency record for each key.
+// Package docket is the idempotency store: it keeps an idempotency record for each
+// key of a non-idempotent request.
 //
 // It is a deterministic state machine: the same commands in the same order
 // produce the same state on every replica. Its clock is advanced only by
