--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -11,7 +11,7 @@
 
 // News is the state of the quarantine that a control instance sends to other instances.
 type News struct {
-	// Revision is that of the records from which the news was made.
+	// Revision is that of the records from which the news was computed.
 	Revision uint64
 	// Mark identifies the contents: news of the same requests has the same mark, which is
 	// never 0.
@@ -29,7 +29,7 @@
 	In time.Duration
 }
 
-// Publisher makes the news at one control instance. It is not safe for concurrent use.
+// Publisher computes the news at one control instance. It is not safe for concurrent use.
 type Publisher struct {
 	limits Limits
 	// announcedAt is when each request was first announced, as suspected or quarantined.
@@ -50,15 +50,15 @@
 }
 
 const (
-	// clearanceTime is the time between the first news of a request and its quarantine,
+	// clearanceTime is the time between the first announcement of a request and its quarantine,
 	// in which other instances can report a complete response to it. It matters if
 	// several upstreams end at once with requests that have succeeded elsewhere. Entry instances
 	// poll the news at least once a second.
 	clearanceTime = 1500 * time.Millisecond
-	// propagationTime is the time after its last crash within which all instances have
-	// news of a request. It leaves room for clock differences.
+	// propagationTime is the time after the last crash of a request within which the
+	// announcement reaches all instances. It leaves room for clock differences.
 	propagationTime = 2 * clearanceTime
-	// refreshInterval is the time after which the news is made again without an update,
+	// refreshInterval is the time after which the news is recomputed without an update,
 	// because the retention of a request may have ended.
 	refreshInterval = time.Second
 )
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -5,8 +5,8 @@
 // instance keeps a Watch, which records the requests that an upstream had when it ended,
 // and those that ended with a complete response. The reports of all instances are collected in
 // Records, a replicated state machine, so that crashes are counted across all instances
-// and the counts survive restarts. A Publisher turns the records into the news that
-// informs the instances of the decisions.
+// and the counts survive restarts. A Publisher turns the records into News, which
+// a control instance sends to the other instances.
 //
 // An upstream that ends interrupts all of its requests. A crash counts against a request
 // only if no other request at that upstream was involved in more crashes. One complete
