--- a/internal/coroner/coroner.go
+++ b/internal/coroner/coroner.go
@@ -255,7 +255,7 @@
 	}
 }
 
-// takeDue returns what is to be reported now, and whether there will be more soon.
+// takeDue returns the update to report now, and whether there will be another one soon.
 func (d *CrashDetector) takeDue() (update quarantine.Update, more bool) {
 	now := d.options.Now()
 	d.mu.Lock()
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -56,7 +56,7 @@
 	pendingReplies map[permit.ID]*pendingReply
 	lastMessageID  permit.ID
 	permits        map[peerRequest]*permitRecord
-	// claimAnswers are the recent answers to peers that asked for permission to send to a
+	// claimAnswers are the recent answers to peers that requested permission to send to a
 	// rate-limited upstream.
 	claimAnswers map[peerRequest]claimAnswer
 	// crashes detects upstreams that crash while running requests. Lock order: mu before the lock
--- a/internal/counter/refusal.go
+++ b/internal/counter/refusal.go
@@ -33,7 +33,7 @@
 	// of the upstreams that have loaded its model.
 	waited time.Duration
 	survey *survey
-	// owner is the instance last asked for a permit, invalid if none was.
+	// owner is the owner chosen for the last permit request, and invalid if there was none.
 	owner netip.AddrPort
 }
 
--- a/internal/counter/transaction.go
+++ b/internal/counter/transaction.go
@@ -34,7 +34,7 @@
 	rateLimitHits int
 	// prefillAhead is the engine's prefill time for earlier prompts when the grant was issued.
 	prefillAhead time.Duration
-	// owner is the instance last asked for a permit, invalid if none was.
+	// owner is the owner chosen for the last permit request, and invalid if there was none.
 	owner netip.AddrPort
 	// lastMissing is the resource that was missing when the wait for an upstream ended.
 	lastMissing missingResource
--- a/internal/quarantine/investigations.go
+++ b/internal/quarantine/investigations.go
@@ -138,7 +138,7 @@
 	return suspects
 }
 
-// observe records what is known about an upstream.
+// observe records the status of an upstream.
 func (i *investigations) observe(lifetime Lifetime, status Status) {
 	inv := i.byLifetime[lifetime]
 	if inv == nil {
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -77,7 +77,7 @@
 	return len(w.cleared) > 0 || w.investigations.hasUnreported()
 }
 
-// TakeDue returns what is to be reported now, and removes it from the Watch. If the
+// TakeDue returns the update to report now, and removes it from the Watch. If the
 // report fails, the caller must repeat it.
 func (w *Watch) TakeDue(now time.Time) Update {
 	update := Update{Now: now, Reports: w.investigations.takeReports(now)}
